--- a/packages/core/src/batch/endpoints/answer-times.test.ts
+++ b/packages/core/src/batch/endpoints/answer-times.test.ts
@@ -1,17 +1,17 @@
-/** How long answers are waited for: by the endpoint that answers, and by what delays all answers. */
+/** Timeouts that follow the response times of one endpoint and of all endpoints. */
 import { describe, expect, it } from 'vitest';
 
 import { createAnswerTimes, createLinkDelay } from './answer-times.js';
 
-describe('the time-out of an order', () => {
-  it('is 0.9 s before the first answer, and a quarter of a second where answers come at once', () => {
+describe('adaptive timeouts', () => {
+  it('the timeout is 0.9 s before the first response and 250 ms after fast responses', () => {
     const times = createAnswerTimes();
     expect(times.timeoutMs()).toBe(900);
     for (let one = 0; one < 30; one += 1) times.note(3);
     expect(times.timeoutMs()).toBe(250);
   });
 
-  it('doubles with each miss of an endpoint that is gone, up to 0.9 s, until it answers', () => {
+  it('the timeout of an endpoint doubles with each missed response, up to 0.9 s, until it responds', () => {
     const link = createLinkDelay();
     const times = createAnswerTimes(link);
     const others = Array.from({ length: 3 }, () => createAnswerTimes(link));
@@ -29,17 +29,17 @@
     expect(times.timeoutMs()).toBeLessThan(250 * 2);
   });
 
-  it('grows for all endpoints once answers of many are late', () => {
+  it('the timeout increases for all endpoints when many endpoints miss responses', () => {
     const link = createLinkDelay();
-    const well = createAnswerTimes(link);
-    for (let one = 0; one < 30; one += 1) well.note(3);
+    const responsive = createAnswerTimes(link);
+    for (let one = 0; one < 30; one += 1) responsive.note(3);
     const others = Array.from({ length: 10 }, () => createAnswerTimes(link));
     others.forEach((times) => times.noteMiss(250));
-    expect(well.timeoutMs()).toBeGreaterThan(500);
-    expect(well.timeoutMs()).toBeLessThanOrEqual(2500);
+    expect(responsive.timeoutMs()).toBeGreaterThan(500);
+    expect(responsive.timeoutMs()).toBeLessThanOrEqual(2500);
   });
 
-  it('stays short for all while one rack of a fleet is silent', () => {
+  it('the timeout stays short for all endpoints that respond while one rack is silent', () => {
     const link = createLinkDelay();
     const fleet = Array.from({ length: 100 }, () => createAnswerTimes(link));
     for (let round = 0; round < 20; round += 1) {
@@ -51,8 +51,9 @@
     expect(fleet[50]?.timeoutMs()).toBe(250);
   });
 
-  it('stays short for all when a data centre is cut off and its endpoints miss in a row', () => {
-    // Counted by misses in a row, 63 of 380 endpoints made all others wait for up to 2.5 s.
+  it('the timeout stays short for all other endpoints while a data centre is disconnected', () => {
+    // If consecutive misses were counted instead of endpoints, 63 of 380 endpoints would raise the timeout of
+    // all others to up to 2.5 s.
     const link = createLinkDelay();
     const fleet = Array.from({ length: 380 }, () => createAnswerTimes(link));
     fleet.forEach((times) => times.note(3));
@@ -64,7 +65,7 @@
     }
   });
 
-  it('is short again once endpoints that are gone are not called any more', () => {
+  it('a local fault is no longer assumed once gone endpoints are not called any more', () => {
     const link = createLinkDelay();
     const fleet = Array.from({ length: 10 }, () => createAnswerTimes(link));
     fleet.slice(0, 5).forEach((times) => times.noteMiss(900));
--- a/packages/core/src/batch/endpoints/answer-times.ts
+++ b/packages/core/src/batch/endpoints/answer-times.ts
@@ -1,142 +1,149 @@
 /**
- * How long to wait for an answer, from how long answers took: smoothed mean and deviation, backed off
- * after each miss, as a transport does for its retransmissions (RFC 6298). An order whose answer is
- * lost is noticed in a quarter of a second where a fixed limit that also suits slow links needs four
- * times that.
+ * Adaptive timeouts for requests to endpoints. As in TCP retransmission (RFC 6298), the timeout is derived
+ * from the smoothed mean and deviation of response times and is doubled after each missed response. A lost
+ * order is detected after 250 ms; a fixed timeout that also suits slow links would need four times as long.
  *
- * Two things make answers late, and each has a memory of its own: one endpoint that is slow or gone,
- * and this entry's own link or processor, which delays the answers of all. Without the second a full
- * link gives up what would have arrived and sends it again, which fills it further: at 250 KB a second
- * 4 of 10 calls were sent more than once, and the link stayed full after the load had gone.
+ * There are two estimators because responses are late for two reasons: a single endpoint is slow or gone, or
+ * this entry's own link or processor delays the responses of all endpoints. With per-endpoint estimators only,
+ * a saturated link gives up on responses that would still have arrived and sends the requests again, which
+ * adds to the load: at 250 KB/s, 4 of 10 calls were sent more than once, and the link stayed saturated after
+ * the load had gone.
  */
 
 import { change } from '../../shared/change.js';
 
-/** Weights of a new time in the mean and in the deviation, as in RFC 6298. */
+/** Weights of a new sample in the mean and in the deviation, as in RFC 6298. */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-const DEVIATIONS = 4;
-const BACK_OFF = 2;
-/** Answers take 3 ms; a pause of the entry's own of 0.2 s must not look like a lost one. */
-const LEAST_MS = 250;
-/** An endpoint that is back is noticed within this and a pause between two questions. */
-const MOST_OF_ENDPOINT_MS = 900;
+const DEVIATION_FACTOR = 4;
+const BACKOFF_FACTOR = 2;
+/** Responses take 3 ms; a pause of 0.2 s in this entry's own process must not be mistaken for a lost response. */
+const MIN_TIMEOUT_MS = 250;
 /**
- * Once so many of the endpoints have not answered their last call, the misses are this entry's own. A
- * data centre that is cut off beside a rack that is gone is 3 of 10 endpoints. Endpoints are counted,
- * not misses: those of a data centre miss together, dozens in a row.
+ * An endpoint that is reachable again is detected within this time plus the pause between two list requests.
  */
-const OWN_MISS_SHARE = 0.4;
-/** Two questions in a row fit into the lease of an endpoint (6 s), whatever the link delays. */
-const MOST_OF_LINK_MS = 2500;
+const MAX_ENDPOINT_TIMEOUT_MS = 900;
+/**
+ * If more than this share of the endpoints did not answer their last call, the cause is assumed to be this
+ * entry's own link or processor. The share is above 0.3 because a disconnected data centre together with a
+ * failed rack can be 3 of 10 endpoints. Endpoints are counted instead of misses because the endpoints of a
+ * disconnected data centre miss at the same time, dozens in a row.
+ */
+const LOCAL_FAULT_SHARE = 0.4;
+/** Two consecutive list requests must fit into the lease of an endpoint (6 s), however slow the link is. */
+const MAX_LINK_TIMEOUT_MS = 2500;
 
-/** A smoothed mean and deviation. */
+/** Smoothed mean and deviation of response times. */
 type Smoothed = { readonly meanMs: number; readonly deviationMs: number };
 
-const smooth = (before: Smoothed | undefined, tookMs: number): Smoothed => {
-  if (!before) return { meanMs: tookMs, deviationMs: tookMs / 2 };
-  const { meanMs, deviationMs } = before;
+const smooth = (previous: Smoothed | undefined, tookMs: number): Smoothed => {
+  if (!previous) return { meanMs: tookMs, deviationMs: tookMs / 2 };
+  const { meanMs, deviationMs } = previous;
   return {
     meanMs: meanMs + MEAN_WEIGHT * (tookMs - meanMs),
     deviationMs: deviationMs + DEVIATION_WEIGHT * (Math.abs(tookMs - meanMs) - deviationMs),
   };
 };
 
-const limitOf = ({ meanMs, deviationMs }: Smoothed): number => meanMs + DEVIATIONS * deviationMs;
+const timeoutOf = ({ meanMs, deviationMs }: Smoothed): number =>
+  meanMs + DEVIATION_FACTOR * deviationMs;
 
-const clamp = (ms: number, mostMs: number): number => Math.min(mostMs, Math.max(LEAST_MS, ms));
+const clamp = (ms: number, maxMs: number): number => Math.min(maxMs, Math.max(MIN_TIMEOUT_MS, ms));
 
-/** One endpoint, as far as its last call is concerned. */
+/** Whether the last call to an endpoint was left without a response. */
 export type CallState = { isMissing: boolean };
 
-/** How long the answers of all endpoints take: what they share is this entry's link and processor. */
+/** Response times over all endpoints, which reflect this entry's own link and processor. */
 export type LinkDelay = {
   readonly note: (endpoint: CallState, tookMs: number) => void;
-  /** Records that an answer was waited for so long in vain. */
+  /** Records that no response arrived within `waitedMs`. */
   readonly noteMiss: (endpoint: CallState, waitedMs: number) => void;
   readonly forget: (endpoint: CallState) => void;
-  /** So many endpoints miss that the cause is this entry's link or processor. */
+  /** True if so many endpoints miss responses that this entry's link or processor must be the cause. */
   readonly isAtFault: () => boolean;
-  /** How long an answer may take by what all others take; 0 before the first. */
+  /** The timeout that results from the responses of all endpoints; 0 before the first response. */
   readonly limitMs: () => number;
-  /** How long answers take; 0 before the first. */
+  /** The smoothed mean response time of all endpoints; 0 before the first response. */
   readonly meanMs: () => number;
 };
 
 /**
- * Builds the memory of what delays all answers. Once many endpoints miss, a miss counts as an answer of
- * twice the time that was waited: it took longer than that, and without it only the quick answers would
- * be seen.
+ * Creates the estimator that all endpoints share. While many endpoints miss responses, each miss is counted as
+ * a response that took twice the time waited. The actual response would have taken longer than the time waited,
+ * and ignoring misses would leave only the fast responses in the estimate.
  *
- * @returns The memory.
+ * @returns The estimator.
  */
 export const createLinkDelay = (): LinkDelay => {
-  const known = new Set<CallState>();
-  let missing = 0;
-  let all: Smoothed | undefined;
+  const endpoints = new Set<CallState>();
+  let missingCount = 0;
+  let smoothed: Smoothed | undefined;
 
-  const noteState = (endpoint: CallState, isMissing: boolean): void => {
-    known.add(endpoint);
-    if (endpoint.isMissing !== isMissing) missing += isMissing ? 1 : -1;
+  const setMissing = (endpoint: CallState, isMissing: boolean): void => {
+    endpoints.add(endpoint);
+    if (endpoint.isMissing !== isMissing) missingCount += isMissing ? 1 : -1;
     change(endpoint, { isMissing });
   };
 
-  const isAtFault = (): boolean => missing > known.size * OWN_MISS_SHARE;
+  const isAtFault = (): boolean => missingCount > endpoints.size * LOCAL_FAULT_SHARE;
 
   return {
     note: (endpoint, tookMs) => {
-      noteState(endpoint, false);
-      all = smooth(all, tookMs);
+      setMissing(endpoint, false);
+      smoothed = smooth(smoothed, tookMs);
     },
     noteMiss: (endpoint, waitedMs) => {
-      noteState(endpoint, true);
-      if (isAtFault()) all = smooth(all, Math.min(MOST_OF_LINK_MS, waitedMs * BACK_OFF));
+      setMissing(endpoint, true);
+      if (isAtFault())
+        smoothed = smooth(smoothed, Math.min(MAX_LINK_TIMEOUT_MS, waitedMs * BACKOFF_FACTOR));
     },
     forget: (endpoint) => {
-      if (known.delete(endpoint) && endpoint.isMissing) missing -= 1;
+      if (endpoints.delete(endpoint) && endpoint.isMissing) missingCount -= 1;
     },
     isAtFault,
-    limitMs: () => (all ? Math.min(MOST_OF_LINK_MS, limitOf(all)) : 0),
-    meanMs: () => all?.meanMs ?? 0,
+    limitMs: () => (smoothed ? Math.min(MAX_LINK_TIMEOUT_MS, timeoutOf(smoothed)) : 0),
+    meanMs: () => smoothed?.meanMs ?? 0,
   };
 };
 
-/** The times of the answers of one endpoint. */
+/** Response times of one endpoint. */
 export type AnswerTimes = {
-  /** Records how long an answer took. */
+  /** Records how long a response took. */
   readonly note: (tookMs: number) => void;
-  /** Records that an answer was waited for so long in vain. */
+  /** Records that no response arrived within `waitedMs`. */
   readonly noteMiss: (waitedMs: number) => void;
-  /** How long to wait for the next one. */
+  /** How long to wait for the next response. */
   readonly timeoutMs: () => number;
-  /** The endpoint is not called any more. */
+  /** Removes the endpoint from the shared estimator, as it is not called any more. */
   readonly close: () => void;
 };
 
 /**
- * Builds an empty memory of answer times.
+ * Creates the estimator of one endpoint.
  *
- * @param link - What delays the answers of all endpoints.
- * @returns The memory; before the first answer it allows the longest time of an endpoint.
+ * @param link - The estimator that all endpoints share.
+ * @returns The estimator; before the first response, its timeout is the maximum for an endpoint.
  */
 export const createAnswerTimes = (link: LinkDelay = createLinkDelay()): AnswerTimes => {
-  const state: CallState = { isMissing: false };
-  let own: Smoothed | undefined;
-  let backOff = 1;
+  const callState: CallState = { isMissing: false };
+  let smoothed: Smoothed | undefined;
+  let backoffFactor = 1;
   return {
     note: (tookMs) => {
-      own = smooth(own, tookMs);
-      backOff = 1;
-      link.note(state, tookMs);
+      smoothed = smooth(smoothed, tookMs);
+      backoffFactor = 1;
+      link.note(callState, tookMs);
     },
     noteMiss: (waitedMs) => {
-      backOff *= BACK_OFF;
-      link.noteMiss(state, waitedMs);
+      backoffFactor *= BACKOFF_FACTOR;
+      link.noteMiss(callState, waitedMs);
     },
     timeoutMs: () => {
-      const ownMs = own ? clamp(limitOf(own) * backOff, MOST_OF_ENDPOINT_MS) : MOST_OF_ENDPOINT_MS;
-      return clamp(Math.max(ownMs, link.limitMs()), MOST_OF_LINK_MS);
+      const endpointTimeoutMs = smoothed
+        ? clamp(timeoutOf(smoothed) * backoffFactor, MAX_ENDPOINT_TIMEOUT_MS)
+        : MAX_ENDPOINT_TIMEOUT_MS;
+      return clamp(Math.max(endpointTimeoutMs, link.limitMs()), MAX_LINK_TIMEOUT_MS);
     },
-    close: () => link.forget(state),
+    close: () => link.forget(callState),
   };
 };
--- a/packages/core/src/batch/endpoints/endpoint-model.ts
+++ b/packages/core/src/batch/endpoints/endpoint-model.ts
@@ -1,6 +1,6 @@
 /**
- * A model of an endpoint: leases by its own clock, fences, ends that wait to be acknowledged. Tests
- * in virtual time and the stand-in with real processes run the same one.
+ * A simulated endpoint with leases measured by its own clock, fencing, and ended runs that are reported until they
+ * are acknowledged. Tests in virtual time and the stand-in with real processes both use it.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 
@@ -17,22 +17,22 @@
 import type { EndKind, EndpointReport, EndReport, RunningReport } from './reports.js';
 import type { Capacity } from '../model/state.js';
 
-/** What a task needs, as the simulated endpoint is told by the simulated fleet. */
+/** Properties of a task in the simulation. */
 export type ModelTask = {
   readonly cpuMillis: number;
   readonly memoryMb: number;
   readonly runMs: number;
   readonly isLasting: boolean;
-  /** How long a lasting task takes to be at work; `START_MS` if left out. */
+  /** How long a lasting task takes to become ready; `DEFAULT_START_MS` if undefined. */
   readonly startMs?: number | undefined;
   readonly fails: boolean;
-  /** It takes the endpoint down so long after its start; undefined for one that does not. */
+  /** How long after its start the task crashes the endpoint; undefined if it doesn't crash it. */
   readonly crashesAfterMs?: number | undefined;
-  /** What a start must show; undefined where none is needed. */
+  /** The ticket that a start order must contain; undefined if none is required. */
   readonly ticket?: string | undefined;
 };
 
-type ModelRun = {
+type SimulatedRun = {
   readonly task: TaskKey;
   readonly run: number;
   readonly needs: ModelTask;
@@ -41,7 +41,7 @@
   timer: NodeJS.Timeout | undefined;
 };
 
-/** Told of all that happens on endpoints, to check what must always hold. */
+/** Receives all events of simulated endpoints, to check invariants. */
 export type EndpointObserver = {
   readonly onStart: (endpoint: EndpointModel, task: TaskKey, run: number) => void;
   readonly onEnd: (
@@ -51,7 +51,7 @@
     kind: EndKind | 'died',
   ) => void;
   readonly onAcknowledged: (end: EndReport) => void;
-  /** A task takes the endpoint down; whoever built it ends its life. */
+  /** Called when a task crashes the endpoint; the creator of the endpoint then calls `die`. */
   readonly onCrash?: (endpoint: EndpointModel, task: TaskKey) => void;
   readonly needsOf: (task: TaskKey) => ModelTask;
 };
@@ -61,12 +61,12 @@
   readonly hostId: HostId;
   readonly pool: PoolName;
   readonly capacity: Capacity;
-  /** When this life began, by the time of day. */
+  /** When this incarnation started, in wall-clock time. */
   readonly bornAtMs: number;
-  /** The name of this life. */
+  /** The id of this incarnation. */
   readonly endpointId: EndpointId;
   readonly isUp: () => boolean;
-  readonly runs: ReadonlyMap<TaskKey, Readonly<Omit<ModelRun, 'timer'>>>;
+  readonly runs: ReadonlyMap<TaskKey, Readonly<Omit<SimulatedRun, 'timer'>>>;
   readonly list: (
     order: ListOrder,
   ) => Promise<
@@ -74,16 +74,16 @@
   >;
   readonly start: (order: StartOrder) => Result<EndpointClock, OrderError>;
   readonly stop: (order: StopOrder) => Result<EndpointClock, OrderError>;
-  /** All that runs here dies, nothing is reported any more. */
+  /** Kills all runs; nothing is reported afterwards. */
   readonly die: () => void;
-  /** Tasks stand still or fail from now on. */
+  /** `hangs`: tasks make no progress. `fails`: tasks that start from now on fail. */
   mood: 'sound' | 'hangs' | 'fails';
 };
 
-const STOP_MS = 300;
-const START_MS = 200;
-const ENDS_PER_ANSWER = 500;
-const LONGEST_LEASE_MS = 10_000;
+const STOP_DURATION_MS = 300;
+const DEFAULT_START_MS = 200;
+const DEFAULT_ENDS_PER_RESPONSE = 500;
+const DEFAULT_MAX_LEASE_MS = 10_000;
 
 const refuse = (reason: OrderError['reason']): Err<OrderError> =>
   Err({ verdict: 'notRun', reason, detail: `the endpoint said ${reason}` });
@@ -93,19 +93,19 @@
   readonly hostId: HostId;
   readonly pool: PoolName;
   readonly capacity: Capacity;
-  /** How fast its clock runs: 0.98 is 2 % slow. */
+  /** Speed of the endpoint's clock relative to real time: 0.98 is 2 % slow. */
   readonly clockRate: number;
   readonly observer: EndpointObserver;
-  /** The most ends that it lists at once. */
+  /** Maximum number of ended runs in one list response. */
   readonly endsPerAnswer?: number;
-  /** A longer lease is cut to this. */
+  /** Maximum length of a lease; longer ones are shortened to it. */
   readonly longestLeaseMs?: number;
 };
 
 /**
- * Builds an endpoint.
+ * Creates a simulated endpoint.
  *
- * @param options - Its names, room and clock.
+ * @param options - Its ids, capacity and clock.
  * @returns The endpoint.
  */
 export const createEndpointModel = ({
@@ -115,61 +115,67 @@
   capacity,
   clockRate,
   observer,
-  endsPerAnswer = ENDS_PER_ANSWER,
-  longestLeaseMs = LONGEST_LEASE_MS,
+  endsPerAnswer = DEFAULT_ENDS_PER_RESPONSE,
+  longestLeaseMs = DEFAULT_MAX_LEASE_MS,
 }: EndpointModelOptions): EndpointModel => {
-  const clockBeganAtMs = performance.now();
+  const clockStartedAtMs = performance.now();
   const bornAtMs = Math.floor(Date.now());
-  const runs = new Map<TaskKey, ModelRun>();
-  const highestEnded = new Map<TaskKey, number>();
-  let ends: EndReport[] = [];
-  let lastNumber = 0;
+  const runs = new Map<TaskKey, SimulatedRun>();
+  const highestEndedRun = new Map<TaskKey, number>();
+  let unacknowledgedEnds: EndReport[] = [];
+  let lastEndNumber = 0;
   let fence = 0;
-  let untilMs = 0;
+  let leaseEndsAtMs = 0;
   let isUp = true;
   let leaseTimer: NodeJS.Timeout | undefined;
-  const waiters = new Set<() => void>();
+  const wakeCallbacks = new Set<() => void>();
 
-  const clockMs = (): number => 1000 + (performance.now() - clockBeganAtMs) * clockRate;
+  const clockMs = (): number => 1000 + (performance.now() - clockStartedAtMs) * clockRate;
 
-  const finish = (run: ModelRun, kind: EndKind): void => {
+  const finish = (run: SimulatedRun, kind: EndKind): void => {
     if (!isUp || runs.get(run.task) !== run) return;
     clearTimeout(run.timer);
     runs.delete(run.task);
-    highestEnded.set(run.task, Math.max(run.run, highestEnded.get(run.task) ?? 0));
-    lastNumber += 1;
-    ends.push({ number: lastNumber, task: run.task, run: run.run, kind, checkpoint: '' });
+    highestEndedRun.set(run.task, Math.max(run.run, highestEndedRun.get(run.task) ?? 0));
+    lastEndNumber += 1;
+    unacknowledgedEnds.push({
+      number: lastEndNumber,
+      task: run.task,
+      run: run.run,
+      kind,
+      checkpoint: '',
+    });
     observer.onEnd(self, run.task, run.run, kind);
-    waiters.forEach((wake) => wake());
+    wakeCallbacks.forEach((wake) => wake());
   };
 
-  const lapse = (): void => {
-    if (clockMs() < untilMs) {
-      planLapse();
+  const checkLeaseExpiry = (): void => {
+    if (clockMs() < leaseEndsAtMs) {
+      scheduleLeaseCheck();
       return;
     }
     Array.from(runs.values()).forEach((run) => finish(run, 'lapsed'));
   };
 
-  const planLapse = (): void => {
+  const scheduleLeaseCheck = (): void => {
     clearTimeout(leaseTimer);
-    leaseTimer = setTimeout(lapse, Math.max(1, (untilMs - clockMs()) / clockRate));
+    leaseTimer = setTimeout(checkLeaseExpiry, Math.max(1, (leaseEndsAtMs - clockMs()) / clockRate));
   };
 
-  const keep = (wantedMs: number | undefined): void => {
-    const grantedMs = Math.min(wantedMs ?? 0, clockMs() + longestLeaseMs);
-    if (grantedMs <= untilMs) return;
-    untilMs = grantedMs;
-    planLapse();
+  const extendLease = (requestedMs: number | undefined): void => {
+    const grantedMs = Math.min(requestedMs ?? 0, clockMs() + longestLeaseMs);
+    if (grantedMs <= leaseEndsAtMs) return;
+    leaseEndsAtMs = grantedMs;
+    scheduleLeaseCheck();
   };
 
-  const checkFence = (given: number): boolean => {
-    if (given < fence) return false;
-    fence = given;
+  const acceptFence = (orderFence: number): boolean => {
+    if (orderFence < fence) return false;
+    fence = orderFence;
     return true;
   };
 
-  const used = () =>
+  const usedCapacity = () =>
     Array.from(runs.values()).reduce(
       (sum, { needs }) => ({
         cpuMillis: sum.cpuMillis + needs.cpuMillis,
@@ -178,29 +184,29 @@
       { cpuMillis: 0, memoryMb: 0 },
     );
 
-  const percentOf = ({ startedAtMs, needs, isStopping }: ModelRun): number => {
+  const progressOf = ({ startedAtMs, needs, isStopping }: SimulatedRun): number => {
     const ranMs = performance.now() - startedAtMs;
     if (self.mood === 'hangs' || isStopping) return 0;
-    const wholeMs = needs.isLasting ? (needs.startMs ?? START_MS) : needs.runMs;
-    return Math.min(needs.isLasting ? 100 : 99, Math.floor((ranMs / wholeMs) * 100));
+    const totalMs = needs.isLasting ? (needs.startMs ?? DEFAULT_START_MS) : needs.runMs;
+    return Math.min(needs.isLasting ? 100 : 99, Math.floor((ranMs / totalMs) * 100));
   };
 
-  const start: EndpointModel['start'] = ({ task, run, keepUntilMs, fence: given, ticket }) => {
-    if (!checkFence(given)) return refuse('fence');
+  const start: EndpointModel['start'] = ({ task, run, keepUntilMs, fence: orderFence, ticket }) => {
+    if (!acceptFence(orderFence)) return refuse('fence');
     if (keepUntilMs <= clockMs()) return refuse('late');
-    keep(keepUntilMs);
+    extendLease(keepUntilMs);
     if (runs.get(task)?.run === run) return Ok({ clockMs: clockMs() });
-    if (run <= (highestEnded.get(task) ?? 0) || runs.has(task)) return refuse('old');
+    if (run <= (highestEndedRun.get(task) ?? 0) || runs.has(task)) return refuse('old');
     const needs = observer.needsOf(task);
     if (needs.ticket !== undefined && needs.ticket !== ticket) return refuse('ticket');
-    const room = used();
+    const used = usedCapacity();
     if (
-      room.cpuMillis + needs.cpuMillis > capacity.cpuMillis ||
-      room.memoryMb + needs.memoryMb > capacity.memoryMb
+      used.cpuMillis + needs.cpuMillis > capacity.cpuMillis ||
+      used.memoryMb + needs.memoryMb > capacity.memoryMb
     ) {
       return refuse('room');
     }
-    const begun: ModelRun = {
+    const newRun: SimulatedRun = {
       task,
       run,
       needs,
@@ -208,61 +214,63 @@
       isStopping: false,
       timer: undefined,
     };
-    runs.set(task, begun);
+    runs.set(task, newRun);
     observer.onStart(self, task, run);
     if (needs.crashesAfterMs !== undefined) {
-      begun.timer = setTimeout(() => observer.onCrash?.(self, task), needs.crashesAfterMs);
+      newRun.timer = setTimeout(() => observer.onCrash?.(self, task), needs.crashesAfterMs);
       return Ok({ clockMs: clockMs() });
     }
     const fails = needs.fails || self.mood === 'fails';
     if (self.mood !== 'hangs' && (!needs.isLasting || fails)) {
-      begun.timer = setTimeout(() => finish(begun, fails ? 'failed' : 'done'), needs.runMs);
+      newRun.timer = setTimeout(() => finish(newRun, fails ? 'failed' : 'done'), needs.runMs);
     }
     return Ok({ clockMs: clockMs() });
   };
 
-  const stop: EndpointModel['stop'] = ({ task, run, fence: given }) => {
-    if (!checkFence(given)) return refuse('fence');
-    const known = runs.get(task);
-    if (known && known.run <= run && !known.isStopping) {
-      known.isStopping = true;
-      clearTimeout(known.timer);
-      known.timer = setTimeout(() => finish(known, 'stopped'), STOP_MS);
+  const stop: EndpointModel['stop'] = ({ task, run, fence: orderFence }) => {
+    if (!acceptFence(orderFence)) return refuse('fence');
+    const existingRun = runs.get(task);
+    if (existingRun && existingRun.run <= run && !existingRun.isStopping) {
+      existingRun.isStopping = true;
+      clearTimeout(existingRun.timer);
+      existingRun.timer = setTimeout(() => finish(existingRun, 'stopped'), STOP_DURATION_MS);
     }
-    highestEnded.set(task, Math.max(run, highestEnded.get(task) ?? 0));
+    highestEndedRun.set(task, Math.max(run, highestEndedRun.get(task) ?? 0));
     return Ok({ clockMs: clockMs() });
   };
 
   const list: EndpointModel['list'] = async ({
-    fence: given,
+    fence: orderFence,
     acknowledged,
     keepUntilMs,
     waitMs,
   }) => {
-    if (!checkFence(given)) return refuse('fence');
-    ends.filter(({ number }) => number <= acknowledged).forEach(observer.onAcknowledged);
-    ends = ends.filter(({ number }) => number > acknowledged);
-    keep(keepUntilMs);
-    if (ends.length === 0 && waitMs > 0) {
+    if (!acceptFence(orderFence)) return refuse('fence');
+    unacknowledgedEnds
+      .filter(({ number }) => number <= acknowledged)
+      .forEach(observer.onAcknowledged);
+    unacknowledgedEnds = unacknowledgedEnds.filter(({ number }) => number > acknowledged);
+    extendLease(keepUntilMs);
+    if (unacknowledgedEnds.length === 0 && waitMs > 0) {
       await new Promise<void>((resolve) => {
         const wake = (): void => {
-          waiters.delete(wake);
+          wakeCallbacks.delete(wake);
           clearTimeout(timer);
           resolve();
         };
         const timer = setTimeout(wake, waitMs);
-        waiters.add(wake);
+        wakeCallbacks.add(wake);
       });
     }
     const running: readonly RunningReport[] = Array.from(runs.values(), (run) => ({
       task: run.task,
       run: run.run,
       checkpoint: '',
-      percent: percentOf(run),
+      percent: progressOf(run),
       figure: 0,
     }));
-    const ended = ends.slice(0, endsPerAnswer);
-    const hasMoreEnds = ended.length < ends.length;
+    const ended = unacknowledgedEnds.slice(0, endsPerAnswer);
+    const hasMoreEnds = ended.length < unacknowledgedEnds.length;
     return Ok({ clockMs: clockMs(), running, ended, hasMoreEnds });
   };
 
--- a/packages/core/src/batch/endpoints/endpoints.ts
+++ b/packages/core/src/batch/endpoints/endpoints.ts
@@ -1,4 +1,4 @@
-/** Endpoints as they come, change and go, by the platform's list. */
+/** Registers and updates endpoints from the platform's list of endpoints. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
 import { domainsOf, joinDomains } from '../domains/domains.js';
 import { instanceOf } from '../model/endpoint-life.js';
@@ -20,31 +20,31 @@
   readonly labels: readonly string[];
   readonly capacity: Capacity;
   readonly isDraining: boolean;
-  /** For how much longer it says that it is slow; 0 if left out. */
+  /** For how much longer the endpoint expects to be slow; 0 if undefined. */
   readonly coldLeftMs?: number;
 };
 
 /**
- * Applies a sighting of an endpoint. Capacity and labels of one life never change.
+ * Registers an endpoint or updates its state. Capacity and labels don't change within one incarnation.
  *
- * @param state - All that is known, changed in place.
- * @param sighting - The endpoint.
- * @param nowMs - The time.
- * @returns Its state.
+ * @param state - The holder's batch state, modified in place.
+ * @param sighting - The endpoint's description of itself.
+ * @param nowMs - The current time.
+ * @returns The endpoint's state.
  */
 export const seeEndpoint = (
   state: BatchState,
   sighting: EndpointSighting,
   nowMs: number,
 ): EndpointState => {
-  const known = state.endpoints.get(sighting.endpointId);
+  const existing = state.endpoints.get(sighting.endpointId);
   const coldUntilMs = nowMs + (sighting.coldLeftMs ?? 0);
-  if (known) {
-    known.coldUntilMs = coldUntilMs;
-    known.isDraining = sighting.isDraining;
-    known.hasAnnouncedEnd = known.hasAnnouncedEnd || sighting.isDraining;
-    known.hostId = sighting.hostId ?? known.hostId;
-    return known;
+  if (existing) {
+    existing.coldUntilMs = coldUntilMs;
+    existing.isDraining = sighting.isDraining;
+    existing.hasAnnouncedEnd = existing.hasAnnouncedEnd || sighting.isDraining;
+    existing.hostId = sighting.hostId ?? existing.hostId;
+    return existing;
   }
   const endpoint: EndpointState = {
     endpointId: sighting.endpointId,
@@ -81,19 +81,19 @@
 };
 
 /**
- * Names the rack of an endpoint.
+ * Returns the rack of an endpoint.
  *
  * @param endpoint - The endpoint, with its labels.
- * @returns The rack's label, or '' for one without.
+ * @returns The rack's label, or '' if the endpoint has none.
  */
 export const rackOf = ({ labels }: Pick<EndpointState, 'labels'>): string =>
-  labels.find((one) => one.includes('-')) ?? '';
+  labels.find((label) => label.includes('-')) ?? '';
 
 /**
- * Notes the endpoints that may run tasks of an earlier holder.
+ * Records the endpoints that may still run tasks started by an earlier holder.
  *
- * @param state - All that is known, changed in place.
- * @param endpoints - The endpoints by pool, also those without an address.
+ * @param state - The holder's batch state, modified in place.
+ * @param endpoints - The endpoints with their pools, including those without an address.
  */
 export const expectReports = (
   state: BatchState,
@@ -105,22 +105,23 @@
   });
 };
 
-/** An endpoint that the list of hosts has named, with the host that it was on. */
+/** An endpoint from the list of hosts, with the host that it was on. */
 export type HostedEndpoint = { readonly instanceId: InstanceId; readonly hostId: HostId };
 
-/** Never seen in the list of endpoints: the end of one that was seen is settled with what ran there. */
-const isNeverSeen = ({ lives, goneEndpoints }: BatchState, instanceId: InstanceId): boolean =>
+/** True if no list of endpoints has named the endpoint. Otherwise its end is handled together with its runs. */
+const wasNeverListed = ({ lives, goneEndpoints }: BatchState, instanceId: InstanceId): boolean =>
   !lives.has(instanceId) &&
   !Array.from(goneEndpoints.keys()).some((endpointId) => instanceOf(endpointId) === instanceId);
 
 /**
- * Stops waiting for endpoints that no list of endpoints has named, once a later list of hosts has their host without
- * them. How their runs ended another holder may have heard, so only one that is surely the only one does so.
+ * Stops waiting for reports of endpoints that no list of endpoints has named, once a later list of hosts shows their
+ * host without them. Another holder may have received the results of their runs, so this is done only while this
+ * entry is certainly the only holder.
  *
- * @param state - All that is known, changed in place.
- * @param expected - The endpoints of the first reading of the list of hosts.
- * @param hosts - The hosts of a later reading.
- * @param nowMs - The time.
+ * @param state - The holder's batch state, modified in place.
+ * @param expected - The endpoints in the first list of hosts.
+ * @param hosts - The hosts in a later list.
+ * @param nowMs - The current time.
  */
 export const dropUnseenReports = (
   state: BatchState,
@@ -128,12 +129,16 @@
   hosts: ReadonlyMap<HostId, { readonly instanceId: InstanceId | null }>,
   nowMs: number,
 ): void => {
-  const isAnyAwaited = Array.from(state.pools.values()).some((pool) => pool.notReported.size > 0);
-  if (!isAnyAwaited || !isSoleHolder(state, nowMs)) return;
+  const isAnyReportAwaited = Array.from(state.pools.values()).some(
+    (pool) => pool.notReported.size > 0,
+  );
+  if (!isAnyReportAwaited || !isSoleHolder(state, nowMs)) return;
   expected
     .filter(({ instanceId, hostId }) => {
       const host = hosts.get(hostId);
-      return host !== undefined && host.instanceId !== instanceId && isNeverSeen(state, instanceId);
+      return (
+        host !== undefined && host.instanceId !== instanceId && wasNeverListed(state, instanceId)
+      );
     })
     .forEach(({ instanceId }) =>
       state.pools.forEach(({ notReported }) => notReported.delete(instanceId)),
--- a/packages/core/src/batch/endpoints/feed-scope.test.ts
+++ b/packages/core/src/batch/endpoints/feed-scope.test.ts
@@ -13,28 +13,28 @@
   ...given,
 });
 
-describe('what a follower of a table asks for', () => {
-  it('is all rows at first, whatever they are', () => {
+describe('scope of the next request to a table', () => {
+  it('the first request asks for all rows, for both kinds of tables', () => {
     expect(nextFeedScope(past({ hasPosition: false }))).toBe('whole');
     expect(nextFeedScope(past({ use: 'log', hasPosition: false }))).toBe('whole');
   });
 
-  describe('where few rows are written again and again', () => {
-    it('is what changes, while each answer comes and holds little', () => {
+  describe('for a table of few rows that are overwritten repeatedly', () => {
+    it('requests changes while responses arrive and are small', () => {
       expect(nextFeedScope(past())).toBe('changes');
       expect(nextFeedScope(past({ answerBytes: STATE_BYTES }))).toBe('changes');
     });
 
-    it('is all rows once an answer holds two versions: changes come faster than they are read', () => {
+    it('requests all rows once a response contains two copies, as rows change faster than they are read', () => {
       expect(nextFeedScope(past({ answerBytes: 2 * STATE_BYTES }))).toBe('whole');
     });
 
-    it('is all rows after a question without an answer', () => {
+    it('requests all rows after a request without a response', () => {
       expect(nextFeedScope(past({ hasFailed: true }))).toBe('whole');
     });
   });
 
-  it('is what changes of a table that only grows, also after a failure', () => {
+  it('requests changes of a growing table, also after a failed request', () => {
     const grown = { use: 'log', hasFailed: true, answerBytes: 5 * STATE_BYTES } as const;
     expect(nextFeedScope(past(grown))).toBe('changes');
   });
--- a/packages/core/src/batch/endpoints/feed-scope.ts
+++ b/packages/core/src/batch/endpoints/feed-scope.ts
@@ -1,43 +1,43 @@
 /**
- * What a follower of a table asks for next: the changes since its last answer, or all rows as they
- * are now. Changes cost what was written meanwhile, which has no bound where the same few rows are
- * written again and again; all rows cost one copy of each.
+ * Decides what a follower of a table requests next: the changes since the last response, or all current rows. The
+ * cost of changes is proportional to the number of writes, which is unbounded where the same few rows are written
+ * repeatedly; the cost of all rows is one copy of each.
  */
 
 /** How the rows of a table are written. */
 export type RowsUse =
-  /** Few rows, written again and again: what counts is how they are now. */
+  /** Few rows that are overwritten repeatedly; only their current values matter. */
   | 'state'
-  /** Ever more rows, each written a few times: all of them would cost more than what is missed. */
+  /** A growing number of rows, each written a few times; all rows would cost more than the missed changes. */
   | 'log';
 
-/** What a question asks for: what came since the last answer, or all that is there. */
+/** What a request asks for: the changes since the last response, or all current rows. */
 export type FeedScope = 'changes' | 'whole';
 
 export type FeedPast = {
   readonly use: RowsUse;
-  /** False before the first answer, and once the changes since the last one are forgotten. */
+  /** False before the first response, and once the changes since the last one are no longer available. */
   readonly hasPosition: boolean;
-  /** True if the last question got no answer: for how long nothing was read is not known. */
+  /** True if the last request got no response, so that it is unknown for how long nothing was read. */
   readonly hasFailed: boolean;
-  /** Of the last answer. */
+  /** Size of the last response. */
   readonly answerBytes: number;
-  /** Of all rows as they were last read, one copy of each. */
+  /** Size of one copy of all rows, as they were last read. */
   readonly stateBytes: number;
 };
 
 /**
- * An answer of two versions of what there is, or more, shows that changes come faster than they are
- * read. It may be no larger: an answer has 1 MB at most, which is two versions of 1,500 queues. If
- * nothing has changed since, the next reading of all rows costs one copy for nothing.
+ * A response larger than this many copies of all rows shows that rows change faster than they are read. The limit
+ * must not be larger: a response has at most 1 MB, which is two copies of the rows of 1,500 queues. If nothing has
+ * changed since, the following request for all rows costs one unnecessary copy.
  */
-const COPIES_BEHIND = 1.5;
+const MAX_COPIES_PER_RESPONSE = 1.5;
 
 /**
- * Chooses what to ask for.
+ * Decides what to request next.
  *
  * @param past - What the follower has read so far.
- * @returns The scope of the next question.
+ * @returns The scope of the next request.
  */
 export const nextFeedScope = ({
   use,
@@ -48,6 +48,6 @@
 }: FeedPast): FeedScope => {
   if (!hasPosition) return 'whole';
   if (use === 'log') return 'changes';
-  const isBehind = answerBytes > COPIES_BEHIND * stateBytes;
+  const isBehind = answerBytes > MAX_COPIES_PER_RESPONSE * stateBytes;
   return hasFailed || isBehind ? 'whole' : 'changes';
 };
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.test.ts
@@ -1,4 +1,4 @@
-/** Runs that may be in the life after the one that they were ordered to. */
+/** Runs that may be in a later incarnation of the endpoint than the one they were sent to. */
 import { beforeEach, describe, expect, it } from 'vitest';
 
 import type { EndpointId } from '../../shared/ids.js';
@@ -24,218 +24,232 @@
 import { takeEffects, type BatchEffect, type BatchState, type GoneCause } from '../model/state.js';
 import { watchRuns } from './watch-runs.js';
 
-const LIFE = lifeOf('i-0000000001', 1_700_000_000_000);
-const NEXT = lifeOf('i-0000000001', 1_700_000_000_900);
+const FIRST_INCARNATION = lifeOf('i-0000000001', 1_700_000_000_000);
+const NEXT_INCARNATION = lifeOf('i-0000000001', 1_700_000_000_900);
 const SENT_AT_MS = 1000;
 const GONE_AT_MS = 1400;
-const HEARD_AT_MS = 1900;
-const START = { task: TASK, run: FIRST_RUN };
+const RESPONSE_AT_MS = 1900;
+const ORDERED_RUN = { task: TASK, run: FIRST_RUN };
 
-const running = { ...START, checkpoint: '', percent: 10, figure: 0 };
-const endOf = (kind: EndKind) => ({ ...START, number: 1, kind, checkpoint: '' });
+const runningReport = { ...ORDERED_RUN, checkpoint: '', percent: 10, figure: 0 };
+const endOf = (kind: EndKind) => ({ ...ORDERED_RUN, number: 1, kind, checkpoint: '' });
 
-describe('a run on an endpoint that starts again under its id', () => {
+describe('a run on an endpoint that restarts under the same id', () => {
   let state: BatchState;
   let effects: BatchEffect[];
 
-  const cycle = (nowMs: number): void => {
+  const runCycle = (nowMs: number): void => {
     settleGoneEndpoints(state, nowMs);
     scheduleWritten(state, nowMs);
     effects.push(...takeEffects(state));
   };
 
-  const hear = (endpointId: EndpointId, nowMs: number, lists: object = {}): void =>
+  const respond = (endpointId: EndpointId, nowMs: number, lists: object = {}): void =>
     answer(state, { endpointId, askedAtMs: nowMs - 2, nowMs, ...lists });
 
-  const stopsAt = (endpointId: EndpointId) =>
+  const stopOrdersAt = (endpointId: EndpointId) =>
     effects.filter((one) => one.kind === 'stop' && one.endpointId === endpointId);
 
-  const lose = (detail: GoneCause): void => {
-    removeEndpoint(state, LIFE, { detail, atMs: GONE_AT_MS, nowMs: GONE_AT_MS });
-    cycle(GONE_AT_MS);
+  const loseEndpoint = (detail: GoneCause): void => {
+    removeEndpoint(state, FIRST_INCARNATION, { detail, atMs: GONE_AT_MS, nowMs: GONE_AT_MS });
+    runCycle(GONE_AT_MS);
   };
 
-  const seeNext = (): void => {
-    see(state, NEXT, HEARD_AT_MS - 10);
-    const next = state.endpoints.get(NEXT);
-    if (next) barOpenStarts(state, next, HEARD_AT_MS - 10);
+  const registerNextIncarnation = (): void => {
+    see(state, NEXT_INCARNATION, RESPONSE_AT_MS - 10);
+    const next = state.endpoints.get(NEXT_INCARNATION);
+    if (next) barOpenStarts(state, next, RESPONSE_AT_MS - 10);
   };
 
-  /** The task is ordered to begin on the first life; there is another endpoint to begin it on. */
+  /** The task is ordered to start on the first incarnation; a second endpoint could run it as well. */
   beforeEach(() => {
     state = stateWithJob();
     effects = [];
-    see(state, LIFE);
-    hear(LIFE, 10);
-    cycle(SENT_AT_MS);
-    openStart(state, LIFE, START, SENT_AT_MS);
+    see(state, FIRST_INCARNATION);
+    respond(FIRST_INCARNATION, 10);
+    runCycle(SENT_AT_MS);
+    openStart(state, FIRST_INCARNATION, ORDERED_RUN, SENT_AT_MS);
     see(state, SECOND);
-    hear(SECOND, 30);
-    expect(endpointsOf(state, taskOf(state))).toEqual([LIFE]);
+    respond(SECOND, 30);
+    expect(endpointsOf(state, taskOf(state))).toEqual([FIRST_INCARNATION]);
   });
 
   const answerStart = (): void => {
-    closeStart(state, LIFE, START);
-    applyStartOutcome(state, LIFE, { ...START, outcome: 'started', nowMs: SENT_AT_MS + 5 });
+    closeStart(state, FIRST_INCARNATION, ORDERED_RUN);
+    applyStartOutcome(state, FIRST_INCARNATION, {
+      ...ORDERED_RUN,
+      outcome: 'started',
+      nowMs: SENT_AT_MS + 5,
+    });
   };
 
-  describe('whose start was answered, and that no list has named', () => {
+  describe('whose start order was answered and that has not been listed yet', () => {
     beforeEach(() => {
       answerStart();
-      lose('restarted');
+      loseEndpoint('restarted');
       expect(endpointsOf(state, taskOf(state))).toEqual([]);
       expect(taskOf(state).phase).toBe('placed');
-      seeNext();
+      registerNextIncarnation();
     });
 
-    it('stays where it is if the next life lists it', () => {
-      hear(NEXT, HEARD_AT_MS, { running: [running] });
-      cycle(HEARD_AT_MS);
-      expect(endpointsOf(state, taskOf(state))).toEqual([NEXT]);
+    it('moves to the next incarnation if that lists it as running, and no crash is counted', () => {
+      respond(NEXT_INCARNATION, RESPONSE_AT_MS, { running: [runningReport] });
+      runCycle(RESPONSE_AT_MS);
+      expect(endpointsOf(state, taskOf(state))).toEqual([NEXT_INCARNATION]);
       expect(taskOf(state).lastRun).toBe(FIRST_RUN);
       expect(taskOf(state).crashes).toEqual([]);
-      expect(stopsAt(NEXT)).toEqual([]);
+      expect(stopOrdersAt(NEXT_INCARNATION)).toEqual([]);
     });
 
-    it('is done if the next life lists its end', () => {
-      hear(NEXT, HEARD_AT_MS, { ended: [endOf('done')] });
-      cycle(HEARD_AT_MS);
+    it('completes if the next incarnation lists it as done', () => {
+      respond(NEXT_INCARNATION, RESPONSE_AT_MS, { ended: [endOf('done')] });
+      runCycle(RESPONSE_AT_MS);
       expect(state.jobs.get(JOB)?.phase).toBe('completed');
     });
 
-    it('is begun elsewhere once the next life lists nothing of it, and its crash is counted', () => {
-      hear(NEXT, HEARD_AT_MS);
-      cycle(HEARD_AT_MS);
+    it('is replaced by a new run, and a crash is counted, once the next incarnation does not list it', () => {
+      respond(NEXT_INCARNATION, RESPONSE_AT_MS);
+      runCycle(RESPONSE_AT_MS);
       expect(endpointsOf(state, taskOf(state))).toHaveLength(1);
       expect(taskOf(state).lastRun).toBe(FIRST_RUN + 1);
       expect(taskOf(state).crashes).toHaveLength(1);
     });
 
-    it('is begun elsewhere at last if no later life is ever heard', () => {
-      cycle(SENT_AT_MS + 10_000);
+    it('is started elsewhere after the longest lease if no later incarnation ever responds', () => {
+      runCycle(SENT_AT_MS + 10_000);
       expect(endpointsOf(state, taskOf(state))).toEqual([]);
-      cycle(SENT_AT_MS + 11_000);
+      runCycle(SENT_AT_MS + 11_000);
       expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
     });
   });
 
-  it('is stopped in the next life if its job was cancelled before that was heard', () => {
+  it('is stopped in the next incarnation if its job was cancelled before that incarnation responded', () => {
     answerStart();
-    lose('restarted');
-    seeNext();
+    loseEndpoint('restarted');
+    registerNextIncarnation();
     cancelJob(state, JOB, null);
-    hear(NEXT, HEARD_AT_MS, { running: [running] });
-    cycle(HEARD_AT_MS);
-    expect(stopsAt(NEXT)).toMatchObject([START]);
+    respond(NEXT_INCARNATION, RESPONSE_AT_MS, { running: [runningReport] });
+    runCycle(RESPONSE_AT_MS);
+    expect(stopOrdersAt(NEXT_INCARNATION)).toMatchObject([ORDERED_RUN]);
   });
 
-  it('is given up once it is barred, if its crash was one too many', () => {
+  it('fails its job once it is blocked in the next incarnation, if its task has caused too many crashes', () => {
     const crash = { run: 1, livedMs: 0, isConfirmed: true, isSuspected: true, fence: 2 };
     const blame = { ...crash, isSoleSuspect: true, isCorrelated: false, countedAtMs: 0 };
     Object.assign(taskOf(state), { crashes: [blame, blame, blame] });
-    lose('restarted');
-    seeNext();
-    hear(NEXT, HEARD_AT_MS);
-    cycle(HEARD_AT_MS);
+    loseEndpoint('restarted');
+    registerNextIncarnation();
+    respond(NEXT_INCARNATION, RESPONSE_AT_MS);
+    runCycle(RESPONSE_AT_MS);
     expect(state.jobs.get(JOB)?.phase).toBe('failed');
   });
 
-  it('is counted as answered also where the answer comes after its life was found over', () => {
-    lose('restarted');
+  it('counts as started also if the response arrives after its incarnation was found to be over', () => {
+    loseEndpoint('restarted');
     answerStart();
-    cycle(GONE_AT_MS + 10);
+    runCycle(GONE_AT_MS + 10);
     expect(endpointsOf(state, taskOf(state))).toEqual([]);
-    seeNext();
-    hear(NEXT, HEARD_AT_MS, { running: [running] });
-    cycle(HEARD_AT_MS);
-    expect(endpointsOf(state, taskOf(state))).toEqual([NEXT]);
+    registerNextIncarnation();
+    respond(NEXT_INCARNATION, RESPONSE_AT_MS, { running: [runningReport] });
+    runCycle(RESPONSE_AT_MS);
+    expect(endpointsOf(state, taskOf(state))).toEqual([NEXT_INCARNATION]);
     expect(taskOf(state).lastRun).toBe(FIRST_RUN);
   });
 
-  describe('whose start had no answer', () => {
+  describe('whose start order was not answered', () => {
     it.each(['restarted', 'host-list', 'host-ordered'] as const)(
-      'is not begun elsewhere while the order may reach the next life (%s)',
+      'is not started elsewhere while the order may reach the next incarnation (%s)',
       (detail) => {
-        lose(detail);
-        cycle(SENT_AT_MS + LATEST_ORDER_MS - 1);
+        loseEndpoint(detail);
+        runCycle(SENT_AT_MS + LATEST_ORDER_MS - 1);
         expect(endpointsOf(state, taskOf(state))).toEqual([]);
-        cycle(SENT_AT_MS + LATEST_ORDER_MS + 1);
+        runCycle(SENT_AT_MS + LATEST_ORDER_MS + 1);
         expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
       },
     );
 
     it.each(['host-taken', 'replaced', 'succeeded'] as const)(
-      'is begun elsewhere at once where no later life can come (%s)',
+      'is started elsewhere at once if there can be no later incarnation (%s)',
       (detail) => {
-        lose(detail);
+        loseEndpoint(detail);
         expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
       },
     );
 
-    it('is barred in the next life first, and begun elsewhere once that holds', () => {
-      lose('restarted');
-      seeNext();
-      hear(NEXT, HEARD_AT_MS);
-      cycle(HEARD_AT_MS);
-      expect(stopsAt(NEXT)).toMatchObject([START]);
-      expect(endpointsOf(state, taskOf(state))).toEqual([NEXT]);
-      applyStopAnswer(state, NEXT, TASK, FIRST_RUN, HEARD_AT_MS + 10);
-      hear(NEXT, HEARD_AT_MS + 20);
-      cycle(HEARD_AT_MS + 20);
+    it('is started again only after the next incarnation has confirmed the stop order that blocks it', () => {
+      loseEndpoint('restarted');
+      registerNextIncarnation();
+      respond(NEXT_INCARNATION, RESPONSE_AT_MS);
+      runCycle(RESPONSE_AT_MS);
+      expect(stopOrdersAt(NEXT_INCARNATION)).toMatchObject([ORDERED_RUN]);
+      expect(endpointsOf(state, taskOf(state))).toEqual([NEXT_INCARNATION]);
+      applyStopAnswer(state, NEXT_INCARNATION, TASK, FIRST_RUN, RESPONSE_AT_MS + 10);
+      respond(NEXT_INCARNATION, RESPONSE_AT_MS + 20);
+      runCycle(RESPONSE_AT_MS + 20);
       expect(taskOf(state).lastRun).toBe(FIRST_RUN + 1);
       expect(taskOf(state).crashes).toHaveLength(1);
     });
 
-    it('is barred in the next life also after its task was begun elsewhere', () => {
-      applyStartOutcome(state, LIFE, { ...START, outcome: 'unknown', nowMs: SENT_AT_MS + 50 });
-      applyStopAnswer(state, LIFE, TASK, FIRST_RUN, SENT_AT_MS + 60);
-      hear(LIFE, SENT_AT_MS + 80);
-      cycle(SENT_AT_MS + 80);
+    it('is blocked in the next incarnation also if its task has been started again before', () => {
+      applyStartOutcome(state, FIRST_INCARNATION, {
+        ...ORDERED_RUN,
+        outcome: 'unknown',
+        nowMs: SENT_AT_MS + 50,
+      });
+      applyStopAnswer(state, FIRST_INCARNATION, TASK, FIRST_RUN, SENT_AT_MS + 60);
+      respond(FIRST_INCARNATION, SENT_AT_MS + 80);
+      runCycle(SENT_AT_MS + 80);
       expect(taskOf(state).lastRun).toBe(FIRST_RUN + 1);
-      lose('restarted');
-      seeNext();
-      cycle(HEARD_AT_MS);
-      expect(stopsAt(NEXT)).toMatchObject([START]);
+      loseEndpoint('restarted');
+      registerNextIncarnation();
+      runCycle(RESPONSE_AT_MS);
+      expect(stopOrdersAt(NEXT_INCARNATION)).toMatchObject([ORDERED_RUN]);
     });
 
-    it('is held also where its endpoint is only silent, and may have started again unheard', () => {
-      const endpoint = state.endpoints.get(LIFE);
+    it('is not given up at the end of the lease of a silent endpoint, which may have restarted unnoticed', () => {
+      const endpoint = state.endpoints.get(FIRST_INCARNATION);
       Object.assign(endpoint ?? {}, { leaseEndsAtMs: 7000 });
       expect(watchRuns(state, 7100)).toEqual([]);
       expect(watchRuns(state, SENT_AT_MS + LATEST_ORDER_MS + 1)).toHaveLength(1);
     });
   });
 
-  it('is begun elsewhere at once if its own life had listed it', () => {
+  it('is started elsewhere at once if its own incarnation had listed it', () => {
     answerStart();
-    hear(LIFE, SENT_AT_MS + 100, { running: [running] });
-    lose('restarted');
+    respond(FIRST_INCARNATION, SENT_AT_MS + 100, { running: [runningReport] });
+    loseEndpoint('restarted');
     expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
     expect(taskOf(state).crashes).toHaveLength(1);
   });
 
-  it('that a former holder ordered, late, is stopped while its task runs elsewhere', () => {
+  it('is stopped if it comes from a late order of an earlier holder and its task runs elsewhere', () => {
     answerStart();
-    hear(LIFE, SENT_AT_MS + 100, { running: [running] });
-    lose('restarted');
-    seeNext();
-    hear(NEXT, HEARD_AT_MS, { running: [{ ...running, run: FIRST_RUN - 1000 }] });
-    cycle(HEARD_AT_MS);
-    expect(stopsAt(NEXT)).toMatchObject([{ task: TASK, run: FIRST_RUN - 1000 }]);
+    respond(FIRST_INCARNATION, SENT_AT_MS + 100, { running: [runningReport] });
+    loseEndpoint('restarted');
+    registerNextIncarnation();
+    respond(NEXT_INCARNATION, RESPONSE_AT_MS, {
+      running: [{ ...runningReport, run: FIRST_RUN - 1000 }],
+    });
+    runCycle(RESPONSE_AT_MS);
+    expect(stopOrdersAt(NEXT_INCARNATION)).toMatchObject([{ task: TASK, run: FIRST_RUN - 1000 }]);
     expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
   });
 
-  it('keeps each of its lives apart, however fast they follow', () => {
+  it('is tracked for each incarnation separately, even if they follow each other quickly', () => {
     answerStart();
-    hear(LIFE, SENT_AT_MS + 100, { running: [running] });
+    respond(FIRST_INCARNATION, SENT_AT_MS + 100, { running: [runningReport] });
     Object.assign(state, { soleHolderUntilMs: 0 });
-    lose('restarted');
-    seeNext();
-    removeEndpoint(state, NEXT, { detail: 'restarted', atMs: HEARD_AT_MS, nowMs: HEARD_AT_MS });
-    expect(Array.from(state.goneEndpoints.keys())).toEqual([LIFE, NEXT]);
-    expect(state.lives.has(instanceOf(LIFE))).toBe(false);
+    loseEndpoint('restarted');
+    registerNextIncarnation();
+    removeEndpoint(state, NEXT_INCARNATION, {
+      detail: 'restarted',
+      atMs: RESPONSE_AT_MS,
+      nowMs: RESPONSE_AT_MS,
+    });
+    expect(Array.from(state.goneEndpoints.keys())).toEqual([FIRST_INCARNATION, NEXT_INCARNATION]);
+    expect(state.lives.has(instanceOf(FIRST_INCARNATION))).toBe(false);
     Object.assign(state, { soleHolderUntilMs: Infinity });
-    cycle(HEARD_AT_MS + 10);
+    runCycle(RESPONSE_AT_MS + 10);
     expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
   });
 });
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -1,8 +1,8 @@
 /**
- * Runs that may be in the life after the one that they were ordered to. An order reaches whichever life has the
- * endpoint's id, and the answer to a start does not tell which one that was. So a run that the list of a life has not
- * named may have begun in the next: its task is not begun elsewhere before that life has told, or nothing can come of the
- * order any more.
+ * Handles runs that may be in a later incarnation of the endpoint than the one they were sent to. An order reaches
+ * whichever incarnation has the endpoint's id at the time, and the response to a start order does not tell which one
+ * that was. A run that an incarnation has not listed may therefore have started in the next one. Its task must not be
+ * started elsewhere until the next incarnation has reported, or until the order can have no effect any more.
  */
 import { change } from '../../shared/change.js';
 import { judgeCrash, recordCrash } from '../crashes/endpoint-crashes.js';
@@ -19,37 +19,45 @@
   type RunState,
 } from '../model/state.js';
 
-/** By these no life of the endpoint can come after: something else has its host or its address. */
-const WITHOUT_NEXT: ReadonlySet<GoneCause> = new Set(['host-taken', 'replaced', 'succeeded']);
-/** By these no life was up when the list was asked for. */
-const NONE_UP: ReadonlySet<GoneCause> = new Set(['host-list', 'host-ordered']);
-/** An endpoint's clock may be 2 % slow, and an answer some time under way. */
-const LEASE_SLACK = 1.05;
+/** Causes that rule out a later incarnation: another endpoint has taken over the host or the address. */
+const CAUSES_WITHOUT_LATER_INCARNATION: ReadonlySet<GoneCause> = new Set([
+  'host-taken',
+  'replaced',
+  'succeeded',
+]);
+/** Causes that show that no incarnation was running when the list of hosts was requested. */
+const CAUSES_WITH_NONE_RUNNING: ReadonlySet<GoneCause> = new Set(['host-list', 'host-ordered']);
+/** Allows for an endpoint clock that is 2 % slow and for the time that a response is in transit. */
+const LEASE_MARGIN_FACTOR = 1.05;
 
-const startedBy = ({ task, run }: RunState): StartedRun => ({ task: task.key, run });
+const startedRunOf = ({ task, run }: RunState): StartedRun => ({ task: task.key, run });
 
-const isOpen = (
+const isStartUnanswered = (
   state: BatchState,
   { endpointId }: EndpointState,
   run: RunState,
   nowMs: number,
-): boolean => isStartOpen(state, endpointId, startedBy(run), nowMs);
+): boolean => isStartOpen(state, endpointId, startedRunOf(run), nowMs);
 
-/** A life that was told a time of the clock of the one before keeps its runs for as long as it may. */
+/**
+ * A start order contains the end of the lease by the clock of the incarnation that it was meant for. A later
+ * incarnation that receives the order has another clock and may keep the run for the longest possible lease.
+ */
 const mayRunUnlisted = (
   { longestLeaseMs }: BatchState,
   { isListed, confirmedAtMs }: RunState,
   nowMs: number,
-): boolean => !isListed && nowMs < confirmedAtMs + longestLeaseMs * LEASE_SLACK;
+): boolean => !isListed && nowMs < confirmedAtMs + longestLeaseMs * LEASE_MARGIN_FACTOR;
 
 /**
- * Tells whether a run on an endpoint that is silent may be in a later life of it, which is not heard either.
+ * Returns whether a run on a silent endpoint may be in a later incarnation that has not been heard from either.
  *
- * @param state - All that is known.
- * @param endpoint - The endpoint, whose lease is over.
+ * @param state - The holder's batch state.
+ * @param endpoint - The endpoint, whose lease has ended.
  * @param run - The run.
- * @param nowMs - The time.
- * @returns True while an order to start it may be carried out, or what a later life was told to keep may run.
+ * @param nowMs - The current time.
+ * @returns True while an order to start the run may still be executed, or while the lease that a later incarnation
+ *   may have granted to the run can last.
  */
 export const mayRunInLaterLife = (
   state: BatchState,
@@ -58,17 +66,20 @@
   nowMs: number,
 ): boolean => {
   const wasAnswered = run.confirmedAtMs < Infinity;
-  return (wasAnswered && mayRunUnlisted(state, run, nowMs)) || isOpen(state, endpoint, run, nowMs);
+  return (
+    (wasAnswered && mayRunUnlisted(state, run, nowMs)) ||
+    isStartUnanswered(state, endpoint, run, nowMs)
+  );
 };
 
 /**
- * Tells whether a run of an endpoint that is gone may be in a later life of it.
+ * Returns whether a run of an endpoint that is gone may be in a later incarnation of that endpoint.
  *
- * @param state - All that is known.
- * @param gone - The endpoint, and what shows that it is gone.
+ * @param state - The holder's batch state.
+ * @param gone - The endpoint, and the evidence that it is gone.
  * @param run - The run.
- * @param nowMs - The time.
- * @returns True until the next life has told, or nothing can come of the order any more.
+ * @param nowMs - The current time.
+ * @returns True until the next incarnation has reported, or until the order can have no effect any more.
  */
 export const mayBeFollowed = (
   state: BatchState,
@@ -76,22 +87,23 @@
   run: RunState,
   nowMs: number,
 ): boolean => {
-  if (WITHOUT_NEXT.has(detail)) return false;
-  if (isOpen(state, endpoint, run, nowMs)) return true;
-  const isKnownToBeOver = isFollowed || (NONE_UP.has(detail) && atMs > run.confirmedAtMs);
+  if (CAUSES_WITHOUT_LATER_INCARNATION.has(detail)) return false;
+  if (isStartUnanswered(state, endpoint, run, nowMs)) return true;
+  const isKnownToBeOver =
+    isFollowed || (CAUSES_WITH_NONE_RUNNING.has(detail) && atMs > run.confirmedAtMs);
   return !isKnownToBeOver && mayRunInLaterLife(state, endpoint, run, nowMs);
 };
 
-/** What an endpoint listed in its first answer. */
+/** The runs that an endpoint listed in its first response. */
 type FirstReport = {
-  readonly named: readonly StartedRun[];
+  readonly listed: readonly StartedRun[];
   readonly nowMs: number;
 };
 
-const noteFollowed = (
+const logRunFollowed = (
   state: BatchState,
   run: RunState,
-  [before, next]: readonly [EndpointState, EndpointState],
+  [previous, next]: readonly [EndpointState, EndpointState],
   found: 'listed' | 'barred',
 ): void => {
   state.effects.push({
@@ -101,29 +113,34 @@
       task: run.task.key,
       run: run.run,
       endpoint: next.endpointId,
-      lifeBefore: before.endpointId,
+      lifeBefore: previous.endpointId,
       found,
     },
   });
 };
 
-/** Counts a run at the life that lists it; one that was to stop, or whose job is over, is to stop there. */
-const followRun = (
+/**
+ * Moves a run to the incarnation that lists it. A run that was being stopped, or whose job is over, is stopped there.
+ */
+const moveToNextIncarnation = (
   state: BatchState,
-  before: EndpointState,
+  previous: EndpointState,
   next: EndpointState,
   run: RunState,
 ): void => {
-  noteFollowed(state, run, [before, next], 'listed');
+  logRunFollowed(state, run, [previous, next], 'listed');
   const { job } = run.step;
   const isOver = isFinal(job.phase);
-  const moved = moveRun(state, { from: before, to: next, run, phase: 'running' });
+  const moved = moveRun(state, { from: previous, to: next, run, phase: 'running' });
   if (isOver) stopRun(state, next, moved, job.reason);
   else if (run.phase === 'stopping') stopRun(state, next, moved, 'the life before was to stop it');
 };
 
-/** A life that lists nothing of the run may still begin it: that is barred before its task begins elsewhere. */
-const barRun = (
+/**
+ * Handles an incarnation that does not list a run but may still receive the order to start it: the run is blocked
+ * there before its task starts elsewhere.
+ */
+const blockRun = (
   state: BatchState,
   gone: GoneEndpoint,
   next: EndpointState,
@@ -132,57 +149,59 @@
 ): void => {
   const crash = gone.verdicts ? gone.verdicts.get(run) : judgeCrash(state, gone, run, nowMs);
   if (crash && !isFinal(run.step.job.phase)) recordCrash(state, run, crash);
-  noteFollowed(state, run, [gone.endpoint, next], 'barred');
+  logRunFollowed(state, run, [gone.endpoint, next], 'barred');
   const moved = moveRun(state, { from: gone.endpoint, to: next, run, phase: 'unsure' });
   stopRun(state, next, moved, 'an order to an earlier life may arrive here');
   giveUpIfDue(state, moved);
 };
 
 /**
- * Applies to the lives before what the first answer of an endpoint lists: a run that it names is there, one that it does
- * not name is barred if an order to start it may be under way, and has ended with its life if not.
+ * Applies the first list of an incarnation to the runs of the earlier ones. A run in the list is running or has ended
+ * in the new incarnation. A run that is missing is blocked if an order to start it may still be in transit; otherwise
+ * it ended with its own incarnation.
  *
- * @param state - All that is known, changed in place.
- * @param next - The life that answered.
- * @param report - All runs that it names, running or ended.
+ * @param state - The holder's batch state, modified in place.
+ * @param next - The incarnation that responded.
+ * @param report - All runs that it lists, running or ended.
  */
 export const followRuns = (
   state: BatchState,
   next: EndpointState,
-  { named, nowMs }: FirstReport,
+  { listed, nowMs }: FirstReport,
 ): void => {
-  const isNamed = ({ task, run }: RunState): boolean =>
-    named.some((one) => one.task === task.key && one.run === run);
+  const isInReport = ({ task, run }: RunState): boolean =>
+    listed.some((one) => one.task === task.key && one.run === run);
   state.goneEndpoints.forEach((gone) => {
-    const { endpoint: before } = gone;
-    if (instanceOf(before.endpointId) !== instanceOf(next.endpointId)) return;
+    const { endpoint: previous } = gone;
+    if (instanceOf(previous.endpointId) !== instanceOf(next.endpointId)) return;
     change(gone, { isFollowed: true });
-    before.runs.forEach((run) => {
-      if (isNamed(run)) {
-        followRun(state, before, next, run);
-      } else if (isOpen(state, before, run, nowMs)) {
-        barRun(state, gone, next, run, nowMs);
+    previous.runs.forEach((run) => {
+      if (isInReport(run)) {
+        moveToNextIncarnation(state, previous, next, run);
+      } else if (isStartUnanswered(state, previous, run, nowMs)) {
+        blockRun(state, gone, next, run, nowMs);
       }
     });
   });
 };
 
 /**
- * Has a life bar the runs that orders to the lives before it may still begin, though their tasks wait no more.
+ * Has a new incarnation block runs that orders to earlier ones may still start, although their tasks are no longer
+ * waiting for these runs.
  *
- * @param state - All that is known, changed in place.
- * @param next - The life.
- * @param nowMs - The time.
+ * @param state - The holder's batch state, modified in place.
+ * @param next - The new incarnation.
+ * @param nowMs - The current time.
  */
 export const barOpenStarts = (state: BatchState, next: EndpointState, nowMs: number): void => {
   const instanceId = instanceOf(next.endpointId);
-  const held = new Set(
+  const heldTasks = new Set(
     Array.from(state.goneEndpoints.values())
       .filter(({ endpoint }) => instanceOf(endpoint.endpointId) === instanceId)
       .flatMap(({ endpoint }) => Array.from(endpoint.runs.keys())),
   );
   openStartsAt(state, instanceId, nowMs)
-    .filter(({ task }) => !held.has(task))
+    .filter(({ task }) => !heldTasks.has(task))
     .forEach(({ task, run }) =>
       state.effects.push({
         kind: 'stop',
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -1,7 +1,7 @@
 /**
- * Endpoints whose life is over. Their runs run no more, but how they ended is not known here: where
- * another entry may have become the holder, it may have heard that one is done before the endpoint
- * went. So what ran there is given up only while this holder is surely the only one.
+ * Endpoints whose incarnation is over. Their runs have ended, but the holder does not know how. If another entry may
+ * have become the holder, that entry may have received the report that a run is done before the endpoint went away.
+ * Runs are therefore given up only while this entry is certainly the only holder.
  */
 import type { EndpointId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
@@ -29,16 +29,16 @@
   type RunState,
 } from '../model/state.js';
 
-/** What shows that an endpoint is gone, and the time. */
+/** The evidence that an endpoint is gone, when it held, and the current time. */
 export type EndpointEnd = Pick<GoneEndpoint, 'detail' | 'atMs'> & { readonly nowMs: number };
 
 /**
- * Takes an endpoint for gone. Nothing is placed or counted there any more; tasks that ran there, and
- * inherited ones that may have, wait until `settleGoneEndpoints` gives them up.
+ * Marks an endpoint as gone. It gets no new tasks and its capacity no longer counts. Tasks that ran there, and
+ * inherited tasks that may have run there, wait until `settleGoneEndpoints` gives their runs up.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The holder's batch state, modified in place.
  * @param endpointId - The endpoint.
- * @param end - What shows it.
+ * @param end - The evidence.
  */
 export const removeEndpoint = (
   state: BatchState,
@@ -60,8 +60,8 @@
   state.goneEndpoints.set(endpointId, gone);
 };
 
-/** Judges what the end of an endpoint says of each run that was there, while all of them are known. */
-const judge = (state: BatchState, gone: GoneEndpoint, nowMs: number): void => {
+/** Decides for each run of a gone endpoint whether the crash counts against it, while all its runs are still known. */
+const judgeRuns = (state: BatchState, gone: GoneEndpoint, nowMs: number): void => {
   const judged = lastRunsOf(gone.endpoint).flatMap((run) => {
     const crash = judgeCrash(state, gone, run, nowMs);
     return crash ? [[run, crash] as const] : [];
@@ -69,7 +69,7 @@
   change(gone, { verdicts: new Map(judged) });
 };
 
-/** Counts the end of an endpoint against the tasks of runs that ended with it; gives what their lines tell of it. */
+/** Counts an endpoint crash against the tasks whose runs ended with it, and returns the log fields for these runs. */
 const countCrashes = (
   state: BatchState,
   { endpoint, verdicts }: GoneEndpoint,
@@ -86,8 +86,8 @@
   return new Map(judged.map(({ run }) => [run, crashFields(run.task, endpoint, todayMs)]));
 };
 
-/** A run that was given up before tells of its endpoint's end all the same. */
-const settleLapsed = (
+/** Logs the end of the endpoint also for a run that was given up earlier, when the endpoint's lease ended. */
+const logLapsedRunEnd = (
   state: BatchState,
   { endpoint, detail, atMs }: GoneEndpoint,
   run: RunState,
@@ -108,46 +108,49 @@
   });
 };
 
-/** What an earlier holder began there has ended too, unless a later life that has not answered may run it. */
-const expectNoReport = (state: BatchState, { endpoint, detail }: GoneEndpoint): void => {
+/**
+ * Stops waiting for the endpoint's report: runs that an earlier holder started there have ended as well. After a
+ * restart they may be in a later incarnation that has not responded yet, so the report is still awaited.
+ */
+const stopAwaitingReport = (state: BatchState, { endpoint, detail }: GoneEndpoint): void => {
   if (detail === 'restarted') return;
   poolOf(state, endpoint.pool).notReported.delete(instanceOf(endpoint.endpointId));
 };
 
-/** Gives up the runs that ended with an endpoint; those that may be in its next life stay. */
-const settle = (state: BatchState, gone: GoneEndpoint, nowMs: number): void => {
+/** Gives up the runs that ended with an endpoint. Runs that may be in its next incarnation are kept. */
+const giveUpRuns = (state: BatchState, gone: GoneEndpoint, nowMs: number): void => {
   const { endpoint, detail, atMs } = gone;
   const evidence: RunEvidence = { cause: 'endpoint-gone', atMs, detail };
-  const over = Array.from(endpoint.runs.values()).filter(
+  const endedRuns = Array.from(endpoint.runs.values()).filter(
     (run) => !mayBeFollowed(state, gone, run, nowMs),
   );
   const lapsed = endpoint.lapsedRuns;
-  const fieldsOf = countCrashes(state, gone, [...over, ...lapsed], nowMs);
-  over.forEach((run) => {
+  const fieldsOf = countCrashes(state, gone, [...endedRuns, ...lapsed], nowMs);
+  endedRuns.forEach((run) => {
     const fields = fieldsOf.get(run);
     const afterwards = (): void => giveUpIfDue(state, run);
     loseRun(state, { endpoint, run, evidence, nowMs, fields, afterwards });
   });
-  lapsed.forEach((run) => settleLapsed(state, gone, run, fieldsOf.get(run), nowMs));
+  lapsed.forEach((run) => logLapsedRunEnd(state, gone, run, fieldsOf.get(run), nowMs));
   change(endpoint, { lapsedRuns: [] });
   if (endpoint.runs.size === 0) state.goneEndpoints.delete(endpoint.endpointId);
 };
 
 /**
- * Gives up what ran on endpoints that are gone, unless another entry may be the holder: until then no
- * other can have heard how a run ended, and from then on nobody can hear it from them.
+ * Gives up the runs of endpoints that are gone, unless another entry may be the holder. While this entry is the only
+ * holder, no other entry can have received the result of a run, and a gone endpoint reports to no later holder.
  *
- * @param state - All that is known, changed in place.
- * @param nowMs - The time.
+ * @param state - The holder's batch state, modified in place.
+ * @param nowMs - The current time.
  */
 export const settleGoneEndpoints = (state: BatchState, nowMs: number): void => {
   if (state.goneEndpoints.size === 0 || !isSoleHolder(state, nowMs)) return;
   const gone = Array.from(state.goneEndpoints.values());
-  const fresh = gone.filter(({ verdicts }) => verdicts === null);
-  noteCrashes(state, fresh, nowMs);
-  fresh.forEach((one) => {
-    judge(state, one, nowMs);
-    expectNoReport(state, one);
+  const unjudged = gone.filter(({ verdicts }) => verdicts === null);
+  noteCrashes(state, unjudged, nowMs);
+  unjudged.forEach((one) => {
+    judgeRuns(state, one, nowMs);
+    stopAwaitingReport(state, one);
   });
-  gone.forEach((one) => settle(state, one, nowMs));
+  gone.forEach((one) => giveUpRuns(state, one, nowMs));
 };
--- a/packages/core/src/batch/endpoints/health.ts
+++ b/packages/core/src/batch/endpoints/health.ts
@@ -1,24 +1,24 @@
 /**
- * Endpoints that fail or hang what they are given. Blame needs tasks of distinct jobs: one job that
- * can never be done does not condemn an endpoint.
+ * Detects endpoints on which tasks fail or hang. Failures count only if they come from tasks of distinct jobs, so that
+ * one job that always fails does not take an endpoint out of service.
  */
 import type { JobId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import type { BatchState, EndpointState } from '../model/state.js';
 
-/** So many distinct jobs must have failed on an endpoint since the last task that was done there. */
-const JOBS_TO_BLAME = 3;
-/** For how long it is withheld first; doubled with each strike, up to the longest. */
+/** Number of distinct jobs that must have failed on an endpoint since the last task that was done there. */
+const FAILED_JOBS_TO_WITHHOLD = 3;
+/** Duration of the first withholding; it doubles with each further one, up to `MAX_WITHHOLD_MS`. */
 const FIRST_WITHHOLD_MS = 2500;
-const LONGEST_WITHHOLD_MS = 10_000;
+const MAX_WITHHOLD_MS = 10_000;
 
 /**
  * Withholds an endpoint from new work.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The holder's batch state, modified in place.
  * @param endpoint - The endpoint.
- * @param reason - Why, for operators.
- * @param nowMs - The time.
+ * @param reason - The reason that operators see.
+ * @param nowMs - The current time.
  */
 export const withholdEndpoint = (
   state: BatchState,
@@ -27,7 +27,7 @@
   nowMs: number,
 ): void => {
   const { endpointId, pool, health } = endpoint;
-  const forMs = Math.min(LONGEST_WITHHOLD_MS, FIRST_WITHHOLD_MS * 2 ** health.strikes);
+  const forMs = Math.min(MAX_WITHHOLD_MS, FIRST_WITHHOLD_MS * 2 ** health.strikes);
   health.strikes += 1;
   health.failedJobs.clear();
   change(endpoint, { withheldUntilMs: nowMs + forMs, withheldReason: reason });
@@ -39,16 +39,16 @@
 };
 
 /**
- * Records that a task failed on an endpoint.
+ * Records that a task failed on an endpoint, and withholds the endpoint after too many failures.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The holder's batch state, modified in place.
  * @param endpoint - The endpoint.
  * @param jobId - The task's job.
  */
 export const noteFailure = (state: BatchState, endpoint: EndpointState, jobId: JobId): void => {
   const { failedJobs } = endpoint.health;
   failedJobs.add(jobId);
-  if (failedJobs.size < JOBS_TO_BLAME) return;
+  if (failedJobs.size < FAILED_JOBS_TO_WITHHOLD) return;
   withholdEndpoint(
     state,
     endpoint,
@@ -58,9 +58,9 @@
 };
 
 /**
- * Records that a task was done on an endpoint.
+ * Records that a task was done on an endpoint, which resets its failures.
  *
- * @param endpoint - The endpoint, changed in place.
+ * @param endpoint - The endpoint, modified in place.
  */
 export const noteDone = (endpoint: EndpointState): void => {
   const { health } = endpoint;
--- a/packages/core/src/batch/endpoints/lost-runs.ts
+++ b/packages/core/src/batch/endpoints/lost-runs.ts
@@ -1,18 +1,18 @@
-/** Runs that ended without a report. */
+/** Runs that ended without a report from their endpoint. */
 import { requeue, dropRun, type DropRunOptions } from './runs.js';
 import type { BatchState } from '../model/state.js';
 
 /** Options for a run that ended without a report. */
 export type LoseRunOptions = Omit<DropRunOptions, 'settle'> & {
-  /** What else follows, once the task waits again. */
+  /** Called once the task has been put back into the queue. */
   readonly afterwards?: () => void;
 };
 
 /**
- * Takes a run for ended without a report.
+ * Marks a run as ended without a report, and puts its task back into the queue.
  *
- * @param state - All that is known, changed in place.
- * @param options - The run and what shows that it has ended.
+ * @param state - The holder's batch state, modified in place.
+ * @param options - The run and the evidence that it has ended.
  */
 export const loseRun = (
   state: BatchState,
--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/open-starts.ts
@@ -1,34 +1,38 @@
 /**
- * Orders to start a run that had no answer. Each may still be carried out for some seconds, by whichever life
- * has the endpoint's id by then: a later one knows neither that the run was barred, nor that it has ended, nor the
- * fence that the one before had seen.
+ * Start orders without a response. Each of them may still be executed for some seconds, by whichever incarnation has
+ * the endpoint's id by then. A later incarnation knows neither that the run was blocked, nor that it has ended, nor
+ * the fence that the previous incarnation had seen.
  */
 import type { EndpointId, InstanceId } from '../../shared/ids.js';
 import { instanceOf } from '../model/endpoint-life.js';
 import type { BatchState, OpenStart } from '../model/state.js';
 
-/** A platform may hold an order up for so long. */
+/** The longest time for which a platform may delay an order. */
 export const LATEST_ORDER_MS = 12_000;
 
-/** Which run an order is to start. */
+/** The run that an order is to start. */
 export type StartedRun = Pick<OpenStart, 'task' | 'run'>;
 
-const replace = (state: BatchState, instanceId: InstanceId, open: readonly OpenStart[]): void => {
+const setOpenStarts = (
+  state: BatchState,
+  instanceId: InstanceId,
+  open: readonly OpenStart[],
+): void => {
   if (open.length > 0) state.openStarts.set(instanceId, open);
   else state.openStarts.delete(instanceId);
 };
 
-const isOf =
+const isSameRun =
   ({ task, run }: StartedRun) =>
   (one: StartedRun): boolean =>
     one.task === task && one.run === run;
 
 /**
- * Lists the orders to start that an endpoint may still carry out, in whichever life.
+ * Lists the start orders that an endpoint may still execute, in any incarnation.
  *
- * @param state - All that is known, changed in place: orders that nothing can follow from are forgotten.
+ * @param state - The holder's batch state, modified in place: expired orders are removed.
  * @param instanceId - The endpoint.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  * @returns The orders.
  */
 export const openStartsAt = (
@@ -39,17 +43,17 @@
   const known = state.openStarts.get(instanceId);
   if (!known) return [];
   const open = known.filter(({ untilMs }) => untilMs > nowMs);
-  if (open.length < known.length) replace(state, instanceId, open);
+  if (open.length < known.length) setOpenStarts(state, instanceId, open);
   return open;
 };
 
 /**
- * Notes that an order to start is sent.
+ * Records that a start order is being sent.
  *
- * @param state - All that is known, changed in place.
- * @param endpointId - Where to.
+ * @param state - The holder's batch state, modified in place.
+ * @param endpointId - The endpoint that it is sent to.
  * @param started - The run.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  */
 export const openStart = (
   state: BatchState,
@@ -58,16 +62,16 @@
   nowMs: number,
 ): void => {
   const instanceId = instanceOf(endpointId);
-  const others = openStartsAt(state, instanceId, nowMs).filter((one) => !isOf(started)(one));
+  const others = openStartsAt(state, instanceId, nowMs).filter((one) => !isSameRun(started)(one));
   const { task, run } = started;
-  replace(state, instanceId, [...others, { task, run, untilMs: nowMs + LATEST_ORDER_MS }]);
+  setOpenStarts(state, instanceId, [...others, { task, run, untilMs: nowMs + LATEST_ORDER_MS }]);
 };
 
 /**
- * Notes that each order to start a run was answered.
+ * Records that all orders to start a run have been answered.
  *
- * @param state - All that is known, changed in place.
- * @param endpointId - Where they were sent.
+ * @param state - The holder's batch state, modified in place.
+ * @param endpointId - The endpoint that they were sent to.
  * @param started - The run.
  */
 export const closeStart = (
@@ -77,25 +81,25 @@
 ): void => {
   const instanceId = instanceOf(endpointId);
   const open = state.openStarts.get(instanceId) ?? [];
-  replace(
+  setOpenStarts(
     state,
     instanceId,
-    open.filter((one) => !isOf(started)(one)),
+    open.filter((one) => !isSameRun(started)(one)),
   );
 };
 
 /**
- * Tells whether an order to start a run may still be carried out.
+ * Returns whether an order to start a run may still be executed.
  *
- * @param state - All that is known.
- * @param endpointId - Where it was sent.
+ * @param state - The holder's batch state.
+ * @param endpointId - The endpoint that it was sent to.
  * @param started - The run.
- * @param nowMs - The time.
- * @returns True while one without an answer may be under way.
+ * @param nowMs - The current time.
+ * @returns True while an unanswered order may be in transit.
  */
 export const isStartOpen = (
   state: BatchState,
   endpointId: EndpointId,
   started: StartedRun,
   nowMs: number,
-): boolean => openStartsAt(state, instanceOf(endpointId), nowMs).some(isOf(started));
+): boolean => openStartsAt(state, instanceOf(endpointId), nowMs).some(isSameRun(started));
--- a/packages/core/src/batch/endpoints/order-answers.ts
+++ b/packages/core/src/batch/endpoints/order-answers.ts
@@ -1,4 +1,4 @@
-/** What follows from the answers to orders to start and to stop. */
+/** Applies the responses to start and stop orders. */
 import { change } from '../../shared/change.js';
 import type { EndpointId } from '../../shared/ids.js';
 import type { TaskKey } from '../model/job.js';
@@ -6,22 +6,25 @@
 import { dropRun, requeue, stopRun } from './runs.js';
 import type { BatchState } from '../model/state.js';
 
-/** What became of an order to start a run. */
+/** The result of a start order. */
 export type StartOutcome = 'started' | 'rejected' | 'unknown';
 
-/** An answer to an order to start. */
+/** The response to a start order. */
 export type StartAnswer = {
   readonly task: TaskKey;
   readonly run: number;
-  /** Unknown if there was no answer. */
+  /** `unknown` if there was no response. */
   readonly outcome: StartOutcome;
-  /** Why it was rejected, in a word. */
+  /** A one-word reason for a rejection. */
   readonly reason?: string;
   readonly nowMs: number;
 };
 
-/** A life that was found over meanwhile may have begun it, or the next: that shows once the next one has told. */
-const noteLateAnswer = (
+/**
+ * Handles a response that arrives after the incarnation was found to be over. Either that incarnation or the next one
+ * has started the run; the first list of the next one shows which.
+ */
+const recordLateStart = (
   { goneEndpoints }: BatchState,
   endpointId: EndpointId,
   { task, run, outcome, nowMs }: StartAnswer,
@@ -31,11 +34,11 @@
 };
 
 /**
- * Applies the answer to an order to start.
+ * Applies the response to a start order.
  *
- * @param state - All that is known, changed in place.
- * @param endpointId - Where it was sent.
- * @param answer - The run, what became of the order, and the time.
+ * @param state - The holder's batch state, modified in place.
+ * @param endpointId - The endpoint that it was sent to.
+ * @param answer - The run, the result of the order, and the time.
  */
 export const applyStartOutcome = (
   state: BatchState,
@@ -43,7 +46,7 @@
   answer: StartAnswer,
 ): void => {
   const { task, run, outcome, reason = '', nowMs } = answer;
-  noteLateAnswer(state, endpointId, answer);
+  recordLateStart(state, endpointId, answer);
   const endpoint = state.endpoints.get(endpointId);
   const known = endpoint?.runs.get(task);
   if (!endpoint || !known || known.run !== run || known.phase !== 'starting') return;
@@ -60,20 +63,20 @@
   }
   if (outcome === 'unknown') {
     known.phase = 'unsure';
-    // A stop also bars a start that arrives after it.
+    // A stop order also blocks a start order that arrives after it.
     stopRun(state, endpoint, known, 'the order to start had no answer');
   }
 };
 
 /**
- * Applies that an endpoint answered an order to stop. The run is dropped once a later answer shows
- * that it is not there: it may have ended before, and then its end is listed.
+ * Records that an endpoint has answered a stop order. The run is dropped only when a later list shows that it is not
+ * there: it may have ended before the order, and then its end is listed.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The holder's batch state, modified in place.
  * @param endpointId - The endpoint.
  * @param task - The task.
  * @param run - The run.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  */
 export const applyStopAnswer = (
   state: BatchState,
--- a/packages/core/src/batch/endpoints/order-window.test.ts
+++ b/packages/core/src/batch/endpoints/order-window.test.ts
@@ -1,58 +1,58 @@
-/** How many starts may be under way, by how late answers come. */
+/** How the limit on start orders in flight follows the response delay. */
 import { describe, expect, it } from 'vitest';
 
 import { createOrderWindow } from './order-window.js';
 
-const FIRST = 100;
+const INITIAL_SIZE = 100;
 
-describe('the window of starts under way', () => {
-  /** Sends a window of starts; each answer takes as long as all of them take on a link. */
-  const playRound = (
+describe('the window of start orders in flight', () => {
+  /** Sends a full window of start orders over a link that carries `responsesPerMs`, so that they queue up. */
+  const simulateRound = (
     window: ReturnType<typeof createOrderWindow>,
-    perMs: number,
+    responsesPerMs: number,
     nowMs: number,
   ) => {
     const sent = window.left();
     for (let one = 0; one < sent; one += 1) window.begin();
     for (let one = 0; one < sent; one += 1)
-      window.end((one + 1) / perMs, nowMs + (one + 1) / perMs);
-    return nowMs + sent / perMs;
+      window.end((one + 1) / responsesPerMs, nowMs + (one + 1) / responsesPerMs);
+    return nowMs + sent / responsesPerMs;
   };
 
-  it('stays as wide as it was while answers come at once', () => {
-    const window = createOrderWindow(FIRST);
-    playRound(window, 10, 0);
-    expect(window.size()).toBeGreaterThanOrEqual(FIRST);
+  it('does not shrink while responses are fast', () => {
+    const window = createOrderWindow(INITIAL_SIZE);
+    simulateRound(window, 10, 0);
+    expect(window.size()).toBeGreaterThanOrEqual(INITIAL_SIZE);
   });
 
-  it('shrinks within a few rounds to what a link carries without a long queue', () => {
-    const window = createOrderWindow(FIRST);
+  it('shrinks within a few rounds to what a slow link carries without a long queue', () => {
+    const window = createOrderWindow(INITIAL_SIZE);
     let nowMs = 0;
-    // 0.1 a millisecond: a hundred of them take a second.
-    for (let round = 0; round < 10; round += 1) nowMs = playRound(window, 0.1, nowMs);
+    // At 0.1 responses per millisecond, a hundred orders take one second.
+    for (let round = 0; round < 10; round += 1) nowMs = simulateRound(window, 0.1, nowMs);
     expect(window.size()).toBeLessThan(40);
     expect(window.size()).toBeGreaterThanOrEqual(16);
   });
 
-  it('opens again once answers come at once', () => {
-    const window = createOrderWindow(FIRST);
+  it('grows again once responses are fast', () => {
+    const window = createOrderWindow(INITIAL_SIZE);
     let nowMs = 0;
-    for (let round = 0; round < 20; round += 1) nowMs = playRound(window, 0.01, nowMs);
+    for (let round = 0; round < 20; round += 1) nowMs = simulateRound(window, 0.01, nowMs);
     expect(window.size()).toBe(16);
-    for (let round = 0; round < 12; round += 1) nowMs = playRound(window, 10, nowMs);
-    expect(window.size()).toBeGreaterThan(FIRST);
+    for (let round = 0; round < 12; round += 1) nowMs = simulateRound(window, 10, nowMs);
+    expect(window.size()).toBeGreaterThan(INITIAL_SIZE);
   });
 
-  it('is not closed by one endpoint that is slow', () => {
-    const window = createOrderWindow(FIRST);
+  it('does not shrink because of a single slow endpoint', () => {
+    const window = createOrderWindow(INITIAL_SIZE);
     for (let round = 0; round < 50; round += 1) {
       window.begin();
       window.end(round % 3 === 0 ? 900 : 3, round * 1000);
     }
-    expect(window.size()).toBe(FIRST);
+    expect(window.size()).toBe(INITIAL_SIZE);
   });
 
-  it('gives none while as many are under way as it has', () => {
+  it('allows no more orders while it is full', () => {
     const window = createOrderWindow(2);
     window.begin();
     window.begin();
--- a/packages/core/src/batch/endpoints/order-window.ts
+++ b/packages/core/src/batch/endpoints/order-window.ts
@@ -1,94 +1,96 @@
 /**
- * How many starts may be under way at once. A link or a processor that is too small for its load
- * answers later and later; what is sent beyond what it carries only waits there, where it can be
- * neither ordered by rank nor taken back, until its time is over and it is sent again. So the window
- * follows the delay of answers, as delay-based congestion control does (TCP Vegas, LEDBAT, RFC 6817):
- * it grows by one for each window that is answered in time and shrinks at once when answers are late.
- * Weighed against control by losses alone: a loss is seen after a time-out of 0.25 s and more, while what
- * was sent continues to fill the queue in which renewals of leases wait.
+ * Limits how many start orders may be in flight at once. A link or processor that is too small for its load responds
+ * later and later. Orders beyond its capacity wait in its queue, where they can be neither reordered by rank nor taken
+ * back, until they time out and are sent again. The window therefore follows the response delay, as in delay-based
+ * congestion control (TCP Vegas; LEDBAT, RFC 6817): it grows by one for each window of timely responses and shrinks at
+ * once when responses are late. Loss-based control was rejected because a loss is detected only after a timeout of at
+ * least 0.25 s, and until then the orders keep filling the queue in which lease renewals wait.
  */
 
 /**
- * Answers take 3 to 10 ms where nothing waits; a delay of this much more is a queue that is being
- * filled. Below it a short burst would be cut into rounds for nothing.
+ * Responses take 3 to 10 ms without queueing; a delay above this value means that a queue is building up. With a lower
+ * value, short bursts would be split into several rounds without need.
  */
-const TARGET_MS = 250;
-/** Holds nothing back where nothing is late: up to 150 were under way with 102 endpoints. */
-const FIRST = 256;
+const TARGET_DELAY_MS = 250;
+/** Large enough not to limit anything while responses are fast: up to 150 orders were in flight with 102 endpoints. */
+const INITIAL_SIZE = 256;
 /**
- * A delay that other calls cause does not go away with fewer starts: with 4 at least 14 of 60 jobs were in
- * time over a link of half the load and relays, with 16 24 were.
+ * A delay that other calls cause does not go away with fewer starts. Over a link with half the capacity that the
+ * load needs, with relays, 14 of 60 jobs were done in time with a minimum of 4, and 24 of 60 with a minimum of 16.
  */
-const LEAST = 16;
-const MOST = 2048;
-/** Never less than this share of what it was, so that one late answer does not close it. */
-const LEAST_SHARE = 0.5;
-/** Answers within this share of the target show a link with nothing on it: the window doubles. */
-const IDLE_SHARE = 0.25;
-/** So many answers in a row must be late: one is an endpoint's own slowness. */
-const LATE_TO_SHRINK = 3;
+const MIN_SIZE = 16;
+const MAX_SIZE = 2048;
+/** The window never shrinks below this share of its previous size, so that one late response does not close it. */
+const MIN_SHRINK_SHARE = 0.5;
+/** Responses faster than this share of the target show an idle link; the window then doubles in each round. */
+const IDLE_DELAY_SHARE = 0.25;
+/** Number of consecutive late responses before the window shrinks: a single one may be due to a slow endpoint. */
+const LATE_RESPONSES_TO_SHRINK = 3;
 
-/** How many starts may be under way. */
+/** A limit on the number of start orders in flight. */
 export type OrderWindow = {
-  /** How many more may be sent now. */
+  /** How many more orders may be sent now. */
   readonly left: () => number;
   readonly begin: () => void;
   /**
-   * Ends one that was begun.
+   * Records that an order is no longer in flight, because it was answered or has timed out.
    *
-   * @param tookMs - How long its answer took, or was waited for in vain.
-   * @param nowMs - The time.
+   * @param tookMs - The response time, or the time waited without a response.
+   * @param nowMs - The current time.
    */
   readonly end: (tookMs: number, nowMs: number) => void;
-  /** Ends one that tells nothing of the link: its endpoint is gone, and others answer. */
+  /**
+   * Records that an order is no longer in flight, without a conclusion about the link: its endpoint is gone while
+   * others respond.
+   */
   readonly drop: () => void;
   readonly size: () => number;
   readonly underWay: () => number;
 };
 
 /**
- * Builds a window with nothing under way.
+ * Creates a window with no orders in flight.
  *
- * @param first - How many may be under way before any answer has come.
+ * @param initialSize - The window size before the first response.
  * @returns The window.
  */
-export const createOrderWindow = (first: number = FIRST): OrderWindow => {
-  let size = first;
-  let underWay = 0;
-  let lateInRow = 0;
-  let before = { size: first, shrunkAtMs: -Infinity };
+export const createOrderWindow = (initialSize: number = INITIAL_SIZE): OrderWindow => {
+  let size = initialSize;
+  let inFlight = 0;
+  let consecutiveLate = 0;
+  let lastShrink = { size: initialSize, shrunkAtMs: -Infinity };
 
   const grow = (tookMs: number): void => {
-    lateInRow = 0;
-    // Only a window that is used tells whether a larger one would be carried.
-    if (underWay < size / 2) return;
-    const isIdleLink = tookMs < TARGET_MS * IDLE_SHARE;
-    size = Math.min(MOST, size + (isIdleLink ? 1 : 1 / size));
+    consecutiveLate = 0;
+    // Only a window that is in use shows whether the link could carry a larger one.
+    if (inFlight < size / 2) return;
+    const isIdleLink = tookMs < TARGET_DELAY_MS * IDLE_DELAY_SHARE;
+    size = Math.min(MAX_SIZE, size + (isIdleLink ? 1 : 1 / size));
   };
 
-  /** What was sent before the window shrank tells of the size that it had then. */
+  /** Late responses to orders that were sent before the window shrank refer to the size that it had then. */
   const shrink = (tookMs: number, nowMs: number): void => {
-    lateInRow += 1;
-    if (lateInRow < LATE_TO_SHRINK) return;
-    if (nowMs - tookMs >= before.shrunkAtMs) before = { size, shrunkAtMs: nowMs };
-    const share = Math.max(LEAST_SHARE, TARGET_MS / tookMs);
-    size = Math.min(size, Math.max(LEAST, before.size * share));
+    consecutiveLate += 1;
+    if (consecutiveLate < LATE_RESPONSES_TO_SHRINK) return;
+    if (nowMs - tookMs >= lastShrink.shrunkAtMs) lastShrink = { size, shrunkAtMs: nowMs };
+    const share = Math.max(MIN_SHRINK_SHARE, TARGET_DELAY_MS / tookMs);
+    size = Math.min(size, Math.max(MIN_SIZE, lastShrink.size * share));
   };
 
   return {
-    left: () => Math.max(0, Math.floor(size) - underWay),
+    left: () => Math.max(0, Math.floor(size) - inFlight),
     begin: () => {
-      underWay += 1;
+      inFlight += 1;
     },
     end: (tookMs, nowMs) => {
-      if (tookMs <= TARGET_MS) grow(tookMs);
+      if (tookMs <= TARGET_DELAY_MS) grow(tookMs);
       else shrink(tookMs, nowMs);
-      underWay -= 1;
+      inFlight -= 1;
     },
     drop: () => {
-      underWay -= 1;
+      inFlight -= 1;
     },
     size: () => Math.floor(size),
-    underWay: () => underWay,
+    underWay: () => inFlight,
   };
 };
--- a/packages/core/src/batch/endpoints/relay-choice.ts
+++ b/packages/core/src/batch/endpoints/relay-choice.ts
@@ -1,35 +1,36 @@
 /**
- * Which entry carries the holder's orders to an endpoint. The holder decides everything, but what it
- * sends need not all leave over its own link: an entry in the endpoint's data centre carries it on.
+ * Chooses the entry that relays the holder's orders to an endpoint. The holder makes all decisions, but not all its
+ * orders have to go over its own link: an entry in the endpoint's data centre can forward them.
  */
 import type { DataCentreId, EndpointId, EntryId } from '../../shared/ids.js';
 
-/** An entry that could carry orders. */
+/** An entry that could relay orders. */
 export type RelayCandidate = {
   readonly entryId: EntryId;
   readonly dataCentre: DataCentreId;
-  /** How much it can carry, against the others. */
+  /** Its capacity relative to the other entries. */
   readonly strength: number;
-  /** It is linked, was heard just now, and has not failed lately. */
+  /** True if it is connected, was heard from recently, and has not failed recently. */
   readonly isUsable: boolean;
 };
 
 /**
- * So many of the strongest usable entries of a data centre carry orders: fewer links and fewer copies
- * of a job's text than with all of them, and the loss of one costs a third of its data centre a retry.
+ * Number of entries per data centre that relay orders, the strongest usable ones. Compared with using all entries, this
+ * needs fewer connections and fewer copies of a job's text; losing one relay means a retry for a third of the orders
+ * to its data centre.
  */
 const RELAYS_PER_DATA_CENTRE = 3;
 
 /**
- * Lists the entries that are to carry orders.
+ * Selects the entries that relay orders.
  *
  * @param candidates - All other entries.
- * @param mostPerCentre - How many of each data centre.
- * @returns The strongest usable ones of each data centre.
+ * @param maxPerDataCentre - Maximum number of relays per data centre.
+ * @returns The strongest usable entries of each data centre.
  */
 export const selectRelays = (
   candidates: readonly RelayCandidate[],
-  mostPerCentre: number = RELAYS_PER_DATA_CENTRE,
+  maxPerDataCentre: number = RELAYS_PER_DATA_CENTRE,
 ): ReadonlyMap<string, readonly RelayCandidate[]> => {
   const byCentre = new Map<string, RelayCandidate[]>();
   [...candidates]
@@ -37,20 +38,20 @@
     .sort((left, right) => right.strength - left.strength)
     .forEach((candidate) => {
       const chosen = byCentre.get(candidate.dataCentre) ?? [];
-      if (chosen.length < mostPerCentre) chosen.push(candidate);
+      if (chosen.length < maxPerDataCentre) chosen.push(candidate);
       byCentre.set(candidate.dataCentre, chosen);
     });
   return byCentre;
 };
 
-/** Keeps which endpoint is served by which relay. */
+/** Keeps track of which relay serves which endpoint. */
 export type RelayAssignment = {
   /**
-   * Gives the relay of an endpoint, the same as long as it may be used.
+   * Returns the relay of an endpoint. It stays the same while it is among the given relays.
    *
    * @param endpointId - The endpoint.
-   * @param relays - Those of its data centre.
-   * @returns The relay; undefined if there is none.
+   * @param relays - The relays of its data centre.
+   * @returns The relay, or undefined if there is none.
    */
   readonly relayOf: (
     endpointId: EndpointId,
@@ -60,9 +61,9 @@
 };
 
 /**
- * Builds an assignment of nothing.
+ * Creates an empty assignment.
  *
- * @returns The assignment: an endpoint goes to the relay that has fewest for its strength.
+ * @returns The assignment. A new endpoint is assigned to the relay with the fewest endpoints relative to its strength.
  */
 export const createRelayAssignment = (): RelayAssignment => {
   const relayByEndpoint = new Map<EndpointId, EntryId>();
@@ -93,42 +94,42 @@
   };
 };
 
-/** What the holder's own link has carried so far, and what it could. */
+/** How much the holder's own link has transferred so far, and its capacity. */
 export type LinkUse = {
   readonly sentBytes: number;
   readonly receivedBytes: number;
-  /** Each way. */
+  /** Capacity in each direction. */
   readonly bytesPerS: number;
 };
 
 /**
- * From this share of its link on the holder has orders carried by others. Peaks of demand are three to
- * five times the mean, so the rest is what they need; below it a direct order is one hop shorter and
- * hangs on one entry less.
+ * The holder uses relays once its link is used above this share. Peaks of demand are three to five times the mean, and
+ * the rest of the capacity is kept for them. Below the threshold, orders are sent directly, which saves one hop and
+ * depends on one entry less.
  */
-const RELAY_FROM_SHARE = 0.2;
-const MEASURED_OVER_MS = 1000;
+const RELAY_THRESHOLD_SHARE = 0.2;
+const MEASUREMENT_PERIOD_MS = 1000;
 
 /**
- * Builds the decision whether orders are carried by others. Once taken it stands: what the link would
- * carry without relays cannot be seen any more.
+ * Creates a function that decides whether orders are relayed. The decision is never reversed, because with relays in
+ * use the load that the link would have without them is not visible any more.
  *
- * @returns A function of the use of the link and the time that gives the decision.
+ * @returns A function that takes the link use and the current time and returns the decision.
  */
 export const createRelayDecision = (): ((use: LinkUse, nowMs: number) => boolean) => {
   let isNeeded = false;
-  let before: { readonly use: LinkUse; readonly atMs: number } | undefined;
+  let previous: { readonly use: LinkUse; readonly atMs: number } | undefined;
   return (use, nowMs) => {
     if (isNeeded) return true;
-    if (!before) before = { use, atMs: nowMs };
-    const ofMs = nowMs - before.atMs;
-    if (ofMs < MEASURED_OVER_MS) return false;
+    if (!previous) previous = { use, atMs: nowMs };
+    const elapsedMs = nowMs - previous.atMs;
+    if (elapsedMs < MEASUREMENT_PERIOD_MS) return false;
     const bytes = Math.max(
-      use.sentBytes - before.use.sentBytes,
-      use.receivedBytes - before.use.receivedBytes,
+      use.sentBytes - previous.use.sentBytes,
+      use.receivedBytes - previous.use.receivedBytes,
     );
-    isNeeded = (bytes / ofMs) * 1000 > use.bytesPerS * RELAY_FROM_SHARE;
-    before = { use, atMs: nowMs };
+    isNeeded = (bytes / elapsedMs) * 1000 > use.bytesPerS * RELAY_THRESHOLD_SHARE;
+    previous = { use, atMs: nowMs };
     return isNeeded;
   };
 };
--- a/packages/core/src/batch/endpoints/reports.test.ts
+++ b/packages/core/src/batch/endpoints/reports.test.ts
@@ -1,4 +1,4 @@
-/** What is made of the reports of endpoints. */
+/** How the reports of endpoints are applied. */
 import { describe, expect, it } from 'vitest';
 
 import {
@@ -41,15 +41,16 @@
   answer(state, { endpointId, ended, askedAtMs: 1, nowMs: 2 });
 
 describe('reports of endpoints', () => {
-  it('count each failed run once, in whatever order endpoints list them again', () => {
-    // Guards the budget of attempts where a holder is lost before it has written three failures.
+  it('count each failed run, in whatever order endpoints list them', () => {
+    // Guards the limit of attempts if a holder is lost before it has stored three failures: the next holder then
+    // receives them from several endpoints, not in the order of the run numbers.
     const state = stateWith(FIRST, SECOND);
     report(state, SECOND, [failed(1, 1003)]);
     report(state, FIRST, [failed(1, 1001), failed(2, 1002)]);
     expect(state.jobs.get(JOB)?.phase).toBe('failed');
   });
 
-  it('count a failure that is listed again only once', () => {
+  it('count a failure once if it is listed repeatedly', () => {
     const state = stateWith(FIRST);
     report(state, FIRST, [failed(1, 1001)]);
     report(state, FIRST, [failed(1, 1001)]);
@@ -57,7 +58,7 @@
     expect(state.jobs.get(JOB)?.phase).not.toBe('failed');
   });
 
-  describe('that name neither the run nor its end', () => {
+  describe('that list a run neither as running nor as ended', () => {
     const phaseAfter = (hasMoreEnds: boolean): string => {
       const state = stateWith(FIRST);
       answer(state, { running: [running(1001)], askedAtMs: 1, nowMs: 2 });
@@ -65,12 +66,12 @@
       return taskOf(state).phase;
     };
 
-    it('show that it is gone if they list all that has ended', () => {
+    it('put the task back into the queue if they list all ended runs', () => {
       expect(phaseAfter(false)).toBe('waiting');
     });
 
-    it('show nothing if more has ended than they list', () => {
-      // While the table is away ends gather: 21 a second of tasks of 0.8 s on 32 cores.
+    it('leave the run unchanged if they do not list all ended runs', () => {
+      // While the table is unavailable, ended runs accumulate: 21 per second with tasks of 0.8 s on 32 cores.
       expect(phaseAfter(true)).toBe('placed');
     });
   });
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -1,4 +1,4 @@
-/** What endpoints report: which tasks run, which have ended and how. */
+/** Applies the reports of endpoints: which runs are active, which have ended and how. */
 import type { EndpointId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { noteAnswered } from '../domains/outage.js';
@@ -23,23 +23,23 @@
 import { noteDone, noteFailure } from './health.js';
 import { closeTrial } from '../crashes/trials.js';
 
-/** How a run ended, by the endpoint's word. */
+/** How a run ended, as reported by the endpoint. */
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
 
-/** A run as an endpoint lists it. */
+/** An active run as listed by an endpoint. */
 export type RunningReport = {
   readonly task: TaskKey;
   readonly run: number;
   readonly checkpoint: string;
-  /** How far the work is; a lasting task is at work at 100. */
+  /** Progress of the work; a lasting task is ready at 100. */
   readonly percent: number;
-  /** A serving task's tail of answer times in milliseconds, another's processors in use. */
+  /** For a task that serves requests: tail response time in milliseconds. For others: number of processors in use. */
   readonly figure: number;
 };
 
-/** An end as an endpoint lists it, again and again until it is acknowledged. */
+/** An ended run as listed by an endpoint. It is listed in each response until it is acknowledged. */
 export type EndReport = {
-  /** Rises by one with each end in the endpoint's life. */
+  /** Sequence number, which increases by one with each ended run of an incarnation. */
   readonly number: number;
   readonly task: TaskKey;
   readonly run: number;
@@ -47,13 +47,13 @@
   readonly checkpoint: string;
 };
 
-/** An answer of an endpoint. */
+/** A list response of an endpoint. */
 export type EndpointReport = {
   readonly running: readonly RunningReport[];
   readonly ended: readonly EndReport[];
-  /** The endpoint has more ends than it lists at once: a run that is not named may have ended. */
+  /** True if not all ended runs fit into the response: a run that is missing from it may have ended. */
   readonly hasMoreEnds: boolean;
-  /** When the question was sent: runs that were started later may be missing from the answer. */
+  /** When the list request was sent. Runs that were started later may be missing from the response. */
   readonly askedAtMs: number;
   readonly nowMs: number;
 };
@@ -69,18 +69,18 @@
   },
 ) => void;
 
-const giveBack: EndHandler = (state, { step, task, end }) => {
+const returnToQueue: EndHandler = (state, { step, task, end }) => {
   if (end.checkpoint !== '') change(task, { checkpoint: end.checkpoint });
   if (task.lastRun <= end.run) requeue(state, step, task);
 };
 
-const fail: EndHandler = (state, context) => {
+const handleFailure: EndHandler = (state, context) => {
   const { step, task, end, endpoint } = context;
   if (task.failedRuns.includes(end.run)) return;
   change(task, { avoid: endpoint.endpointId });
   noteFailure(state, endpoint, step.job.job.jobId);
   if (step.spec.isLasting) {
-    giveBack(state, context);
+    returnToQueue(state, context);
     return;
   }
   change(task, { failedRuns: [...task.failedRuns, end.run] });
@@ -91,10 +91,10 @@
     return;
   }
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
-  giveBack(state, context);
+  returnToQueue(state, context);
 };
 
-const finish: EndHandler = (state, { step, task, endpoint, ranMs }) => {
+const handleDone: EndHandler = (state, { step, task, endpoint, ranMs }) => {
   noteDone(endpoint);
   if (step.spec.isLasting) {
     requeue(state, step, task);
@@ -106,21 +106,21 @@
 };
 
 const endHandlers: Readonly<Record<EndKind, EndHandler>> = {
-  done: finish,
-  failed: fail,
-  stopped: giveBack,
-  lapsed: giveBack,
-  broken: giveBack,
-  alone: giveBack,
+  done: handleDone,
+  failed: handleFailure,
+  stopped: returnToQueue,
+  lapsed: returnToQueue,
+  broken: returnToQueue,
+  alone: returnToQueue,
 };
 
-type AnswerTimes = Pick<EndpointReport, 'askedAtMs' | 'nowMs'>;
+type ReportTimes = Pick<EndpointReport, 'askedAtMs' | 'nowMs'>;
 
 const applyEnd = (
   state: BatchState,
   endpoint: EndpointState,
   end: EndReport,
-  { askedAtMs, nowMs }: AnswerTimes,
+  { askedAtMs, nowMs }: ReportTimes,
 ): void => {
   const { task, run, kind } = end;
   const known = endpoint.runs.get(task);
@@ -128,16 +128,16 @@
   const found = name && findReportedTask(state, name);
   const evidence: RunEvidence = { cause: 'reported', atMs: askedAtMs, detail: kind };
   if (found) change(found.step.job, { hasBegun: true });
-  const settleAfter = (ranMs: number): void => {
+  const settleWithRunTime = (ranMs: number): void => {
     if (!found || isFinal(found.step.job.phase)) return;
     endHandlers[kind](state, { ...found, end, endpoint, ranMs });
   };
   if (known?.run === run) {
-    const settle = (): void => settleAfter(nowMs - known.startedAtMs);
+    const settle = (): void => settleWithRunTime(nowMs - known.startedAtMs);
     dropRun(state, { endpoint, run: known, evidence, nowMs, settle });
     return;
   }
-  const settle = (): void => settleAfter(0);
+  const settle = (): void => settleWithRunTime(0);
   const startedAtMs = undefined;
   noteRunEnd(state, { endpoint, task, run, found, startedAtMs, evidence, nowMs, settle });
 };
@@ -146,7 +146,7 @@
   { formerOrdersEndAtMs }: BatchState,
   run: RunState,
   report: RunningReport,
-  { askedAtMs, nowMs }: AnswerTimes,
+  { askedAtMs, nowMs }: ReportTimes,
 ): void => {
   const { task, step, phase, percent, progressAtMs, confirmedAtMs, begunByMs } = run;
   change(step.job, { hasBegun: true });
@@ -168,22 +168,22 @@
   found !== undefined && found.task.phase === 'waiting' && !isFinal(found.step.job.phase);
 
 /**
- * A run that is not known here was begun by an earlier holder: it is taken over or stopped.
+ * Handles a listed run that this holder does not know. An earlier holder started it; it is adopted or stopped.
  *
- * @returns The step of one that is stopped.
+ * @returns The step of the run if it is stopped; undefined if it is adopted or its task is not known.
  */
 const applyUnknownRun = (
   state: BatchState,
   endpoint: EndpointState,
   report: RunningReport,
-  times: AnswerTimes,
+  times: ReportTimes,
 ): StepRun | undefined => {
   const { nowMs } = times;
   const name = parseTaskKey(report.task);
   const found = name && findReportedTask(state, name);
   if (found && mayAdopt(found)) {
     const run = addRun(state, { endpoint, ...found, run: report.run, phase: 'running', nowMs });
-    // Whoever ordered it did so before this holder took over, and the endpoint has lived with it since.
+    // The start order was sent before this holder took over, and the endpoint has been running the task since then.
     change(run, { begunByMs: Math.min(nowMs, state.takenOverAtMs) });
     updateRun(state, run, report, times);
     return undefined;
@@ -200,29 +200,33 @@
   return found?.step;
 };
 
-/** Runs that were confirmed, or barred, before the question and are neither running nor ended. */
-const loseUnlisted = (
+/**
+ * Marks runs as ended that were confirmed or blocked before the list request and are listed neither as running nor as
+ * ended.
+ */
+const endUnlistedRuns = (
   state: BatchState,
   endpoint: EndpointState,
   listed: ReadonlySet<TaskKey>,
-  { askedAtMs, nowMs }: AnswerTimes,
+  { askedAtMs, nowMs }: ReportTimes,
 ): void =>
   endpoint.runs.forEach((run) => {
     const wasConfirmed = run.confirmedAtMs < askedAtMs;
-    const isSettled = wasConfirmed || run.stopAnsweredAtMs < askedAtMs;
-    if (!isSettled || listed.has(run.task.key)) return;
+    const mustBeListed = wasConfirmed || run.stopAnsweredAtMs < askedAtMs;
+    if (!mustBeListed || listed.has(run.task.key)) return;
     const detail = wasConfirmed ? 'confirmed-before' : 'stop-answered';
     const evidence: RunEvidence = { cause: 'not-listed', atMs: askedAtMs, detail };
     loseRun(state, { endpoint, run, evidence, nowMs });
   });
 
 /**
- * Applies what an endpoint answered. Ends come first: a run that has ended is not running. The
- * endpoint lists ends again until they are acknowledged; those applied before are left out.
+ * Applies a list response of an endpoint. Ended runs are applied first, because a run that has ended is not running.
+ * The endpoint lists ended runs again until they are acknowledged; the ones that were applied before must not be in
+ * the given report.
  *
- * @param state - All that is known, changed in place.
- * @param endpointId - Who answered.
- * @param report - Its answer.
+ * @param state - The holder's batch state, modified in place.
+ * @param endpointId - The endpoint.
+ * @param report - Its response.
  */
 export const applyReport = (
   state: BatchState,
@@ -231,9 +235,9 @@
 ): void => {
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint) return;
-  const times: AnswerTimes = { askedAtMs, nowMs };
+  const times: ReportTimes = { askedAtMs, nowMs };
   if (!endpoint.isKnown && !hasMoreEnds) {
-    followRuns(state, endpoint, { named: [...running, ...ended], nowMs });
+    followRuns(state, endpoint, { listed: [...running, ...ended], nowMs });
   }
   ended.forEach((end) => applyEnd(state, endpoint, end, times));
   const listed = new Set<TaskKey>();
@@ -248,7 +252,7 @@
     return [];
   });
   chargeStrays(state, endpoint, strays);
-  if (!hasMoreEnds) loseUnlisted(state, endpoint, listed, times);
+  if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
   noteAnswered(state, endpoint, nowMs);
   change(endpoint, { isKnown: true, reportedAtMs: askedAtMs, lapsedRuns: [] });
   poolOf(state, endpoint.pool).notReported.delete(instanceOf(endpointId));
--- a/packages/core/src/batch/endpoints/run-end.test.ts
+++ b/packages/core/src/batch/endpoints/run-end.test.ts
@@ -1,4 +1,4 @@
-/** What is told of each run that stops being known, and of tasks that are started again. */
+/** Log lines for each run that is removed from the state, and for tasks that are restarted. */
 import { describe, expect, it } from 'vitest';
 
 import {
@@ -28,17 +28,17 @@
   checkpoint: '',
 });
 
-const noted = (state: BatchState, event: string): readonly object[] =>
+const loggedFields = (state: BatchState, event: string): readonly object[] =>
   takeEffects(state).flatMap((effect) =>
     effect.kind === 'note' && effect.event === event ? [effect.fields] : [],
   );
 
-const ended = (state: BatchState): readonly object[] => noted(state, 'run-ended');
+const runEndLogs = (state: BatchState): readonly object[] => loggedFields(state, 'run-ended');
 
-const START: StartAnswer = { task: TASK, run: 2001, outcome: 'started', nowMs: 150 };
+const START_ANSWER: StartAnswer = { task: TASK, run: 2001, outcome: 'started', nowMs: 150 };
 
-/** The task is ordered to start at 100 ms, on an endpoint that answered a question of 50 ms. */
-const ordered = (): BatchState => {
+/** The start order is sent at 100 ms, to an endpoint whose list was requested at 50 ms. */
+const stateWithOrderedRun = (): BatchState => {
   const state = stateWithJob({ maxAttempts: 2 });
   see(state, FIRST);
   answer(state, { askedAtMs: 50, nowMs: 60 });
@@ -47,18 +47,18 @@
   return state;
 };
 
-/** It is confirmed at 150 ms. */
-const begun = (): BatchState => {
-  const state = ordered();
-  applyStartOutcome(state, FIRST, START);
+/** The run is confirmed at 150 ms. */
+const stateWithConfirmedRun = (): BatchState => {
+  const state = stateWithOrderedRun();
+  applyStartOutcome(state, FIRST, START_ANSWER);
   return state;
 };
 
-describe('a run that ended as its endpoint reports', () => {
-  it('is told with the time of the question, the kind of end and what becomes of the task', () => {
-    const state = begun();
+describe('a run that its endpoint reports as ended', () => {
+  it('is logged with the age of the list, the kind of end and what follows for the task', () => {
+    const state = stateWithConfirmedRun();
     answer(state, { ended: [endOf(2001, 'done')], askedAtMs: 900, nowMs: 1000 });
-    expect(ended(state)).toEqual([
+    expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
         run: 2001,
@@ -73,34 +73,34 @@
     ]);
   });
 
-  it('is told before the end of its job', () => {
-    const state = begun();
+  it('is logged before its job is saved as ended', () => {
+    const state = stateWithConfirmedRun();
     answer(state, { ended: [endOf(2001, 'done')], askedAtMs: 900, nowMs: 1000 });
     expect(takeEffects(state).map(({ kind }) => kind)).toEqual(['note', 'save']);
   });
 
-  it('is followed by another if it failed, until the job is over', () => {
-    const state = begun();
+  it('is followed by another run after a failure, until the job is over', () => {
+    const state = stateWithConfirmedRun();
     answer(state, { ended: [endOf(2001, 'failed')], askedAtMs: 900, nowMs: 1000 });
-    expect(ended(state)).toMatchObject([{ detail: 'failed', next: 'again' }]);
+    expect(runEndLogs(state)).toMatchObject([{ detail: 'failed', next: 'again' }]);
     schedulePool(state, POOL, 1100);
     answer(state, { ended: [endOf(2002, 'failed')], askedAtMs: 1900, nowMs: 2000 });
-    expect(ended(state)).toMatchObject([{ run: 2002, detail: 'failed', next: 'job-over' }]);
+    expect(runEndLogs(state)).toMatchObject([{ run: 2002, detail: 'failed', next: 'job-over' }]);
   });
 
-  it('is followed by none if its job was cancelled', () => {
-    const state = begun();
+  it('is not followed by another run if its job was cancelled', () => {
+    const state = stateWithConfirmedRun();
     cancelJob(state, JOB, null);
     answer(state, { ended: [endOf(2001, 'stopped')], askedAtMs: 900, nowMs: 1000 });
-    expect(ended(state)).toMatchObject([{ detail: 'stopped', next: 'job-over' }]);
+    expect(runEndLogs(state)).toMatchObject([{ detail: 'stopped', next: 'job-over' }]);
   });
 
-  it('is told as not known if it had been counted as ended before', () => {
-    const state = begun();
+  it('is logged as not known if it was considered ended before', () => {
+    const state = stateWithConfirmedRun();
     answer(state, { askedAtMs: 900, nowMs: 1000 });
-    expect(ended(state)).toMatchObject([{ cause: 'not-listed', next: 'again' }]);
+    expect(runEndLogs(state)).toMatchObject([{ cause: 'not-listed', next: 'again' }]);
     answer(state, { ended: [endOf(2001, 'done')], askedAtMs: 1100, nowMs: 1150 });
-    expect(ended(state)).toEqual([
+    expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
         run: 2001,
@@ -115,28 +115,28 @@
     ]);
   });
 
-  it('changes nothing for a task that a later run has', () => {
-    const state = begun();
+  it('changes nothing for a task that has a later run', () => {
+    const state = stateWithConfirmedRun();
     const running = [{ task: TASK, run: 2001, checkpoint: '', percent: 10, figure: 0 }];
     answer(state, { running, ended: [endOf(1001, 'lapsed')], askedAtMs: 900, nowMs: 1000 });
-    expect(ended(state)).toMatchObject([{ run: 1001, isKnown: false, next: 'none' }]);
+    expect(runEndLogs(state)).toMatchObject([{ run: 1001, isKnown: false, next: 'none' }]);
   });
 
-  it('is told also where its job is not known', () => {
+  it('is logged also if its job is not known', () => {
     const state = createBatchState(2);
     see(state, FIRST);
     answer(state, { ended: [endOf(1001, 'stopped')], askedAtMs: 40, nowMs: 50 });
-    expect(ended(state)).toMatchObject([
+    expect(runEndLogs(state)).toMatchObject([
       { task: TASK, run: 1001, silentMs: 'never', isKnown: false, next: 'none' },
     ]);
   });
 });
 
-describe('a run that its endpoint lists no longer', () => {
-  it('is told as confirmed before the question', () => {
-    const state = begun();
+describe('a run that its endpoint no longer lists', () => {
+  it('is logged as confirmed before the list request', () => {
+    const state = stateWithConfirmedRun();
     answer(state, { askedAtMs: 900, nowMs: 1000 });
-    expect(ended(state)).toEqual([
+    expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
         run: 2001,
@@ -151,19 +151,19 @@
     ]);
   });
 
-  it('is told as barred before the question if only its stop was answered', () => {
-    const state = ordered();
-    applyStartOutcome(state, FIRST, { ...START, outcome: 'unknown' });
+  it('is logged as blocked before the list request if only its stop order was answered', () => {
+    const state = stateWithOrderedRun();
+    applyStartOutcome(state, FIRST, { ...START_ANSWER, outcome: 'unknown' });
     applyStopAnswer(state, FIRST, TASK, 2001, 200);
     answer(state, { askedAtMs: 900, nowMs: 1000 });
-    expect(ended(state)).toMatchObject([{ cause: 'not-listed', detail: 'stop-answered' }]);
+    expect(runEndLogs(state)).toMatchObject([{ cause: 'not-listed', detail: 'stop-answered' }]);
   });
 });
 
-describe('a run whose lease is over', () => {
-  /** The lease is over at 7,000 ms. */
-  const silent = (soleHolderUntilMs: number): BatchState => {
-    const state = begun();
+describe('a run whose lease has ended', () => {
+  /** The lease of the silent endpoint ends at 7,000 ms. */
+  const stateWithSilentEndpoint = (soleHolderUntilMs: number): BatchState => {
+    const state = stateWithConfirmedRun();
     const endpoint = state.endpoints.get(FIRST);
     Object.assign(endpoint ?? {}, { leaseEndsAtMs: 7000 });
     endpoint?.runs.forEach((run) => Object.assign(run, { isListed: true }));
@@ -171,10 +171,10 @@
     return state;
   };
 
-  it('is told with the age of the end of the lease, and how long this holder is the only one', () => {
-    const state = silent(8000);
+  it('is logged with the time since the end of the lease and the time for which this entry is the only holder', () => {
+    const state = stateWithSilentEndpoint(8000);
     expect(watchRuns(state, 7040)).toEqual([{ endpointId: FIRST, endedAtMs: 7000 }]);
-    expect(ended(state)).toEqual([
+    expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
         run: 2001,
@@ -190,23 +190,23 @@
     ]);
   });
 
-  it('is not counted as ended, and not told, while another entry may be the holder', () => {
-    const state = silent(7030);
+  it('is neither considered ended nor logged while another entry may be the holder', () => {
+    const state = stateWithSilentEndpoint(7030);
     expect(watchRuns(state, 7040)).toEqual([]);
-    expect(ended(state)).toEqual([]);
+    expect(runEndLogs(state)).toEqual([]);
   });
 });
 
 describe('a run whose endpoint is gone', () => {
-  it('is told with the age of the list once it counts as ended, and not before', () => {
-    const state = begun();
+  it('is logged with the age of the host list when it is considered ended, and not before', () => {
+    const state = stateWithConfirmedRun();
     Object.assign(state, { soleHolderUntilMs: 4000 });
     removeEndpoint(state, FIRST, { detail: 'host-list', atMs: 4900, nowMs: 5000 });
     settleGoneEndpoints(state, 5000);
-    expect(ended(state)).toEqual([]);
+    expect(runEndLogs(state)).toEqual([]);
     Object.assign(state, { soleHolderUntilMs: 8000 });
     settleGoneEndpoints(state, 6000);
-    expect(ended(state)).toEqual([
+    expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
         run: 2001,
@@ -233,10 +233,10 @@
 });
 
 describe('a run whose start was refused', () => {
-  it('is told with the reason of the refusal', () => {
-    const state = ordered();
-    applyStartOutcome(state, FIRST, { ...START, outcome: 'rejected', reason: 'room' });
-    expect(ended(state)).toEqual([
+  it('is logged with the reason for the refusal', () => {
+    const state = stateWithOrderedRun();
+    applyStartOutcome(state, FIRST, { ...START_ANSWER, outcome: 'rejected', reason: 'room' });
+    expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
         run: 2001,
@@ -252,10 +252,11 @@
   });
 });
 
-describe('a task that is started', () => {
-  const again = (state: BatchState): readonly object[] => noted(state, 'task-started-again');
+describe('the start of a task', () => {
+  const restartLogs = (state: BatchState): readonly object[] =>
+    loggedFields(state, 'task-started-again');
 
-  it('is not told as started again the first time', () => {
+  it('is not logged as a restart the first time', () => {
     const state = stateWithJob();
     see(state, FIRST);
     answer(state, { askedAtMs: 50, nowMs: 60 });
@@ -263,24 +264,24 @@
     expect(takeEffects(state).map(({ kind }) => kind)).toEqual(['start']);
   });
 
-  it('is told as started again with the run before and how long it has waited since', () => {
-    const state = begun();
+  it('is logged as a restart with the previous run and the time waited since its end', () => {
+    const state = stateWithConfirmedRun();
     see(state, SECOND);
     answer(state, { endpointId: SECOND, askedAtMs: 100, nowMs: 120 });
     removeEndpoint(state, FIRST, { detail: 'host-list', atMs: 4900, nowMs: 5000 });
     settleGoneEndpoints(state, 5000);
     scheduleWritten(state, 5300);
-    expect(again(state)).toEqual([
+    expect(restartLogs(state)).toEqual([
       { task: TASK, run: 2002, endpoint: SECOND, runBefore: 2001, waitedMs: 300 },
     ]);
   });
 
-  it('is told so as well where the run before was begun by another holder', () => {
+  it('is logged as a restart also if another holder started the previous run', () => {
     const state = stateWithJob({ isInherited: true });
     see(state, FIRST);
     answer(state, { ended: [endOf(1001, 'lapsed')], askedAtMs: 50, nowMs: 60 });
     schedulePool(state, POOL, 100);
-    expect(again(state)).toEqual([
+    expect(restartLogs(state)).toEqual([
       { task: TASK, run: 2001, endpoint: FIRST, runBefore: 1001, waitedMs: 40 },
     ]);
   });
--- a/packages/core/src/batch/endpoints/run-end.ts
+++ b/packages/core/src/batch/endpoints/run-end.ts
@@ -1,6 +1,6 @@
 /**
- * Why a run counts as ended: the evidence, how old it is, and how sure the holder could be of being
- * the only one. Each run that stops being known here leaves one line.
+ * Logs why a run is considered ended: the evidence, its age, and for how long this entry was certain to be the only
+ * holder. Each run that is removed from the state produces one log line.
  */
 import { change } from '../../shared/change.js';
 import type { TaskKey } from '../model/job.js';
@@ -12,32 +12,32 @@
   type Task,
 } from '../model/state.js';
 
-/** What made the holder count a run as ended. */
+/** The evidence for which the holder considers a run ended. */
 export type RunEvidence = {
   /**
-   * `reported`: the endpoint lists the end. `not-listed`: it lists the run neither as running nor as
-   * ended. `lease-over`: nothing has extended the endpoint's lease. `endpoint-gone`: the endpoint's
-   * life is over. `start-refused`: the order to start was refused or never sent.
+   * `reported`: the endpoint lists the run as ended. `not-listed`: the endpoint lists the run neither as running nor as
+   * ended. `lease-over`: the endpoint's lease was not extended. `endpoint-gone`: the endpoint's incarnation is over.
+   * `start-refused`: the start order was refused or never sent.
    */
   readonly cause: 'reported' | 'not-listed' | 'lease-over' | 'endpoint-gone' | 'start-refused';
   /**
-   * When the evidence held, by the holder's monotonic clock: when the question was asked, when the
-   * lease was over, when the list was asked for, when the other endpoint answered or the refusal came.
+   * When the evidence held, by the holder's monotonic clock: when the endpoint's list was requested, when the lease
+   * ended, when the list of hosts was requested, when the other endpoint responded, or when the refusal arrived.
    */
   readonly atMs: number;
-  /** The kind of end, or the reason of the drop or refusal, in a word: the line is kept short. */
+  /** The kind of end, or the reason for the drop or refusal. A single word, to keep the log line short. */
   readonly detail: string;
 };
 
-/** The fields of a line. */
+/** The fields of a log line. */
 export type NoteFields = Record<string, string | number | boolean | undefined>;
 
 /**
- * Tells for how long no other entry can be the holder.
+ * Returns for how long no other entry can be the holder.
  *
- * @param state - All that is known.
- * @param nowMs - The time.
- * @returns The time left in whole milliseconds, negative once it is over; undefined without a bound.
+ * @param state - The holder's batch state.
+ * @param nowMs - The current time.
+ * @returns The remaining time in whole milliseconds, negative once it is over; undefined if it is unlimited.
  */
 export const soleForMs = ({ soleHolderUntilMs }: BatchState, nowMs: number): number | undefined =>
   soleHolderUntilMs === Infinity ? undefined : Math.round(soleHolderUntilMs - nowMs);
@@ -48,16 +48,16 @@
 /** A task with its step. */
 export type FoundTask = { readonly step: StepRun; readonly task: Task };
 
-type NextOfTask = 'done' | 'again' | 'job-over' | 'none';
+type NextForTask = 'done' | 'again' | 'job-over' | 'none';
 
-const nextOf = (found: FoundTask | undefined): NextOfTask => {
+const nextForTask = (found: FoundTask | undefined): NextForTask => {
   if (!found) return 'none';
   if (found.task.phase === 'done') return 'done';
   if (isFinal(found.step.job.phase)) return 'job-over';
   return found.task.phase === 'waiting' ? 'again' : 'none';
 };
 
-const noteLastEnd = ({ task }: FoundTask, run: number, countedAtMs: number): void => {
+const recordLastEnd = ({ task }: FoundTask, run: number, countedAtMs: number): void => {
   if (run < (task.lastEnd?.run ?? 0)) return;
   change(task, { lastEnd: { run, countedAtMs } });
 };
@@ -67,27 +67,27 @@
   readonly endpoint: EndpointState;
   readonly task: TaskKey;
   readonly run: number;
-  /** Undefined if the task is not known, or no more. */
+  /** The task of the run; undefined if it is not known, or not known any more. */
   readonly found: FoundTask | undefined;
-  /** Since when the run was known here; undefined for one that was not. */
+  /** When the holder recorded the run; undefined if the run is not in the holder's state. */
   readonly startedAtMs: number | undefined;
   readonly evidence: RunEvidence;
   readonly nowMs: number;
-  /** What else the line tells. */
+  /** Additional fields of the log line. */
   readonly fields?: NoteFields | undefined;
-  /** What follows for the task and its job. */
+  /** Updates the task and its job. */
   readonly settle: () => void;
 };
 
 /**
- * Writes down that a run has ended, and does what follows from it.
+ * Logs that a run has ended, and updates its task and job.
  *
- * @param state - All that is known, changed in place.
- * @param end - The run, the evidence, and what follows.
+ * @param state - The holder's batch state, modified in place.
+ * @param end - The run, the evidence, and the update of the task and its job.
  */
 export const noteRunEnd = (
   state: BatchState,
-  { endpoint, task, run, found, startedAtMs, evidence, nowMs, fields: more, settle }: RunEnd,
+  { endpoint, task, run, found, startedAtMs, evidence, nowMs, fields: extraFields, settle }: RunEnd,
 ): void => {
   const isKnown = startedAtMs !== undefined;
   const fields: NoteFields = {
@@ -101,29 +101,30 @@
     soleForMs: soleForMs(state, nowMs),
     ranMs: isKnown ? Math.round(nowMs - startedAtMs) : undefined,
     isKnown: isKnown ? undefined : false,
-    ...more,
+    ...extraFields,
     next: undefined,
   };
-  // Before what follows from it, as a reader expects; what becomes of the task shows only then.
+  // The line is logged before the effects of the update, so that log readers see the cause first. Its `next` field is
+  // set after the update, when the task's new phase is known.
   state.effects.push({ kind: 'note', event: 'run-ended', fields });
-  if (found) noteLastEnd(found, run, nowMs);
+  if (found) recordLastEnd(found, run, nowMs);
   settle();
-  change(fields, { next: nextOf(found) });
+  change(fields, { next: nextForTask(found) });
 };
 
-/** Options for a task that is started. */
+/** Options for a task that is being started. */
 export type TaskStart = {
   readonly endpoint: EndpointState;
-  /** As it was before this start. */
+  /** The task, before this start is applied to it. */
   readonly task: Task;
   readonly run: number;
   readonly nowMs: number;
 };
 
 /**
- * Writes down that a task is started that had a run before.
+ * Logs the start of a task that had a run before.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The holder's batch state, modified in place.
  * @param start - The start.
  */
 export const noteStartAgain = (
--- a/packages/core/src/batch/endpoints/runs.ts
+++ b/packages/core/src/batch/endpoints/runs.ts
@@ -1,4 +1,4 @@
-/** Runs of tasks on endpoints: the room that they take, how they begin and how they are ended. */
+/** Runs of tasks on endpoints: how they start, which capacity they take, and how they end. */
 import { change } from '../../shared/change.js';
 import type { StepSpec } from '../model/job.js';
 import { chargeRun } from '../accounts/quota.js';
@@ -15,13 +15,13 @@
 } from '../model/state.js';
 
 /**
- * Run numbers rise over holders without a write: the fence, then a count within it. More starts of
- * one task under one fence than this are not made.
+ * A run number consists of the fence and a counter within that fence, so that the numbers increase from one holder to
+ * the next without being stored. A task is not started more often than this under one fence.
  */
 const RUNS_PER_FENCE = 1000;
 
 /**
- * Gives the number below which all runs were begun by earlier holders.
+ * Returns the number below which all runs were started by earlier holders.
  *
  * @param fence - The holder's fence.
  * @returns The number.
@@ -29,7 +29,7 @@
 export const firstRunNumber = (fence: number): number => fence * RUNS_PER_FENCE;
 
 /**
- * Gives the next run number of a task.
+ * Returns the next run number of a task.
  *
  * @param fence - The holder's fence.
  * @param lastRun - The highest number used so far.
@@ -39,15 +39,15 @@
   Math.max(firstRunNumber(fence), lastRun) + 1;
 
 /**
- * Gives the processors that a task takes of an endpoint's room.
+ * Returns the CPU capacity that a task reserves on an endpoint.
  *
  * @param spec - The task's step.
- * @returns Thousandths of a core; none for one that fills gaps.
+ * @returns CPU in thousandths of a core; 0 for a task that only fills gaps in the capacity.
  */
 export const reservedCpu = (spec: StepSpec): number => (spec.fillsGaps ? 0 : spec.cpuMillis);
 
 /**
- * Tells whether a task of a step fits into the free room of an endpoint.
+ * Returns whether a task of a step fits into the free capacity of an endpoint.
  *
  * @param endpoint - The endpoint.
  * @param spec - The step.
@@ -58,15 +58,15 @@
   used.memoryMb + spec.memoryMb <= capacity.memoryMb &&
   used.accelerators + spec.accelerators <= capacity.accelerators;
 
-const changeRoom = ({ used }: EndpointState, spec: StepSpec, sign: 1 | -1): void =>
+const changeUsed = ({ used }: EndpointState, spec: StepSpec, sign: 1 | -1): void =>
   change(used, {
     cpuMillis: used.cpuMillis + sign * reservedCpu(spec),
     memoryMb: used.memoryMb + sign * spec.memoryMb,
     accelerators: used.accelerators + sign * spec.accelerators,
   });
 
-const freeRoom = (state: BatchState, endpoint: EndpointState, spec: StepSpec): void => {
-  changeRoom(endpoint, spec, -1);
+const freeCapacity = (state: BatchState, endpoint: EndpointState, spec: StepSpec): void => {
+  changeUsed(endpoint, spec, -1);
   const roomRevision = state.roomRevision + 1;
   change(state, { roomRevision });
   change(endpoint, { roomRevision });
@@ -78,8 +78,8 @@
   else counts.delete(key);
 };
 
-/** Counts a task of a step on its endpoint and in the domains of that. */
-const changePlaces = (
+/** Updates the number of the step's tasks on the endpoint, in its rack and in its data centre. */
+const changeTaskCounts = (
   { perEndpoint, perDomain }: StepRun,
   { endpointId, domains }: EndpointState,
   by: 1 | -1,
@@ -90,15 +90,15 @@
 };
 
 /**
- * Takes a task from those of its step that wait.
+ * Removes a task from the waiting tasks of its step.
  *
- * @param step - The step, changed in place.
+ * @param step - The step, modified in place.
  * @param task - The task.
  */
 export const leaveWaiting = (step: StepRun, task: Task): void =>
   change(step, { waiting: step.waiting.filter((index) => index !== task.index) });
 
-/** Options for a run that begins or is found. */
+/** Options for a run that is started, or that an endpoint lists. */
 export type AddRunOptions = {
   readonly endpoint: EndpointState;
   readonly step: StepRun;
@@ -109,9 +109,9 @@
 };
 
 /**
- * Notes a run on an endpoint and takes its room.
+ * Adds a run to an endpoint and takes its capacity.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The holder's batch state, modified in place.
  * @param options - The run.
  * @returns The run.
  */
@@ -120,7 +120,7 @@
   { endpoint, step, task, run, phase, nowMs }: AddRunOptions,
 ): RunState => {
   const { job } = step;
-  const begun: RunState = {
+  const newRun: RunState = {
     task,
     step,
     run,
@@ -138,17 +138,17 @@
   };
   if (task.phase === 'waiting') leaveWaiting(step, task);
   change(task, { phase: 'placed', lastRun: Math.max(task.lastRun, run) });
-  changeRoom(endpoint, step.spec, 1);
+  changeUsed(endpoint, step.spec, 1);
   chargeRun(state, step, 1);
-  changePlaces(step, endpoint, 1);
-  endpoint.runs.set(task.key, begun);
+  changeTaskCounts(step, endpoint, 1);
+  endpoint.runs.set(task.key, newRun);
   if (step.waiting.length === 0) poolOf(state, job.job.pool).open.delete(step);
   if (phase === 'running') job.hasBegun = true;
   if (job.phase === 'pending') job.phase = 'running';
-  return begun;
+  return newRun;
 };
 
-/** Options for a run that is on another life of its endpoint than was thought. */
+/** Options for a run that is in another incarnation of its endpoint than assumed. */
 export type MoveRunOptions = Pick<AddRunOptions, 'phase'> & {
   readonly from: EndpointState;
   readonly to: EndpointState;
@@ -156,18 +156,18 @@
 };
 
 /**
- * Counts a run on the life of its endpoint that has it.
+ * Moves a run to the incarnation of its endpoint in which it actually is.
  *
- * @param state - All that is known, changed in place.
- * @param options - The run, and the two lives.
- * @returns The run there.
+ * @param state - The holder's batch state, modified in place.
+ * @param options - The run, and the two incarnations.
+ * @returns The state of the run in the new incarnation.
  */
 export const moveRun = (state: BatchState, { from, to, run, phase }: MoveRunOptions): RunState => {
   const { task, step, startedAtMs } = run;
   from.runs.delete(task.key);
-  freeRoom(state, from, step.spec);
+  freeCapacity(state, from, step.spec);
   chargeRun(state, step, -1);
-  changePlaces(step, from, -1);
+  changeTaskCounts(step, from, -1);
   return addRun(state, { endpoint: to, step, task, run: run.run, phase, nowMs: startedAtMs });
 };
 
@@ -177,18 +177,18 @@
   readonly run: RunState;
   readonly evidence: RunEvidence;
   readonly nowMs: number;
-  /** What else its line tells. */
+  /** Additional fields of the log line. */
   readonly fields?: NoteFields | undefined;
-  /** What follows for the task and its job. */
+  /** Updates the task and its job. */
   readonly settle: () => void;
 };
 
 /**
- * Forgets a run that has surely ended, gives its room back, and does what follows. Each run that
- * stops being known goes through here.
+ * Removes a run that has certainly ended, frees its capacity, and updates its task and job. Each run that leaves the
+ * state goes through this function.
  *
- * @param state - All that is known, changed in place.
- * @param options - The run, what shows that it has ended, and what follows.
+ * @param state - The holder's batch state, modified in place.
+ * @param options - The run, the evidence that it has ended, and the update of the task and its job.
  */
 export const dropRun = (
   state: BatchState,
@@ -196,9 +196,9 @@
 ): void => {
   const { task, step, startedAtMs } = run;
   if (!endpoint.runs.delete(task.key)) return;
-  freeRoom(state, endpoint, step.spec);
+  freeCapacity(state, endpoint, step.spec);
   chargeRun(state, step, -1);
-  changePlaces(step, endpoint, -1);
+  changeTaskCounts(step, endpoint, -1);
   if (endpoint.runs.size === 0) change(endpoint, { idleSinceMs: nowMs });
   noteRunEnd(state, {
     endpoint,
@@ -214,10 +214,10 @@
 };
 
 /**
- * Puts a task back to those that wait, unless its job has ended.
+ * Puts a task back into the queue, unless its job has ended.
  *
- * @param state - All that is known, changed in place.
- * @param step - Its step.
+ * @param state - The holder's batch state, modified in place.
+ * @param step - The task's step.
  * @param task - The task.
  */
 export const requeue = (state: BatchState, step: StepRun, task: Task): void => {
@@ -230,12 +230,12 @@
 };
 
 /**
- * Orders a run to be stopped. Its room stays taken until its end is listed.
+ * Orders an endpoint to stop a run. The capacity of the run stays taken until the endpoint lists its end.
  *
- * @param state - All that is known, changed in place.
- * @param endpoint - Where it runs.
+ * @param state - The holder's batch state, modified in place.
+ * @param endpoint - The endpoint.
  * @param run - The run.
- * @param reason - Why.
+ * @param reason - The reason that operators see.
  */
 export const stopRun = (
   state: BatchState,
--- a/packages/core/src/batch/endpoints/sound-endpoints.ts
+++ b/packages/core/src/batch/endpoints/sound-endpoints.ts
@@ -1,4 +1,4 @@
-/** Which endpoints take new work, and whether one may hold a task of a step. */
+/** Determines which endpoints take new work, and whether an endpoint may hold a task of a step. */
 import type { InstanceId, PoolName } from '../../shared/ids.js';
 import { isSuspected } from '../domains/outage.js';
 import { instanceOf } from '../model/endpoint-life.js';
@@ -7,24 +7,26 @@
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
 
 /**
- * Whoever has replaced this holder waits for the endpoints that were listed as it took over. One that
- * came later would still take this holder's orders: nothing is begun there until this holder is sure
- * again, or a task that waited here would run twice.
+ * An entry that has replaced this holder waits for the reports of the endpoints that were listed when it took over. An
+ * endpoint that was listed later would still accept orders of this holder. Nothing is started there until this entry
+ * is certain again to be the only holder; otherwise a waiting task could run twice.
  */
-const isKnownToNext = ({ seenAtMs }: EndpointState, { soleHolderUntilMs }: BatchState): boolean =>
-  seenAtMs < soleHolderUntilMs;
+const isKnownToSuccessor = (
+  { seenAtMs }: EndpointState,
+  { soleHolderUntilMs }: BatchState,
+): boolean => seenAtMs < soleHolderUntilMs;
 
 /**
- * Tells whether an endpoint serves its pool: it has answered, stays, and is not withheld.
+ * Returns whether an endpoint can take new work: it has responded, is not about to leave, and is not withheld.
  *
- * @param state - All that is known.
+ * @param state - The holder's batch state.
  * @param endpoint - The endpoint.
- * @param nowMs - The time.
- * @returns True if its room counts.
+ * @param nowMs - The current time.
+ * @returns True if its capacity counts as available to the pool.
  */
 export const isSound = (state: BatchState, endpoint: EndpointState, nowMs: number): boolean =>
   endpoint.isKnown &&
-  isKnownToNext(endpoint, state) &&
+  isKnownToSuccessor(endpoint, state) &&
   !endpoint.isDraining &&
   !endpoint.isClosing &&
   !state.evacuated.has(endpoint.dataCentre) &&
@@ -34,9 +36,9 @@
 /**
  * Lists the endpoints of a pool that take new work.
  *
- * @param state - All that is known.
+ * @param state - The holder's batch state.
  * @param pool - The pool.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  * @returns The endpoints.
  */
 export const usableEndpoints = (
@@ -49,21 +51,21 @@
   );
 
 /**
- * Tells whether an endpoint has a label.
+ * Returns whether an endpoint has a label.
  *
  * @param endpoint - The endpoint.
- * @param label - The label; '' for none.
- * @returns True if it has, or none is asked for.
+ * @param label - The label; '' if none is required.
+ * @returns True if the endpoint has the label, or if none is required.
  */
 export const hasLabel = ({ labels }: EndpointState, label: string): boolean =>
   label === '' || labels.includes(label);
 
 /**
- * Tells whether an endpoint may hold one more task of a step.
+ * Returns whether an endpoint may hold one more task of a step.
  *
  * @param endpoint - The endpoint.
  * @param step - The step.
- * @returns True if it has the label and the room, and does not hold as many as it may.
+ * @returns True if it has the label and the free capacity, and holds fewer tasks of the step than it may.
  */
 export const mayHold = (endpoint: EndpointState, { spec, perEndpoint }: StepRun): boolean =>
   hasLabel(endpoint, spec.requiredLabel) &&
@@ -74,23 +76,26 @@
 const NOTHING_USED = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
 
 /**
- * Tells whether an earlier holder may have begun a task of a step on an endpoint that has not answered. Its label and
- * room are those of its host. One that is not listed, or of which an earlier life is not settled, may run anything.
+ * Returns whether an earlier holder may have started a task of a step on an endpoint that has not responded yet. The
+ * endpoint's label and capacity are those of its host. An endpoint that is not listed, or that has an earlier
+ * incarnation whose runs are not given up yet, may run anything.
  *
- * @param state - All that is known.
+ * @param state - The holder's batch state.
  * @param instanceId - The endpoint.
  * @param spec - The step.
- * @returns False if it lacks the label or the room even while it is empty.
+ * @returns False if the endpoint lacks the label, or lacks the capacity even when it is empty.
  */
 export const mayHaveBegun = (
   state: BatchState,
   instanceId: InstanceId,
   spec: StepSpec,
 ): boolean => {
-  const life = state.lives.get(instanceId);
-  const hasFormerLife = Array.from(state.goneEndpoints.keys()).some(
+  const endpoint = state.lives.get(instanceId);
+  const hasFormerIncarnation = Array.from(state.goneEndpoints.keys()).some(
     (endpointId) => instanceOf(endpointId) === instanceId,
   );
-  if (!life || hasFormerLife) return true;
-  return hasLabel(life, spec.requiredLabel) && fitsIn({ ...life, used: NOTHING_USED }, spec);
+  if (!endpoint || hasFormerIncarnation) return true;
+  return (
+    hasLabel(endpoint, spec.requiredLabel) && fitsIn({ ...endpoint, used: NOTHING_USED }, spec)
+  );
 };
--- a/packages/core/src/batch/endpoints/watch-runs.ts
+++ b/packages/core/src/batch/endpoints/watch-runs.ts
@@ -1,4 +1,4 @@
-/** Runs that stand still, and endpoints whose lease has surely ended. */
+/** Detects runs without progress, and endpoints whose lease has certainly ended. */
 import { change } from '../../shared/change.js';
 import type { EndpointId } from '../../shared/ids.js';
 import { mayRunInLaterLife } from './followed-runs.js';
@@ -15,53 +15,55 @@
 import { expectStepTime } from '../jobs/step-times.js';
 
 /**
- * A run whose percentage has not risen for so many times its expected time, but at least for
- * `LEAST_STILL_MS`, stands still. Tasks far from their data take `farFactor` (2 or 3) as long, on
- * slow endpoints up to 7 times; percentages still rise there.
+ * A run is stalled if its percentage has not increased for this many times its expected duration, and for at least
+ * `MIN_STALL_MS`. Tasks far from their data take `farFactor` (2 or 3) times as long, and up to 7 times as long on
+ * slow endpoints, but their percentages still increase.
  */
-const STILL_FACTOR = 1;
-const LEAST_STILL_MS = 2000;
+const STALL_FACTOR = 1;
+const MIN_STALL_MS = 2000;
 
-/** Judged by what the endpoint last reported: an endpoint that is silent tells nothing of its runs. */
-const isStill = (state: BatchState, run: RunState, { reportedAtMs }: EndpointState): boolean => {
+/** Uses the time of the endpoint's last report, because a silent endpoint gives no information about its runs. */
+const isStalled = (state: BatchState, run: RunState, { reportedAtMs }: EndpointState): boolean => {
   const nowMs = reportedAtMs;
   const { step, phase, progressAtMs, percent } = run;
   if (phase !== 'running' || step.spec.isGang) return false;
-  if (step.spec.isLasting) return percent < 100 && nowMs - progressAtMs > LEAST_STILL_MS * 2;
+  if (step.spec.isLasting) return percent < 100 && nowMs - progressAtMs > MIN_STALL_MS * 2;
   const expectedMs = expectStepTime(state, step);
-  // A step of one hundredth must be longer than the time between two answers to be seen.
-  return nowMs - progressAtMs > Math.max(LEAST_STILL_MS, expectedMs * STILL_FACTOR);
+  // One percent of progress is observed as a separate increase only if it takes longer than the interval of reports.
+  return nowMs - progressAtMs > Math.max(MIN_STALL_MS, expectedMs * STALL_FACTOR);
 };
 
-const stopStill = (state: BatchState, endpoint: EndpointState, nowMs: number): void => {
-  const still = Array.from(endpoint.runs.values()).filter((run) => isStill(state, run, endpoint));
-  if (still.length === 0) return;
-  still.forEach((run) => {
+const stopStalledRuns = (state: BatchState, endpoint: EndpointState, nowMs: number): void => {
+  const stalled = Array.from(endpoint.runs.values()).filter((run) =>
+    isStalled(state, run, endpoint),
+  );
+  if (stalled.length === 0) return;
+  stalled.forEach((run) => {
     const { task } = run;
     task.avoid = endpoint.endpointId;
     stopRun(state, endpoint, run, `has stood still at ${run.percent} %`);
   });
   if (endpoint.withheldUntilMs <= nowMs) {
-    withholdEndpoint(state, endpoint, `${still.length} tasks stand still here`, nowMs);
+    withholdEndpoint(state, endpoint, `${stalled.length} tasks stand still here`, nowMs);
   }
 };
 
-/** An endpoint whose lease has surely ended. */
+/** An endpoint whose lease has certainly ended. */
 export type LapsedEndpoint = { readonly endpointId: EndpointId; readonly endedAtMs: number };
 
 /**
- * Looks for runs that stand still and for endpoints whose runs have surely ended: their lease is
- * over, and no other holder can have prolonged it.
+ * Stops runs without progress, and gives up the runs of endpoints whose lease has ended and cannot have been renewed by
+ * another holder.
  *
- * @param state - All that is known, changed in place.
- * @param nowMs - The time.
- * @returns The endpoints whose leases ended.
+ * @param state - The holder's batch state, modified in place.
+ * @param nowMs - The current time.
+ * @returns The endpoints whose leases have ended.
  */
 export const watchRuns = (state: BatchState, nowMs: number): readonly LapsedEndpoint[] => {
   const lapsed: LapsedEndpoint[] = [];
   state.endpoints.forEach((endpoint) => {
     if (endpoint.runs.size === 0) return;
-    stopStill(state, endpoint, nowMs);
+    stopStalledRuns(state, endpoint, nowMs);
     if (nowMs < endpoint.leaseEndsAtMs || !isSoleHolder(state, nowMs)) return;
     const runs = Array.from(endpoint.runs.values()).filter(
       (run) => !mayRunInLaterLife(state, endpoint, run, nowMs),
@@ -76,8 +78,11 @@
   return lapsed;
 };
 
-/** Another endpoint came to its host after it was last heard, and answers: it is not only cut off. */
-const isSucceeded = (
+/**
+ * True if a newer endpoint appeared on the same host after the last report of this one, and responds. This rules out
+ * that the older endpoint is only disconnected.
+ */
+const hasSuccessor = (
   state: BatchState,
   { endpointId, hostId, reportedAtMs }: EndpointState,
 ): boolean =>
@@ -91,14 +96,13 @@
   );
 
 /**
- * Finds endpoints that crashed, which nothing showed before their leases ended: the list of hosts
- * may be away.
+ * Finds crashed endpoints that nothing but the end of their leases has shown, as the list of hosts may be unavailable.
  *
- * @param state - All that is known.
- * @returns The endpoints. Nothing is known to run there any more.
+ * @param state - The holder's batch state.
+ * @returns The endpoints. No runs are known to be there any more.
  */
 export const findSucceededEndpoints = (state: BatchState): readonly EndpointId[] =>
   Array.from(state.endpoints.values())
     .filter(({ runs, lapsedRuns }) => lapsedRuns.length > 0 && runs.size === 0)
-    .filter((endpoint) => isSucceeded(state, endpoint))
+    .filter((endpoint) => hasSuccessor(state, endpoint))
     .map(({ endpointId }) => endpointId);
