--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -221,8 +221,7 @@
 
 /**
  * Applies a list response of an endpoint. Ended runs are applied first, because a run that has ended is not running.
- * The endpoint lists ended runs again until they are acknowledged; the ones that were applied before must not be in
- * the given report.
+ * The endpoint lists ended runs again until they are acknowledged; the caller leaves out those that were applied before.
  *
  * @param state - The holder's batch state, modified in place.
  * @param endpointId - The endpoint.
--- a/packages/core/src/batch/endpoints/runs.ts
+++ b/packages/core/src/batch/endpoints/runs.ts
@@ -16,7 +16,7 @@
 
 /**
  * A run number consists of the fence and a counter within that fence, so that the numbers increase from one holder to
- * the next without being stored. A task is not started more often than this under one fence.
+ * the next without being stored. A task is expected to be started no more often than this under one fence.
  */
 const RUNS_PER_FENCE = 1000;
 
