--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -1,4 +1,4 @@
-/** Predicting the next demand peak from peaks that rotate over the pools, and handing that history to the next lease holder. */
+/** Predicting demand peaks that rotate over the pools, and passing the peak history to the next lease holder. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
--- a/packages/core/src/batch/pools/demand-peaks.ts
+++ b/packages/core/src/batch/pools/demand-peaks.ts
@@ -91,7 +91,7 @@
   return intervals.length > 0 && isRegular ? meanMs : undefined;
 };
 
-/** The pools that peak next: all pools without a peak so far or, if every pool has had one, the one whose last peak is oldest. */
+/** The pools that peak next: those that have not peaked yet or, if all have, the one whose last peak is oldest. */
 const nextPools = (
   onsets: readonly PeakOnset[],
   pools: readonly PoolName[],
--- a/packages/core/src/batch/pools/demand.ts
+++ b/packages/core/src/batch/pools/demand.ts
@@ -5,18 +5,18 @@
  */
 
 /**
- * The time constants of the two averages. Demand rises to its peak within one or two seconds, and a host needs 1.5 s to
- * change its pool.
+ * The time constants of the two averages. Demand rises to its peak within one or two seconds, and a host needs 1.5 s
+ * to change its pool.
  */
 const FAST_TIME_CONSTANT_MS = 900;
 const SLOW_TIME_CONSTANT_MS = 2500;
 
 /**
- * How far the difference of the two rates is extrapolated. During a steady rise the fast rate lags by 0.9 s and the slow
- * one by 2.5 s, so a factor of 1.8 would extrapolate 2 s ahead: the time of a decision and a host move of 1.5 s. A higher
- * factor is used because a peak begins steeper than it continues, and short tasks at its beginning would be late. Over
- * 12 simulated days of two fleets, the mean share of the work's worth that was earned is 0.598 with a factor of 5,
- * 0.555 with 1, 0.570 with 1.8 and 0.586 with 3.
+ * How far the difference of the two rates is extrapolated. During a steady rise the fast rate lags by 0.9 s and the
+ * slow one by 2.5 s, so a factor of 1.8 would extrapolate 2 s ahead: the time of a decision and a host move of 1.5 s.
+ * A higher factor is used because a peak begins steeper than it continues, and short tasks at its beginning would be
+ * late. Over 12 simulated days of two fleets, the mean share of the work's worth that was earned is 0.598 with a
+ * factor of 5, 0.555 with 1, 0.570 with 1.8 and 0.586 with 3.
  */
 const RISE_FACTOR = 5;
 
--- a/packages/core/src/batch/pools/hosts.ts
+++ b/packages/core/src/batch/pools/hosts.ts
@@ -122,9 +122,9 @@
     .length;
 
 /**
- * Counts the tasks of a long-running step that are not ready on any endpoint. Tasks on the given endpoint count as ready
- * by its latest report, however old that is. Otherwise, after 2.6 s without a report, they would be counted twice, as
- * unavailable and as tasks that would be stopped, and the host would wait for its own tasks.
+ * Counts the tasks of a long-running step that are not ready on any endpoint. Tasks on the given endpoint count as
+ * ready by its latest report, however old that is. Otherwise, after 2.6 s without a report, they would be counted
+ * twice, as unavailable and as tasks that would be stopped, and the host would wait for its own tasks.
  *
  * @param state - The scheduler's state.
  * @param step - The step.
--- a/packages/core/src/batch/pools/pool-domains.ts
+++ b/packages/core/src/batch/pools/pool-domains.ts
@@ -42,7 +42,7 @@
   return counts;
 };
 
-/** Compares two hosts by the counts of their racks, then of their data centres; below 0 if the left host's are lower. */
+/** Compares two hosts by the counts of their racks, then of their data centres; below 0 if the left has the lower. */
 const compareHostCounts = (counts: DomainCounts, left: HostView, right: HostView): number => {
   const [leftRack = 0, leftDataCentre = 0] = domainKeysOf(left).map((key) => counts.get(key) ?? 0);
   const [rightRack = 0, rightDataCentre = 0] = domainKeysOf(right).map(
@@ -68,8 +68,8 @@
   );
 
 /**
- * Chooses the hosts that leave a pool, one after the other: each time the host in whose rack, then data centre, the pool
- * has the most hosts left.
+ * Chooses the hosts that leave a pool, one after the other: each time the host in whose rack, then data centre, the
+ * pool has the most hosts left.
  *
  * @param hosts - The hosts that may leave.
  * @param maxHosts - The maximum number of hosts that leave.
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -81,8 +81,8 @@
 const RISING_RATIO = 1.1;
 
 /**
- * Tells whether there has been demand and it is not rising. Before the first work arrives, it is unknown which pool will
- * have the next peak; while demand rises, a parked host would have to be brought back.
+ * Tells whether there has been demand and it is not rising. Before the first work arrives, it is unknown which pool
+ * will have the next peak; while demand rises, a parked host would have to be brought back.
  */
 const isDemandSteady = ({ state, nowMs }: PoolWorld): boolean => {
   const rates = Array.from(state.pools.values(), ({ demand }) => demand.rates(nowMs));
@@ -329,8 +329,9 @@
 };
 
 /**
- * Decides which endpoints are reclaimed: they take no further work beyond the accounts' fair shares, so that their hosts
- * become free. As many are reclaimed as other pools lack for work within fair shares. Running tasks are not stopped.
+ * Decides which endpoints are reclaimed: they take no further work beyond the accounts' fair shares, so that their
+ * hosts become free. As many are reclaimed as other pools lack for work within fair shares. Running tasks are not
+ * stopped.
  *
  * @param world - The pools, hosts and scheduler state.
  * @param policy - The policy for pool moves.
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -24,7 +24,7 @@
   readonly minHosts: number;
   /** How long a host must have been empty before it is released to another pool. */
   readonly releaseAfterMs: number;
-  /** How long a host that is not expected to be needed must have been empty before it is parked, that is switched off. */
+  /** How long a host that is not expected to be needed must have been empty before it is parked (switched off). */
   readonly parkAfterMs: number;
   /** The factor by which forecast demand is multiplied to get the capacity that is held for it. */
   readonly headroom: number;
--- a/packages/core/src/batch/pools/pool-peaks.test.ts
+++ b/packages/core/src/batch/pools/pool-peaks.test.ts
@@ -27,7 +27,7 @@
 /** How long after the beginning of a peak the capacity of its pool is sampled. */
 const SAMPLE_AFTER_MS = 500;
 
-/** Simulates six peaks and gives, for each of the last four, the cores of the peaking pool 0.5 s after its beginning. */
+/** Simulates six peaks and gives, for each of the last four, the cores of the peaking pool 0.5 s after it began. */
 const capacityAtPeaks = (expectsPeaks: boolean): readonly number[] => {
   const state = createBatchState(1);
   const hosts = new Map<HostId, HostView>();
