--- a/packages/core/src/batch/domains/domains.ts
+++ b/packages/core/src/batch/domains/domains.ts
@@ -1,6 +1,6 @@
 /**
- * Failure domains: the racks and data centres that take all their endpoints with them. The members of each are kept
- * as endpoints come and go, so that nothing has to scan the fleet for them.
+ * Failure domains: racks and data centres, each of which can fail together with all its endpoints. The member endpoints
+ * of each domain are kept up to date as endpoints come and go, so that the fleet need not be scanned for them.
  */
 import { brand, type DataCentreId, type DomainId } from '../../shared/ids.js';
 import type { BatchState, Domain, EndpointDomains, EndpointState } from '../model/state.js';
@@ -8,15 +8,16 @@
 const RACK_PREFIX = 'rack:';
 const DATA_CENTRE_PREFIX = 'data-centre:';
 
-/** Endpoints without a rack are counted as one rack, those without a data centre as one data centre. */
+/** The keys under which endpoints without a rack are counted as one rack, and those without a data centre as one. */
 const NO_RACK = brand<DomainId>(RACK_PREFIX);
 const NO_DATA_CENTRE = brand<DomainId>(DATA_CENTRE_PREFIX);
 
 /**
- * Names the domains of an endpoint. A rack's label may be used again in another data centre.
+ * Gives the domain ids of an endpoint. A rack's id includes its data centre, because another data centre may use the
+ * same rack label.
  *
- * @param dataCentre - Its data centre; '' if it has none.
- * @param rack - The label of its rack; '' if it has none.
+ * @param dataCentre - The endpoint's data centre; '' if it has none.
+ * @param rack - The label of the endpoint's rack; '' if it has none.
  * @returns The domains.
  */
 export const domainsOf = (dataCentre: DataCentreId, rack: string): EndpointDomains => ({
@@ -25,7 +26,7 @@
 });
 
 /**
- * Gives the name of a domain as operators know it.
+ * Gives the name under which a domain is shown to operators.
  *
  * @param domainId - The domain.
  * @returns `DATA-CENTRE/RACK` for a rack, the data centre's own name for a data centre.
@@ -51,7 +52,7 @@
   dataCentre ?? NO_DATA_CENTRE;
 
 /**
- * Lists the domains of an endpoint that have a name.
+ * Lists the domains of an endpoint, leaving out the rack or the data centre that it does not have.
  *
  * @param domains - The endpoint's domains.
  * @returns Each with its kind, the rack first.
@@ -67,7 +68,7 @@
 /**
  * Adds an endpoint to the members of its domains.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The scheduler's state, changed in place.
  * @param endpoint - The endpoint.
  */
 export const joinDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
@@ -78,9 +79,9 @@
   });
 
 /**
- * Takes an endpoint from the members of its domains.
+ * Removes an endpoint from the members of its domains, and removes domains without members.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The scheduler's state, changed in place.
  * @param endpoint - The endpoint.
  */
 export const leaveDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
--- a/packages/core/src/batch/domains/outage.ts
+++ b/packages/core/src/batch/domains/outage.ts
@@ -1,44 +1,56 @@
 /**
- * The loss of a rack or a data centre as one event. Where several endpoints of one leave questions unanswered at the
- * same time, all the others there are asked at once, and none gets new work until it has answered. Nothing is
- * concluded about what runs there: leases tell that.
+ * Detects that a whole rack or data centre may be lost. When several endpoints of a domain leave requests unanswered at
+ * the same time, all its endpoints are polled at once, and each of them gets no new work until it has answered. Nothing
+ * is concluded about the tasks that run there; leases decide that.
  */
 import { change } from '../../shared/change.js';
 import type { EndpointId } from '../../shared/ids.js';
 import { domainName, namedDomains } from './domains.js';
 import type { BatchState, Domain, EndpointState, SuspectedDomain } from '../model/state.js';
 
-/** Endpoints are asked every 0.4 to 1 s, so what is lost at one moment shows within this time. */
-const TOGETHER_MS = 1500;
-const LEAST_SHARE = 1 / 3;
-const LEAST_IN_RACK = 2;
-const LEAST_RACKS = 2;
-const LEAST_WITHOUT_RACKS = 3;
-/** Outages of racks and data centres last some 6 s; after this time starts show whether one is back. */
-const MOST_SUSPECTED_MS = 10_000;
+/**
+ * Unanswered requests count together if they fall into this time. Endpoints are polled every 0.4 to 1 s, so endpoints
+ * that were lost at the same moment have been noticed within it.
+ */
+const CORRELATION_WINDOW_MS = 1500;
+/** The share of a domain's endpoints that must leave requests unanswered before the domain is suspected. */
+const MIN_UNANSWERING_SHARE = 1 / 3;
+/** The number of endpoints of a rack that must leave requests unanswered as well. */
+const MIN_UNANSWERING_IN_RACK = 2;
+/** The number of racks of a data centre in which endpoints must leave requests unanswered. */
+const MIN_UNANSWERING_RACKS = 2;
+/** The number of endpoints for a data centre if none of those that leave requests unanswered has a rack. */
+const MIN_UNANSWERING_WITHOUT_RACKS = 3;
+/**
+ * The longest time for which a domain is suspected. Outages of racks and data centres last about 6 s; after this time,
+ * starting tasks there shows whether the domain is back.
+ */
+const MAX_SUSPICION_MS = 10_000;
 
-/** Why a domain is not suspected any more. */
-type Relief = 'answered' | 'time' | 'gone';
+/** Why a domain is no longer suspected: it answered, the longest time has passed, or its endpoints are gone. */
+type SuspicionEndReason = 'answered' | 'time' | 'gone';
 
-/** The end of one that leaves by order shows nothing about its domain. */
-const isStaying = ({ isClosing, hasAnnouncedEnd }: EndpointState): boolean =>
+/** Whether an endpoint is expected to stay. The end of one that leaves as planned shows nothing about its domain. */
+const isExpectedToStay = ({ isClosing, hasAnnouncedEnd }: EndpointState): boolean =>
   !isClosing && !hasAnnouncedEnd;
 
-/** Whether so many of a rack leave questions unanswered that it may be lost. */
-const isRackLost = (unanswering: readonly EndpointState[]): boolean =>
-  unanswering.length >= LEAST_IN_RACK;
+/** Whether enough endpoints of a rack leave requests unanswered for the rack to be lost. */
+const mayRackBeLost = (unanswering: readonly EndpointState[]): boolean =>
+  unanswering.length >= MIN_UNANSWERING_IN_RACK;
 
-/** The same for a data centre: one rack alone does not show that. */
-const isDataCentreLost = (unanswering: readonly EndpointState[]): boolean => {
+/** Whether the same holds for a data centre. One rack alone is not enough, because only the rack may be lost. */
+const mayDataCentreBeLost = (unanswering: readonly EndpointState[]): boolean => {
   const racks = new Set(unanswering.flatMap(({ domains }) => domains.rack ?? []));
-  return racks.size === 0 ? unanswering.length >= LEAST_WITHOUT_RACKS : racks.size >= LEAST_RACKS;
+  return racks.size === 0
+    ? unanswering.length >= MIN_UNANSWERING_WITHOUT_RACKS
+    : racks.size >= MIN_UNANSWERING_RACKS;
 };
 
-const IS_LOST: Readonly<
+const MAY_BE_LOST: Readonly<
   Record<Domain['kind'], (unanswering: readonly EndpointState[]) => boolean>
-> = { rack: isRackLost, dataCentre: isDataCentreLost };
+> = { rack: mayRackBeLost, dataCentre: mayDataCentreBeLost };
 
-const note = (
+const recordEvent = (
   state: BatchState,
   event: 'domain-suspected' | 'domain-back',
   fields: Readonly<Record<string, string | number>>,
@@ -46,7 +58,7 @@
   state.effects.push({ kind: 'note', event, fields });
 };
 
-const suspect = (
+const suspectDomain = (
   state: BatchState,
   { domainId, kind, members }: Domain,
   unanswering: number,
@@ -59,7 +71,7 @@
     endpoints: members.size,
     awaited,
   });
-  note(state, 'domain-suspected', {
+  recordEvent(state, 'domain-suspected', {
     domain: domainName(domainId),
     kind,
     endpoints: members.size,
@@ -69,23 +81,23 @@
   awaited.forEach((endpointId) => state.effects.push({ kind: 'ask', endpointId }));
 };
 
-const judge = (state: BatchState, domain: Domain, nowMs: number): void => {
+const checkDomain = (state: BatchState, domain: Domain, nowMs: number): void => {
   if (state.suspectedDomains.has(domain.domainId)) return;
-  const staying = Array.from(domain.members).filter(isStaying);
+  const staying = Array.from(domain.members).filter(isExpectedToStay);
   const unanswering = staying.filter(
     ({ unansweredSinceMs }) =>
-      unansweredSinceMs <= nowMs && nowMs - unansweredSinceMs <= TOGETHER_MS,
+      unansweredSinceMs <= nowMs && nowMs - unansweredSinceMs <= CORRELATION_WINDOW_MS,
   );
-  const isShare = unanswering.length >= staying.length * LEAST_SHARE;
-  if (isShare && IS_LOST[domain.kind](unanswering)) {
-    suspect(state, domain, unanswering.length, nowMs);
+  const isShareReached = unanswering.length >= staying.length * MIN_UNANSWERING_SHARE;
+  if (isShareReached && MAY_BE_LOST[domain.kind](unanswering)) {
+    suspectDomain(state, domain, unanswering.length, nowMs);
   }
 };
 
 /**
- * Notes that an endpoint has left a question or an order unanswered past its time-out.
+ * Records that an endpoint has left a request or an order unanswered past its time-out.
  *
- * @param state - All that is known, changed in place: its rack and its data centre may be suspected from now on.
+ * @param state - The scheduler's state, changed in place: the endpoint's rack and data centre may become suspected.
  * @param endpointId - The endpoint.
  * @param nowMs - The time in milliseconds.
  */
@@ -95,83 +107,87 @@
   change(endpoint, { unansweredSinceMs: nowMs });
   namedDomains(endpoint.domains).forEach(({ domainId }) => {
     const domain = state.domains.get(domainId);
-    if (domain) judge(state, domain, nowMs);
+    if (domain) checkDomain(state, domain, nowMs);
   });
 };
 
-const relieve = (
+const endSuspicion = (
   state: BatchState,
   { domainId, sinceMs, endpoints, awaited }: SuspectedDomain,
-  relief: Relief,
+  reason: SuspicionEndReason,
   nowMs: number,
 ): void => {
   state.suspectedDomains.delete(domainId);
-  note(state, 'domain-back', {
+  recordEvent(state, 'domain-back', {
     domain: domainName(domainId),
     endpoints,
     unanswering: awaited.size,
     afterMs: Math.round(nowMs - sinceMs),
-    relief,
+    relief: reason,
   });
 };
 
-/** Takes an endpoint from those that are awaited; the domain is back once more than half have answered. */
-const awaitNoMore = (
+/**
+ * Stops awaiting an answer of an endpoint. The suspicion of its domain ends when an answer leaves fewer than half of
+ * the domain's endpoints awaited, or when none is awaited any more.
+ */
+const stopAwaiting = (
   state: BatchState,
   { endpointId, domains }: EndpointState,
-  relief: Extract<Relief, 'answered' | 'gone'>,
+  reason: Extract<SuspicionEndReason, 'answered' | 'gone'>,
   nowMs: number,
 ): void =>
   namedDomains(domains).forEach(({ domainId }) => {
     const suspected = state.suspectedDomains.get(domainId);
     if (!suspected?.awaited.delete(endpointId)) return;
     const { awaited, endpoints } = suspected;
-    const isBack = relief === 'answered' && awaited.size < endpoints / 2;
-    if (isBack || awaited.size === 0) relieve(state, suspected, relief, nowMs);
+    const isBack = reason === 'answered' && awaited.size < endpoints / 2;
+    if (isBack || awaited.size === 0) endSuspicion(state, suspected, reason, nowMs);
   });
 
 /**
- * Notes that an endpoint has answered a question or an order.
+ * Records that an endpoint has answered a request or an order.
  *
- * @param state - All that is known, changed in place.
- * @param endpoint - The endpoint: it is not suspected any more.
+ * @param state - The scheduler's state, changed in place.
+ * @param endpoint - The endpoint, which is no longer suspected.
  * @param nowMs - The time in milliseconds.
  */
 export const noteAnswered = (state: BatchState, endpoint: EndpointState, nowMs: number): void => {
   change(endpoint, { unansweredSinceMs: Infinity });
-  if (state.suspectedDomains.size > 0) awaitNoMore(state, endpoint, 'answered', nowMs);
+  if (state.suspectedDomains.size > 0) stopAwaiting(state, endpoint, 'answered', nowMs);
 };
 
 /**
- * Awaits no answer of an endpoint that is gone.
+ * Stops awaiting an answer of an endpoint that is gone.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The scheduler's state, changed in place.
  * @param endpoint - The endpoint.
  * @param nowMs - The time in milliseconds.
  */
 export const forgetSuspect = (state: BatchState, endpoint: EndpointState, nowMs: number): void =>
-  awaitNoMore(state, endpoint, 'gone', nowMs);
+  stopAwaiting(state, endpoint, 'gone', nowMs);
 
 /**
- * Ends suspicions that have lasted for the longest time. Endpoints that are still silent count anew from then on.
+ * Ends suspicions that have reached the longest time. Endpoints that still do not answer are counted afresh from their
+ * next unanswered request.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The scheduler's state, changed in place.
  * @param nowMs - The time in milliseconds.
  */
 export const endOldSuspicions = (state: BatchState, nowMs: number): void =>
   state.suspectedDomains.forEach((suspected) => {
-    if (nowMs - suspected.sinceMs < MOST_SUSPECTED_MS) return;
+    if (nowMs - suspected.sinceMs < MAX_SUSPICION_MS) return;
     suspected.awaited.forEach((endpointId) => {
       const endpoint = state.endpoints.get(endpointId);
       if (endpoint) change(endpoint, { unansweredSinceMs: Infinity });
     });
-    relieve(state, suspected, 'time', nowMs);
+    endSuspicion(state, suspected, 'time', nowMs);
   });
 
 /**
- * Tells whether an endpoint stands in a rack or a data centre that may be lost, and has not answered since.
+ * Tells whether an endpoint is in a suspected rack or data centre and has not answered since the suspicion began.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param endpoint - The endpoint.
  * @returns True if it must not get new work.
  */
--- a/packages/core/src/batch/domains/spread.test.ts
+++ b/packages/core/src/batch/domains/spread.test.ts
@@ -1,4 +1,4 @@
-/** Where the tasks of long-running steps begin, and what the loss of a rack or a data centre takes of them. */
+/** How the tasks of long-running steps are spread over racks and data centres to limit what the loss of one stops. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type DomainId, type JobId } from '../../shared/ids.js';
@@ -14,20 +14,25 @@
 const JOB_ID = brand<JobId>('00000000000000bb');
 const OTHER_ID = brand<JobId>('00000000000000cc');
 
-const LASTING: Partial<StepSpec> = { taskCount: 24, isLasting: true, mayMiss: 2, cpuMillis: 1000 };
+const LONG_RUNNING: Partial<StepSpec> = {
+  taskCount: 24,
+  isLasting: true,
+  mayMiss: 2,
+  cpuMillis: 1000,
+};
 
 const stepOf = (state: BatchState, jobId = JOB_ID): StepRun => {
   const step = state.jobs.get(jobId)?.occurrences.get(0)?.steps[0];
-  if (!step) throw new Error('there is no step');
+  if (!step) throw new Error('the job has no step');
   return step;
 };
 
 const submit = (state: BatchState, step: Partial<StepSpec> = {}, jobId = JOB_ID): void => {
-  submitJob(state, jobId, { step: { ...LASTING, ...step } });
+  submitJob(state, jobId, { step: { ...LONG_RUNNING, ...step } });
   schedulePool(state, POOL, 20);
 };
 
-/** How many tasks of the step stand on endpoints that share a value. */
+/** Counts the tasks of the step per rack or data centre, in the order in which the endpoints were seen. */
 const countBy = (
   state: BatchState,
   key: 'rack' | 'dataCentre',
@@ -35,15 +40,15 @@
 ): readonly number[] => {
   const counts = new Map<DomainId | null, number>();
   state.endpoints.forEach(({ runs, domains }) => {
-    const here = Array.from(runs.values()).filter((run) => run.step === step).length;
-    counts.set(domains[key], (counts.get(domains[key]) ?? 0) + here);
+    const tasksHere = Array.from(runs.values()).filter((run) => run.step === step).length;
+    counts.set(domains[key], (counts.get(domains[key]) ?? 0) + tasksHere);
   });
   return Array.from(counts.values());
 };
 
 describe('the tasks of a long-running step', () => {
-  it('stand evenly over racks and data centres, so that the loss of any one takes its share only', () => {
-    // Without the spread, the fullest endpoint takes eight tasks and one rack all of them.
+  it('are spread evenly over racks and data centres, so that the loss of one stops only its share of them', () => {
+    // Without spreading, tasks are packed: the fullest endpoint gets eight tasks, and a single rack gets all of them.
     const state = createBatchState(2);
     seeFleet(state, { racks: 12, hostsPerRack: 5, dataCentres: 4 });
     submit(state);
@@ -51,14 +56,14 @@
     expect(countBy(state, 'dataCentre')).toEqual([6, 6, 6, 6]);
   });
 
-  it('take the data centre with the fewest among racks with equally many', () => {
+  it('go to the data centre with the fewest of them, among racks with equally many', () => {
     const state = createBatchState(2);
     seeFleet(state, { racks: 9, hostsPerRack: 2, dataCentres: 3 });
     submit(state, { taskCount: 3 });
     expect(countBy(state, 'dataCentre')).toEqual([1, 1, 1]);
   });
 
-  it('are placed again, when all hosts of a rack have gone, where the fewest of them stand', () => {
+  it('are placed again, after all hosts of a rack are gone, in the racks with the fewest of them', () => {
     const state = createBatchState(2);
     const endpoints = seeFleet(state, { racks: 4, hostsPerRack: 4, dataCentres: 2 });
     submit(state, { taskCount: 8 });
@@ -71,16 +76,16 @@
     expect(state.domains.size).toBe(5);
   });
 
-  it('do not begin where they have failed, for the sake of spread', () => {
+  it('do not start on an endpoint on which they have failed, even if that would spread them better', () => {
     const state = createBatchState(2);
     const [first] = seeFleet(state, { racks: 2, hostsPerRack: 1 });
-    submitJob(state, JOB_ID, { step: { ...LASTING, taskCount: 2 } });
+    submitJob(state, JOB_ID, { step: { ...LONG_RUNNING, taskCount: 2 } });
     stepOf(state).tasks.forEach((task) => change(task, { avoid: first?.endpointId ?? null }));
     schedulePool(state, POOL, 20);
     expect(countBy(state, 'rack')).toEqual([0, 2]);
   });
 
-  it('do not begin where maintenance is ahead, for the sake of spread', () => {
+  it('do not start on endpoints whose hosts await maintenance, even if that would spread them better', () => {
     const state = createBatchState(2);
     const endpoints = seeFleet(state, { racks: 2, hostsPerRack: 2 });
     endpoints.slice(0, 2).forEach((endpoint) => change(endpoint, { isAwaited: true }));
@@ -88,14 +93,14 @@
     expect(countBy(state, 'rack')).toEqual([0, 4]);
   });
 
-  it('prefer a rack without a task over an endpoint near their data', () => {
+  it('prefer a rack without a task of the step over an endpoint near their data', () => {
     const state = createBatchState(2);
     seeFleet(state, { racks: 2, hostsPerRack: 2 });
     submit(state, { taskCount: 4, nearRack: 'rack-0' });
     expect(countBy(state, 'rack')).toEqual([2, 2]);
   });
 
-  it('count racks of one label in two data centres as two', () => {
+  it('are spread over racks with the same label in two data centres as over two racks', () => {
     const state = createBatchState(2);
     ['dc-0', 'dc-1'].forEach((dataCentre, number) => {
       const { endpointId } = seeAt(state, { number, dataCentre, rack: 'rack-0' });
@@ -106,32 +111,34 @@
   });
 });
 
-describe('what the spread must not change', () => {
-  const placesOf = (state: BatchState, jobId = JOB_ID): readonly (readonly [string, number])[] =>
-    Array.from(stepOf(state, jobId).perEndpoint).sort();
+describe('placements that spreading must not change', () => {
+  const tasksPerEndpoint = (
+    state: BatchState,
+    jobId = JOB_ID,
+  ): readonly (readonly [string, number])[] => Array.from(stepOf(state, jobId).perEndpoint).sort();
 
-  it('long-running tasks on endpoints without a rack go to the fullest', () => {
-    // Endpoints without a rack's label may still be in different data centres.
+  it('places long-running tasks on the fullest endpoint if the endpoints have no rack', () => {
+    // Endpoints without a rack label may still be in different data centres.
     const state = createBatchState(2);
     seeFleet(state, { racks: 4, hostsPerRack: 2, dataCentres: 2, hasRacks: false });
     submit(state, { taskCount: 10 });
-    expect(placesOf(state)).toEqual([
+    expect(tasksPerEndpoint(state)).toEqual([
       ['i-0000000000', 8],
       ['i-0000000001', 2],
     ]);
   });
 
-  it('tasks of short steps go to the fullest, with racks too', () => {
+  it('places tasks of short steps on the fullest endpoint, even if the endpoints have racks', () => {
     const state = createBatchState(2);
     seeFleet(state, { racks: 4, hostsPerRack: 2, dataCentres: 2 });
     submit(state, { taskCount: 10, isLasting: false });
-    expect(placesOf(state)).toEqual([
+    expect(tasksPerEndpoint(state)).toEqual([
       ['i-0000000000', 8],
       ['i-0000000001', 2],
     ]);
   });
 
-  it('counts are of one step: another long-running one is spread by its own', () => {
+  it('spreads each long-running step by the counts of its own tasks only', () => {
     const state = createBatchState(2);
     seeFleet(state, { racks: 4, hostsPerRack: 2 });
     submit(state, { taskCount: 4 });
@@ -140,8 +147,8 @@
   });
 });
 
-describe('what operators are told of the spread', () => {
-  it('names the domains whose loss takes most', () => {
+describe('describeSpread', () => {
+  it('names the domains whose loss would stop the most tasks', () => {
     const state = createBatchState(2);
     seeFleet(state, { racks: 12, hostsPerRack: 5, dataCentres: 4 });
     submit(state, { mayMiss: 6 });
@@ -150,7 +157,7 @@
     );
   });
 
-  it('says where the loss of one takes more than may be missed, however the step is spread', () => {
+  it('tells that no spread could keep the loss of one domain within the disruption budget', () => {
     const state = createBatchState(2);
     seeFleet(state, { racks: 12, hostsPerRack: 5, dataCentres: 4 });
     submit(state);
@@ -159,7 +166,7 @@
     );
   });
 
-  it('says nothing of short steps', () => {
+  it('is empty for short steps', () => {
     const state = createBatchState(2);
     seeFleet(state, { racks: 2, hostsPerRack: 2 });
     submit(state, { isLasting: false });
--- a/packages/core/src/batch/domains/spread.ts
+++ b/packages/core/src/batch/domains/spread.ts
@@ -1,23 +1,23 @@
-/** How the tasks of a step are spread over failure domains, and what the loss of one would take. */
+/** How the tasks of a step are spread over failure domains, and how many tasks the loss of one would stop. */
 import { domainName } from './domains.js';
 import type { BatchState, DomainKind, StepRun } from '../model/state.js';
 import type { DomainId } from '../../shared/ids.js';
 
-/** The domain of one kind in which most tasks of a step stand. */
+/** The domain of one kind that has the most tasks of a step. */
 export type LargestShare = {
   readonly domainId: DomainId;
   readonly tasks: number;
-  /** In how many domains of the kind the step has tasks. */
+  /** The number of domains of the kind in which the step has tasks. */
   readonly domains: number;
 };
 
 /**
- * Finds the domain whose loss would take most tasks of a step.
+ * Finds the domain whose loss would stop the most tasks of a step.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param step - The step.
  * @param kind - Racks or data centres.
- * @returns The domain; undefined if no task stands in a domain of the kind.
+ * @returns The domain, the first one of equals; undefined if the step has no task in a domain of the kind.
  */
 export const largestShare = (
   state: BatchState,
@@ -32,13 +32,13 @@
   );
 };
 
-const KIND_WORDS: Readonly<Record<DomainKind, string>> = {
+const KIND_LABELS: Readonly<Record<DomainKind, string>> = {
   rack: 'racks',
   dataCentre: 'data centres',
 };
 
-/** How many domains of a kind have endpoints in the pool of a step. */
-const domainsOfPool = (
+/** Counts the domains of a kind that have endpoints in the pool of a step. */
+const countDomainsOfPool = (
   { domains }: BatchState,
   { job: { job } }: StepRun,
   kind: DomainKind,
@@ -52,21 +52,23 @@
   if (!largest) return [];
   const { mayMiss, taskCount } = step.spec;
   const { domainId, tasks, domains } = largest;
-  const shown = `over ${domains} ${KIND_WORDS[kind]}, at most ${tasks} in one (${domainName(domainId)})`;
-  if (mayMiss === 0 || tasks <= mayMiss) return [shown];
-  const excess = `${shown}, and ${mayMiss} may be missed`;
-  const available = domainsOfPool(state, step, kind);
+  const summary = `over ${domains} ${KIND_LABELS[kind]}, at most ${tasks} in one (${domainName(domainId)})`;
+  if (mayMiss === 0 || tasks <= mayMiss) return [summary];
+  const excess = `${summary}, and ${mayMiss} may be missed`;
+  const available = countDomainsOfPool(state, step, kind);
   const isPossible = available * mayMiss >= taskCount;
-  return [isPossible ? excess : `${excess}: ${available} ${KIND_WORDS[kind]} are too few for that`];
+  return [
+    isPossible ? excess : `${excess}: ${available} ${KIND_LABELS[kind]} are too few for that`,
+  ];
 };
 
 /**
- * Describes how a long-running step is spread, for operators.
+ * Describes to operators how a long-running step is spread.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param step - The step.
- * @returns The spread over racks and data centres, and whether the loss of one takes more than the step may miss; ''
- * for a step that is not long-running, or that stands in no domain.
+ * @returns The spread over racks and data centres, and whether the loss of one would exceed the step's `mayMiss`; ''
+ * for a step that is not long-running, or that has no task in any domain.
  */
 export const describeSpread = (state: BatchState, step: StepRun): string =>
   step.spec.isLasting
