--- a/packages/core/src/batch/evacuation/belief.ts
+++ b/packages/core/src/batch/evacuation/belief.ts
@@ -1,84 +1,84 @@
 /**
- * What an entry believes of the operator's evacuations: the data centres in which nothing may begin, as of a
- * revision of the operator's table. The belief moves only to higher revisions, whoever tells of them.
+ * An entry's view of the operator's evacuations: the data centres in which no task may start, as of a revision of the
+ * operator's table. The view only advances to higher revisions, whether they come from the table or from another entry.
  */
 import type { DataCentreId } from '../../shared/ids.js';
 
-/** One row about a data centre as it was written or deleted. */
+/** The latest change of a data centre's evacuation row: it was written or deleted. */
 export type EvacuationChange = {
   readonly dataCentre: DataCentreId;
-  /** The version at which the row was written or deleted. */
+  /** The table's revision at which the row was written or deleted. */
   readonly revision: number;
   readonly isDeleted: boolean;
 };
 
-/** What one reading of the operator's table says of evacuations. */
+/** The evacuation rows from one read of the operator's table. */
 export type EvacuationReading = {
   readonly changes: readonly EvacuationChange[];
-  /** All rows that were there, not only those that changed. */
+  /** True if `changes` holds all rows of a full read, false if it holds only the rows that have changed. */
   readonly isWhole: boolean;
-  /** The version up to which the reading is complete. */
+  /** The table's revision up to which the read is complete. */
   readonly revision: number;
 };
 
-/** The evacuated data centres as of a revision. */
+/** The evacuated data centres as of a revision of the operator's table. */
 export type EvacuationBelief = {
-  /** All changes up to this version are known; -1 before the first reading. */
+  /** All changes up to this revision are known; -1 before the first read. */
   readonly revision: number;
-  /** The version of the row of each evacuated data centre. */
+  /** Each evacuated data centre with the revision at which its row was written. */
   readonly evacuated: ReadonlyMap<DataCentreId, number>;
 };
 
-/** The belief of an entry that has read nothing. */
+/** The view of an entry that has not read the table yet. */
 export const NO_BELIEF: EvacuationBelief = { revision: -1, evacuated: new Map() };
 
-const replaceBy = ({ changes, revision }: EvacuationReading): EvacuationBelief => ({
+const fromSnapshot = ({ changes, revision }: EvacuationReading): EvacuationBelief => ({
   revision,
   evacuated: new Map(
     changes
       .filter(({ isDeleted }) => !isDeleted)
-      .map(({ dataCentre, revision: writtenAt }) => [dataCentre, writtenAt]),
+      .map(({ dataCentre, revision: rowRevision }) => [dataCentre, rowRevision]),
   ),
 });
 
 const applyChanges = (
-  belief: EvacuationBelief,
+  view: EvacuationBelief,
   { changes, revision }: EvacuationReading,
 ): EvacuationBelief => {
-  const evacuated = new Map(belief.evacuated);
+  const evacuated = new Map(view.evacuated);
   changes
-    .filter((change) => change.revision > belief.revision)
-    // A full reading over several pages may already contain a row that is newer than its revision.
+    .filter((change) => change.revision > view.revision)
+    // A full read over several pages may already contain rows that are newer than the revision of the read.
     .filter((change) => change.revision >= (evacuated.get(change.dataCentre) ?? 0))
     .forEach((change) => {
       if (change.isDeleted) evacuated.delete(change.dataCentre);
       else evacuated.set(change.dataCentre, change.revision);
     });
-  return { revision: Math.max(belief.revision, revision), evacuated };
+  return { revision: Math.max(view.revision, revision), evacuated };
 };
 
 /**
- * Applies a reading of the operator's table.
+ * Applies a read of the operator's table to a view.
  *
- * @param belief - What was believed.
- * @param reading - Changes in ascending order of their versions, or all rows. Changes and full readings that
- * are older than the belief change nothing.
- * @returns The new belief. After a newer full reading, evacuations without a row in it are withdrawn.
+ * @param view - The current view.
+ * @param update - The changes in ascending order of their revisions, or all rows of a full read. Changes and full reads
+ * that are older than the view have no effect.
+ * @returns The new view. After a newer full read, evacuations without a row in it have ended.
  */
 export const applyEvacuationReading = (
-  belief: EvacuationBelief,
-  reading: EvacuationReading,
+  view: EvacuationBelief,
+  update: EvacuationReading,
 ): EvacuationBelief => {
-  if (!reading.isWhole) return applyChanges(belief, reading);
-  return reading.revision > belief.revision ? replaceBy(reading) : belief;
+  if (!update.isWhole) return applyChanges(view, update);
+  return update.revision > view.revision ? fromSnapshot(update) : view;
 };
 
 /**
- * Merges the beliefs of two entries.
+ * Merges the views of two entries.
  *
- * @param own - What this entry believes.
- * @param other - What another entry believes.
- * @returns The one of the higher revision; the own one of equals.
+ * @param own - The view of this entry.
+ * @param other - The view of another entry.
+ * @returns The view with the higher revision; `own` if the revisions are equal.
  */
 export const mergeEvacuations = (
   own: EvacuationBelief,
--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -1,4 +1,7 @@
-/** Guards against hosts of an evacuated data centre that count as room, are fetched for work, or hold up a wave. */
+/**
+ * Guards against hosts of an evacuated data centre being counted as capacity, being moved to a pool that lacks
+ * capacity, or delaying a maintenance wave.
+ */
 import { describe, expect, it } from 'vitest';
 
 import {
@@ -59,8 +62,8 @@
     instanceId: pool === SPARE ? null : instanceOf(brand(`e-${dataCentre}-${index}`)),
   }));
 
-/** Hosts of one pool in two data centres, of which one is evacuated, and a spare pool. */
-const worldOf = ({
+/** Builds a pool and a spare pool with hosts in two data centres, of which the north one is evacuated. */
+const createWorld = ({
   inNorth = 3,
   inSouth = 3,
   spareNorth = 2,
@@ -89,17 +92,19 @@
 };
 
 describe('an endpoint in an evacuated data centre', () => {
-  it('takes no new work, and does so after the return', () => {
-    const { state } = worldOf();
-    const soundIn = (): readonly EndpointState[] =>
+  it('takes no new work until the evacuation has ended', () => {
+    const { state } = createWorld();
+    const usableEndpoints = (): readonly EndpointState[] =>
       Array.from(state.endpoints.values()).filter((one) => isSound(state, one, 5000));
-    expect(new Set(soundIn().map(({ dataCentre }) => dataCentre))).toEqual(new Set([SOUTH]));
+    expect(new Set(usableEndpoints().map(({ dataCentre }) => dataCentre))).toEqual(
+      new Set([SOUTH]),
+    );
     state.evacuated = new Set();
-    expect(soundIn()).toHaveLength(6);
+    expect(usableEndpoints()).toHaveLength(6);
   });
 
-  describe('that was taken back', () => {
-    const placedOn = (coldLeftMs: number, nowMs: number): EndpointId | undefined => {
+  describe('whose data centre has been returned to service', () => {
+    const endpointOfTask = (coldLeftMs: number, nowMs: number): EndpointId | undefined => {
       const state = stateWithJob();
       seeEndpoint(state, { ...sightingOn(FIRST, NORTH), coldLeftMs }, 0);
       seeEndpoint(state, sightingOn(SECOND, SOUTH), 0);
@@ -110,17 +115,17 @@
       return Array.from(state.endpoints.values()).find(({ runs }) => runs.has(TASK))?.endpointId;
     };
 
-    it('is chosen after a warm one while it is slow, and as before afterwards', () => {
-      expect(placedOn(0, 10)).toBe(FIRST);
-      expect(placedOn(3000, 10)).toBe(SECOND);
-      expect(placedOn(3000, 3010)).toBe(FIRST);
+    it('is chosen after an endpoint elsewhere while it is still cold, and in the usual order afterwards', () => {
+      expect(endpointOfTask(0, 10)).toBe(FIRST);
+      expect(endpointOfTask(3000, 10)).toBe(SECOND);
+      expect(endpointOfTask(3000, 3010)).toBe(FIRST);
     });
   });
 });
 
 describe('hosts in an evacuated data centre', () => {
-  it('count neither as room nor as coming room, nor among those that a pool keeps', () => {
-    const { world, state } = worldOf();
+  it('count neither as present or joining capacity nor towards the minimum number of hosts of a pool', () => {
+    const { world, state } = createWorld();
     const [need] = needsOfPools(world);
     expect(need).toMatchObject({ roomCpu: 3 * CAPACITY.cpuMillis, comingCpu: 0 });
     expect(need?.hosts.map(({ dataCentre }) => dataCentre)).toEqual([SOUTH, SOUTH, SOUTH]);
@@ -128,21 +133,21 @@
     expect(needsOfPools(world)[0]).toMatchObject({ comingCpu: 3 * CAPACITY.cpuMillis });
   });
 
-  it('are not fetched from the spare pool, and what is short is asked for in the same pass', () => {
-    const { world, state } = worldOf({ spareNorth: 9, spareSouth: 3 });
-    const shortOf = (cores: number): readonly HostId[] => {
+  it('are not moved from the spare pool, while hosts elsewhere are moved in the same pass', () => {
+    const { world, state } = createWorld({ spareNorth: 9, spareSouth: 3 });
+    const hostsMovedForShortage = (cores: number): readonly HostId[] => {
       poolOf(state, POOL).demand.recordArrival(cores * 1000, world.nowMs);
       return planMoves(world)
         .filter(({ toPool }) => toPool === POOL)
         .map(({ hostId }) => hostId);
     };
-    const moved = shortOf(10_000);
+    const moved = hostsMovedForShortage(10_000);
     expect(moved).toHaveLength(3);
     expect(moved.every((hostId) => hostId.includes(SOUTH))).toBe(true);
   });
 
-  it('are parked once they have been empty, whatever the pool is short of', () => {
-    const { world, state, used } = worldOf({ spareSouth: 0 });
+  it('are parked once they have been empty for long enough, however much capacity the pool lacks', () => {
+    const { world, state, used } = createWorld({ spareSouth: 0 });
     const [busy] = Array.from(state.endpoints.values());
     busy?.runs.set(TASK, {} as never);
     const moves = planMoves(world);
@@ -156,24 +161,24 @@
   });
 });
 
-describe('a wave over hosts of which some are in an evacuated data centre', () => {
-  const waveOver = (isShort: boolean) => {
-    const { state, used } = worldOf();
+describe('a maintenance wave over hosts of which some are in an evacuated data centre', () => {
+  const orderedHosts = (isShort: boolean) => {
+    const { state, used } = createWorld();
     const inventory = createHostInventory();
     takeHostList(inventory, used, 0);
-    // Those in the evacuated data centre come last in the order.
+    // The hosts in the evacuated data centre come last in the order of the wave.
     const hosts = Array.from(used, ({ hostId }) => hostId).reverse();
     const wave = createUpkeepWave({ waveNumber: 1, hosts, withinMs: 300_000, maximum: 2 }, [], 0);
     const world = { state, inventory, downMs: 2000, isShort };
     return planUpkeep(world, [wave], 1000).map(({ hostId }) => hostId);
   };
 
-  it('takes those first', () => {
-    expect(waveOver(false).every((hostId) => hostId.includes(NORTH))).toBe(true);
+  it('takes the hosts in the evacuated data centre first', () => {
+    expect(orderedHosts(false).every((hostId) => hostId.includes(NORTH))).toBe(true);
   });
 
-  it('takes those while room is short, and leaves the others', () => {
-    const ordered = waveOver(true);
+  it('takes only the hosts in the evacuated data centre while capacity is short', () => {
+    const ordered = orderedHosts(true);
     expect(ordered).toHaveLength(2);
     expect(ordered.every((hostId) => hostId.includes(NORTH))).toBe(true);
   });
--- a/packages/core/src/batch/evacuation/evacuated-runs.ts
+++ b/packages/core/src/batch/evacuation/evacuated-runs.ts
@@ -1,47 +1,47 @@
-/** What an evacuated data centre still runs, and which steps wait because of it: for operators. */
+/** Tells operators which tasks an evacuated data centre still runs, and which steps wait because of an evacuation. */
 import type { DataCentreId } from '../../shared/ids.js';
 import { hasLabel } from '../endpoints/sound-endpoints.js';
 import { reservedCpu } from '../endpoints/runs.js';
 import { expectStepTime } from '../jobs/step-times.js';
 import type { BatchState, EndpointState, RunState, StepRun } from '../model/state.js';
 
-/** What a data centre runs. */
+/** How many tasks run in a data centre, by kind. */
 export type DataCentreRuns = {
   readonly endpoints: number;
   /** Runs of tasks that end by themselves. */
   readonly shortRuns: number;
-  /** Runs of long-running tasks: they stay where they are. */
+  /** Runs of long-running tasks; an evacuation does not move them. */
   readonly longRuns: number;
-  /** When the last short run is expected to end, by the holder's clock; undefined without one. */
+  /** When the last short run is expected to end, by the lease holder's clock; undefined if there is no short run. */
   readonly lastEndMs: number | undefined;
 };
 
 const endpointsIn = (state: BatchState, dataCentre: DataCentreId): readonly EndpointState[] =>
   Array.from(state.endpoints.values()).filter((one) => one.dataCentre === dataCentre);
 
-const isShort = ({ step }: RunState): boolean => !step.spec.isLasting;
+const endsByItself = ({ step }: RunState): boolean => !step.spec.isLasting;
 
 /**
- * Counts what a data centre runs.
+ * Counts the runs in a data centre.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param dataCentre - The data centre.
- * @returns Its endpoints, their runs by kind, and the expected end of the last short one.
+ * @returns The number of its endpoints, of their runs by kind, and the expected end of the last short run.
  */
 export const runsInDataCentre = (state: BatchState, dataCentre: DataCentreId): DataCentreRuns => {
   const endpoints = endpointsIn(state, dataCentre);
   const runs = endpoints.flatMap((one) => Array.from(one.runs.values()));
-  const short = runs.filter(isShort);
-  const endsMs = short.map((run) => run.startedAtMs + expectStepTime(state, run.step));
+  const shortRuns = runs.filter(endsByItself);
+  const expectedEndsMs = shortRuns.map((run) => run.startedAtMs + expectStepTime(state, run.step));
   return {
     endpoints: endpoints.length,
-    shortRuns: short.length,
-    longRuns: runs.length - short.length,
-    lastEndMs: endsMs.length > 0 ? Math.max(...endsMs) : undefined,
+    shortRuns: shortRuns.length,
+    longRuns: runs.length - shortRuns.length,
+    lastEndMs: expectedEndsMs.length > 0 ? Math.max(...expectedEndsMs) : undefined,
   };
 };
 
-/** An endpoint could run a task of the step if nothing else ran there. */
+/** Tells whether an endpoint could run a task of the step if nothing else ran there. */
 const couldRun = (endpoint: EndpointState, { job, spec }: StepRun): boolean => {
   const { pool, capacity } = endpoint;
   return (
@@ -54,19 +54,21 @@
 };
 
 /**
- * Finds the evacuated data centres for which a step waits: only endpoints there could run it.
+ * Finds the evacuated data centres whose return to service a step waits for, because only endpoints there could run it.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param step - An open step.
- * @returns The data centres; none where an endpoint elsewhere could run it, or none could.
+ * @returns The data centres; empty if an endpoint elsewhere could run the step, or if no endpoint could.
  */
 export const evacuationsAwaitedBy = (
   { endpoints, evacuated }: BatchState,
   step: StepRun,
 ): readonly DataCentreId[] => {
   if (evacuated.size === 0 || step.waiting.length === 0) return [];
-  const able = Array.from(endpoints.values()).filter((endpoint) => couldRun(endpoint, step));
-  const places = new Set(able.map(({ dataCentre }) => dataCentre));
-  const isElsewhere = Array.from(places).some((dataCentre) => !evacuated.has(dataCentre));
-  return isElsewhere ? [] : Array.from(places);
+  const capableEndpoints = Array.from(endpoints.values()).filter((endpoint) =>
+    couldRun(endpoint, step),
+  );
+  const dataCentres = new Set(capableEndpoints.map(({ dataCentre }) => dataCentre));
+  const canRunElsewhere = Array.from(dataCentres).some((dataCentre) => !evacuated.has(dataCentre));
+  return canRunElsewhere ? [] : Array.from(dataCentres);
 };
