--- a/packages/core/src/batch/pools/learned.ts
+++ b/packages/core/src/batch/pools/learned.ts
@@ -15,7 +15,7 @@
   readonly runTimes: readonly (readonly [string, number, number])[];
 };
 
-/** Limits the size of the row: with more task kinds than this, only those with the most ended runs are saved. */
+/** With more task kinds than this, only those with the most ended runs are saved. */
 const MAX_KINDS = 300;
 
 /**
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -70,7 +70,10 @@
   readonly waitingCpu: number;
   /** Held for forecast demand, including headroom. */
   readonly expectedCpu: number;
-  /** The capacity that is missing for running, waiting and forecast work; negative for a surplus. */
+  /**
+   * The capacity that is missing for running and waiting work or for forecast demand, whichever needs more; negative
+   * for a surplus.
+   */
   readonly shortCpu: number;
   /** The same for work within the accounts' fair shares only; equal to `shortCpu` if no account has a weight. */
   readonly owedShortCpu: number;
@@ -82,7 +85,7 @@
 
 const sum = (values: readonly number[]): number => values.reduce((total, one) => total + one, 0);
 
-/** The capacity that is missing: `urgentCpu` for running and waiting work, `shortCpu` also for forecast work. */
+/** The missing capacity: `urgentCpu` without forecast demand, `shortCpu` with it, as in `PoolNeed`. */
 type Shortfall = { readonly urgentCpu: number; readonly shortCpu: number };
 
 /** The inputs of a shortfall, in thousandths of a core. */
@@ -156,15 +159,15 @@
   const comingCpu = sum(joiningHosts.map(({ capacity }) => capacity.cpuMillis));
   const usedCpu = sum(endpoints.map(({ used }) => used.cpuMillis));
   const waitingCpu = waitingCpuOf(waiting);
-  const forecastCpu = (rates: DemandRates): number =>
+  const forecastWithHeadroom = (rates: DemandRates): number =>
     Math.max(expectCores(rates), peakCores) * 1000 * headroom;
-  const expectedCpu = forecastCpu(pool.demand.rates(nowMs));
+  const expectedCpu = forecastWithHeadroom(pool.demand.rates(nowMs));
   const availableCpu = roomCpu + comingCpu;
   const { urgentCpu, shortCpu } = shortfallOf({ usedCpu, waitingCpu, expectedCpu, availableCpu });
   const fairShareShortfall = shortfallOf({
     usedCpu: usedCpu - cpuBeyondFairShares(endpoints, nowMs),
     waitingCpu: waitingCpuOf(waiting.filter(({ job }) => goesWithOwed(job, nowMs))),
-    expectedCpu: forecastCpu(pool.demand.owedRates(nowMs)),
+    expectedCpu: forecastWithHeadroom(pool.demand.owedRates(nowMs)),
     availableCpu,
   });
   return {
