--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -1,4 +1,4 @@
-/** Which jobs are refused by a forecast, and which never are. */
+/** Which jobs admission control refuses because of their forecast, and which it never refuses. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName, type JobId } from '../../shared/ids.js';
@@ -19,8 +19,8 @@
 
 const jobIdOf = (number: number): JobId => brand<JobId>(number.toString(16).padStart(16, '0'));
 
-/** An endpoint of eight cores, and a backlog of jobs of one core-second each. */
-const withBacklog = (jobs: number, account = HEAVY): BatchState => {
+/** State with one endpoint of eight cores and a backlog of the given number of jobs of one core-second each. */
+const stateWithBacklog = (jobs: number, account = HEAVY): BatchState => {
   const state = createBatchState(2);
   takeAccounts(
     state,
@@ -60,37 +60,38 @@
   createAdmissionControl({ state, random: () => 0.5 }).judge(job, NOW_MS);
 
 describe('a job behind a backlog of its account that takes longer than its objective', () => {
-  it('is refused until the backlog is expected to be gone', () => {
-    // 80 core-seconds wait for eight cores; the objective is 2.6 s, and three of them count.
-    const refusal = refusalIn(withBacklog(80));
+  it('is refused with a Retry-After at which the backlog is expected to be gone', () => {
+    // 80 core-seconds are queued for eight cores. The objective is 2.6 s, and a job is useful for up to three times
+    // that.
+    const refusal = refusalIn(stateWithBacklog(80));
     expect(refusal).toMatchObject({ account: HEAVY, isOwed: false, limitMs: 7800 });
     expect(refusal?.retryAfterMs).toBeGreaterThanOrEqual(9000);
     expect(refusal?.retryAfterMs).toBeLessThanOrEqual(30_000);
   });
 
-  it('is told a time that differs by a quarter, so that clients do not come back together', () => {
-    const state = withBacklog(80);
-    const [early, late] = [0, 1].map((chance) =>
-      createAdmissionControl({ state, random: () => chance }).judge(jobOf(), NOW_MS),
+  it('gets a Retry-After with a jitter of 25 % on either side, so that clients do not retry together', () => {
+    const state = stateWithBacklog(80);
+    const [early, late] = [0, 1].map((randomValue) =>
+      createAdmissionControl({ state, random: () => randomValue }).judge(jobOf(), NOW_MS),
     );
     expect((late?.retryAfterMs ?? 0) / (early?.retryAfterMs ?? 1)).toBeCloseTo(1.25 / 0.75);
   });
 
-  it('is accepted where its account is owed it: the backlog goes behind it', () => {
+  it('is accepted within the guaranteed rate of its account, since it then runs before the backlog', () => {
     const job = jobOf({}, { owner: { account: ACCOUNT, maximum: NO_LIMIT } });
-    expect(refusalIn(withBacklog(80), job)).toBeUndefined();
+    expect(refusalIn(stateWithBacklog(80), job)).toBeUndefined();
   });
 
-  it('is accepted where the room for it is on its way', () => {
-    const state = withBacklog(40);
+  it('is accepted if hosts with enough capacity are being moved to the pool', () => {
+    const state = stateWithBacklog(40);
     expect(refusalIn(state)).toBeDefined();
     const pool = state.pools.get(POOL);
     Object.assign(pool ?? {}, { outlook: { comingCpu: 80_000, freeCpu: 0, reclaimedCpu: 0 } });
     expect(refusalIn(state)).toBeUndefined();
   });
 
-  it('is refused later for each job that was admitted and is not taken in yet', () => {
-    const state = withBacklog(0);
+  it('is refused once too many jobs were admitted that are not in the state yet', () => {
+    const state = stateWithBacklog(0);
     const admission = createAdmissionControl({ state });
     const admitted = Array.from({ length: 100 }, (_, index) =>
       jobOf({}, { jobId: jobIdOf(1000 + index) }),
@@ -99,47 +100,47 @@
       if (!refusal) admission.admit(job, NOW_MS);
       return !refusal;
     });
-    // Eight cores do 62 in three objectives.
+    // Eight cores complete 62 jobs of one core-second in three objectives of 2.6 s.
     expect(admitted.length).toBeGreaterThan(20);
     expect(admitted.length).toBeLessThan(63);
   });
 
   it.each([
     [
-      'in the first two seconds of a holder',
+      'in the first two seconds after a takeover of control',
       (state: BatchState) => {
         change(state, { takenOverAtMs: NOW_MS - 1900 });
       },
     ],
     [
-      'where no account has a weight or a maximum',
+      'if no account has a weight or a maximum',
       (state: BatchState) => {
         change(state, { accounts: new Map([[HEAVY, { weight: 0, maximum: NO_LIMIT }]]) });
         state.formerAccounts.clear();
       },
     ],
   ] as const)('is never refused %s', (_, prepare) => {
-    const state = withBacklog(80);
+    const state = stateWithBacklog(80);
     prepare(state);
     expect(refusalIn(state)).toBeUndefined();
   });
 
-  it('is never refused where it lasts, is timed, has no account, or was accepted before', () => {
-    const state = withBacklog(80);
-    const unowned: BatchJob = Object.fromEntries(
+  it('is never refused if it is long-running, repeated, without an account or accepted already', () => {
+    const state = stateWithBacklog(80);
+    const jobWithoutOwner: BatchJob = Object.fromEntries(
       Object.entries(jobOf().job).filter(([field]) => field !== 'owner'),
     ) as BatchJob;
     const jobs = [
       jobOf({ isLasting: true }),
       jobOf({}, { repeats: 2 }),
-      { job: unowned, policy: POLICY },
+      { job: jobWithoutOwner, policy: POLICY },
       jobOf({}, { jobId: jobIdOf(0) }),
     ];
     expect(jobs.map((job) => refusalIn(state, job))).toEqual(jobs.map(() => undefined));
   });
 
-  it('is never refused once it was admitted under its id', () => {
-    const state = withBacklog(0);
+  it('is never refused once a job with the same id was admitted', () => {
+    const state = stateWithBacklog(0);
     const admission = createAdmissionControl({ state });
     admission.admit(jobOf(), NOW_MS);
     Array.from({ length: 80 }, (_, index) => {
@@ -153,16 +154,16 @@
 });
 
 describe('a backlog of less than half a second', () => {
-  it('is no reason to refuse, however little time a job has left', () => {
-    const state = withBacklog(3);
+  it('never leads to a refusal, even of a job whose objective has passed', () => {
+    const state = stateWithBacklog(3);
     noteFirstAttempts(state, [{ jobId: jobOf().job.jobId, atMs: NOW_MS - 9000 }]);
     expect(refusalIn(state)).toBeUndefined();
   });
 });
 
-describe('a job that comes back too late to be in time', () => {
-  it('is refused while others that can be in time wait for half a second', () => {
-    const state = withBacklog(12, ACCOUNT);
+describe('a retried job that can no longer meet its objective', () => {
+  it('is refused while jobs that can still meet their objective wait longer than half a second', () => {
+    const state = stateWithBacklog(12, ACCOUNT);
     expect(refusalIn(state, jobOf())).toBeUndefined();
     noteFirstAttempts(state, [{ jobId: jobOf().job.jobId, atMs: NOW_MS - 3000 }]);
     expect(refusalIn(state, jobOf())).toBeDefined();
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -1,6 +1,6 @@
 /**
- * Refuses jobs that could not be served: those that a forecast has done too late. Only where client accounts have
- * weights or maxima, and only above a backlog.
+ * Admission control: refuses jobs that are forecast to complete too late to be useful. Applies only to jobs of client
+ * accounts that have a weight or a maximum, and only while the pool has a backlog.
  */
 import type { AccountName, JobId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
@@ -16,114 +16,124 @@
 import { expectRunTime } from './run-times.js';
 import { kindOf } from './step-times.js';
 
-/** Work that waits for less than this is no backlog. */
-const LEAST_BACKLOG_MS = 500;
-/** A new holder does not know yet what runs. */
-const SETTLES_MS = 2000;
-/** A host that is on its way, a free one that has to be moved, and one that has to be emptied before. */
-const COMING_MS = 1000;
-const FREE_MS = 2000;
-const RECLAIMED_MS = 3500;
-const LEAST_RETRY_MS = 1000;
-const MOST_RETRY_MS = 30_000;
-/** Clients that are refused together come back apart by up to this share of the time on either side. */
+/** Queued work that starts within this time is not treated as a backlog, so no job is refused because of it. */
+const MIN_BACKLOG_MS = 500;
+/** No job is refused this soon after a takeover: a new control holder does not know yet which tasks are running. */
+const TAKEOVER_GRACE_MS = 2000;
+/**
+ * Expected times until a host adds capacity to the pool: one that is already being moved to it, a free one that still
+ * has to be moved, and one of another pool that has to be drained first.
+ */
+const MOVING_HOST_MS = 1000;
+const FREE_HOST_MS = 2000;
+const RECLAIMED_HOST_MS = 3500;
+const MIN_RETRY_MS = 1000;
+const MAX_RETRY_MS = 30_000;
+/** Relative jitter of Retry-After in both directions, so that clients refused together do not retry together. */
 const RETRY_JITTER = 0.25;
-/** Loads are measured so often; of more than 600 jobs, less often at the same share of a processor. */
-const MEASURE_EVERY_MS = 25;
-const MEASURE_EVERY_MS_PER_JOB = 0.04;
-/** One in so many refusals is followed up, to see whether its forecast was right. */
-const SAMPLE_EVERY = 4;
-const MOST_SAMPLES = 500;
-const MOST_REFUSALS_KEPT = 4000;
+/**
+ * Shortest interval between two measurements of the pool loads. Above about 600 jobs the interval grows with the number
+ * of jobs, so that measuring always takes the same share of a processor.
+ */
+const MEASURE_INTERVAL_MS = 25;
+const MEASURE_INTERVAL_MS_PER_JOB = 0.04;
+/** One in this many refusals is tracked afterwards, to check whether its forecast was right. */
+const REFUSALS_PER_SAMPLE = 4;
+const MAX_SAMPLES = 500;
+const MAX_KEPT_REFUSALS = 4000;
 const MILLIS = 1000;
 
-/** A job that comes back too late to be in time takes no room from those that can be. */
-const BEHIND_ALL: JobShare = { isOwed: false, virtualStart: Infinity };
+/** The rank of a job that is retried too late to meet its objective: it takes no capacity from jobs that still can. */
+const LAST_SHARE: JobShare = { isOwed: false, virtualStart: Infinity };
 
-/** A job that is handed in. */
+/** A job that a client submits, with the policy of its queue. */
 export type SubmittedJob = { readonly job: BatchJob; readonly policy: QueuePolicy };
 
-/** A job that was refused, and by which forecast. */
+/** A refused job, with the forecast that led to the refusal. */
 export type ForecastRefusal = {
   readonly jobId: JobId;
   readonly queue: QueueName;
   readonly account: AccountName;
+  /** Whether the job was covered by the guaranteed rate of its account. */
   readonly isOwed: boolean;
+  /** When it was refused, by the monotonic clock. */
   readonly atMs: number;
   readonly forecast: Forecast;
-  /** What its pool would have done before it. */
+  /** Work in core-milliseconds that the pool would have completed before the job starts. */
   readonly beforeCoreMs: number;
-  /** From now: when the job would have had to be done. */
+  /** The latest useful completion of the job, in milliseconds after `atMs`. */
   readonly limitMs: number;
   readonly retryAfterMs: number;
 };
 
-/** What became of the jobs of a queue or of an account. */
+/** Counts of the admission outcomes of a queue or of an account. */
 export type AdmissionCounts = {
   refused: number;
-  /** Accepted, and not done within the objective. */
+  /** Accepted, but not completed within the objective. */
   late: number;
-  /** Refusals that were followed up, and those whose job would have been in time. */
+  /** Tracked refusals whose outcome is known, and those of them whose job would have been useful after all. */
   followedUp: number;
   wronglyRefused: number;
 };
 
-/** A refusal whose forecast is compared with what its pool does. */
-type Sample = {
+/** A tracked refusal: its forecast is compared with the work that its pool completes. */
+type TrackedRefusal = {
   readonly refusal: ForecastRefusal;
   readonly pool: PoolName;
-  /** The job would have begun once its pool had done so much. */
-  readonly beginsAtCoreMs: number;
-  /** Until when it would have had to begin. */
-  readonly untilMs: number;
+  /** The job would have started once the work completed by the pool reached this many core-milliseconds. */
+  readonly startsAtCoreMs: number;
+  /** The latest time, by the monotonic clock, at which the job could have started and still been useful. */
+  readonly startDeadlineMs: number;
 };
 
 export type AdmissionControl = {
-  /** Judges a job that is handed in; undefined where it is to be accepted. */
+  /** Decides on a submitted job; undefined if it is to be accepted. */
   readonly judge: (submitted: SubmittedJob, nowMs: number) => ForecastRefusal | undefined;
-  /** Counts a job among those that wait until it is taken in, or is known not to be. */
+  /** Counts an admitted job as queued work until `settle` is called for it. */
   readonly admit: (submitted: SubmittedJob, nowMs: number) => void;
+  /** Stops counting an admitted job: it was added to the state, or is known not to be. */
   readonly settle: (jobId: JobId) => void;
-  /** Records a refusal that was told to the client. */
+  /** Records a refusal that was reported to the client. */
   readonly noteRefused: (refusal: ForecastRefusal, pool: PoolName) => void;
-  /** Records an accepted job that was done, and whether within its objective. */
+  /** Records that an accepted job completed, and whether it did so within its objective. */
   readonly noteDone: (job: BatchJob, isInTime: boolean) => void;
-  /** Compares earlier refusals with what was done since; to be called several times a second. */
+  /** Compares the tracked refusals with the work completed since; to be called several times a second. */
   readonly followUp: (nowMs: number) => void;
+  /** The latest refusal of a job; undefined if there is none or it was evicted. */
   readonly refusalOf: (jobId: JobId) => ForecastRefusal | undefined;
   readonly ofQueues: ReadonlyMap<QueueName, AdmissionCounts>;
   readonly ofAccounts: ReadonlyMap<AccountName, AdmissionCounts>;
 };
 
-/** What is reckoned of the steps of a job before it is taken in. */
-type OwnWork = { readonly coreMs: number; readonly chainMs: number };
+/** The estimated work of a job: in total, and the duration of its longest chain of steps. */
+type JobWork = { readonly coreMs: number; readonly chainMs: number };
 
-const ownWorkOf = (state: BatchState, { steps, queue }: BatchJob): OwnWork => {
+const jobWorkOf = (state: BatchState, { steps, queue }: BatchJob): JobWork => {
   const timeOf = (spec: StepSpec): number =>
     expectRunTime(state.runTimes, kindOf(queue, spec), spec.estimateMs);
   const ends: number[] = [];
   steps.forEach((spec) => {
-    const beginsMs = Math.max(0, ...spec.after.map((number) => ends[number] ?? 0));
-    ends.push(beginsMs + timeOf(spec));
+    const startMs = Math.max(0, ...spec.after.map((number) => ends[number] ?? 0));
+    ends.push(startMs + timeOf(spec));
   });
-  const works = steps.map((spec) => (spec.taskCount * spec.cpuMillis * timeOf(spec)) / MILLIS);
-  return { coreMs: works.reduce((sum, one) => sum + one, 0), chainMs: Math.max(0, ...ends) };
+  const stepWorks = steps.map((spec) => (spec.taskCount * spec.cpuMillis * timeOf(spec)) / MILLIS);
+  return { coreMs: stepWorks.reduce((sum, one) => sum + one, 0), chainMs: Math.max(0, ...ends) };
 };
 
-/** Whether work goes before a job. */
-const goesBefore = (
+/** Whether queued work runs before a new job with this share and policy. */
+const runsBefore = (
   { isOwed, isPastUse, priority, virtualStart }: WaitingWork,
   share: JobShare,
   policy: QueuePolicy,
 ): boolean => {
-  if (isPastUse) return share === BEHIND_ALL;
+  if (isPastUse) return share === LAST_SHARE;
   if (isOwed !== share.isOwed) return isOwed;
   return isOwed ? priority <= policy.priority : virtualStart <= share.virtualStart;
 };
 
-/** The cores of a room that tasks of a size can use. */
-const usableCores = (roomCpu: number, taskCpu: number): number =>
-  (taskCpu > 0 ? Math.floor(roomCpu / taskCpu) * taskCpu : roomCpu) / MILLIS;
+/** How many cores of an endpoint tasks of the given size can use: only whole tasks fit. */
+const usableCores = (capacityCpu: number, taskCpu: number): number =>
+  (taskCpu > 0 ? Math.floor(capacityCpu / taskCpu) * taskCpu : capacityCpu) / MILLIS;
 
 const sum = (values: readonly number[]): number => values.reduce((total, one) => total + one, 0);
 
@@ -133,13 +143,13 @@
   return limits.weight > 0 || RESOURCES.some((resource) => limits.maximum[resource] > 0);
 };
 
-/** What a pool does before a job begins, with what overtakes the job until then. */
-const beforeCoreMsOf = (
+/** The work that a pool completes before a job starts, including later arrivals that overtake the job until then. */
+const workBeforeOf = (
   { waitingCoreMs, overtakenByCores }: JobOutlook,
   { backlogMs }: Forecast,
 ): number => waitingCoreMs + overtakenByCores * backlogMs;
 
-const newCounts = (): AdmissionCounts => ({
+const createCounts = (): AdmissionCounts => ({
   refused: 0,
   late: 0,
   followedUp: 0,
@@ -152,9 +162,9 @@
 };
 
 /**
- * Builds the admission control of a holder.
+ * Creates the admission control of a control holder.
  *
- * @param options - What the holder knows, and a source of chance for Retry-After.
+ * @param options - The state of the control holder, and the random source for the jitter of Retry-After.
  * @returns The admission control.
  */
 export const createAdmissionControl = ({
@@ -165,14 +175,14 @@
   const refusals = new Map<JobId, ForecastRefusal>();
   const ofQueues = new Map<QueueName, AdmissionCounts>();
   const ofAccounts = new Map<AccountName, AdmissionCounts>();
-  let samples: readonly Sample[] = [];
+  let trackedRefusals: readonly TrackedRefusal[] = [];
   let refused = 0;
   let loads: ReadonlyMap<PoolName, PoolLoad> = new Map();
   let measuredAtMs = -Infinity;
 
   const loadOf = (pool: PoolName, nowMs: number): PoolLoad | undefined => {
-    const everyMs = Math.max(MEASURE_EVERY_MS, MEASURE_EVERY_MS_PER_JOB * state.jobs.size);
-    if (nowMs - measuredAtMs >= everyMs) {
+    const intervalMs = Math.max(MEASURE_INTERVAL_MS, MEASURE_INTERVAL_MS_PER_JOB * state.jobs.size);
+    if (nowMs - measuredAtMs >= intervalMs) {
       loads = measureLoads(state, nowMs);
       measuredAtMs = nowMs;
       pending.forEach(({ pool: name, work }) => loads.get(name)?.waiting.push(work));
@@ -183,7 +193,7 @@
   const outlookOf = (
     { job, policy }: SubmittedJob,
     share: JobShare,
-    own: OwnWork,
+    jobWork: JobWork,
     nowMs: number,
   ): JobOutlook | undefined => {
     const load = loadOf(job.pool, nowMs);
@@ -191,27 +201,27 @@
     const { outlook, demand } = poolOf(state, job.pool);
     const taskCpu = Math.max(0, ...job.steps.map(({ cpuMillis }) => cpuMillis));
     const hostCpu = Math.max(0, ...load.roomsCpu);
-    // On hosts of the pool's kind; a pool without any is taken to use all of what it gets.
+    // The usable share of a host like those of the pool; a pool without hosts is assumed to use all cores that it gets.
     const usable = hostCpu > 0 ? usableCores(hostCpu, taskCpu) / (hostCpu / MILLIS) : 1;
     const coresOf = (cpuMillis: number): number => (cpuMillis * usable) / MILLIS;
     return {
       waitingCoreMs: sum(
-        load.waiting.filter((work) => goesBefore(work, share, policy)).map(({ coreMs }) => coreMs),
+        load.waiting.filter((work) => runsBefore(work, share, policy)).map(({ coreMs }) => coreMs),
       ),
-      roomCores: sum(load.roomsCpu.map((roomCpu) => usableCores(roomCpu, taskCpu))),
+      roomCores: sum(load.roomsCpu.map((capacityCpu) => usableCores(capacityCpu, taskCpu))),
       coming: [
-        { cores: coresOf(outlook.comingCpu), inMs: COMING_MS },
-        { cores: coresOf(outlook.freeCpu), inMs: FREE_MS },
-        { cores: share.isOwed ? coresOf(outlook.reclaimedCpu) : 0, inMs: RECLAIMED_MS },
+        { cores: coresOf(outlook.comingCpu), inMs: MOVING_HOST_MS },
+        { cores: coresOf(outlook.freeCpu), inMs: FREE_HOST_MS },
+        { cores: share.isOwed ? coresOf(outlook.reclaimedCpu) : 0, inMs: RECLAIMED_HOST_MS },
       ],
       overtakenByCores: share.isOwed ? 0 : demand.owedRates(nowMs).slowCores,
-      ownCoreMs: own.coreMs,
-      chainMs: own.chainMs,
+      ownCoreMs: jobWork.coreMs,
+      chainMs: jobWork.chainMs,
     };
   };
 
-  /** A job that will be late is overtaken by all that arrives and can be in time. */
-  const overtakenOnceLate = (
+  /** The outlook of a job that will be late: every later arrival that can still meet its objective overtakes it. */
+  const lateOutlookOf = (
     outlook: JobOutlook,
     pool: PoolName,
     { isOwed }: JobShare,
@@ -223,7 +233,7 @@
   };
 
   const mayRefuse = ({ job }: SubmittedJob, nowMs: number): boolean =>
-    nowMs - state.takenOverAtMs >= SETTLES_MS &&
+    nowMs - state.takenOverAtMs >= TAKEOVER_GRACE_MS &&
     hasLimits(state, job.owner?.account) &&
     job.repeats === 0 &&
     !job.steps.some(({ isLasting }) => isLasting) &&
@@ -232,25 +242,27 @@
 
   const retryAfterMsOf = ({ backlogMs }: Forecast): number => {
     const jitter = 1 + RETRY_JITTER * (2 * random() - 1);
-    return Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, backlogMs * jitter));
+    return Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, backlogMs * jitter));
   };
 
   const judge: AdmissionControl['judge'] = (submitted, nowMs) => {
     const { job, policy } = submitted;
     const account = job.owner?.account;
     if (account === undefined || !mayRefuse(submitted, nowMs)) return undefined;
-    const own = ownWorkOf(state, job);
-    const objectiveMs = policy.stretch * own.chainMs + policy.targetLatencyMs;
-    const agoMs = Math.max(0, nowMs - (state.firstAttempts.get(job.jobId) ?? nowMs));
-    const inTimeMs = objectiveMs - agoMs;
-    const limitMs = LATE_FACTOR * objectiveMs - agoMs;
-    const share = inTimeMs < own.chainMs ? BEHIND_ALL : peekShare(state, account, nowMs);
-    const outlook = outlookOf(submitted, share, own, nowMs);
+    const jobWork = jobWorkOf(state, job);
+    const objectiveMs = policy.stretch * jobWork.chainMs + policy.targetLatencyMs;
+    const elapsedMs = Math.max(0, nowMs - (state.firstAttempts.get(job.jobId) ?? nowMs));
+    const timeToObjectiveMs = objectiveMs - elapsedMs;
+    const limitMs = LATE_FACTOR * objectiveMs - elapsedMs;
+    const share =
+      timeToObjectiveMs < jobWork.chainMs ? LAST_SHARE : peekShare(state, account, nowMs);
+    const outlook = outlookOf(submitted, share, jobWork, nowMs);
     if (!outlook) return undefined;
-    const inTime = forecastJob(outlook);
-    if (inTime.backlogMs < LEAST_BACKLOG_MS || inTime.doneMs <= inTimeMs) return undefined;
-    const overtaken = overtakenOnceLate(outlook, job.pool, share, nowMs);
-    const forecast = forecastJob(overtaken);
+    const onTimeForecast = forecastJob(outlook);
+    if (onTimeForecast.backlogMs < MIN_BACKLOG_MS || onTimeForecast.doneMs <= timeToObjectiveMs)
+      return undefined;
+    const lateOutlook = lateOutlookOf(outlook, job.pool, share, nowMs);
+    const forecast = forecastJob(lateOutlook);
     if (forecast.doneMs <= limitMs) return undefined;
     return {
       jobId: job.jobId,
@@ -259,9 +271,9 @@
       isOwed: share.isOwed,
       atMs: nowMs,
       forecast,
-      beforeCoreMs: beforeCoreMsOf(overtaken, forecast),
+      beforeCoreMs: workBeforeOf(lateOutlook, forecast),
       limitMs,
-      retryAfterMs: retryAfterMsOf(inTime),
+      retryAfterMs: retryAfterMsOf(onTimeForecast),
     };
   };
 
@@ -269,21 +281,24 @@
     { queue, account }: Pick<ForecastRefusal, 'queue' | 'account'>,
     field: keyof AdmissionCounts,
   ): void => {
-    const ofQueue = ofQueues.get(queue) ?? newCounts();
-    const ofAccount = ofAccounts.get(account) ?? newCounts();
+    const ofQueue = ofQueues.get(queue) ?? createCounts();
+    const ofAccount = ofAccounts.get(account) ?? createCounts();
     ofQueues.set(queue, ofQueue);
     ofAccounts.set(account, ofAccount);
     [ofQueue, ofAccount].forEach((counts) => change(counts, { [field]: counts[field] + 1 }));
   };
 
-  const sample = (refusal: ForecastRefusal, pool: PoolName): void => {
+  const trackRefusal = (refusal: ForecastRefusal, pool: PoolName): void => {
     refused += 1;
-    if (refused % SAMPLE_EVERY !== 0 || samples.length >= MOST_SAMPLES) return;
+    if (refused % REFUSALS_PER_SAMPLE !== 0 || trackedRefusals.length >= MAX_SAMPLES) return;
     const { forecast, beforeCoreMs, limitMs, atMs } = refusal;
     if (!Number.isFinite(forecast.backlogMs)) return;
     const chainMs = Math.max(0, forecast.doneMs - forecast.backlogMs);
-    const beginsAtCoreMs = poolOf(state, pool).doneCoreMs + beforeCoreMs;
-    samples = [...samples, { refusal, pool, beginsAtCoreMs, untilMs: atMs + limitMs - chainMs }];
+    const startsAtCoreMs = poolOf(state, pool).doneCoreMs + beforeCoreMs;
+    trackedRefusals = [
+      ...trackedRefusals,
+      { refusal, pool, startsAtCoreMs, startDeadlineMs: atMs + limitMs - chainMs },
+    ];
   };
 
   return {
@@ -291,7 +306,7 @@
     admit: ({ job, policy }, nowMs) => {
       if (pending.has(job.jobId)) return;
       const { isOwed, virtualStart } = peekShare(state, job.owner?.account, nowMs);
-      const { coreMs } = ownWorkOf(state, job);
+      const { coreMs } = jobWorkOf(state, job);
       const work = { isOwed, isPastUse: false, priority: policy.priority, virtualStart, coreMs };
       pending.set(job.jobId, { pool: job.pool, work });
       loads.get(job.pool)?.waiting.push(work);
@@ -303,21 +318,23 @@
       refusals.delete(refusal.jobId);
       refusals.set(refusal.jobId, refusal);
       const [oldest] = refusals.keys();
-      if (refusals.size > MOST_REFUSALS_KEPT && oldest !== undefined) refusals.delete(oldest);
+      if (refusals.size > MAX_KEPT_REFUSALS && oldest !== undefined) refusals.delete(oldest);
       count(refusal, 'refused');
-      sample(refusal, pool);
+      trackRefusal(refusal, pool);
     },
     noteDone: ({ queue, owner }, isInTime) => {
       if (!isInTime && owner) count({ queue, account: owner.account }, 'late');
     },
     followUp: (nowMs) => {
-      samples = samples.filter(({ refusal, pool, beginsAtCoreMs, untilMs }) => {
-        const hasBegun = poolOf(state, pool).doneCoreMs >= beginsAtCoreMs;
-        if (!hasBegun && nowMs <= untilMs) return true;
-        count(refusal, 'followedUp');
-        if (hasBegun && nowMs <= untilMs) count(refusal, 'wronglyRefused');
-        return false;
-      });
+      trackedRefusals = trackedRefusals.filter(
+        ({ refusal, pool, startsAtCoreMs, startDeadlineMs }) => {
+          const hasStarted = poolOf(state, pool).doneCoreMs >= startsAtCoreMs;
+          if (!hasStarted && nowMs <= startDeadlineMs) return true;
+          count(refusal, 'followedUp');
+          if (hasStarted && nowMs <= startDeadlineMs) count(refusal, 'wronglyRefused');
+          return false;
+        },
+      );
     },
     refusalOf: (jobId) => refusals.get(jobId),
     ofQueues,
--- a/packages/core/src/batch/jobs/admission.ts
+++ b/packages/core/src/batch/jobs/admission.ts
@@ -1,51 +1,51 @@
 /**
- * Whether a submission can be written at all now, and when a client that is refused comes back.
- * Guards against a table that is away and a data centre that is cut off: a submission that nobody
- * can write is refused at once instead of being tried until its client's time is over.
+ * Decides whether a submission can be written at all at the moment, and when a refused client is to retry.
+ * If the table is unavailable or this data centre is partitioned from the others, nobody can write the submission:
+ * it is refused at once instead of being tried until the client's timeout.
  */
 
 /**
- * A table that has answered nothing for so long is away. A slow one answers a reading within
- * 310 ms, and each entry reads at least every 400 ms; an entry that is not away in truth sends its
- * clients back for a second.
+ * A table that has answered nothing for this long counts as unavailable. A slow table answers a read within 310 ms, and
+ * each entry reads at least every 400 ms. If the table is available after all, an entry wrongly refuses its clients for
+ * a second.
  */
 export const TABLE_AWAY_MS = 600;
-/** Entries send a heartbeat each 0.5 s: a holder that has missed one may be cut off. */
+/** Entries send a heartbeat every 0.5 s: a control holder that has missed one may be partitioned from this entry. */
 export const HOLDER_DOUBTFUL_MS = 800;
 
-/** The routes on which a submission could be written, by when each last answered. */
+/** How long each of the two paths by which a submission can be written has been silent, in milliseconds. */
 export type WritePaths = {
-  /** For how long the table has answered nothing that this entry asked, by itself or by others. */
+  /** Time for which the table has answered no request of this entry, neither a direct one nor one via other entries. */
   readonly tableSilentMs: number;
-  /** For how long the holder of control has been silent; Infinity where it is this entry. */
+  /** Time for which the control holder has been silent; Infinity if this entry is the control holder. */
   readonly holderSilentMs: number;
 };
 
 /**
- * Tells whether any route is left on which a submission could be written.
+ * Tells whether a submission can be written by at least one path.
  *
- * @param paths - For how long each has not answered.
- * @returns False where neither the table nor the holder answers.
+ * @param paths - How long each path has been silent.
+ * @returns False if neither the table nor the control holder answers.
  */
 export const hasWritePath = ({ tableSilentMs, holderSilentMs }: WritePaths): boolean =>
   tableSilentMs < TABLE_AWAY_MS || holderSilentMs < HOLDER_DOUBTFUL_MS;
 
-const LEAST_RETRY_S = 1;
-const MOST_RETRY_S = 3;
-/** From this age of an outage on, every other client is sent away for a second longer. */
+const MIN_RETRY_S = 1;
+const MAX_RETRY_S = 3;
+/** Once an outage has lasted this long, half of the refused clients get a Retry-After that is a second longer. */
 const SPREAD_FROM_MS = 2000;
 
 /**
- * Chooses when a refused client comes back. An outage that has lasted a second is expected to last
- * about as long again, so a client with four tries outlasts one of 6 s, and the first of them is
- * back within a second of a short one.
+ * Chooses the Retry-After of a refused client. An outage is expected to last about as long again as it has lasted
+ * already. A client with four attempts therefore outlasts an outage of 6 s, and after a short outage the first clients
+ * retry within a second of its end.
  *
- * @param awayMs - How long the outage has lasted.
- * @param chance - A number from 0 to 1, drawn for this client: spreads those who return.
+ * @param outageMs - How long the outage has lasted.
+ * @param randomValue - A random number from 0 to 1, drawn for this client, which spreads the retries.
  * @returns Whole seconds, 1 to 3.
  */
-export const chooseRetryAfterS = (awayMs: number, chance: number): number => {
-  const spreadS = awayMs >= SPREAD_FROM_MS && chance >= 0.5 ? 1 : 0;
-  const expectedS = Math.round(awayMs / 1000) + spreadS;
-  return Math.min(MOST_RETRY_S, Math.max(LEAST_RETRY_S, expectedS));
+export const chooseRetryAfterS = (outageMs: number, randomValue: number): number => {
+  const spreadS = outageMs >= SPREAD_FROM_MS && randomValue >= 0.5 ? 1 : 0;
+  const expectedS = Math.round(outageMs / 1000) + spreadS;
+  return Math.min(MAX_RETRY_S, Math.max(MIN_RETRY_S, expectedS));
 };
--- a/packages/core/src/batch/jobs/burst.test.ts
+++ b/packages/core/src/batch/jobs/burst.test.ts
@@ -1,4 +1,4 @@
-/** What callers get of a pool in a burst, with and without the refusal of what could not be served. */
+/** Simulates a burst of jobs on one pool, with and without admission control. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName, type PoolName } from '../../shared/ids.js';
@@ -12,12 +12,13 @@
 } from '../testing/fleet-play.fixtures.js';
 
 const POOL: PlayedPool = { name: brand<PoolName>('a'), hosts: 24, taskCpu: 6200, runMs: 800 };
-/** Ten tasks a host; sixteen of 0.8 s a job. */
+/** Each of the 24 hosts runs ten tasks at once; a job has sixteen tasks of 0.8 s. */
 const CAPACITY_JOBS_PER_S = (24 * 10) / (16 * 0.8);
 const ACCOUNTS = 5;
 const BURST_FROM_MS = 4000;
 const BURST_FOR_MS = 10_000;
-const BEFORE = 0.5;
+/** Load outside the burst, relative to the capacity. */
+const BASE_LOAD = 0.5;
 
 const isInBurst = (nowMs: number): boolean =>
   nowMs >= BURST_FROM_MS && nowMs < BURST_FROM_MS + BURST_FOR_MS;
@@ -27,10 +28,10 @@
     name: brand<AccountName>(`account-${index}`),
     pool: POOL.name,
     weight,
-    jobsPerS: (nowMs) => ((isInBurst(nowMs) ? factor : BEFORE) * CAPACITY_JOBS_PER_S) / ACCOUNTS,
+    jobsPerS: (nowMs) => ((isInBurst(nowMs) ? factor : BASE_LOAD) * CAPACITY_JOBS_PER_S) / ACCOUNTS,
   }));
 
-const play = (factor: number, isAdmissionOn: boolean, weight: number): PlayedFleet =>
+const simulate = (factor: number, isAdmissionOn: boolean, weight: number): PlayedFleet =>
   playFleet({
     pools: [POOL],
     spareHosts: 0,
@@ -39,10 +40,10 @@
     isAdmissionOn,
   });
 
-const ofBurst = ({ jobs }: PlayedFleet): readonly PlayedJob[] =>
+const jobsOfBurst = ({ jobs }: PlayedFleet): readonly PlayedJob[] =>
   jobs.filter(({ atMs }) => isInBurst(atMs));
 
-/** Jobs done within their objective while the burst lasts, as a share of what the pool can do. */
+/** Rate of jobs that complete within their objective during the burst, relative to the capacity of the pool. */
 const goodputOf = ({ jobs }: PlayedFleet): number => {
   const fromMs = BURST_FROM_MS + 2 * POOL.runMs;
   const untilMs = BURST_FROM_MS + BURST_FOR_MS;
@@ -56,8 +57,8 @@
 const refusalsIn = ({ jobs }: PlayedFleet): number =>
   jobs.reduce((sum, { refusals }) => sum + refusals, 0);
 
-// Without admission control all are accepted; 0.51 to 0.54 of them are in time at twice the capacity, 0.21 to 0.22 at
-// five times.
+// Without admission control all jobs are accepted. At twice the capacity 0.51 to 0.54 of them then meet their
+// objective, and at five times the capacity 0.21 to 0.22.
 describe.each([
   { factor: 2, weight: 3.75 },
   { factor: 2, weight: 12 },
@@ -66,33 +67,35 @@
 ])(
   'a burst of $factor times the capacity, from accounts of weight $weight',
   ({ factor, weight }) => {
-    const refusing = play(factor, true, weight);
-    const accepting = play(factor, false, weight);
+    const withAdmission = simulate(factor, true, weight);
+    const withoutAdmission = simulate(factor, false, weight);
 
-    it('is served in time as far as it is accepted at its first attempt', () => {
-      const first = ofBurst(refusing).filter((job) => job.isAccepted && job.refusals === 0);
+    it('meets the objective of 95 % of jobs accepted at first attempt, against under 55 % without control', () => {
+      const first = jobsOfBurst(withAdmission).filter(
+        (job) => job.isAccepted && job.refusals === 0,
+      );
       expect(shareInTime(first)).toBeGreaterThanOrEqual(0.95);
-      expect(shareInTime(ofBurst(accepting))).toBeLessThan(0.55);
+      expect(shareInTime(jobsOfBurst(withoutAdmission))).toBeLessThan(0.55);
     });
 
-    it('is refused before it can miss its time: three quarters of what is accepted are in time from the first attempt', () => {
-      const accepted = ofBurst(refusing).filter(({ isAccepted }) => isAccepted);
+    it('has at least 75 % of all accepted jobs meet their objective, counted from the first attempt', () => {
+      const accepted = jobsOfBurst(withAdmission).filter(({ isAccepted }) => isAccepted);
       expect(shareInTime(accepted)).toBeGreaterThanOrEqual(0.75);
     });
 
-    it('leaves the goodput at 0.9 of the capacity or more', () => {
-      expect(goodputOf(refusing)).toBeGreaterThanOrEqual(0.9);
+    it('keeps the goodput at 0.9 of the capacity or more', () => {
+      expect(goodputOf(withAdmission)).toBeGreaterThanOrEqual(0.9);
     });
 
-    it('runs nothing of a job that is refused', () => {
-      const refused = refusing.jobs.filter(({ isAccepted }) => !isAccepted);
+    it('runs no task of a refused job', () => {
+      const refused = withAdmission.jobs.filter(({ isAccepted }) => !isAccepted);
       expect(refused.length).toBeGreaterThan(0);
       expect(refused.filter(({ hasRun }) => hasRun)).toEqual([]);
     });
 
-    it('counts few refusals of jobs that would have been in time', () => {
-      const counts = refusing.admission.ofQueues.get(brand(POOL.name));
-      expect(counts?.refused).toBe(refusalsIn(refusing));
+    it('counts fewer than 5 % of the tracked refusals as wrong', () => {
+      const counts = withAdmission.admission.ofQueues.get(brand(POOL.name));
+      expect(counts?.refused).toBe(refusalsIn(withAdmission));
       expect(counts?.followedUp).toBeGreaterThan(20);
       expect(counts?.wronglyRefused).toBeLessThan(0.05 * (counts?.followedUp ?? 0));
     });
@@ -100,10 +103,10 @@
 );
 
 describe('a burst of clients without accounts', () => {
-  it('is served as without admission control: nothing is refused', () => {
-    const played = play(5, true, 0);
-    expect(refusalsIn(played)).toBe(0);
+  it('is served as without admission control, and no job is refused', () => {
+    const simulated = simulate(5, true, 0);
+    expect(refusalsIn(simulated)).toBe(0);
     const timesOf = ({ jobs }: PlayedFleet) => jobs.map(({ atMs, doneAtMs }) => [atMs, doneAtMs]);
-    expect(timesOf(played)).toEqual(timesOf(play(5, false, 0)));
+    expect(timesOf(simulated)).toEqual(timesOf(simulate(5, false, 0)));
   });
 });
--- a/packages/core/src/batch/jobs/create-job.ts
+++ b/packages/core/src/batch/jobs/create-job.ts
@@ -1,4 +1,4 @@
-/** Jobs, occurrences, steps and tasks as they are built, before anything of them has begun. */
+/** Creates the initial state of jobs, occurrences, steps and tasks, before any task has started. */
 import {
   taskKey,
   type BatchJob,
@@ -16,7 +16,7 @@
   type Task,
 } from '../model/state.js';
 
-const newTask = (key: TaskKey, index: number): Task => ({
+const createTask = (key: TaskKey, index: number): Task => ({
   key,
   index,
   phase: 'waiting',
@@ -31,7 +31,7 @@
   trial: null,
 });
 
-const newStep = (
+const createStep = (
   job: JobState,
   occurrence: OccurrenceState,
   number: number,
@@ -43,7 +43,7 @@
   spec,
   kind: kindOf(job.job.queue, spec),
   tasks: Array.from({ length: spec.taskCount }, (_, index) =>
-    newTask(taskKey(job.job.jobId, occurrence.number, number, index), index),
+    createTask(taskKey(job.job.jobId, occurrence.number, number, index), index),
   ),
   waiting: Array.from({ length: spec.taskCount }, (_, index) => index),
   isOpen: false,
@@ -56,35 +56,40 @@
 });
 
 /**
- * Builds an occurrence of a job that is not there yet.
+ * Adds an occurrence to a job that does not have it yet.
  *
  * @param job - The job, changed in place.
- * @param number - Which occurrence.
+ * @param number - The number of the occurrence, from 0.
  * @param dueAtMs - When it is due, by the monotonic clock.
- * @returns The occurrence.
+ * @returns The new occurrence.
  */
 export const addOccurrence = (job: JobState, number: number, dueAtMs: number): OccurrenceState => {
   const occurrence: OccurrenceState = { number, dueAtMs, steps: [] };
   job.job.steps.forEach((spec, index) => {
-    occurrence.steps.push(newStep(job, occurrence, index, spec));
+    occurrence.steps.push(createStep(job, occurrence, index, spec));
   });
   job.occurrences.set(number, occurrence);
   return occurrence;
 };
 
+/** What the state of a job is created from. */
 export type TakeInOptions = {
   readonly job: BatchJob;
   readonly policy: QueuePolicy;
+  /** The current time by the monotonic clock. */
   readonly nowMs: number;
+  /** The current time by the wall clock, in milliseconds since 1970. */
   readonly todayMs: number;
+  /** Whether the job was accepted under an earlier control holder; false by default. */
   readonly isInherited?: boolean;
+  /** The rank of the job by the guaranteed rate of its account; by default it is covered by it. */
   readonly share?: JobShare;
-  /** When its client first tried to hand it in; Infinity where that is not known. */
+  /** When the client first tried to submit the job, by the monotonic clock; Infinity if unknown. */
   readonly firstAttemptAtMs?: number;
 };
 
 /**
- * Builds the state of a job, with none of its occurrences begun.
+ * Creates the state of a job without any occurrence.
  *
  * @param options - The job, its policy and the times.
  * @returns The state.
@@ -106,7 +111,7 @@
   nextOccurrence: 0,
   sinceMs: Math.min(
     firstAttemptAtMs,
-    nowMs - Math.max(0, Math.min(todayMs - job.acceptedAtMs, MOST_BELIEVED_AGE_MS)),
+    nowMs - Math.max(0, Math.min(todayMs - job.acceptedAtMs, MAX_TRUSTED_AGE_MS)),
   ),
   share,
   isInherited,
@@ -115,5 +120,5 @@
   writtenBlameRevision: 0,
 });
 
-/** Clocks of entries differ and jump: an age above this is not believed. */
-const MOST_BELIEVED_AGE_MS = 120_000;
+/** The wall clocks of entries differ and jump, so the age of an accepted job counts only up to this limit. */
+const MAX_TRUSTED_AGE_MS = 120_000;
--- a/packages/core/src/batch/jobs/early-occurrence.test.ts
+++ b/packages/core/src/batch/jobs/early-occurrence.test.ts
@@ -1,4 +1,7 @@
-/** An occurrence that is not due here, of which an endpoint reports a task as done. */
+/**
+ * Guards against starting an occurrence too early: an endpoint reports a completed task of an occurrence that an
+ * earlier control holder started by a clock that was ahead, and that is not due yet by the clock of this one.
+ */
 import { describe, expect, it } from 'vitest';
 
 import { brand } from '../../shared/ids.js';
@@ -7,17 +10,17 @@
 import { takeInJob } from './jobs.js';
 import { createScheduleCycle } from '../placement/schedule-cycle.js';
 
-const TIMED = brand<typeof JOB>('00000000000000bb');
+const REPEATED_JOB = brand<typeof JOB>('00000000000000bb');
 
-describe('an occurrence that an earlier holder began, and that is not due here', () => {
-  it('has no further task begun before its time', () => {
+describe('an occurrence that an earlier control holder started and that is not due yet by this clock', () => {
+  it('starts no further task before it is due', () => {
     const state = stateWithJob();
-    const one = state.jobs.get(JOB);
-    if (!one) throw new Error('there is no job');
-    const steps = one.job.steps.map((step) => ({ ...step, taskCount: 2 }));
+    const original = state.jobs.get(JOB);
+    if (!original) throw new Error('the state has no job');
+    const steps = original.job.steps.map((step) => ({ ...step, taskCount: 2 }));
     const job = {
-      ...one.job,
-      jobId: TIMED,
+      ...original.job,
+      jobId: REPEATED_JOB,
       steps,
       repeats: 2,
       firstDueAtMs: 60_000,
@@ -25,9 +28,9 @@
     };
     state.jobs.delete(JOB);
     state.pools.clear();
-    takeInJob(state, { job, policy: one.policy, nowMs: 0, todayMs: 0, isInherited: true });
+    takeInJob(state, { job, policy: original.policy, nowMs: 0, todayMs: 0, isInherited: true });
     see(state, FIRST);
-    const task = taskKey(TIMED, 0, 0, 0);
+    const task = taskKey(REPEATED_JOB, 0, 0, 0);
     const ended = [{ number: 1, task, run: 1001, kind: 'done', checkpoint: '' } as const];
     answer(state, { ended, askedAtMs: 1, nowMs: 2 });
     createScheduleCycle(state)(10, 100);
--- a/packages/core/src/batch/jobs/first-attempts.ts
+++ b/packages/core/src/batch/jobs/first-attempts.ts
@@ -1,21 +1,22 @@
 /**
- * When clients first tried to hand in jobs that were refused then. Their time runs from the first attempt: after an
- * outage those that come back are late already, and must not go before new ones that can be in time.
+ * Remembers when clients first tried to submit jobs that were refused. The objective of a job counts from its first
+ * attempt: after an outage the retried jobs are late already, and must not run before new jobs that can still meet
+ * their objective.
  */
 import type { JobId } from '../../shared/ids.js';
 import type { BatchState } from '../model/state.js';
 
-/** A job that was refused, with the time of its first attempt by the holder's monotonic clock. */
+/** A refused job, with the time of its first attempt by the monotonic clock of the control holder. */
 export type FirstAttempt = { readonly jobId: JobId; readonly atMs: number };
 
-/** Of an outage of 6 s at 300 refusals a second, several times over. */
-const MOST_ATTEMPTS = 10_000;
+/** Several times the 1800 refusals of an outage of 6 s at 300 refusals a second. */
+const MAX_ATTEMPTS = 10_000;
 
 /**
- * Notes jobs that were refused.
+ * Records first attempts of refused jobs. Of several attempts at one job the earliest counts.
  *
- * @param state - All that is known, changed in place; the oldest are forgotten where there are too many.
- * @param attempts - The jobs.
+ * @param state - The state, changed in place; beyond the limit the entries recorded first are evicted.
+ * @param attempts - The refused jobs.
  */
 export const noteFirstAttempts = (
   { firstAttempts }: BatchState,
@@ -24,18 +25,18 @@
   attempts.forEach(({ jobId, atMs }) =>
     firstAttempts.set(jobId, Math.min(atMs, firstAttempts.get(jobId) ?? Infinity)),
   );
-  const tooMany = Math.max(0, firstAttempts.size - MOST_ATTEMPTS);
+  const excessCount = Math.max(0, firstAttempts.size - MAX_ATTEMPTS);
   Array.from(firstAttempts.keys())
-    .slice(0, tooMany)
+    .slice(0, excessCount)
     .forEach((jobId) => firstAttempts.delete(jobId));
 };
 
 /**
- * Takes what is known of a job's first attempt as it is accepted at last.
+ * Removes and returns the first attempt of a job, when the job is accepted.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param jobId - The job.
- * @returns When its client first tried; Infinity where it was not refused.
+ * @returns The time of the first attempt, by the monotonic clock; Infinity if no refusal is recorded.
  */
 export const takeFirstAttempt = ({ firstAttempts }: BatchState, jobId: JobId): number => {
   const atMs = firstAttempts.get(jobId) ?? Infinity;
--- a/packages/core/src/batch/jobs/forecast.ts
+++ b/packages/core/src/batch/jobs/forecast.ts
@@ -1,68 +1,70 @@
 /**
- * When a job that comes now would be done: by the work before it, the room that its pool has and gets, and how long its
- * own steps take. Work is in core-milliseconds, room in cores.
+ * Forecasts when a job that is submitted now would complete, from the queued work that runs before it, the present and
+ * arriving capacity of its pool, and the duration of its own steps. Work is in core-milliseconds, capacity in cores.
  */
 
-/** Room that a pool gets in some time. */
+/** Capacity that a pool gains after a delay. */
 export type ComingRoom = { readonly cores: number; readonly inMs: number };
 
-/** What a job meets in its pool. */
+/** The input of a forecast: the state of the pool as far as it affects the job, and the job's own work. */
 export type JobOutlook = {
-  /** Work that waits and goes before the job. */
+  /** Queued work that runs before the job. */
   readonly waitingCoreMs: number;
-  /** Cores that tasks like the job's can use. */
+  /** Cores of the pool that tasks of the job's size can use. */
   readonly roomCores: number;
   readonly coming: readonly ComingRoom[];
-  /** Cores that are kept busy by what arrives later and still goes before the job. */
+  /** Cores kept busy by work that arrives later and still runs before the job. */
   readonly overtakenByCores: number;
-  /** The job's own work. */
+  /** The work of the job itself. */
   readonly ownCoreMs: number;
-  /** The longest chain of its steps. */
+  /** The duration of the longest chain of the job's steps. */
   readonly chainMs: number;
 };
 
-/** When a job would begin and end, from now; Infinity where its pool has no room for it. */
+/** When a job would start and complete, in milliseconds from now; Infinity if its pool has no capacity for it. */
 export type Forecast = {
-  /** When what waits before the job has begun: room comes free all the time as what runs ends. */
+  /** When all work queued before the job has started: capacity is freed continuously as running tasks end. */
   readonly backlogMs: number;
   readonly doneMs: number;
 };
 
-/** What arrives later never takes more than this share of the room: some of a backlog goes on being served. */
-const MOST_OVERTAKEN_SHARE = 0.9;
+/** Later arrivals never take more than this share of the capacity, so that a backlog always makes some progress. */
+const MAX_OVERTAKEN_SHARE = 0.9;
 
-/** How long some work takes in room that grows. */
-const timeFor = (
+/** How long an amount of work takes while the capacity grows; in milliseconds, Infinity without any capacity. */
+const processingTimeMs = (
   coreMs: number,
   { roomCores, coming, overtakenByCores }: Omit<JobOutlook, 'ownCoreMs' | 'chainMs'>,
 ): number => {
   if (coreMs <= 0) return 0;
-  const steps = [...coming].sort((left, right) => left.inMs - right.inMs);
-  let leftCoreMs = coreMs;
+  const growthSteps = [...coming].sort((left, right) => left.inMs - right.inMs);
+  let remainingCoreMs = coreMs;
   let cores = roomCores;
   let atMs = 0;
-  const speed = (): number =>
-    Math.max(cores * (1 - MOST_OVERTAKEN_SHARE), cores - overtakenByCores);
-  for (let index = 0; index < steps.length; index += 1) {
-    const { cores: more, inMs } = steps[index] as ComingRoom;
+  const speed = (): number => Math.max(cores * (1 - MAX_OVERTAKEN_SHARE), cores - overtakenByCores);
+  for (let index = 0; index < growthSteps.length; index += 1) {
+    const { cores: addedCores, inMs } = growthSteps[index] as ComingRoom;
     const doneCoreMs = (inMs - atMs) * speed();
-    if (doneCoreMs >= leftCoreMs) break;
-    leftCoreMs -= doneCoreMs;
+    if (doneCoreMs >= remainingCoreMs) break;
+    remainingCoreMs -= doneCoreMs;
     atMs = inMs;
-    cores += more;
+    cores += addedCores;
   }
-  return cores > 0 ? atMs + leftCoreMs / speed() : Infinity;
+  return cores > 0 ? atMs + remainingCoreMs / speed() : Infinity;
 };
 
 /**
- * Forecasts when a job would be done.
+ * Forecasts when a job would start and complete.
  *
- * @param outlook - What it meets.
+ * @param outlook - The state of its pool and its own work.
  * @returns The times from now, in milliseconds.
  */
 export const forecastJob = (outlook: JobOutlook): Forecast => {
   const { waitingCoreMs, ownCoreMs, chainMs } = outlook;
-  const backlogMs = timeFor(waitingCoreMs, outlook);
-  const doneMs = Math.max(timeFor(waitingCoreMs + ownCoreMs, outlook), backlogMs + chainMs);
+  const backlogMs = processingTimeMs(waitingCoreMs, outlook);
+  const doneMs = Math.max(
+    processingTimeMs(waitingCoreMs + ownCoreMs, outlook),
+    backlogMs + chainMs,
+  );
   return { backlogMs, doneMs };
 };
--- a/packages/core/src/batch/jobs/give-up.ts
+++ b/packages/core/src/batch/jobs/give-up.ts
@@ -1,13 +1,13 @@
-/** Jobs that are given up because endpoints crash under one of their tasks. */
+/** Fails jobs one of whose tasks repeatedly crashes the endpoints that run it. */
 import { giveUpReason } from '../crashes/endpoint-crashes.js';
 import { endJob } from './jobs.js';
 import type { BatchState, RunState } from '../model/state.js';
 
 /**
- * Ends a job one of whose tasks would take down the next endpoint, too.
+ * Fails a job if so many endpoints crashed under one of its tasks that the next one would be expected to crash, too.
  *
- * @param state - All that is known, changed in place.
- * @param run - A run of the task, after its endpoint's end was counted.
+ * @param state - The state, changed in place.
+ * @param run - A run of the task, after the crash of its endpoint was recorded.
  */
 export const giveUpIfDue = (
   state: BatchState,
--- a/packages/core/src/batch/jobs/jobs.ts
+++ b/packages/core/src/batch/jobs/jobs.ts
@@ -1,4 +1,4 @@
-/** The life of a job: admitted, its steps opened one after the other, ended or cancelled. */
+/** The life cycle of a job: adding it to the state, opening its steps as their predecessors complete, and ending it. */
 import type { JobId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { maySee, type Caller } from '../model/accounts.js';
@@ -23,9 +23,9 @@
   step !== undefined && step.doneCount === step.spec.taskCount;
 
 /**
- * Opens the steps of an occurrence whose predecessors are done.
+ * Opens the steps of an occurrence whose predecessors have all completed.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param occurrence - The occurrence.
  */
 export const openSteps = (state: BatchState, occurrence: OccurrenceState): void => {
@@ -39,16 +39,16 @@
 
 const occurrenceCount = ({ repeats }: BatchJob): number => Math.max(1, repeats);
 
-/** Times of day jump on some hosts; an occurrence is begun this much after its time, not before. */
+/** The wall clock jumps on some hosts, so an occurrence starts this long after its due time, never before it. */
 const DUE_MARGIN_MS = 20;
 
 /**
- * Begins the occurrences of a job whose time has come.
+ * Starts the occurrences of a job that are due.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param job - The job.
- * @param nowMs - The monotonic time.
- * @param todayMs - The time of day, in milliseconds since 1970.
+ * @param nowMs - The current time by the monotonic clock.
+ * @param todayMs - The current time by the wall clock, in milliseconds since 1970.
  */
 export const beginDue = (
   state: BatchState,
@@ -74,15 +74,15 @@
 };
 
 /**
- * Adds an accepted job. One that is there already stays as it is.
+ * Adds an accepted job to the state. A job that is there already stays unchanged.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param options - The job, its policy and the times.
- * @returns The job's state.
+ * @returns The state of the job.
  */
 export const takeInJob = (state: BatchState, options: TakeInOptions): JobState => {
-  const known = state.jobs.get(options.job.jobId);
-  if (known) return known;
+  const existing = state.jobs.get(options.job.jobId);
+  if (existing) return existing;
   const { job: accepted, nowMs } = options;
   const share = takeShare(state, accepted.owner?.account, nowMs);
   const firstAttemptAtMs = takeFirstAttempt(state, accepted.jobId);
@@ -93,11 +93,11 @@
 };
 
 /**
- * Finds a task.
+ * Finds a task by the parts of its key.
  *
- * @param state - All that is known.
- * @param name - The parts of its key.
- * @returns The step and the task, or undefined.
+ * @param state - The state.
+ * @param name - The parts of the key.
+ * @returns The task and its step; undefined if there is no such task.
  */
 export const findTask = (
   state: BatchState,
@@ -109,32 +109,34 @@
 };
 
 /**
- * Finds a task that an endpoint reports. An occurrence that is not due here may have begun under an
- * earlier holder, whose time of day was ahead: it is built, so that what became of it is not lost.
+ * Finds a task that an endpoint reports. Its occurrence may not be due yet by the clock of this control holder, because
+ * an earlier one with a wall clock that was ahead has started it. The occurrence is then added to the job, so that the
+ * reported outcome is not lost.
  *
- * @param state - All that is known; the occurrence is added to its job.
+ * @param state - The state, changed in place.
  * @param name - The parts of the task's key.
- * @returns The step and the task, or undefined.
+ * @returns The task and its step; undefined if there is no such task.
  */
 export const findReportedTask = (
   state: BatchState,
   name: TaskName,
 ): { readonly step: StepRun; readonly task: Task } | undefined => {
   const job = state.jobs.get(name.jobId);
-  const isMissing = job !== undefined && !job.occurrences.has(name.occurrence);
-  if (isMissing && name.occurrence < occurrenceCount(job.job)) {
+  const isOccurrenceMissing = job !== undefined && !job.occurrences.has(name.occurrence);
+  if (isOccurrenceMissing && name.occurrence < occurrenceCount(job.job)) {
     addOccurrence(job, name.occurrence, state.clockMs);
   }
   return findTask(state, name);
 };
 
 /**
- * Ends a job: nothing of it is started any more, and what runs is stopped.
+ * Ends a job: none of its tasks is started any more, and running tasks are stopped. A job that has ended stays as it
+ * is.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param job - The job.
  * @param phase - Its final phase.
- * @param reason - Why.
+ * @param reason - Why the job ends, as its client and operators see it.
  */
 export const endJob = (
   state: BatchState,
@@ -156,16 +158,16 @@
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: true });
 };
 
-/** Why a job is cancelled. */
+/** The reason that is stored for a cancelled job. */
 export const CANCELLED_REASON = 'cancelled by its client';
 
 /**
- * Cancels a job.
+ * Cancels a job on behalf of a caller.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param jobId - The job.
- * @param caller - Who wants it cancelled.
- * @returns The phase that it is in now, or undefined for a job that is not known, or not the caller's.
+ * @param caller - Who requests the cancellation.
+ * @returns The phase of the job afterwards; undefined if the job is unknown or belongs to another account.
  */
 export const cancelJob = (
   state: BatchState,
@@ -181,9 +183,9 @@
 const isOccurrenceDone = ({ steps }: OccurrenceState): boolean => steps.every(isStepDone);
 
 /**
- * Marks a task as done and opens what was waiting for it.
+ * Marks a task as done. Opens the steps that depended on it, or completes the job if it was the last task.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param step - The task's step.
  * @param task - The task.
  */
@@ -196,15 +198,16 @@
   const pool = poolOf(state, job.job.pool);
   const taskCoreMs = expectStepWork(state, step) / step.spec.taskCount;
   change(pool, { doneCoreMs: pool.doneCoreMs + taskCoreMs });
-  const isEnd =
+  const isJobDone =
     isOccurrenceDone(occurrence) &&
     job.nextOccurrence >= occurrenceCount(job.job) &&
     Array.from(job.occurrences.values()).every(isOccurrenceDone);
   if (step.waiting.length === 0) pool.open.delete(step);
-  if (isEnd) endJob(state, job, 'completed', 'all tasks are done');
+  if (isJobDone) endJob(state, job, 'completed', 'all tasks are done');
   else {
     state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
-    // One that an earlier holder began, by a clock that was ahead, goes on when its time comes here.
+    // An occurrence that an earlier control holder started early, because its clock was ahead, continues only when it
+    // is due by the clock of this one.
     if (occurrence.number < job.nextOccurrence) openSteps(state, occurrence);
   }
 };
--- a/packages/core/src/batch/jobs/lookup-queue.ts
+++ b/packages/core/src/batch/jobs/lookup-queue.ts
@@ -1,4 +1,4 @@
-/** Which queue a request names, by its host name and the longest path prefix. */
+/** Looks up the queue that a request addresses, by its host name and the longest matching path prefix. */
 import type { PoolName } from '../../shared/ids.js';
 import { indexAccounts, type AccountIndex, type ClientAccount } from '../model/accounts.js';
 import type { QueueName, QueuePolicy } from '../model/job.js';
@@ -11,13 +11,13 @@
   readonly pathPrefix: string;
   readonly pool: PoolName;
   readonly policy: QueuePolicy;
-  /** How long a client waits for an answer. */
+  /** How long a client waits for a response. */
   readonly timeoutMs: number;
-  /** Its callers need no key. */
+  /** Whether callers need no API key. */
   readonly isOpenToAll: boolean;
 };
 
-/** The configuration as far as batch work needs it. */
+/** The part of the configuration that batch processing uses. */
 export type BatchConfiguration = {
   readonly version: number;
   readonly queues: readonly QueueView[];
@@ -28,13 +28,14 @@
 /** An index over the queues of one configuration. */
 export type QueueIndex = {
   readonly configuration: BatchConfiguration;
+  /** The queue with the longest path prefix of the path on this host name; undefined if there is none. */
   readonly find: (hostName: string, path: string) => QueueView | undefined;
   readonly byName: ReadonlyMap<QueueName, QueueView>;
   readonly accounts: AccountIndex;
 };
 
 /**
- * Builds an index, so that a look-up does not take longer with more queues.
+ * Builds the index. The time of a lookup depends on the length of the path, not on the number of queues.
  *
  * @param configuration - The configuration.
  * @returns The index.
@@ -64,11 +65,11 @@
 };
 
 /**
- * Chooses between two readings of the configuration: a late or stale one never replaces a newer.
+ * Chooses the newer of two versions of the configuration: a delayed or stale read never replaces a newer version.
  *
- * @param known - What is in force, if anything is.
- * @param read - What was read.
- * @returns The newer of both.
+ * @param known - The version in use; undefined before the first read.
+ * @param read - The version that was read.
+ * @returns The index of the newer version; the version in use if both are equal.
  */
 export const newerConfiguration = (
   known: QueueIndex | undefined,
--- a/packages/core/src/batch/jobs/pool-load.ts
+++ b/packages/core/src/batch/jobs/pool-load.ts
@@ -1,4 +1,4 @@
-/** What waits and runs in each pool, as the forecast of a further job needs it. */
+/** Measures the queued work and the capacity of each pool, as input for the forecast of a new job. */
 import type { PoolName } from '../../shared/ids.js';
 import { goesWithOwed } from '../accounts/shares.js';
 import { reservedCpu } from '../endpoints/runs.js';
@@ -7,24 +7,27 @@
 import { isPastUse } from '../placement/order.js';
 import { expectStepWork } from './step-times.js';
 
-/** Work of one job that waits. */
+/** The queued work of one job, with its rank. */
 export type WaitingWork = {
+  /** Whether it is ordered like work covered by the guaranteed rate of its account. */
   readonly isOwed: boolean;
-  /** It can be of no use any more: all other work goes before it. */
+  /** Too late to be useful any more: all other work runs before it. */
   readonly isPastUse: boolean;
   readonly priority: number;
+  /** Virtual start time by weighted fair queueing, see `JobShare`. */
   readonly virtualStart: number;
+  /** Expected work of the queued tasks, in core-milliseconds. */
   readonly coreMs: number;
 };
 
-/** The load of one pool. */
+/** The queued work and the capacity of one pool. */
 export type PoolLoad = {
   readonly waiting: WaitingWork[];
-  /** The room of each endpoint, without that of long-running tasks. */
+  /** The capacity of each healthy endpoint less what long-running tasks reserve, in thousandths of a core. */
   readonly roomsCpu: readonly number[];
 };
 
-const waitingCoreMs = (state: BatchState, job: JobState): number => {
+const queuedCoreMs = (state: BatchState, job: JobState): number => {
   let coreMs = 0;
   job.occurrences.forEach(({ steps }) =>
     steps.forEach((step) => {
@@ -34,7 +37,7 @@
   return coreMs;
 };
 
-const roomOf = ({ capacity, runs }: EndpointState): number => {
+const availableCpuOf = ({ capacity, runs }: EndpointState): number => {
   let { cpuMillis } = capacity;
   runs.forEach(({ step }) => {
     if (step.spec.isLasting) cpuMillis -= reservedCpu(step.spec);
@@ -45,22 +48,22 @@
 /**
  * Measures the load of all pools.
  *
- * @param state - All that is known.
- * @param nowMs - The time.
- * @returns The loads of the pools in which anything waits, or that have endpoints.
+ * @param state - The state.
+ * @param nowMs - The current time by the monotonic clock.
+ * @returns The loads of the pools that have queued work or healthy endpoints.
  */
 export const measureLoads = (state: BatchState, nowMs: number): ReadonlyMap<PoolName, PoolLoad> => {
   const waiting = new Map<PoolName, WaitingWork[]>();
-  const listOf = (pool: PoolName): WaitingWork[] => {
+  const queuedWorkOf = (pool: PoolName): WaitingWork[] => {
     const list = waiting.get(pool) ?? [];
     waiting.set(pool, list);
     return list;
   };
   state.jobs.forEach((job) => {
     if (isFinal(job.phase)) return;
-    const coreMs = waitingCoreMs(state, job);
+    const coreMs = queuedCoreMs(state, job);
     if (coreMs === 0) return;
-    listOf(job.job.pool).push({
+    queuedWorkOf(job.job.pool).push({
       isOwed: goesWithOwed(job, nowMs),
       isPastUse: isPastUse(state, job, nowMs),
       priority: job.policy.priority,
@@ -68,17 +71,20 @@
       coreMs,
     });
   });
-  const sound = new Map<PoolName, EndpointState[]>();
+  const healthyEndpoints = new Map<PoolName, EndpointState[]>();
   state.endpoints.forEach((endpoint) => {
     if (!isSound(state, endpoint, nowMs)) return;
-    sound.set(endpoint.pool, [...(sound.get(endpoint.pool) ?? []), endpoint]);
-    listOf(endpoint.pool);
+    healthyEndpoints.set(endpoint.pool, [...(healthyEndpoints.get(endpoint.pool) ?? []), endpoint]);
+    queuedWorkOf(endpoint.pool);
   });
   return new Map(
     Array.from(
       waiting,
       ([pool, list]) =>
-        [pool, { waiting: list, roomsCpu: (sound.get(pool) ?? []).map(roomOf) }] as const,
+        [
+          pool,
+          { waiting: list, roomsCpu: (healthyEndpoints.get(pool) ?? []).map(availableCpuOf) },
+        ] as const,
     ),
   );
 };
--- a/packages/core/src/batch/jobs/progress.ts
+++ b/packages/core/src/batch/jobs/progress.ts
@@ -1,6 +1,6 @@
 /**
- * The rows of a job: how it was accepted, how far it is, and how it ended. What is in them is what
- * the next holder starts from; starts are not written, since endpoints report what runs.
+ * The stored rows of a job: the job as accepted, its progress, and how it ended. The next control holder restores the
+ * job from them. Starts of tasks are not stored, since endpoints report what they run.
  */
 import { change } from '../../shared/change.js';
 import type { AccountName } from '../../shared/ids.js';
@@ -19,7 +19,7 @@
   type Task,
 } from '../model/state.js';
 
-/** The row of a job: whole while it is live, small once it has ended. */
+/** The row of a job: the full job while it is live, only the outcome once it has ended. */
 export type BatchJobRow =
   | { readonly kind: 'live'; readonly job: BatchJob; readonly policy: QueuePolicy }
   | {
@@ -31,23 +31,24 @@
       readonly account?: AccountName | undefined;
     };
 
-/** How far one step is: done tasks as hexadecimal digits of four bits, failures by index. */
+/** The progress of one step. */
 type StepProgress = {
+  /** Bit set of the completed tasks as hexadecimal digits: the lowest bit of the first digit is task 0. */
   readonly done: string;
-  /** Index, and the runs that failed. */
+  /** Pairs of a task index and the numbers of its failed runs. */
   readonly failed?: readonly (readonly [number, readonly number[]])[];
-  /** Index, and the endpoints that crashed under the task. */
+  /** Pairs of a task index and the crashes of endpoints that ran the task. */
   readonly crashes?: readonly (readonly [number, readonly EndpointCrash[]])[];
-  /** Index, and the run that is about to begin though endpoints crashed under the task. */
+  /** Pairs of a task index and the announced run of a task that endpoints crashed under: it may have started. */
   readonly trials?: readonly (readonly [number, number])[];
 };
 
-/** The progress row: occurrence, then step. Those with nothing to tell are left out. */
+/** The progress row: step progress by occurrence number and step number. Steps without progress are left out. */
 export type ProgressRow = Readonly<Record<string, Readonly<Record<string, StepProgress>>>>;
 
 const BITS_PER_DIGIT = 4;
 
-const doneDigits = ({ tasks }: StepRun): string =>
+const doneBitsOf = ({ tasks }: StepRun): string =>
   Array.from({ length: Math.ceil(tasks.length / BITS_PER_DIGIT) }, (_, digit) =>
     tasks
       .slice(digit * BITS_PER_DIGIT, (digit + 1) * BITS_PER_DIGIT)
@@ -55,7 +56,7 @@
       .toString(16),
   ).join('');
 
-const isDoneIn = (digits: string, index: number): boolean => {
+const isBitSet = (digits: string, index: number): boolean => {
   const digit = parseInt(digits[Math.floor(index / BITS_PER_DIGIT)] ?? '0', 16);
   return Math.floor(digit / 2 ** (index % BITS_PER_DIGIT)) % 2 === 1;
 };
@@ -71,10 +72,10 @@
     const run = openTrialOf(task);
     return run === undefined ? [] : [[task.index, run] as const];
   });
-  const isNothing = [failed, crashes, trials].every(({ length }) => length === 0);
-  if (step.doneCount === 0 && isNothing) return undefined;
+  const isEmpty = [failed, crashes, trials].every(({ length }) => length === 0);
+  if (step.doneCount === 0 && isEmpty) return undefined;
   return {
-    done: doneDigits(step),
+    done: doneBitsOf(step),
     ...(failed.length > 0 ? { failed } : {}),
     ...(crashes.length > 0 ? { crashes } : {}),
     ...(trials.length > 0 ? { trials } : {}),
@@ -90,7 +91,7 @@
   );
 
 /**
- * Writes down how far a job is.
+ * Builds the progress row of a job.
  *
  * @param job - The job.
  * @returns The row.
@@ -104,10 +105,10 @@
   );
 
 /**
- * Writes down a job as it stands: whole, or only its end.
+ * Builds the row of a job: the full job while it is live, only the outcome once it has ended.
  *
  * @param job - The job.
- * @param todayMs - The time of day.
+ * @param todayMs - The current time by the wall clock, in milliseconds since 1970.
  * @returns The row.
  */
 export const jobRowOf = ({ job, policy, phase, reason }: JobState, todayMs: number): BatchJobRow =>
@@ -122,7 +123,9 @@
       }
     : { kind: 'live', job, policy };
 
-/** What earlier holders counted is in the row, so nothing waits for it to be written. */
+/**
+ * Restores crashes recorded by earlier control holders. They are in the stored row, so no write is pending for them.
+ */
 const restoreCrashes = (
   state: BatchState,
   { job }: StepRun,
@@ -145,9 +148,9 @@
     const task = step.tasks[index];
     if (task) Object.assign(task, { failedRuns, lastRun: Math.max(...failedRuns) });
   });
-  crashes.forEach(([index, ofTask]) => {
+  crashes.forEach(([index, crashesOfTask]) => {
     const task = step.tasks[index];
-    if (task) restoreCrashes(state, step, task, ofTask);
+    if (task) restoreCrashes(state, step, task, crashesOfTask);
   });
   trials.forEach(([index, run]) => {
     const task = step.tasks[index];
@@ -156,50 +159,55 @@
     state.suspectJobs.add(step.job);
   });
   step.tasks.forEach((task) => {
-    if (isDoneIn(done, task.index)) markDone(state, step, task);
+    if (isBitSet(done, task.index)) markDone(state, step, task);
   });
 };
 
+/** What a job is restored from. */
 export type RestoreOptions = {
   readonly job: BatchJob;
   readonly policy: QueuePolicy;
+  /** Undefined if no progress row was stored. */
   readonly progress: ProgressRow | undefined;
+  /** The current time by the monotonic clock. */
   readonly nowMs: number;
+  /** The current time by the wall clock, in milliseconds since 1970. */
   readonly todayMs: number;
 };
 
 /**
- * Restores a job that an earlier holder worked on.
+ * Restores a job that was accepted under an earlier control holder. A job that is in the state already stays unchanged.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param options - The rows of the job and the times.
- * @returns The job's state.
+ * @returns The state of the job.
  */
 export const restoreJob = (
   state: BatchState,
   { job, policy, progress = {}, nowMs, todayMs }: RestoreOptions,
 ): JobState => {
-  const known = state.jobs.get(job.jobId);
-  if (known) return known;
+  const existing = state.jobs.get(job.jobId);
+  if (existing) return existing;
   const restored = createJobState({ job, policy, nowMs, todayMs, isInherited: true });
   state.jobs.set(job.jobId, restored);
   beginDue(state, restored, nowMs, todayMs);
   Object.entries(progress).forEach(([number, steps]) => {
     const occurrence =
       restored.occurrences.get(Number(number)) ?? addOccurrence(restored, Number(number), nowMs);
-    Object.entries(steps).forEach(([stepNumber, one]) => {
+    Object.entries(steps).forEach(([stepNumber, progressOfStep]) => {
       const step = occurrence.steps[Number(stepNumber)];
-      if (step && !isFinal(restored.phase)) restoreStep(state, step, one);
+      if (step && !isFinal(restored.phase)) restoreStep(state, step, progressOfStep);
     });
     if (Object.keys(steps).length > 0) restored.hasBegun = true;
   });
   if (restored.hasBegun && restored.phase === 'pending') restored.phase = 'running';
   const steps = Array.from(restored.occurrences.values()).flatMap((one) => one.steps);
-  const overdue = steps
+  const exhausted = steps
     .filter(({ spec }) => !spec.isLasting)
     .flatMap(({ tasks }) => tasks)
     .find(({ failedRuns }) => failedRuns.length >= policy.maxAttempts);
-  if (overdue) endJob(state, restored, 'failed', `task ${overdue.key} failed maxAttempts times`);
+  if (exhausted)
+    endJob(state, restored, 'failed', `task ${exhausted.key} failed maxAttempts times`);
   const [reason] = steps.flatMap(({ tasks }) => tasks).flatMap((task) => giveUpReason(task) ?? []);
   if (reason !== undefined) endJob(state, restored, 'failed', reason);
   return restored;
--- a/packages/core/src/batch/jobs/run-times.ts
+++ b/packages/core/src/batch/jobs/run-times.ts
@@ -1,51 +1,51 @@
 /**
- * Run times learned from ends, by queue and step number: what clients guess can be off by any
- * factor. A moving mean is kept of times and of the ratio of time to guess.
+ * Run times learned from completed tasks, by kind of task. The estimates of clients can be off by any factor, so an
+ * exponential moving average of the measured run times replaces them as soon as there are enough measurements.
  */
 
-/** How much a new time counts in the mean. */
-const WEIGHT = 0.1;
-/** Fewer ends than this say less than the client's guess. */
-const LEAST_ENDS = 5;
+/** The weight of a new run time in the moving average. The first ten run times are averaged with equal weights. */
+const SAMPLE_WEIGHT = 0.1;
+/** With fewer completed tasks than this the client's estimate is more reliable than the average. */
+const MIN_COMPLETIONS = 5;
 
-type Learned = { meanMs: number; ends: number };
+type LearnedRunTime = { meanMs: number; ends: number };
 
-/** What was learned. */
-export type RunTimes = { readonly byKind: Map<string, Learned> };
+/** The learned run times by kind of task. */
+export type RunTimes = { readonly byKind: Map<string, LearnedRunTime> };
 
 /**
- * Builds an empty memory.
+ * Creates an empty record of run times.
  *
- * @returns The memory.
+ * @returns The record.
  */
 export const createRunTimes = (): RunTimes => ({ byKind: new Map() });
 
 /**
- * Records how long a task ran until it was done.
+ * Records the run time of a completed task.
  *
- * @param times - The memory, changed in place.
- * @param kind - What the task is alike to.
- * @param ranMs - The time.
+ * @param times - The learned run times, changed in place.
+ * @param kind - The kind of the task, see `kindOf`.
+ * @param runTimeMs - The run time in milliseconds.
  */
-export const learnRunTime = (times: RunTimes, kind: string, ranMs: number): void => {
-  const known = times.byKind.get(kind);
-  if (!known) {
-    times.byKind.set(kind, { meanMs: ranMs, ends: 1 });
+export const learnRunTime = (times: RunTimes, kind: string, runTimeMs: number): void => {
+  const learned = times.byKind.get(kind);
+  if (!learned) {
+    times.byKind.set(kind, { meanMs: runTimeMs, ends: 1 });
     return;
   }
-  known.ends += 1;
-  known.meanMs += (ranMs - known.meanMs) * Math.max(WEIGHT, 1 / known.ends);
+  learned.ends += 1;
+  learned.meanMs += (runTimeMs - learned.meanMs) * Math.max(SAMPLE_WEIGHT, 1 / learned.ends);
 };
 
 /**
- * Expects a run time.
+ * Estimates the run time of a task.
  *
- * @param times - The memory.
- * @param kind - What the task is alike to.
- * @param estimateMs - The client's guess.
- * @returns The expected time in milliseconds.
+ * @param times - The learned run times.
+ * @param kind - The kind of the task, see `kindOf`.
+ * @param estimateMs - The client's estimate.
+ * @returns The average of the kind, or the client's estimate while too few tasks have completed; in milliseconds.
  */
 export const expectRunTime = (times: RunTimes, kind: string, estimateMs: number): number => {
-  const known = times.byKind.get(kind);
-  return known && known.ends >= LEAST_ENDS ? known.meanMs : Math.max(1, estimateMs);
+  const learned = times.byKind.get(kind);
+  return learned && learned.ends >= MIN_COMPLETIONS ? learned.meanMs : Math.max(1, estimateMs);
 };
--- a/packages/core/src/batch/jobs/step-times.ts
+++ b/packages/core/src/batch/jobs/step-times.ts
@@ -1,33 +1,33 @@
-/** How long the tasks of a step run, and how much work it is, by what was learned of its kind. */
+/** Estimates the run time and the work of a step from the learned run times of its kind of task. */
 import { expectRunTime } from './run-times.js';
 import type { QueueName, StepSpec } from '../model/job.js';
 import type { BatchState, StepRun } from '../model/state.js';
 
 /**
- * Names the kind of a step's tasks: those of a kind take alike times.
+ * Names the kind of a step's tasks: tasks of the same kind are expected to have similar run times.
  *
  * @param queue - The job's queue.
- * @param spec - The step.
- * @returns The kind.
+ * @param spec - The step, of which the image counts.
+ * @returns The key of the kind.
  */
 export const kindOf = (queue: QueueName, { image }: StepSpec): string => `${queue}/${image}`;
 
 /**
- * Expects the run time of a step's tasks.
+ * Estimates the run time of each task of a step.
  *
- * @param state - What was learned.
+ * @param state - The learned run times.
  * @param step - The step.
- * @returns The time in milliseconds.
+ * @returns The run time in milliseconds.
  */
 export const expectStepTime = ({ runTimes }: Pick<BatchState, 'runTimes'>, step: StepRun): number =>
   expectRunTime(runTimes, step.kind, step.spec.estimateMs);
 
 /**
- * Expects the work of a step.
+ * Estimates the work of all tasks of a step.
  *
- * @param state - What was learned.
+ * @param state - The learned run times.
  * @param step - The step.
- * @returns The work in core-milliseconds; none for a step that lasts.
+ * @returns The work in core-milliseconds; 0 for a step of long-running tasks.
  */
 export const expectStepWork = (state: Pick<BatchState, 'runTimes'>, step: StepRun): number => {
   const { isLasting, taskCount, cpuMillis } = step.spec;
--- a/packages/core/src/batch/jobs/waiting.test.ts
+++ b/packages/core/src/batch/jobs/waiting.test.ts
@@ -1,4 +1,4 @@
-/** How many jobs are said to wait. */
+/** Which jobs count as waiting. */
 import { describe, expect, it } from 'vitest';
 
 import { brand } from '../../shared/ids.js';
@@ -18,36 +18,36 @@
 
 const START = { task: TASK, run: FIRST_RUN };
 
-describe('a job whose only task was ordered to begin', () => {
-  const ordered = (): BatchState => {
+describe('a job whose only task an endpoint was ordered to start', () => {
+  const stateAfterOrder = (): BatchState => {
     const state = stateWithJob();
     see(state, FIRST);
     answer(state, { askedAtMs: 8, nowMs: 10 });
     schedulePool(state, POOL, 20);
     return state;
   };
-  const waitingIn = (state: BatchState): number => countWaiting(state).get(brand('q')) ?? 0;
+  const waitingJobsIn = (state: BatchState): number => countWaiting(state).get(brand('q')) ?? 0;
 
-  it('waits until it is known to have begun: the order may have reached nobody', () => {
-    const state = ordered();
-    expect(waitingIn(state)).toBe(1);
+  it('counts as waiting until its task is known to have started, since the order may have been lost', () => {
+    const state = stateAfterOrder();
+    expect(waitingJobsIn(state)).toBe(1);
     applyStartOutcome(state, FIRST, { ...START, outcome: 'unknown', nowMs: 900 });
-    expect(waitingIn(state)).toBe(1);
+    expect(waitingJobsIn(state)).toBe(1);
   });
 
-  it('waits no more once the order is answered', () => {
-    const state = ordered();
+  it('no longer counts as waiting once the endpoint confirms the start', () => {
+    const state = stateAfterOrder();
     applyStartOutcome(state, FIRST, { ...START, outcome: 'started', nowMs: 25 });
-    expect(waitingIn(state)).toBe(0);
+    expect(waitingJobsIn(state)).toBe(0);
   });
 
-  it('waits no more once its endpoint lists the run, or its end', () => {
+  it('no longer counts as waiting once its endpoint reports the run or its end', () => {
     const running = [{ ...START, checkpoint: '', percent: 10, figure: 0 }];
     const ended = [{ ...START, number: 1, kind: 'stopped' as const, checkpoint: '' }];
     [{ running }, { ended }].forEach((lists) => {
-      const state = ordered();
+      const state = stateAfterOrder();
       answer(state, { ...lists, askedAtMs: 28, nowMs: 30 });
-      expect(waitingIn(state)).toBe(0);
+      expect(waitingJobsIn(state)).toBe(0);
     });
   });
 });
--- a/packages/core/src/batch/jobs/waiting.ts
+++ b/packages/core/src/batch/jobs/waiting.ts
@@ -1,11 +1,11 @@
-/** How many accepted jobs of each queue have no task begun. */
+/** Counts the accepted jobs of each queue of which no task has started. */
 import { isFinal, type BatchState } from '../model/state.js';
 
 /**
- * Counts the jobs that wait.
+ * Counts the live jobs of which no task is known to have started.
  *
- * @param state - All that is known.
- * @returns The count by queue; queues without one are left out.
+ * @param state - The state.
+ * @returns The count by queue; queues without such a job are left out.
  */
 export const countWaiting = (state: BatchState): ReadonlyMap<string, number> => {
   const counts = new Map<string, number>();
