--- a/packages/core/src/batch/accounts/pool-shares.test.ts
+++ b/packages/core/src/batch/accounts/pool-shares.test.ts
@@ -1,4 +1,4 @@
-/** What accounts get where one of them hands in many times its weight into one of several pools. */
+/** Simulates four pools with shared spare hosts while one account submits many times its weight to one of the pools. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName, type PoolName } from '../../shared/ids.js';
@@ -16,9 +16,9 @@
 const PERIOD_MS = 16_000;
 const PEAK_MS = 4000;
 const PEAK_FACTOR = 5;
-/** The peak of a pool takes some eight of its hosts: 500 cores. */
+/** The peak load of a pool takes about eight hosts, which is 500 cores. */
 const PEAK_JOBS_PER_S = 6;
-/** What each account of a pool hands in at its peak. */
+/** The guaranteed rate of each account in jobs a second: above the 1.2 that a regular one submits at the peak. */
 const WEIGHT = 2;
 const HEAVY_FROM_MS = 17_000;
 const HEAVY_FOR_MS = 8000;
@@ -34,7 +34,7 @@
 const isPeak = (index: number, nowMs: number): boolean =>
   Math.floor((nowMs % PERIOD_MS) / PEAK_MS) === index;
 
-const usual: readonly PlayedClient[] = POOLS.flatMap(({ name: pool }, index) =>
+const regularClients: readonly PlayedClient[] = POOLS.flatMap(({ name: pool }, index) =>
   Array.from({ length: ACCOUNTS_PER_POOL }, (_, number) => ({
     name: brand<AccountName>(`${pool}-${number}`),
     pool,
@@ -44,7 +44,7 @@
   })),
 );
 
-const heavyOf = (factor: number): PlayedClient => ({
+const heavyClient = (factor: number): PlayedClient => ({
   name: brand('heavy'),
   pool: brand('a'),
   weight: WEIGHT,
@@ -52,47 +52,61 @@
     nowMs >= HEAVY_FROM_MS && nowMs < HEAVY_FROM_MS + HEAVY_FOR_MS ? factor * WEIGHT : 0,
 });
 
-const playWith = (clients: readonly PlayedClient[], isAdmissionOn: boolean): PlayedFleet =>
+const simulate = (clients: readonly PlayedClient[], isAdmissionOn: boolean): PlayedFleet =>
   playFleet({ pools: POOLS, spareHosts: SPARE_HOSTS, clients, forMs: FOR_MS, isAdmissionOn });
 
-const isOther = ({ client, atMs }: PlayedJob): boolean =>
+const isOfOtherAccount = ({ client, atMs }: PlayedJob): boolean =>
   client.name !== 'heavy' && atMs >= HEAVY_FROM_MS;
 
 const othersInTime = ({ jobs }: PlayedFleet): readonly number[] =>
   POOLS.map(({ name }) =>
-    shareInTime(jobs.filter((job) => isOther(job) && job.client.pool === name)),
+    shareInTime(jobs.filter((job) => isOfOtherAccount(job) && job.client.pool === name)),
   );
 
 const mean = (values: readonly number[]): number =>
-  values.reduce((sum, one) => sum + one, 0) / values.length;
+  values.reduce((sum, value) => sum + value, 0) / values.length;
 
-/** What other accounts get in each pool, as a share of what they get where the heavy one keeps to its weight. */
-const keptByOthers = (factor: number, isAdmissionOn: boolean): readonly number[] => {
-  const without = othersInTime(playWith([...usual, heavyOf(1)], isAdmissionOn));
-  const beside = othersInTime(playWith([...usual, heavyOf(factor)], isAdmissionOn));
-  return beside.map((one, index) => one / (without[index] ?? 0));
+/**
+ * For each pool the share of jobs that the other accounts complete in time, relative to a run in which the heavy
+ * account keeps to its weight.
+ */
+const keptInTimeByOthers = (factor: number, isAdmissionOn: boolean): readonly number[] => {
+  const baseline = othersInTime(simulate([...regularClients, heavyClient(1)], isAdmissionOn));
+  const withHeavyLoad = othersInTime(
+    simulate([...regularClients, heavyClient(factor)], isAdmissionOn),
+  );
+  return withHeavyLoad.map((ratio, index) => ratio / (baseline[index] ?? 0));
 };
 
-// Hosts went to the pool with the largest backlog, whoever was owed it: at 20 times its weight the other pools kept 0.51,
-// 0.75 and 0.93 of what they had without the account.
-describe('an account that hands in many times its weight into one of four pools', () => {
-  it.each([5, 20])('at %s times its weight leaves the other pools what they are owed', (factor) => {
-    const kept = keptByOthers(factor, false);
-    expect(Math.min(...kept)).toBeGreaterThanOrEqual(0.88);
-    expect(mean(kept)).toBeGreaterThanOrEqual(0.96);
-  });
+// Guards against moving hosts to the pool with the largest backlog regardless of whether that backlog is owed. With
+// this fault, and the heavy account at 20 times its weight, the other pools completed only 0.51, 0.75 and 0.93 as many
+// jobs in time as without that account.
+describe('an account that submits many times its weight to one of four pools', () => {
+  it.each([5, 20])(
+    'at %s times its weight leaves the other accounts at least 0.88 of their jobs in time in each pool',
+    (factor) => {
+      const kept = keptInTimeByOthers(factor, false);
+      expect(Math.min(...kept)).toBeGreaterThanOrEqual(0.88);
+      expect(mean(kept)).toBeGreaterThanOrEqual(0.96);
+    },
+  );
 
-  it.each([5, 20])('at %s times its weight is refused what others are not', (factor) => {
-    const { jobs } = playWith([...usual, heavyOf(factor)], true);
-    const refusedOf = (some: readonly PlayedJob[]): number =>
-      some.filter(({ refusals }) => refusals > 0).length / some.length;
-    const ofHeavy = refusedOf(jobs.filter(({ client }) => client.name === 'heavy'));
-    expect(ofHeavy).toBeGreaterThan(0.1);
-    expect(refusedOf(jobs.filter(isOther))).toBeLessThan(Math.min(0.04, 0.1 * ofHeavy));
-  });
+  it.each([5, 20])(
+    'at %s times its weight has more of its jobs refused than the other accounts',
+    (factor) => {
+      const { jobs } = simulate([...regularClients, heavyClient(factor)], true);
+      const refusedRatio = (selected: readonly PlayedJob[]): number =>
+        selected.filter(({ refusals }) => refusals > 0).length / selected.length;
+      const heavyRefusedRatio = refusedRatio(jobs.filter(({ client }) => client.name === 'heavy'));
+      expect(heavyRefusedRatio).toBeGreaterThan(0.1);
+      expect(refusedRatio(jobs.filter(isOfOtherAccount))).toBeLessThan(
+        Math.min(0.04, 0.1 * heavyRefusedRatio),
+      );
+    },
+  );
 
-  it('costs others no more in time where its excess is refused', () => {
-    const kept = keptByOthers(20, true);
+  it('leaves the other accounts as much when admission control refuses its excess', () => {
+    const kept = keptInTimeByOthers(20, true);
     expect(Math.min(...kept)).toBeGreaterThanOrEqual(0.88);
     expect(mean(kept)).toBeGreaterThanOrEqual(0.96);
   });
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -1,4 +1,4 @@
-/** What client accounts may have running, and what counts as running. */
+/** Quotas of client accounts, and which runs count towards them. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName, type EndpointId, type JobId } from '../../shared/ids.js';
@@ -43,8 +43,8 @@
   if (submission.owner) takeOwner(state, submission.owner);
 };
 
-/** A holder with two endpoints of eight cores that have answered. */
-const stateWith = (): BatchState => {
+/** The state of a control holder with two endpoints of eight cores that have reported. */
+const stateWithTwoEndpoints = (): BatchState => {
   const state = createBatchState(2);
   [FIRST, SECOND].forEach((endpointId) => {
     see(state, endpointId);
@@ -58,22 +58,22 @@
     .flatMap(({ runs }) => Array.from(runs.values()))
     .filter(({ step }) => step.job.job.jobId === jobId).length;
 
-const declare = (state: BatchState, ...owners: readonly JobOwner[]): void =>
+const setAccounts = (state: BatchState, ...owners: readonly JobOwner[]): void =>
   takeAccounts(
     state,
     new Map(owners.map(({ account, maximum }) => [account, { maximum, weight: 1 }])),
   );
 
 describe('an account with a maximum', () => {
-  it('has no more running on all endpoints together than that', () => {
-    const state = stateWith();
+  it('never uses more than its maximum on all endpoints together', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { step: { taskCount: 16 }, owner: ownerOf(NORTH, 10_000) });
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[0])).toBe(10);
   });
 
-  it('does not keep others from the room that is left', () => {
-    const state = stateWith();
+  it('leaves the remaining capacity to other accounts', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { step: { taskCount: 16 }, owner: ownerOf(NORTH, 10_000) });
     submit(state, JOBS[1], { step: { taskCount: 6 }, owner: ownerOf(SOUTH, 0) });
     submit(state, JOBS[2], { step: { taskCount: 6 } });
@@ -81,8 +81,8 @@
     expect(JOBS.map((jobId) => runsOf(state, jobId))).toEqual([10, 6, 0]);
   });
 
-  it('does not hold up others by however many steps that wait for it', () => {
-    const state = stateWith();
+  it('does not delay other jobs, however many of its steps wait for the quota', () => {
+    const state = stateWithTwoEndpoints();
     const owner = ownerOf(NORTH, 1000);
     Array.from({ length: 90 }).forEach((_, index) =>
       submit(state, brand<JobId>(`${index}`.padStart(16, '0')), { owner }),
@@ -92,8 +92,8 @@
     expect(runsOf(state, JOBS[2])).toBe(4);
   });
 
-  it('has runs counted until they have surely ended', () => {
-    const state = stateWith();
+  it('is charged for cancelled runs until they have ended with certainty', () => {
+    const state = stateWithTwoEndpoints();
     const owner = ownerOf(NORTH, 8000);
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner });
     schedulePool(state, POOL, 20);
@@ -107,8 +107,8 @@
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 
-  it('has an order that was refused taken off again', () => {
-    const state = stateWith();
+  it('is no longer charged for a start order that the endpoint rejected', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { owner: ownerOf(NORTH, 1000) });
     schedulePool(state, POOL, 20);
     expect(state.usage.get(NORTH)).toMatchObject({ cpuMillis: 1000 });
@@ -122,37 +122,37 @@
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 
-  it('has what it had running when its maximum fell, and begins nothing more', () => {
-    const state = stateWith();
-    declare(state, ownerOf(NORTH, 16_000));
+  it('keeps its running tasks but starts no more when its maximum is lowered', () => {
+    const state = stateWithTwoEndpoints();
+    setAccounts(state, ownerOf(NORTH, 16_000));
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 16_000) });
     schedulePool(state, POOL, 20);
-    declare(state, ownerOf(NORTH, 2000));
+    setAccounts(state, ownerOf(NORTH, 2000));
     submit(state, JOBS[1], { owner: ownerOf(NORTH, 2000) });
     schedulePool(state, POOL, 30);
     expect([runsOf(state, JOBS[0]), runsOf(state, JOBS[1])]).toEqual([8, 0]);
     expect(state.effects.filter(({ kind }) => kind === 'stop')).toEqual([]);
   });
 
-  it('keeps its last maximum once the configuration has lost it', () => {
-    const state = stateWith();
-    declare(state, ownerOf(NORTH, 3000));
-    declare(state);
+  it('keeps its last maximum when the configuration no longer names it', () => {
+    const state = stateWithTwoEndpoints();
+    setAccounts(state, ownerOf(NORTH, 3000));
+    setAccounts(state);
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 9000) });
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[0])).toBe(3);
   });
 
-  it('goes by the row of its job where the configuration has never named it', () => {
-    const state = stateWith();
+  it('uses the maximum stored with its job if the configuration has never named it', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 4000) });
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[0])).toBe(4);
   });
 
-  it('has a task that is wider than half of it begun beside less than half', () => {
-    const state = stateWith();
-    declare(state, ownerOf(NORTH, 8000));
+  it('may start a task of more than half its maximum while it uses less than half', () => {
+    const state = stateWithTwoEndpoints();
+    setAccounts(state, ownerOf(NORTH, 8000));
     submit(state, JOBS[0], { step: { taskCount: 3 }, owner: ownerOf(NORTH, 8000) });
     submit(state, JOBS[1], {
       step: { taskCount: 2, cpuMillis: 6000 },
@@ -162,8 +162,8 @@
     expect([runsOf(state, JOBS[0]), runsOf(state, JOBS[1])]).toEqual([3, 1]);
   });
 
-  it('has a gang begun as a whole or not at all', () => {
-    const state = stateWith();
+  it('starts a gang as a whole or not at all', () => {
+    const state = stateWithTwoEndpoints();
     const gang = { taskCount: 6, isGang: true };
     submit(state, JOBS[0], { step: gang, owner: ownerOf(NORTH, 10_000) });
     submit(state, JOBS[1], { step: gang, owner: ownerOf(NORTH, 10_000) });
@@ -172,10 +172,10 @@
   });
 });
 
-describe('what an earlier holder may have begun', () => {
-  /** A new holder of whose three endpoints the last has not answered. */
-  const inherited = (step: Partial<StepSpec>): BatchState => {
-    const state = stateWith();
+describe('runs that an earlier control holder may have started', () => {
+  /** The state of a new control holder with three endpoints, the last of which has not reported yet. */
+  const stateAfterTakeover = (step: Partial<StepSpec>): BatchState => {
+    const state = stateWithTwoEndpoints();
     see(state, THIRD);
     expectReports(state, [{ instanceId: instanceOf(THIRD), pool: POOL }]);
     state.inheritedLeasesEndAtMs = 9000;
@@ -186,18 +186,18 @@
     return state;
   };
 
-  it('counts as running while an endpoint has not answered', () => {
-    const state = inherited({ taskCount: 4 });
+  it('count as running while an endpoint has not reported', () => {
+    const state = stateAfterTakeover({ taskCount: 4 });
     expect(runsOf(state, JOBS[1])).toBe(6);
   });
 
-  it('counts no more than fits there', () => {
-    const state = inherited({ taskCount: 100 });
+  it('count only up to the capacity of the endpoints that have not reported', () => {
+    const state = stateAfterTakeover({ taskCount: 100 });
     expect(runsOf(state, JOBS[1])).toBe(2);
   });
 
-  it('counts in full while hosts that no list names may hold it', () => {
-    const state = stateWith();
+  it('count in full until the list of hosts is known', () => {
+    const state = stateWithTwoEndpoints();
     state.isHostListAwaited = true;
     state.inheritedLeasesEndAtMs = 9000;
     const step = { taskCount: 9 };
@@ -208,15 +208,15 @@
     expect(runsOf(state, JOBS[1])).toBe(1);
   });
 
-  it('is not counted any more once all have answered', () => {
-    const state = inherited({ taskCount: 4 });
+  it('no longer count once all endpoints have reported', () => {
+    const state = stateAfterTakeover({ taskCount: 4 });
     answer(state, { endpointId: THIRD, askedAtMs: 30, nowMs: 40 });
     reckonUnreported(state, 50);
     expect(state.unreportedUsage.size).toBe(0);
   });
 
-  it('counts where an endpoint lists it though its job has ended', () => {
-    const state = stateWith();
+  it('count while an endpoint reports them although their job has ended', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { owner: ownerOf(NORTH, 1000) });
     cancelJob(state, JOBS[0], NORTH);
     const listed = {
@@ -233,13 +233,13 @@
   });
 });
 
-describe('a job that can never begin under the maximum of its account', () => {
+describe('the quota check of a job before it is accepted', () => {
   it.each([
     [{ cpuMillis: 6000 }, undefined],
     [{ cpuMillis: 10_001 }, 'a task of step 0 needs 10001 cpuMillis'],
     [{ taskCount: 11, isGang: true }, 'the 11 tasks of gang step 0 needs 11000 cpuMillis'],
     [{ taskCount: 11 }, undefined],
-  ])('is told as it comes in: %j', (step, expected) => {
+  ])('names a step that can never start under the maximum: %j', (step, expected) => {
     const fault = findQuotaFault([{ ...PLAIN_STEP, ...step }], ownerOf(NORTH, 10_000));
     if (expected === undefined) expect(fault).toBeUndefined();
     else expect(fault).toContain(expected);
--- a/packages/core/src/batch/accounts/quota.ts
+++ b/packages/core/src/batch/accounts/quota.ts
@@ -1,6 +1,7 @@
 /**
- * What client accounts have running, against what they may. The ledger changes with each run, so that a start
- * costs no search; what an earlier holder may have begun and nobody has reported yet is counted on top.
+ * Quotas of client accounts: the resources that an account's tasks use, compared with the account's maximum. Usage is
+ * updated with each run, so that checking a start needs no search. Runs that an earlier control holder may have started
+ * and that no endpoint has reported yet are counted on top.
  */
 import type { AccountName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
@@ -11,19 +12,19 @@
 import type { BatchState, JobState, StepRun } from '../model/state.js';
 
 /**
- * Names the account of a step's job.
+ * Returns the account of a step's job.
  *
  * @param step - The step.
- * @returns The account; undefined for a job of none.
+ * @returns The account; undefined for a job without an account.
  */
 export const accountOf = ({ job }: Pick<StepRun, 'job'>): AccountName | undefined =>
   job.job.owner?.account;
 
 /**
- * Takes what the configuration says of accounts. One that it does not name any more keeps the maximum that it had:
- * its jobs in hand go on under it.
+ * Sets the accounts of the newest configuration. An account that the configuration no longer names keeps its last
+ * limits, because its accepted jobs continue under them.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param accounts - The accounts of the newest configuration.
  */
 export const takeAccounts = (
@@ -36,9 +37,9 @@
 };
 
 /**
- * Takes the maximum that stands in a job's row, for an account that the configuration has lost.
+ * Records the maximum stored in a job's row. It applies only if no configuration has named the account.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param owner - The job's owner.
  */
 export const takeOwner = (state: BatchState, { account, maximum }: JobOwner): void => {
@@ -47,21 +48,21 @@
 };
 
 /**
- * Gives what an account may have.
+ * Returns the limits of an account.
  *
- * @param state - All that is known.
+ * @param state - The state.
  * @param account - The account.
- * @returns By the configuration, or as it was before the configuration lost it; undefined if nothing is known.
+ * @returns The limits of the newest configuration, or else the last known ones; undefined if none are known.
  */
 export const limitsOf = (state: BatchState, account: AccountName): AccountLimits | undefined =>
   state.accounts.get(account) ?? state.formerAccounts.get(account);
 
 /**
- * Counts a run of a step, or that it is over.
+ * Adds a run of a step to the usage of its account, or subtracts it.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param step - The step.
- * @param sign - 1 for a run that begins or is found, -1 for one that has surely ended.
+ * @param sign - 1 for a run that starts or is discovered, -1 for one that has ended with certainty.
  */
 export const chargeRun = (state: BatchState, step: StepRun, sign: 1 | -1): void => {
   const account = accountOf(step);
@@ -74,12 +75,12 @@
 };
 
 /**
- * Counts what an endpoint lists beside the runs that are known there, until it is gone or lists anew: it was ordered
- * to stop them.
+ * Counts runs that an endpoint reports although they are not known there, and which it was ordered to stop. They count
+ * until the endpoint is gone or reports again.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The state, changed in place.
  * @param endpoint - The endpoint.
- * @param strays - The steps of what it lists.
+ * @param strays - The steps of these runs; they replace those of the previous report.
  */
 export const chargeStrays = (
   state: BatchState,
@@ -91,20 +92,22 @@
   change(endpoint, { strays });
 };
 
-const isWithin = (taken: number, need: number, most: number, count: number): boolean =>
-  most === 0 ||
-  taken + count * need <= most ||
-  // A task wider than half its maximum would wait for ever beside any other of its account.
-  (count === 1 && 2 * taken < most);
+const fitsMaximum = (used: number, need: number, maximum: number, count: number): boolean =>
+  maximum === 0 ||
+  used + count * need <= maximum ||
+  // Without this exception a task that needs more than half of the maximum would wait forever while other tasks of its
+  // account keep running.
+  (count === 1 && 2 * used < maximum);
 
 /**
- * Tells whether tasks of a step may begin under the maximum of their account. An account that has less than half of
- * its maximum running may always begin one more task; beyond that it stays within the maximum.
+ * Tells whether tasks of a step may start under the maximum of their account. An account that uses less than half of
+ * its maximum may always start one more task, even if it then exceeds the maximum; otherwise it has to stay within the
+ * maximum.
  *
- * @param state - All that is known.
+ * @param state - The state.
  * @param step - The step.
- * @param count - How many begin together.
- * @returns False while what the account has running, or may have, leaves no room.
+ * @param count - How many tasks start together.
+ * @returns False while the known and the possible runs of the account leave too little of its maximum.
  */
 export const isWithinQuota = (state: BatchState, step: StepRun, count = 1): boolean => {
   const account = accountOf(step);
@@ -113,17 +116,17 @@
   const usage = state.usage.get(account);
   const unreported = state.unreportedUsage.get(account);
   return RESOURCES.every((resource) => {
-    const taken = (usage?.[resource] ?? 0) + (unreported?.[resource] ?? 0);
-    return isWithin(taken, step.spec[resource], maximum[resource], count);
+    const used = (usage?.[resource] ?? 0) + (unreported?.[resource] ?? 0);
+    return fitsMaximum(used, step.spec[resource], maximum[resource], count);
   });
 };
 
 /**
- * Tells what of a job can never begin under a maximum, before it is accepted.
+ * Checks before a job is accepted whether each of its steps can ever start under the maximum of the account.
  *
- * @param steps - Its steps.
- * @param owner - Its owner; undefined for a job of no account.
- * @returns The fault, for people, or undefined.
+ * @param steps - The steps of the job.
+ * @param owner - The owner of the job; undefined for a job without an account.
+ * @returns A message about the first step that cannot start; undefined if there is none.
  */
 export const findQuotaFault = (
   steps: readonly StepSpec[],
@@ -132,25 +135,28 @@
   if (!owner) return undefined;
   const { account, maximum } = owner;
   const faults = steps.flatMap((step, number) => {
-    const together = step.isGang ? step.taskCount : 1;
+    const concurrentTasks = step.isGang ? step.taskCount : 1;
     const over = RESOURCES.find(
-      (resource) => maximum[resource] > 0 && step[resource] * together > maximum[resource],
+      (resource) => maximum[resource] > 0 && step[resource] * concurrentTasks > maximum[resource],
     );
     if (over === undefined) return [];
-    const what = step.isGang ? `the ${together} tasks of gang` : 'a task of';
-    const need = step[over] * together;
+    const subject = step.isGang ? `the ${concurrentTasks} tasks of gang` : 'a task of';
+    const need = step[over] * concurrentTasks;
     return [
-      `${what} step ${number} needs ${need} ${over}, account=${account} may have ${maximum[over]}`,
+      `${subject} step ${number} needs ${need} ${over}, account=${account} may have ${maximum[over]}`,
     ];
   });
   return faults[0];
 };
 
-const mayBeUnreported = (job: JobState): readonly StepRun[] =>
+const stepsOf = (job: JobState): readonly StepRun[] =>
   Array.from(job.occurrences.values()).flatMap(({ steps }) => steps);
 
-/** What waits here of inherited jobs and may run where nobody has answered, by account. */
-const inheritedWork = (
+/**
+ * The needs of waiting tasks of inherited jobs, by account: an endpoint that has not reported yet may be running them.
+ * `fills` is the part that runs on spare processors, see `StepSpec.fillsGaps`.
+ */
+const inheritedNeeds = (
   state: BatchState,
 ): Map<AccountName, { readonly all: Usage; readonly fills: Usage }> => {
   const work = new Map<AccountName, { readonly all: Usage; readonly fills: Usage }>();
@@ -159,7 +165,7 @@
     if (account === undefined || !job.isInherited) return;
     const sums = work.get(account) ?? { all: noUsage(), fills: noUsage() };
     work.set(account, sums);
-    mayBeUnreported(job).forEach(({ spec, waiting }) =>
+    stepsOf(job).forEach(({ spec, waiting }) =>
       RESOURCES.forEach((resource) => {
         sums.all[resource] += waiting.length * spec[resource];
         if (spec.fillsGaps) sums.fills[resource] += waiting.length * spec[resource];
@@ -169,9 +175,12 @@
   return work;
 };
 
-/** The room of the endpoints that have not answered; one that nothing is known of counts as the largest. */
-const unreportedRoom = (state: BatchState): Usage => {
-  const room = noUsage();
+/**
+ * The total capacity of the endpoints that have not reported yet. An endpoint of unknown capacity counts with the
+ * largest known amount of each resource.
+ */
+const unreportedCapacity = (state: BatchState): Usage => {
+  const total = noUsage();
   const largest = noUsage();
   state.endpoints.forEach(({ capacity }) =>
     RESOURCES.forEach((resource) => {
@@ -182,45 +191,47 @@
     notReported.forEach((instanceId) => {
       const capacity = state.lives.get(instanceId)?.capacity ?? largest;
       RESOURCES.forEach((resource) => {
-        room[resource] += capacity[resource];
+        total[resource] += capacity[resource];
       });
     }),
   );
-  return room;
+  return total;
 };
 
-const isAnyAwaited = (state: BatchState): boolean =>
+const isAnyReportAwaited = (state: BatchState): boolean =>
   state.isHostListAwaited ||
   Array.from(state.pools.values()).some(({ notReported }) => notReported.size > 0);
 
-/** Whether an earlier holder may still have runs that nobody has told of. */
+/** Whether runs started by an earlier control holder may still exist that no endpoint has reported. */
 const mayRunUnreported = (state: BatchState, nowMs: number): boolean =>
-  isAnyAwaited(state) && (nowMs < state.inheritedLeasesEndAtMs || nowMs >= state.soleHolderUntilMs);
+  isAnyReportAwaited(state) &&
+  (nowMs < state.inheritedLeasesEndAtMs || nowMs >= state.soleHolderUntilMs);
 
-/** How often what may run unreported is reckoned anew; between two times it only shrinks. */
-const RECKON_EVERY_MS = 100;
+/** Interval between two estimates of the unreported usage. It only shrinks in between, so an old estimate is safe. */
+const ESTIMATE_INTERVAL_MS = 100;
 
 /**
- * Reckons what accounts may have running that an earlier holder began and no endpoint has told of: the waiting work
- * of inherited jobs, and not more than fits on the endpoints that have not answered.
+ * Updates the estimate of the usage by runs that an earlier control holder started and no endpoint has reported yet:
+ * the waiting tasks of inherited jobs, but no more than fits on the endpoints that have not reported. The limit by
+ * capacity applies only once the list of hosts is known.
  *
- * @param state - All that is known, changed in place.
- * @param nowMs - The time.
+ * @param state - The state, changed in place.
+ * @param nowMs - The current time by the monotonic clock.
  */
 export const reckonUnreported = (state: BatchState, nowMs: number): void => {
   if (!mayRunUnreported(state, nowMs)) {
     if (state.unreportedUsage.size > 0) change(state, { unreportedUsage: new Map() });
     return;
   }
-  if (nowMs - state.unreportedAtMs < RECKON_EVERY_MS) return;
-  const room = unreportedRoom(state);
-  const isRoomKnown = !state.isHostListAwaited;
+  if (nowMs - state.unreportedAtMs < ESTIMATE_INTERVAL_MS) return;
+  const capacity = unreportedCapacity(state);
+  const isCapacityKnown = !state.isHostListAwaited;
   const unreportedUsage = new Map<AccountName, Usage>();
-  inheritedWork(state).forEach(({ all, fills }, account) => {
+  inheritedNeeds(state).forEach(({ all, fills }, account) => {
     const usage = noUsage();
     RESOURCES.forEach((resource) => {
-      // What fills gaps takes no processors of the room.
-      const bound = isRoomKnown ? room[resource] + fills[resource] : Infinity;
+      // Steps that fill gaps reserve no processors, so they come on top of the capacity.
+      const bound = isCapacityKnown ? capacity[resource] + fills[resource] : Infinity;
       usage[resource] = Math.min(all[resource], bound);
     });
     unreportedUsage.set(account, usage);
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-play.fixtures.ts
@@ -1,4 +1,6 @@
-/** A pool under load from client accounts, step by step, with what each account gets in time. */
+/**
+ * Simulates a pool under load from client accounts in fixed time steps and counts what each account completes in time.
+ */
 import { brand, type AccountName, type EndpointId, type JobId } from '../../shared/ids.js';
 import { NO_LIMIT } from '../model/capacity.js';
 import { answer, POOL, see } from '../testing/batch-state.fixtures.js';
@@ -17,23 +19,24 @@
 const POLICY = { priority: 0, maxAttempts: 3, stretch: 2, targetLatencyMs: 600 };
 const OBJECTIVE_MS = POLICY.stretch * RUN_MS + POLICY.targetLatencyMs;
 
-/** How much an account hands in. */
+/** An account with its weight and the rate at which it submits jobs. */
 export type PlayedAccount = {
   readonly name: AccountName;
   readonly weight: number;
   readonly jobsPerS: number;
 };
 
+/** What a simulation runs. */
 export type SharePlay = {
   readonly way: OrderWay;
   readonly accounts: readonly PlayedAccount[];
-  /** Eight tasks each. */
+  /** The number of endpoints; each runs eight tasks at once. */
   readonly endpoints: number;
   readonly forMs: number;
 };
 
-/** A source of chance that repeats. */
-const createChance = (): (() => number) => {
+/** Creates a random generator with a fixed seed, so that each simulation is repeatable. */
+const createRandom = (): (() => number) => {
   let state = 7;
   return () => {
     state = (state * 48271) % 2147483647;
@@ -42,10 +45,10 @@
 };
 
 /**
- * Plays a load.
+ * Simulates a load.
  *
- * @param play - The order, the accounts and the room.
- * @returns For each account the share of what it is owed that is done in time.
+ * @param play - The order of the queue, the accounts, the endpoints and the duration.
+ * @returns For each account the number of jobs completed in time, relative to the jobs that it is owed.
  */
 export const playShares = ({
   way,
@@ -59,8 +62,8 @@
   takeAccounts(state, new Map(limits));
   const ids = Array.from({ length: endpoints }, (_, index) => brand<EndpointId>(`i-${index}`));
   ids.forEach((endpointId) => see(state, endpointId));
-  const random = createChance();
-  const handedIn = new Map<JobId, { readonly name: AccountName; readonly atMs: number }>();
+  const random = createRandom();
+  const submissions = new Map<JobId, { readonly name: AccountName; readonly atMs: number }>();
   const inTime = new Map<AccountName, number>();
   const ends: {
     readonly endpointId: EndpointId;
@@ -72,7 +75,7 @@
   const submit = ({ name }: PlayedAccount, nowMs: number): void => {
     jobs += 1;
     const jobId = brand<JobId>(jobs.toString(16).padStart(16, '0'));
-    handedIn.set(jobId, { name, atMs: nowMs });
+    submissions.set(jobId, { name, atMs: nowMs });
     takeInJob(state, {
       job: {
         jobId,
@@ -92,43 +95,43 @@
     });
   };
 
-  const begin = (endpointId: EndpointId, task: TaskKey, run: number, nowMs: number): void => {
+  const scheduleEnd = (endpointId: EndpointId, task: TaskKey, run: number, nowMs: number): void => {
     const end = { number: ends.length + 1, task, run, kind: 'done' as const, checkpoint: '' };
     ends.push({ endpointId, atMs: nowMs + RUN_MS, end });
   };
 
-  const noteDone = (nowMs: number): void =>
+  const countCompleted = (nowMs: number): void =>
     state.jobs.forEach((job, jobId) => {
       if (job.phase !== 'completed') return;
-      const { name, atMs } = handedIn.get(jobId) ?? { name: undefined, atMs: 0 };
+      const { name, atMs } = submissions.get(jobId) ?? { name: undefined, atMs: 0 };
       if (name && nowMs - atMs <= OBJECTIVE_MS) inTime.set(name, (inTime.get(name) ?? 0) + 1);
       state.jobs.delete(jobId);
     });
 
-  // What is handed in last has its time, too.
+  // Runs on for one objective, so that the jobs submitted last can complete in time, too.
   for (let nowMs = 0; nowMs < forMs + OBJECTIVE_MS; nowMs += STEP_MS) {
     accounts.forEach((account) => {
-      const isDrawn = random() < (account.jobsPerS * STEP_MS) / 1000;
-      if (isDrawn && nowMs < forMs) submit(account, nowMs);
+      const isArrival = random() < (account.jobsPerS * STEP_MS) / 1000;
+      if (isArrival && nowMs < forMs) submit(account, nowMs);
     });
     ids.forEach((endpointId) => {
-      const over = ends.filter((one) => one.endpointId === endpointId && one.atMs === nowMs);
-      answer(state, { endpointId, ended: over.map(({ end }) => end), askedAtMs: 0, nowMs });
+      const due = ends.filter((entry) => entry.endpointId === endpointId && entry.atMs === nowMs);
+      answer(state, { endpointId, ended: due.map(({ end }) => end), askedAtMs: 0, nowMs });
     });
-    noteDone(nowMs);
+    countCompleted(nowMs);
     schedulePool(state, POOL, nowMs);
     takeEffects(state).forEach((effect) => {
-      if (effect.kind === 'start') begin(effect.endpointId, effect.task, effect.run, nowMs);
+      if (effect.kind === 'start') scheduleEnd(effect.endpointId, effect.task, effect.run, nowMs);
     });
   }
-  const owedOf = ({ name, weight }: PlayedAccount): number => {
-    const own = Array.from(handedIn.values()).filter((one) => one.name === name);
-    return Math.min(own.length, (weight * forMs) / 1000);
+  const owedJobsOf = ({ name, weight }: PlayedAccount): number => {
+    const submitted = Array.from(submissions.values()).filter((entry) => entry.name === name);
+    return Math.min(submitted.length, (weight * forMs) / 1000);
   };
   return new Map(
     accounts.map((account) => [
       account.name,
-      (inTime.get(account.name) ?? 0) / Math.max(1, owedOf(account)),
+      (inTime.get(account.name) ?? 0) / Math.max(1, owedJobsOf(account)),
     ]),
   );
 };
--- a/packages/core/src/batch/accounts/shares.test.ts
+++ b/packages/core/src/batch/accounts/shares.test.ts
@@ -1,11 +1,11 @@
-/** What accounts get of a full pool, by the way in which the queue is ordered. */
+/** How an overloaded pool is shared between accounts when its queue is ordered by `owed-then-fair`. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName } from '../../shared/ids.js';
 import { playShares, type PlayedAccount } from './share-play.fixtures.js';
 
 const FOR_MS = 20_000;
-/** 64 places for tasks of half a second: 32 jobs of four tasks a second. */
+/** 8 endpoints of 8 slots run 64 tasks of 0.5 s at once, which is 32 jobs of four tasks a second. */
 const ENDPOINTS = 8;
 
 const accountsOf = (count: number, jobsPerS: number, weight: number): readonly PlayedAccount[] =>
@@ -16,50 +16,50 @@
   }));
 
 const meanOf = (values: readonly number[]): number =>
-  values.reduce((sum, one) => sum + one, 0) / values.length;
+  values.reduce((sum, value) => sum + value, 0) / values.length;
 
-describe('an account that hands in ten times its weight', () => {
+describe('an account that submits ten times its weight', () => {
   const others = accountsOf(10, 2, 4);
   const heavy: PlayedAccount = { name: brand('heavy'), weight: 4, jobsPerS: 40 };
 
-  const othersEarn = (accounts: readonly PlayedAccount[]): number => {
-    const played = playShares({
+  const othersInTime = (accounts: readonly PlayedAccount[]): number => {
+    const inTimeRatioByAccount = playShares({
       way: 'owed-then-fair',
       accounts,
       endpoints: ENDPOINTS,
       forMs: FOR_MS,
     });
-    return meanOf(others.map(({ name }) => played.get(name) ?? 0));
+    return meanOf(others.map(({ name }) => inTimeRatioByAccount.get(name) ?? 0));
   };
 
-  it('costs the others under 3 % of what they earn without it', () => {
-    const without = othersEarn(others);
-    expect(without).toBeGreaterThan(0.9);
-    expect(othersEarn([...others, heavy])).toBeGreaterThan(0.97 * without);
+  it('reduces what the other accounts complete in time by less than 3 %', () => {
+    const baseline = othersInTime(others);
+    expect(baseline).toBeGreaterThan(0.9);
+    expect(othersInTime([...others, heavy])).toBeGreaterThan(0.97 * baseline);
   });
 
-  it('gets what nobody else wants, beyond what it is owed', () => {
+  it('gets the capacity that other accounts leave unused, beyond its guaranteed rate', () => {
     const accounts = [...accountsOf(2, 1, 2), { ...heavy, jobsPerS: 20 }];
-    const played = playShares({
+    const inTimeRatioByAccount = playShares({
       way: 'owed-then-fair',
       accounts,
       endpoints: ENDPOINTS,
       forMs: FOR_MS,
     });
-    expect(played.get(heavy.name)).toBeGreaterThan(4);
+    expect(inTimeRatioByAccount.get(heavy.name)).toBeGreaterThan(4);
   });
 });
 
-describe('twenty equal accounts in a full pool', () => {
-  it('leave the worst-served at least 0.9 of the mean', () => {
+describe('twenty equal accounts in an overloaded pool', () => {
+  it('give the account that is served worst at least 0.9 of the mean', () => {
     const accounts = accountsOf(20, 1.6, 3);
-    const played = playShares({
+    const inTimeRatioByAccount = playShares({
       way: 'owed-then-fair',
       accounts,
       endpoints: ENDPOINTS,
       forMs: FOR_MS,
     });
-    const earned = Array.from(played.values());
-    expect(Math.min(...earned)).toBeGreaterThanOrEqual(0.9 * meanOf(earned));
+    const inTimeRatios = Array.from(inTimeRatioByAccount.values());
+    expect(Math.min(...inTimeRatios)).toBeGreaterThanOrEqual(0.9 * meanOf(inTimeRatios));
   });
 });
--- a/packages/core/src/batch/accounts/shares.ts
+++ b/packages/core/src/batch/accounts/shares.ts
@@ -1,20 +1,21 @@
 /**
- * Shares of client accounts: each is owed as many jobs a second as its weight. What it hands in beyond that waits
- * behind what others are owed while room is short, and gets what nobody else wants.
+ * Fair shares of client accounts. The weight of an account is its guaranteed rate in jobs a second: jobs within this
+ * rate are owed to the account. While capacity is scarce, jobs beyond it wait behind the owed jobs of all accounts;
+ * they get the capacity that owed jobs leave unused.
  */
 import type { AccountName } from '../../shared/ids.js';
 import { OWED, type AccountShare, type JobShare } from '../model/share.js';
 import { limitsOf } from './quota.js';
 import type { BatchState, JobState } from '../model/state.js';
 
-/** A job that its account is not owed waits behind others for no longer than this. */
-const LONGEST_BEHIND_MS = 20_000;
-/** An account that was quiet may hand in the jobs of so long at once. */
-const SAVED_S = 1;
+/** A job beyond the guaranteed rate waits behind owed jobs for at most this long, so that it is never starved. */
+const MAX_DEFERRAL_MS = 20_000;
+/** Burst allowance: an idle account saves up the owed jobs of at most this many seconds. */
+const BURST_ALLOWANCE_S = 1;
 const MS_PER_S = 1000;
 
-const newShare = (weight: number): AccountShare => ({
-  jobsLeft: weight * SAVED_S,
+const createShare = (weight: number): AccountShare => ({
+  jobsLeft: weight * BURST_ALLOWANCE_S,
   settledAtMs: -Infinity,
   virtualEnd: 0,
 });
@@ -22,20 +23,20 @@
 const shareOf = (state: BatchState, account: AccountName, weight: number): AccountShare => {
   const known = state.shares.get(account);
   if (known) return known;
-  const built = newShare(weight);
-  state.shares.set(account, built);
-  return built;
+  const created = createShare(weight);
+  state.shares.set(account, created);
+  return created;
 };
 
-/** Where the next job of an account would stand, and what the account would then be owed. */
+/** The rank of the next job of an account, and the share of the account after it; the share itself is not changed. */
 const nextShare = (
   share: AccountShare,
   weight: number,
   nowMs: number,
 ): { readonly job: JobShare; readonly after: AccountShare } => {
-  const passedS = Math.max(0, nowMs - share.settledAtMs) / MS_PER_S;
-  const most = Math.max(1, weight * SAVED_S);
-  const jobsLeft = Math.min(most, share.jobsLeft + passedS * weight);
+  const elapsedS = Math.max(0, nowMs - share.settledAtMs) / MS_PER_S;
+  const maxJobs = Math.max(1, weight * BURST_ALLOWANCE_S);
+  const jobsLeft = Math.min(maxJobs, share.jobsLeft + elapsedS * weight);
   const isOwed = jobsLeft >= 1;
   const virtualStart = Math.max(share.virtualEnd, nowMs / MS_PER_S);
   return {
@@ -49,12 +50,12 @@
 };
 
 /**
- * Tells where a job of an account would stand if it came now.
+ * Returns the rank that a job of an account would get if it was accepted now.
  *
- * @param state - All that is known.
- * @param account - The job's account; undefined for a job of none.
- * @param nowMs - The time.
- * @returns Where the job would stand.
+ * @param state - The state.
+ * @param account - The account of the job; undefined for a job without an account.
+ * @param nowMs - The current time by the monotonic clock.
+ * @returns Its rank; a job without an account, or of an account without a weight, counts as owed.
  */
 export const peekShare = (
   state: BatchState,
@@ -63,16 +64,16 @@
 ): JobShare => {
   const weight = account === undefined ? 0 : (limitsOf(state, account)?.weight ?? 0);
   if (account === undefined || weight === 0) return OWED;
-  return nextShare(state.shares.get(account) ?? newShare(weight), weight, nowMs).job;
+  return nextShare(state.shares.get(account) ?? createShare(weight), weight, nowMs).job;
 };
 
 /**
- * Takes a new job into the account of what its client account is owed.
+ * Deducts an accepted job from the share of its account.
  *
- * @param state - All that is known, changed in place.
- * @param account - The job's account; undefined for a job of none.
- * @param nowMs - The time.
- * @returns Where the job stands.
+ * @param state - The state, changed in place.
+ * @param account - The account of the job; undefined for a job without an account.
+ * @param nowMs - The current time by the monotonic clock.
+ * @returns The rank of the job; a job without an account, or of an account without a weight, counts as owed.
  */
 export const takeShare = (
   state: BatchState,
@@ -88,11 +89,11 @@
 };
 
 /**
- * Tells whether a job goes with those that accounts are owed.
+ * Tells whether a job is ordered among the owed jobs.
  *
  * @param job - The job.
- * @param nowMs - The time.
- * @returns True also for one beyond its account's share that has waited for long.
+ * @param nowMs - The current time by the monotonic clock.
+ * @returns True for an owed job, and for any other job that has waited longer than `MAX_DEFERRAL_MS`.
  */
 export const goesWithOwed = ({ share, sinceMs }: JobState, nowMs: number): boolean =>
-  share.isOwed || nowMs - sinceMs > LONGEST_BEHIND_MS;
+  share.isOwed || nowMs - sinceMs > MAX_DEFERRAL_MS;
