--- a/packages/core/src/batch/index.ts
+++ b/packages/core/src/batch/index.ts
@@ -1,4 +1,7 @@
-/** Batch work: jobs, their tasks, endpoints, pools and maintenance. Decisions only, no transport. */
+/**
+ * Batch processing: decision logic for jobs and their tasks, endpoints, pools and maintenance. Contains no communication
+ * with other processes.
+ */
 export * from './accounts/quota.js';
 export * from './accounts/shares.js';
 export * from './crashes/endpoint-crashes.js';
