--- a/packages/core/src/batch/maintenance/candidate-order.ts
+++ b/packages/core/src/batch/maintenance/candidate-order.ts
@@ -1,4 +1,4 @@
-/** In which order hosts of a maintenance wave are considered. */
+/** Determines the order in which the hosts of a maintenance wave are considered. */
 import * as B from 'fp-ts/lib/boolean.js';
 import { pipe } from 'fp-ts/lib/function.js';
 import * as N from 'fp-ts/lib/number.js';
@@ -8,20 +8,21 @@
 import type { Candidate, UpkeepRound } from './upkeep-rules.js';
 import { latestBeginMs } from './wave-plan.js';
 
-/** A host with what decides its place, worked out once. */
+/** A host with its sort keys, computed once per sort. */
 type RankedHost = {
   readonly candidate: Candidate;
   readonly isEvacuated: boolean;
-  readonly isClosing: boolean;
-  /** It must begin now on account of a lasting step. */
+  readonly isDraining: boolean;
+  /** True if the deadline of one of its long-running steps to start draining has passed. */
   readonly isOverdue: boolean;
-  /** How many hosts of its rack have begun. */
-  readonly begunInRack: number;
-  readonly weight: number;
+  /** Number of hosts in its rack that have started draining or gone further. */
+  readonly startedInRack: number;
+  /** Estimated cost of losing the host; 0 for spare and empty hosts. */
+  readonly lossCost: number;
 };
 
-/** How much a host's loss would cost; 0 for spare and empty hosts. */
-const weightOf = ({ endpoint }: Candidate): number => {
+/** Estimates the cost of losing a host: its long-running tasks plus its CPU usage. 0 for spare and empty hosts. */
+const estimateLossCost = ({ endpoint }: Candidate): number => {
   if (!endpoint || endpoint.runs.size === 0) return 0;
   const { used, capacity, runs } = endpoint;
   const lasting = Array.from(runs.values()).filter(({ step }) => step.spec.isLasting).length;
@@ -31,54 +32,56 @@
 const trueFirst = Ord.reverse(B.Ord);
 const mostFirst = Ord.reverse(N.Ord);
 
-const byPlace: readonly Ord.Ord<RankedHost>[] = [
+const sortOrder: readonly Ord.Ord<RankedHost>[] = [
   pipe(
     trueFirst,
     Ord.contramap(({ isEvacuated }: RankedHost) => isEvacuated),
   ),
   pipe(
     trueFirst,
-    Ord.contramap(({ isClosing }: RankedHost) => isClosing),
+    Ord.contramap(({ isDraining }: RankedHost) => isDraining),
   ),
-  // The hosts of a step go one after the other: others that only the maximum holds up can go beside them.
+  // Hosts with tasks of the same long-running step go one after the other. Hosts that are limited only by the
+  // maximum can go in parallel with them.
   pipe(
     trueFirst,
     Ord.contramap(({ isOverdue }: RankedHost) => isOverdue),
   ),
-  // A rack that has begun goes on before the next one begins.
+  // Finish a rack that has started before starting the next one.
   pipe(
     mostFirst,
-    Ord.contramap(({ begunInRack }: RankedHost) => begunInRack),
+    Ord.contramap(({ startedInRack }: RankedHost) => startedInRack),
   ),
   pipe(
     N.Ord,
-    Ord.contramap(({ weight }: RankedHost) => weight),
+    Ord.contramap(({ lossCost }: RankedHost) => lossCost),
   ),
 ];
 
 /**
- * Sorts hosts of a wave.
+ * Sorts the hosts of a wave by the order in which they should go down.
  *
  * @param candidates - The hosts.
- * @param round - The pass, with the wave's plan.
- * @param begun - How many hosts of each rack have begun.
- * @returns Those of evacuated data centres first, then those that drain, then those that a step makes urgent, then by rack and by what their loss costs.
+ * @param round - The planning pass, with the wave's plan.
+ * @param startedByRack - Number of hosts per rack that have started.
+ * @returns Hosts of evacuated data centres first, then draining hosts, then hosts whose long-running steps make them
+ *   urgent, then by the number of started hosts in their rack (most first) and by the cost of losing them (lowest first).
  */
 export const sortCandidates = (
   candidates: readonly Candidate[],
   { plan, nowMs }: UpkeepRound,
-  begun: ReadonlyMap<string, number>,
+  startedByRack: ReadonlyMap<string, number>,
 ): readonly Candidate[] =>
   pipe(
     candidates,
     RA.map((candidate): RankedHost => ({
       candidate,
       isEvacuated: candidate.isEvacuated,
-      isClosing: candidate.host.phase === 'closing',
+      isDraining: candidate.host.phase === 'closing',
       isOverdue: candidate.lasting.size > 0 && nowMs >= latestBeginMs(plan, candidate),
-      begunInRack: begun.get(candidate.rack) ?? 0,
-      weight: weightOf(candidate),
+      startedInRack: startedByRack.get(candidate.rack) ?? 0,
+      lossCost: estimateLossCost(candidate),
     })),
-    RA.sortBy(byPlace),
+    RA.sortBy(sortOrder),
     RA.map(({ candidate }) => candidate),
   );
--- a/packages/core/src/batch/maintenance/early-moves.test.ts
+++ b/packages/core/src/batch/maintenance/early-moves.test.ts
@@ -1,18 +1,18 @@
-/** Lasting tasks that move off hosts of a wave before these go down. */
+/** Tests of moving long-running tasks off the hosts of a maintenance wave before the hosts go down. */
 import { describe, expect, it } from 'vitest';
 
 import type { TaskKey } from '../model/job.js';
 import type { EndpointState } from '../model/state.js';
 import { EARLY_MS, waveOver } from '../testing/upkeep-wave.fixtures.js';
 
-/** Hosts of a wave that carry a lasting and a short task each: 4 of one step take 10 s, and 12 s are kept. */
+/** Too short for 4 hosts with tasks of one step: they take 10 s, and 12 s are reserved before the deadline. */
 const TIGHT_MS = 14_000;
 const LASTING = { isLasting: true, mayMiss: 1, mostPerEndpoint: 1 };
 
-const movesIn = ({ effects }: ReturnType<typeof waveOver>['state']): readonly string[] =>
+const movedTasks = ({ effects }: ReturnType<typeof waveOver>['state']): readonly string[] =>
   effects.flatMap((effect) => (effect.kind === 'stop' ? [effect.task] : []));
 
-/** A wave over hosts at work with a lasting task each, beside empty hosts. */
+/** Creates a wave over hosts with one long-running and one short task each, and empty hosts outside the wave. */
 const busyWave = (hostCount: number, besideCount: number, withinMs = TIGHT_MS, mayMiss = 1) => {
   const made = waveOver(hostCount, hostCount, withinMs, besideCount);
   const places = Array.from({ length: hostCount }, (_, index) => index);
@@ -21,79 +21,80 @@
   return { ...made, step };
 };
 
-describe('a lasting task on a host of a wave', () => {
-  it('moves where the hosts of its step would take too long one after the other', () => {
-    // Guards against 12 hosts that took 25.7 s of 26 s, each with its task.
+describe('a long-running task on a host of a maintenance wave', () => {
+  it('moves if the hosts of its step would miss the deadline one after the other', () => {
+    // Regression: 12 hosts, each going down with its task, took 25.7 s of 26 s.
     const { state, plan, hosts } = busyWave(4, 4);
     expect(plan(0)).toEqual([]);
-    expect(movesIn(state)).toHaveLength(1);
+    expect(movedTasks(state)).toHaveLength(1);
     expect(hosts().map(({ phase }) => phase)).toContain('closing');
   });
 
-  it('stays while there is time for each host to go with its task', () => {
+  it('stays while there is time for each host to go down with its task', () => {
     const { state, plan } = busyWave(4, 4, EARLY_MS);
     plan(0);
-    expect(movesIn(state)).toEqual([]);
+    expect(movedTasks(state)).toEqual([]);
   });
 
-  it('stays where no host without maintenance ahead has room', () => {
+  it('stays if no host without pending maintenance has capacity', () => {
     const { state, plan } = busyWave(4, 0);
     plan(0);
-    expect(movesIn(state)).toEqual([]);
+    expect(movedTasks(state)).toEqual([]);
   });
 
-  it('stays while another of its step is away', () => {
+  it('stays while another task of its step is unavailable', () => {
     const { state, plan, endpoints } = busyWave(4, 4);
     endpoints[3]?.runs.forEach((run) => Object.assign(run, { percent: 0 }));
     plan(0);
-    expect(movesIn(state)).toEqual([]);
+    expect(movedTasks(state)).toEqual([]);
   });
 
-  it('stays while a rack or a data centre is suspected lost', () => {
+  it('stays while a rack or data centre is suspected lost', () => {
     const { state, plan } = busyWave(4, 4);
     Object.assign(state, { suspectedDomains: new Set(['rack-7']) });
     plan(0);
-    expect(movesIn(state)).toEqual([]);
+    expect(movedTasks(state)).toEqual([]);
   });
 
-  it('moves once', () => {
+  it('moves only once per wave', () => {
     const fresh = busyWave(1, 4, 1000);
     fresh.plan(0);
-    expect(movesIn(fresh.state)).toHaveLength(1);
+    expect(movedTasks(fresh.state)).toHaveLength(1);
     const { state, plan, wave } = busyWave(1, 4, 1000);
     const [key] = Array.from(state.endpoints.values()).flatMap(({ runs }) =>
       Array.from(runs.keys()),
     );
     wave.moved.add(key as TaskKey);
     plan(0);
-    expect(movesIn(state)).toEqual([]);
+    expect(movedTasks(state)).toEqual([]);
   });
 
-  it('moves within the allowance, one after the other while there is time and no more at the end', () => {
+  it('does not move while there is time, and moves up to the full disruption budget near the deadline', () => {
     const inTime = busyWave(12, 12, 2 * 60_000, 2);
     inTime.plan(0);
-    expect(movesIn(inTime.state)).toHaveLength(0);
+    expect(movedTasks(inTime.state)).toHaveLength(0);
     const atTheEnd = busyWave(12, 12, TIGHT_MS, 2);
     atTheEnd.plan(0);
     atTheEnd.plan(250);
-    expect(movesIn(atTheEnd.state)).toHaveLength(2);
+    expect(movedTasks(atTheEnd.state)).toHaveLength(2);
   });
 
-  it('goes with a host that has nothing else on it', () => {
+  it('goes down with a host that runs nothing else', () => {
     const { state, runOn, plan } = waveOver(2, 2, TIGHT_MS, 2);
     runOn('served', LASTING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
-    expect(movesIn(state)).toEqual([]);
+    expect(movedTasks(state)).toEqual([]);
   });
 
-  it('moves off a host with two of its step while others are away, so that one goes with the host', () => {
-    // Guards against "2 of 22 tasks are not at work, 2 would go, 2 may be missed": both at once never fitted.
+  it('moves off a host with two tasks of its step once no other is unavailable, so that only one goes down with the host', () => {
+    // Regression: with "2 of 22 tasks are not at work, 2 would go, 2 may be missed", the budget never had room for both
+    // tasks of the host at the same time.
     const { state, runOn, plan, endpoints } = waveOver(1, 1, EARLY_MS, 4);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 0, 1, 2]);
     (endpoints[2] as EndpointState).runs.forEach((run) => Object.assign(run, { percent: 0 }));
     expect(plan(0)).toEqual([]);
     endpoints[2]?.runs.forEach((run) => Object.assign(run, { percent: 100 }));
     plan(250, true);
-    expect(movesIn(state)).toHaveLength(1);
+    expect(movedTasks(state)).toHaveLength(1);
   });
 });
--- a/packages/core/src/batch/maintenance/early-moves.ts
+++ b/packages/core/src/batch/maintenance/early-moves.ts
@@ -1,6 +1,7 @@
 /**
- * Lasting tasks move off hosts of a wave before these go down: such a host then drains and goes without any step's
- * allowance, beside others. A task stops here and begins elsewhere at once.
+ * Moves long-running tasks off the hosts of a wave before the hosts go down. A host without such tasks uses no step's
+ * disruption budget, so it can drain and go down in parallel with others. A moved task is stopped here and started
+ * elsewhere immediately.
  */
 import { change } from '../../shared/change.js';
 import { countAtWork, countAway, isQuiet, moveOneAway } from '../pools/hosts.js';
@@ -9,22 +10,23 @@
 import { latestBeginMs, type WavePlan } from './wave-plan.js';
 
 /**
- * How many tasks of a step may be away beside one that moves. While there is time, one moves after the other and the
- * rest of the allowance is left to crashes; later all of it is used.
+ * Returns how many other tasks of a step may be unavailable while one task moves. Before the latest start time, tasks
+ * move one at a time and the rest of the disruption budget is left for crashes; after it, the whole budget is used.
  */
-const mayBeAwayBeside = (candidate: Candidate, { plan, nowMs }: UpkeepRound, step: StepRun) =>
+const maxOthersUnavailable = (candidate: Candidate, { plan, nowMs }: UpkeepRound, step: StepRun) =>
   nowMs < latestBeginMs(plan, candidate) ? 0 : step.spec.mayMiss - 1;
 
 /**
- * A move costs more time away than a host that takes its task along: 1.4 s against 1.0 s where pools are idle, and in
- * busy ones 17 to 22 % (simulated fleet; a task takes 1 s to be at work). So tasks move where the step's hosts would
- * take too long otherwise, by 25.7 s against 23 s, and not off hosts that need not drain. Two tasks of a step on one
- * host need twice the allowance at once, which may never be free.
+ * Tells whether moving a task is worth its cost. A moved task is unavailable for longer than one that goes down with
+ * its host: 1.4 s instead of 1.0 s in idle pools, and 17 to 22 % longer in busy ones (simulated fleet; a task takes 1 s
+ * to become available). So tasks move only if the step's hosts would otherwise take too long (25.7 s without moves, 23 s
+ * with them), and not off hosts that need no draining. If two or more tasks of a step run on one host, going down with
+ * it would use that many places of the budget at once, which may never be free.
  */
 const isWorthMoving = (endpoint: EndpointState, step: StepRun, { tightSteps }: WavePlan): boolean =>
   countAtWork(endpoint, step) > 1 || (tightSteps.has(step) && !isQuiet(endpoint));
 
-const moveOneOf = (
+const tryMoveTask = (
   candidate: Candidate,
   endpoint: EndpointState,
   round: UpkeepRound,
@@ -34,13 +36,13 @@
   const { state } = world;
   if (!isWorthMoving(endpoint, step, plan)) return false;
   const away = countAway(state, step, endpoint) + (claimed.get(step) ?? 0);
-  if (away > mayBeAwayBeside(candidate, round, step)) return false;
+  if (away > maxOthersUnavailable(candidate, round, step)) return false;
   const moved = moveOneAway(state, endpoint, {
     step,
     away,
     nowMs,
     mayMove: ({ key }) => !wave.moved.has(key),
-    // On a host with maintenance ahead it would have to move again.
+    // On a host with pending maintenance the task would have to move again.
     mayTake: ({ isAwaited }) => !isAwaited,
   });
   if (!moved) return false;
@@ -50,13 +52,14 @@
 };
 
 /**
- * Moves a task of each lasting step off a host of a wave, where the step's allowance and room elsewhere let it.
+ * Moves one task of each long-running step off a host, if the step's disruption budget and the capacity elsewhere
+ * allow it. Does nothing while a rack or data centre is suspected lost.
  *
- * @param candidate - The host; it has not been ordered down.
- * @param round - The pass; the wave's record of moved tasks is changed in place.
+ * @param candidate - The host, which has not been ordered down yet.
+ * @param round - The planning pass; its wave's set of moved tasks is changed in place.
  */
 export const moveTasksEarly = (candidate: Candidate, round: UpkeepRound): void => {
   const { endpoint, lasting } = candidate;
   if (!endpoint || round.world.state.suspectedDomains.size > 0) return;
-  lasting.forEach((step) => moveOneOf(candidate, endpoint, round, step));
+  lasting.forEach((step) => tryMoveTask(candidate, endpoint, round, step));
 };
--- a/packages/core/src/batch/maintenance/upkeep-progress.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.test.ts
@@ -1,4 +1,4 @@
-/** When a wave counts as completed, by readings of the list that fail, lag and leave hosts out. */
+/** Tests when a wave counts as complete if reads of the host list fail, lag or omit hosts. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
@@ -30,25 +30,25 @@
   instanceId: null,
 });
 
-describe('the inventory of hosts', () => {
+describe('the host inventory', () => {
   const listed = [viewOf(hostIdOf(0), 'up'), viewOf(hostIdOf(1), 'up')];
 
-  it('says nothing of a host while the list was never read', () => {
+  it('reports a host as unknown before the first read of the list', () => {
     expect(presenceOf(createHostInventory(), hostIdOf(0), GONE_AFTER_MS)).toBe('unknown');
   });
 
-  it('takes a host for gone once readings have lacked it for long enough, not before', () => {
+  it('reports a host as gone only after reads have omitted it for long enough', () => {
     const inventory = createHostInventory();
     takeHostList(inventory, listed, 0);
     const seen = [5000, 5400, 8200, 8400].map((atMs) => {
       takeHostList(inventory, listed.slice(1), atMs);
       return presenceOf(inventory, hostIdOf(0), GONE_AFTER_MS);
     });
-    // The list was away from 0 to 5,000: that it lacked the host meanwhile nobody has seen.
+    // The list was not read between 0 and 5,000, so no read shows that the host was missing in that time.
     expect(seen).toEqual(['missing', 'missing', 'missing', 'gone']);
   });
 
-  it('counts anew for a host that was listed in between', () => {
+  it('restarts the timeout when a host is listed again', () => {
     const inventory = createHostInventory();
     takeHostList(inventory, listed.slice(1), 0);
     takeHostList(inventory, listed, 3000);
@@ -56,7 +56,7 @@
     expect(presenceOf(inventory, hostIdOf(0), GONE_AFTER_MS)).toBe('missing');
   });
 
-  it('passes over a reading that is older than the last one', () => {
+  it('ignores a read that is older than the last one', () => {
     const inventory = createHostInventory();
     takeHostList(inventory, listed, 1000);
     expect(takeHostList(inventory, [], 900)).toEqual({ added: [], missing: [] });
@@ -64,17 +64,17 @@
   });
 });
 
-describe('a wave', () => {
-  /** What happens in one cycle: the list fails or leaves a host out, and how orders are answered. */
+describe('a maintenance wave', () => {
+  /** The events of one cycle: whether the list fails or omits a host, and how orders are answered. */
   const cycleOf = fc.record({
     isListLost: fc.boolean(),
     leftOut: fc.integer({ min: -1, max: 4 }),
     outcome: fc.constantFrom<HostOrderOutcome>('done', 'busy', 'refused', 'unknown'),
-    /** An order without an answer may have been carried out. */
+    /** For `unknown`: whether the order without an answer was carried out. */
     isCarriedOut: fc.boolean(),
   });
 
-  it('is complete only when each host that stays has gone down and is back, and it gets there', () => {
+  it('completes, and only after every remaining host has gone down and come back', () => {
     fc.assert(
       fc.property(
         fc.array(cycleOf, { maxLength: 60 }),
@@ -92,7 +92,7 @@
             [],
             0,
           );
-          const sight = { inventory, downMs: DOWN_MS };
+          const hostSight = { inventory, downMs: DOWN_MS };
           const isDown = (hostId: HostId, nowMs: number): boolean =>
             nowMs - (downAtMs.get(hostId) ?? -Infinity) < DOWN_MS - 300;
 
@@ -105,16 +105,18 @@
               .filter((hostId) => isThere(hostId) && hostId !== hostIdOf(leftOut))
               .map((hostId) => viewOf(hostId, isDown(hostId, nowMs) ? 'maintenance' : 'up'));
             if (!isListLost) takeHostList(inventory, list, nowMs);
-            planUpkeep({ ...sight, state, isShort: false }, [wave], nowMs).forEach(({ hostId }) => {
-              const isDone = outcome === 'done' || (outcome === 'unknown' && isCarriedOut);
-              if (isDone && !downAtMs.has(hostId)) {
-                const down = hostIds.filter((one) => isDown(one, nowMs) && isThere(one));
-                expect(down.length).toBeLessThan(maximum);
-                downAtMs.set(hostId, nowMs);
-              }
-              applyUpkeepAnswer(wave, hostId, isThere(hostId) ? outcome : 'refused', nowMs);
-            });
-            if (!isUpkeepComplete(sight, wave)) return;
+            planUpkeep({ ...hostSight, state, isShort: false }, [wave], nowMs).forEach(
+              ({ hostId }) => {
+                const isDone = outcome === 'done' || (outcome === 'unknown' && isCarriedOut);
+                if (isDone && !downAtMs.has(hostId)) {
+                  const down = hostIds.filter((one) => isDown(one, nowMs) && isThere(one));
+                  expect(down.length).toBeLessThan(maximum);
+                  downAtMs.set(hostId, nowMs);
+                }
+                applyUpkeepAnswer(wave, hostId, isThere(hostId) ? outcome : 'refused', nowMs);
+              },
+            );
+            if (!isUpkeepComplete(hostSight, wave)) return;
             const open = hostIds.filter((hostId) => isThere(hostId) && !downAtMs.has(hostId));
             expect(open).toEqual([]);
             const stillDown = hostIds.filter((hostId) => isThere(hostId) && isDown(hostId, nowMs));
@@ -127,26 +129,27 @@
             outcome: 'done' as HostOrderOutcome,
             isCarriedOut: false,
           };
-          // A list that leaves a host out does so for less long than a host that has left.
-          let leftOutSinceMs = 0;
+          // The list omits a host that is still there for less time than it takes to count as gone.
+          let omittedSinceMs = 0;
           cycles.forEach((cycle, index) => {
             const nowMs = index * CYCLE_MS;
             const { leftOut } = cycles[index - 1] ?? calm;
-            if (leftOut !== cycle.leftOut || leftOut === -1) leftOutSinceMs = nowMs;
-            const isTooLong = nowMs - leftOutSinceMs > GONE_AFTER_MS - 2 * CYCLE_MS;
+            if (leftOut !== cycle.leftOut || leftOut === -1) omittedSinceMs = nowMs;
+            const isTooLong = nowMs - omittedSinceMs > GONE_AFTER_MS - 2 * CYCLE_MS;
             step(nowMs, isTooLong ? { ...cycle, leftOut: -1 } : cycle);
-            if (isTooLong) leftOutSinceMs = nowMs;
+            if (isTooLong) omittedSinceMs = nowMs;
           });
           for (let more = 0; more < 120; more += 1) step((cycles.length + more) * CYCLE_MS, calm);
-          expect(isUpkeepComplete(sight, wave)).toBe(true);
+          expect(isUpkeepComplete(hostSight, wave)).toBe(true);
         },
       ),
       {
         numRuns: Number(process.env.VALVELATCH_FUZZ_RUNS ?? 300),
-        // A host that dies while it is down must not keep its place: the others would wait for good.
+        // A host that dies while it is down must not count against the maximum forever: the others would never go down.
         examples: [
           [[], 1, 0],
-          // An order without an answer was carried out, a repeated one refused: two hosts were down for one.
+          // Regression: an unanswered order was carried out and its repetition refused, so two hosts were down at once
+          // with a maximum of one.
           [
             [
               { isListLost: false, leftOut: -1, outcome: 'unknown', isCarriedOut: true },
--- a/packages/core/src/batch/maintenance/upkeep-progress.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.ts
@@ -1,73 +1,77 @@
-/** How far a maintenance wave is, host by host, and when it is completed. */
+/** Tracks the progress of a maintenance wave per host and tells when the wave is complete. */
 import type { HostId } from '../../shared/ids.js';
 import type { TaskKey } from '../model/job.js';
 import type { StepRun } from '../model/job-state.js';
 import { presenceOf, type HostInventory, type HostPresence } from '../pools/host-inventory.js';
 
-/** A wave as it was ordered. */
+/** A maintenance wave as the platform requested it. */
 export type UpkeepOrder = {
   readonly waveNumber: number;
   readonly hosts: readonly HostId[];
+  /** Time in which the wave should be complete, in ms from when it was first seen. */
   readonly withinMs: number;
-  /** How many hosts may be down for it at once. */
+  /** Maximum number of hosts that may be down for the wave at the same time. */
   readonly maximum: number;
 };
 
-/** What is known of one host of a wave. */
+/** Progress of one host of a wave. */
 export type UpkeepHost = {
   /**
-   * `asked`: an order was sent and its answer is not known. `refused`: the platform would not carry
-   * it out. `down`: it was carried out. `done`: the host is back since.
+   * `waiting`: in normal use. `closing`: draining, takes no new work. `asked`: an order to go down was sent and its
+   * answer is not known. `refused`: the platform rejected the order. `down`: the order was carried out. `done`: the host
+   * has come back since.
    */
   phase: 'waiting' | 'closing' | 'asked' | 'refused' | 'down' | 'done';
+  /** When the phase was entered, in ms of the monotonic clock. */
   sinceMs: number;
-  /** When an order had no answer last: it may have been carried out. -Infinity if none was lost. */
+  /** When an order last went unanswered, so that it may have been carried out. -Infinity if every order was answered. */
   unansweredAtMs: number;
-  /** Why it has not gone down yet; '' where nothing stands in the way. */
+  /** Why the host has not gone down yet; '' if nothing blocks it. */
   reason: string;
-  /** The lasting steps that it took tasks of along as it was ordered down. */
+  /** The long-running steps that had tasks on the host when it was ordered down. */
   took: ReadonlySet<StepRun>;
 };
 
-/** A wave with its progress. */
+/** A maintenance wave with its progress. */
 export type UpkeepWave = {
   readonly order: UpkeepOrder;
+  /** When this leader first saw the wave, in ms of the monotonic clock. */
   readonly seenAtMs: number;
   readonly hosts: Map<HostId, UpkeepHost>;
-  /** Lasting tasks that were moved off hosts of it: each moves once. */
+  /** Long-running tasks that were moved off hosts of the wave. A task moves at most once per wave. */
   readonly moved: Set<TaskKey>;
-  /** Whether it can be in time, as planned last. */
+  /** Forecast from the last planning pass of whether the wave can finish in time. */
   outlook: WaveOutlook;
 };
 
-/** Whether a wave can be in time. */
+/** Forecast of whether a wave can finish in time. */
 export type WaveOutlook = {
-  /** How many hosts are expected to be late, at least. */
+  /** Lower bound on the number of hosts that will miss the deadline. */
   readonly lateHosts: number;
-  /** Why; '' where none is. */
+  /** Why hosts will be late; '' if none will. */
   readonly reason: string;
 };
 
-/** What is known of hosts, to judge a wave by. */
+/** What is known about hosts, as input for decisions on a wave. */
 export type HostSight = {
   readonly inventory: HostInventory;
-  /** How long a host is down, with a margin for the list's lag. */
+  /** How long a host is down for maintenance, in ms, including a margin for the lag of the host list. */
   readonly downMs: number;
 };
 
 /**
- * A list may leave a host out for as long as it is down. One that has been missing for a second more,
- * two readings at least, is gone; each wave with such a host is completed so much later.
+ * The host list may omit a host for as long as the host is down. A host that has been missing for this much longer,
+ * which covers at least two reads of the list, counts as gone. A wave with such a host completes later by this margin.
  */
 const GONE_MARGIN_MS = 1000;
 
 /**
- * Builds the progress of a wave.
+ * Creates the progress record of a wave.
  *
- * @param order - The wave.
- * @param done - The hosts that an earlier holder saw through.
- * @param nowMs - The time.
- * @returns The wave.
+ * @param order - The wave as requested.
+ * @param done - The hosts that were completed under an earlier leader.
+ * @param nowMs - The current time.
+ * @returns The wave, with all other hosts waiting.
  */
 export const createUpkeepWave = (
   order: UpkeepOrder,
@@ -92,11 +96,11 @@
   ),
 });
 
-/** What an order to a host was answered. */
+/** The answer to an order for a host to go down; `unknown` if no answer arrived. */
 export type HostOrderOutcome = 'done' | 'busy' | 'refused' | 'unknown';
 
-/** Only `done` says that a host went down; a refused order must not count, nor be the last. */
-const phaseAfter: Readonly<Record<HostOrderOutcome, UpkeepHost['phase']>> = {
+/** Only `done` confirms that a host went down. A refused order must not count as done, and it must be retried. */
+const phaseAfterOutcome: Readonly<Record<HostOrderOutcome, UpkeepHost['phase']>> = {
   done: 'down',
   busy: 'closing',
   refused: 'refused',
@@ -104,12 +108,12 @@
 };
 
 /**
- * Applies the answer to an order of a wave.
+ * Applies the answer to an order for a host of a wave. Ignored unless an order to that host is awaiting its answer.
  *
  * @param wave - The wave, changed in place.
  * @param hostId - The host.
  * @param outcome - The answer.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  */
 export const applyUpkeepAnswer = (
   wave: UpkeepWave,
@@ -119,29 +123,29 @@
 ): void => {
   const host = wave.hosts.get(hostId);
   if (!host || host.phase !== 'asked') return;
-  host.phase = phaseAfter[outcome];
+  host.phase = phaseAfterOutcome[outcome];
   host.sinceMs = nowMs;
   if (outcome === 'unknown') host.unansweredAtMs = nowMs;
   if (outcome === 'refused') host.reason = 'the platform refuses the order';
 };
 
 /**
- * Tells whether a host of a wave is there.
+ * Tells whether a host of a wave is present in the host list.
  *
- * @param sight - What is known of hosts.
+ * @param sight - What is known about hosts.
  * @param hostId - The host.
- * @returns `gone` only after it has been missing for longer than any host that is down for a wave.
+ * @returns Its presence; `gone` only after the host has been missing for longer than maintenance can explain.
  */
 export const presenceInWave = ({ inventory, downMs }: HostSight, hostId: HostId): HostPresence =>
   presenceOf(inventory, hostId, downMs + GONE_MARGIN_MS);
 
 /**
- * Tells whether a host may be down for its wave, so that it counts against the maximum.
+ * Tells whether a host may be down for its wave, in which case it counts against the wave's maximum.
  *
- * @param sight - What is known of hosts.
+ * @param sight - What is known about hosts.
  * @param hostId - The host.
  * @param host - Its progress.
- * @returns True also where an earlier holder may have ordered it down without writing that.
+ * @returns True also if an earlier leader may have ordered the host down without recording it.
  */
 export const mayBeDown = (
   sight: HostSight,
@@ -149,19 +153,20 @@
   { phase, unansweredAtMs }: UpkeepHost,
 ): boolean => {
   const { inventory, downMs } = sight;
-  // One that died while it was down would hold up the others for good.
+  // A host that died while it was down would otherwise block the remaining hosts forever.
   if (presenceInWave(sight, hostId) === 'gone') return false;
   if (phase === 'down' || phase === 'asked') return true;
-  // That a repeated order is refused says nothing of the first one; a reading after its time does.
+  // The refusal of a repeated order says nothing about the first order, which may have been carried out. Only a read of
+  // the host list after the first order's downtime does.
   if (phase !== 'done' && inventory.listedAtMs < unansweredAtMs + downMs) return true;
   const listed = inventory.hosts.get(hostId);
   return listed ? listed.state === 'maintenance' : phase !== 'done';
 };
 
 /**
- * Tells whether a wave is complete: each host has been down and is back, or has left for good.
+ * Tells whether a wave is complete: every host has been down and is back, or is gone.
  *
- * @param sight - What is known of hosts.
+ * @param sight - What is known about hosts.
  * @param wave - The wave.
  * @returns True if it may be reported as completed.
  */
--- a/packages/core/src/batch/maintenance/upkeep-rules.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.test.ts
@@ -1,4 +1,4 @@
-/** What holds a host of a wave up, and what is done about it. */
+/** Tests of the rules that hold a host of a wave back, and of the resulting decisions. */
 import { describe, expect, it } from 'vitest';
 
 import { type HostId, brand } from '../../shared/ids.js';
@@ -8,8 +8,8 @@
 
 const LASTING = { isLasting: true, mayMiss: 1 };
 
-describe('a host of a wave', () => {
-  it('goes at once if it is empty, up to the maximum, and the next ones are kept empty', () => {
+describe('a host of a maintenance wave', () => {
+  it('goes down at once if empty, up to the maximum, while the next hosts drain', () => {
     const { plan, hosts, endpoints } = waveOver(5, 1, LATE_MS);
     expect(plan(0)).toEqual(['h-0']);
     expect(hosts().map(({ phase }) => phase)).toEqual([
@@ -20,12 +20,12 @@
       'waiting',
     ]);
     expect(hosts()[1]?.reason).toBe('1 hosts are down, which is the maximum');
-    expect(hosts()[3]?.reason).toBe('as many hosts as may go are before it');
+    expect(hosts()[3]?.reason).toBe('as many hosts as allowed are ahead of it');
     expect(endpoints.map(({ isClosing }) => isClosing)).toEqual([true, true, true, false, false]);
   });
 
-  it('takes work again where it had been down under an earlier holder and need not go again', () => {
-    // The order is answered as done, and the endpoint that has lived there since lives on.
+  it('takes work again if it had already been down under an earlier leader', () => {
+    // The platform answers the order as done because the host had been down before; the endpoint keeps running.
     const { plan, hosts, endpoints, wave, relist } = waveOver(1, 1, LATE_MS);
     plan(0);
     applyUpkeepAnswer(wave, brand<HostId>('h-0'), 'done', 100);
@@ -35,44 +35,44 @@
     expect([hosts()[0]?.phase, endpoints[0]?.isClosing]).toEqual(['done', false]);
   });
 
-  it('is left at work while there is time, and empty ones go meanwhile', () => {
+  it('stays in use while it is busy and there is time, and empty hosts go down meanwhile', () => {
     const { runOn, plan, hosts } = waveOver(2, 2, EARLY_MS);
     runOn('a', {}, [0]);
     expect(plan(0)).toEqual(['h-1']);
-    expect(hosts()[0]?.reason).toBe('it is at work, and there is time left');
+    expect(hosts()[0]?.reason).toBe('it is running tasks, and there is time left');
   });
 
-  it('is left in use while room is short and there is time', () => {
+  it('stays in use while capacity is short and there is time', () => {
     const { plan, hosts } = waveOver(1, 1, EARLY_MS);
     expect(plan(0, true)).toEqual([]);
-    expect(hosts()[0]?.reason).toBe('room is short, and there is time left');
+    expect(hosts()[0]?.reason).toBe('capacity is short, and there is time left');
   });
 
-  it('drains its short tasks for three seconds and then goes all the same', () => {
+  it('waits three seconds for its short tasks and then goes down anyway', () => {
     const { runOn, plan, hosts } = waveOver(1, 1, LATE_MS);
     runOn('a', {}, [0]);
     expect([plan(0), plan(3000)]).toEqual([[], []]);
-    expect(hosts()[0]).toMatchObject({ phase: 'closing', reason: '1 tasks are to end first' });
+    expect(hosts()[0]).toMatchObject({ phase: 'closing', reason: '1 tasks must end first' });
     expect(plan(3001)).toEqual(['h-0']);
   });
 
-  it('waits until its endpoint has told this holder what runs there', () => {
+  it('waits until its endpoint has reported its tasks to this leader', () => {
     const { plan, hosts, endpoints } = waveOver(1, 1, LATE_MS);
     Object.assign(endpoints[0] as EndpointState, { isKnown: false });
     expect(plan(0)).toEqual([]);
     expect(hosts()[0]?.reason).toBe('its endpoint has not answered yet');
   });
 
-  it('stays while another that drains is to take a task of the same step along', () => {
+  it('stays while another draining host will go down with a task of the same step', () => {
     const { runOn, plan, hosts } = waveOver(2, 2, LATE_MS);
     runOn('served', LASTING, [0, 1]);
     runOn('short', {}, [0, 1]);
     expect(plan(0)).toEqual([]);
     expect(hosts().map(({ phase }) => phase)).toEqual(['closing', 'waiting']);
-    expect(hosts()[1]?.reason).toBe('job served gives another host first');
+    expect(hosts()[1]?.reason).toBe('job served has another host draining first');
   });
 
-  it('stays, open for work, while the tasks of a step that are away use up its budget', () => {
+  it('stays open for work while unavailable tasks use up the disruption budget of a step', () => {
     const { runOn, plan, hosts, endpoints } = waveOver(2, 2, LATE_MS);
     runOn('served', LASTING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
@@ -81,7 +81,7 @@
     expect(endpoints[1]?.isClosing).toBe(false);
   });
 
-  it('has a task moved away where more of one step stand on it than may be missed', () => {
+  it('has a task moved away if it runs more tasks of a step than the disruption budget', () => {
     const { state, runOn, plan, hosts } = waveOver(1, 1, LATE_MS, 1);
     runOn('served', LASTING, [0, 0]);
     expect(plan(0)).toEqual([]);
@@ -89,15 +89,15 @@
     expect(hosts()[0]?.phase).toBe('closing');
   });
 
-  it('keeps its tasks where there is no room for them elsewhere', () => {
+  it('keeps its tasks if there is no capacity for them elsewhere', () => {
     const { state, runOn, plan } = waveOver(1, 1, LATE_MS);
     runOn('served', LASTING, [0, 0]);
     expect([plan(0), plan(60_000)]).toEqual([[], []]);
     expect(state.effects.filter(({ kind }) => kind === 'stop')).toEqual([]);
   });
 
-  it('counts its own tasks once in the budget of their step, however old its answer is', () => {
-    // Guards against "2 of 22 tasks are not at work, 2 would go, 2 may be missed" for the same two tasks.
+  it('counts its own tasks only once against the disruption budget, even if its last answer is old', () => {
+    // Regression: "2 of 22 tasks are not at work, 2 would go, 2 may be missed" counted the same two tasks twice.
     const { state, runOn, plan, hosts, endpoints } = waveOver(1, 1, LATE_MS, 1);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 0, 1]);
     Object.assign(state, { clockMs: 3000 });
@@ -106,7 +106,7 @@
     expect(hosts()[0]?.phase).toBe('asked');
   });
 
-  it('stays while others that have not answered for long may have lost their tasks', () => {
+  it('stays while other endpoints with tasks of the step have stopped answering', () => {
     const { state, runOn, plan, hosts } = waveOver(1, 1, LATE_MS, 1);
     runOn('served', LASTING, [0, 1]);
     Object.assign(state, { clockMs: 3000 });
@@ -114,8 +114,8 @@
     expect(hosts()[0]?.reason).toContain('1 of 2 tasks are not at work, 1 would go');
   });
 
-  it('drains beside another one whose tasks of the same step may be missed together', () => {
-    // Guards against hosts that drained one after the other, each for 3 s of the step's allowance.
+  it('drains in parallel with another host if the disruption budget covers the tasks of both', () => {
+    // Regression: hosts drained one after the other, and each blocked the step's disruption budget for 3 s.
     const { runOn, plan, hosts } = waveOver(3, 3, LATE_MS);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 1, 2]);
     runOn('short', {}, [0, 1, 2]);
@@ -123,8 +123,8 @@
     expect(hosts().map(({ phase }) => phase)).toEqual(['closing', 'closing', 'waiting']);
   });
 
-  it('stays away for budgets where its endpoint answers after the order was sent', () => {
-    // Guards against a second host of the step that goes down before the first order takes effect.
+  it('counts as unavailable even if its endpoint answers after the order was sent', () => {
+    // Regression: a second host of the step went down before the first order took effect.
     const { runOn, plan, endpoints } = waveOver(2, 2, LATE_MS);
     runOn('served', LASTING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
@@ -132,7 +132,7 @@
     expect(plan(250)).toEqual([]);
   });
 
-  it('stays with its lasting tasks while a rack or a data centre is suspected lost', () => {
+  it('stays if it runs long-running tasks while a rack or data centre is suspected lost', () => {
     const { state, runOn, plan, hosts } = waveOver(2, 2, LATE_MS);
     runOn('served', LASTING, [0]);
     Object.assign(state, { suspectedDomains: new Set(['rack-7']) });
@@ -140,7 +140,7 @@
     expect(hosts()[0]?.reason).toBe('a rack or a data centre is suspected lost');
   });
 
-  it('goes before the hosts of another rack once its own rack has begun', () => {
+  it('goes before hosts of other racks once its own rack has started', () => {
     const { plan, wave, relist } = waveOver(4, 1, LATE_MS, 0, (index) => `rack-${index % 2}`);
     const order = ['h-0', 'h-2', 'h-1', 'h-3'];
     order.forEach((hostId, turn) => {
@@ -150,14 +150,14 @@
     });
   });
 
-  it('stays while another wave has a host of another rack down with tasks of the same step', () => {
+  it('stays while another wave has taken down a host with tasks of the same step in another rack', () => {
     const racks = (index: number): string => `rack-${index}`;
     const { runOn, planBoth, split } = waveOver(2, 2, LATE_MS, 0, racks);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 1]);
     const [first, second] = split();
     expect(planBoth([first, second], 0)).toEqual(['h-0']);
     expect(Array.from(second.hosts.values())[0]?.reason).toBe(
-      'another wave has hosts of job served down elsewhere',
+      'another wave has hosts of job served down in another rack',
     );
   });
 });
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a host of a maintenance wave may go down now. Each rule names one thing that holds a host
- * up; the first rule that applies decides, and a host that none holds up is ordered down.
+ * Decides whether a host of a maintenance wave may go down now. Each rule checks for one reason to hold a host back. The
+ * first rule that applies decides; a host to which none applies is ordered down.
  */
 import type { HostId } from '../../shared/ids.js';
 import { findBudgetObstacle, isQuiet, type BudgetObstacle } from '../pools/hosts.js';
@@ -8,52 +8,53 @@
 import type { HostSight, UpkeepHost, UpkeepWave } from './upkeep-progress.js';
 import { DRAIN_PATIENCE_MS, latestBeginMs, type WavePlan } from './wave-plan.js';
 
-/** What planning needs to know of hosts. */
+/** The input of planning: hosts, endpoints and pools. */
 export type UpkeepWorld = HostSight & {
   readonly state: BatchState;
-  /** Some pool is short of room. */
+  /** True if any pool lacks capacity. */
   readonly isShort: boolean;
 };
 
-/** A host of a wave that is up and has not been ordered down yet. */
+/** A host of a wave that is up and has not yet been ordered down. */
 export type Candidate = {
   readonly hostId: HostId;
   readonly host: UpkeepHost;
+  /** The endpoint that runs on the host; undefined if there is none. */
   readonly endpoint: EndpointState | undefined;
-  /** Nothing begins on it, so that it is no room that is missed. */
+  /** Its data centre is evacuated. No tasks start on it, so taking it down costs no usable capacity. */
   readonly isEvacuated: boolean;
-  /** The lasting steps with a budget that have tasks on it. */
+  /** The long-running steps with a disruption budget that have tasks on it. */
   readonly lasting: ReadonlySet<StepRun>;
-  /** The label of its rack; '' for one without. */
+  /** The label of its rack; '' if it has none. */
   readonly rack: string;
 };
 
-/** One pass over the candidates of a wave, with what was decided of those before. */
+/** One planning pass over the candidates of a wave, with the results of the decisions made so far. */
 export type UpkeepRound = {
   readonly world: UpkeepWorld;
   readonly wave: UpkeepWave;
   readonly nowMs: number;
-  /** Until when hosts may wait to become empty by themselves. */
+  /** The latest times until which hosts may wait to become empty by themselves. */
   readonly plan: WavePlan;
-  /** Racks in which other waves have hosts down that took tasks of a step along. */
+  /** For each step, the racks in which other waves have taken down hosts with tasks of that step. */
   readonly racksOfOthers: ReadonlyMap<StepRun, ReadonlySet<string>>;
-  /** How many hosts may be ordered down in this pass. */
+  /** Maximum number of hosts that may be ordered down in this pass. */
   readonly freePlaces: number;
-  /** The hosts that were ordered down. */
+  /** The hosts ordered down so far in this pass. */
   readonly ordered: HostId[];
-  /** How many hosts were closed to new work. */
+  /** Number of hosts closed to new work so far in this pass, including those ordered down. */
   closingCount: number;
-  /** How many tasks of steps the hosts that drain are to take along. */
+  /** For each step, the number of its tasks on draining hosts that will go down with their hosts. */
   readonly claimed: Map<StepRun, number>;
 };
 
-/** What is decided of a candidate, and what it waits for; '' if nothing holds it up. */
+/** The decision on a candidate, and the reason why it must wait; '' if nothing blocks it. */
 export type HostDecision =
-  /** It takes work as before. */
+  /** The host continues to take work. */
   | { readonly kind: 'keep-open'; readonly reason: string }
-  /** It gets no new work, so that it can go soon. */
+  /** The host gets no new work, so that it can go down soon. */
   | { readonly kind: 'drain'; readonly reason: string }
-  /** It drains, and one task of a step that has too many of them on it moves away. */
+  /** The host drains and one task of a step that has too many tasks on it is moved elsewhere. */
   | {
       readonly kind: 'spread';
       readonly endpoint: EndpointState;
@@ -64,43 +65,49 @@
 
 type Rule = (candidate: Candidate, round: UpkeepRound) => HostDecision | undefined;
 
-/** Hosts that drain while others are down, so that the next one is ready. */
-const CLOSING_AHEAD = 2;
+/** Number of hosts beyond the maximum that drain in advance, so that the next host is ready as soon as one is back. */
+const DRAIN_AHEAD = 2;
 
 const keepOpen = (reason: string): HostDecision => ({ kind: 'keep-open', reason });
 
 const drain = (reason: string): HostDecision => ({ kind: 'drain', reason });
 
-const waitWhileRelaxed: Rule = (candidate, { world, plan, nowMs }) => {
+/** Before a host's latest start time, keeps it in use while it is busy or a pool lacks capacity. */
+const deferWhileTimeRemains: Rule = (candidate, { world, plan, nowMs }) => {
   const { endpoint, isEvacuated } = candidate;
   if (nowMs >= latestBeginMs(plan, candidate)) return undefined;
-  if (world.isShort && !isEvacuated) return keepOpen('room is short, and there is time left');
+  if (world.isShort && !isEvacuated) return keepOpen('capacity is short, and there is time left');
   const isAtWork = endpoint !== undefined && !isQuiet(endpoint);
-  return isAtWork ? keepOpen('it is at work, and there is time left') : undefined;
+  return isAtWork ? keepOpen('it is running tasks, and there is time left') : undefined;
 };
 
-/** What else the domain takes down is not known yet, so nothing of any allowance is given away. */
-const awaitSuspectedDomains: Rule = ({ lasting }, { world }) => {
+/** The full extent of a suspected outage is not known yet, so none of any step's disruption budget is spent on maintenance. */
+const waitForSuspectedDomains: Rule = ({ lasting }, { world }) => {
   if (lasting.size === 0 || world.state.suspectedDomains.size === 0) return undefined;
   return keepOpen('a rack or a data centre is suspected lost');
 };
 
-/** The loss of a rack beside maintenance in another one would take tasks of the step in both. */
+/**
+ * Keeps the maintenance of all waves that affects one step to one rack at a time. Otherwise losing a rack during
+ * maintenance in another one would make tasks of the step unavailable in both.
+ */
 const keepToOneRack: Rule = ({ lasting, rack }, { racksOfOthers }) => {
   if (rack === '') return undefined;
   const shared = Array.from(lasting).find((step) =>
     Array.from(racksOfOthers.get(step) ?? []).some((other) => other !== rack),
   );
-  return shared && keepOpen(`another wave has hosts of job ${shared.job.job.jobId} down elsewhere`);
+  return (
+    shared && keepOpen(`another wave has hosts of job ${shared.job.job.jobId} down in another rack`)
+  );
 };
 
-const limitClosing: Rule = (_candidate, { wave, closingCount }) => {
-  const isFull = closingCount >= wave.order.maximum + CLOSING_AHEAD;
-  return isFull ? keepOpen('as many hosts as may go are before it') : undefined;
+const limitDraining: Rule = (_candidate, { wave, closingCount }) => {
+  const isFull = closingCount >= wave.order.maximum + DRAIN_AHEAD;
+  return isFull ? keepOpen('as many hosts as allowed are ahead of it') : undefined;
 };
 
-/** More tasks of one step stand here than may be missed: the host never goes with all of them. */
-const isOvercrowded = ({ runs }: EndpointState, { step }: BudgetObstacle): boolean => {
+/** Tells whether a host has more tasks of a step than its disruption budget, so that it could never go down with all of them. */
+const exceedsBudgetAlone = ({ runs }: EndpointState, { step }: BudgetObstacle): boolean => {
   const staying = Array.from(runs.values()).filter(
     (run) => run.step === step && run.phase !== 'stopping',
   );
@@ -112,14 +119,14 @@
   const obstacle = findBudgetObstacle(world.state, endpoint);
   if (!obstacle) return undefined;
   const { reason } = obstacle;
-  if (!isOvercrowded(endpoint, obstacle)) return keepOpen(reason);
+  if (!exceedsBudgetAlone(endpoint, obstacle)) return keepOpen(reason);
   return { kind: 'spread', endpoint, obstacle, reason };
 };
 
-/** Hosts that each fit a step's budget may break it together. */
-const keepWithinClaims: Rule = ({ endpoint }, { world, claimed }) => {
+/** Hosts that each stay within a step's disruption budget could exceed it together. */
+const keepWithinCombinedBudgets: Rule = ({ endpoint }, { world, claimed }) => {
   const obstacle = endpoint && findBudgetObstacle(world.state, endpoint, claimed);
-  return obstacle && keepOpen(`job ${obstacle.step.job.job.jobId} gives another host first`);
+  return obstacle && keepOpen(`job ${obstacle.step.job.job.jobId} has another host draining first`);
 };
 
 const keepWithinMaximum: Rule = (_candidate, { wave, ordered, freePlaces }) => {
@@ -127,38 +134,38 @@
   return drain(`${wave.order.maximum} hosts are down, which is the maximum`);
 };
 
-const awaitFirstAnswer: Rule = ({ hostId, endpoint }, { world }) => {
+const waitForFirstAnswer: Rule = ({ hostId, endpoint }, { world }) => {
   const instanceId = world.inventory.hosts.get(hostId)?.instanceId ?? null;
-  // What an endpoint runs is known once it has answered this holder.
+  // It is not known what an endpoint runs until it has answered this leader.
   const isUnknown = instanceId !== null && !endpoint?.isKnown;
   return isUnknown ? drain('its endpoint has not answered yet') : undefined;
 };
 
-const awaitShortTasks: Rule = ({ host, endpoint }, { nowMs }) => {
+const waitForShortTasks: Rule = ({ host, endpoint }, { nowMs }) => {
   if (!endpoint || isQuiet(endpoint)) return undefined;
   const drainingSinceMs = host.phase === 'waiting' ? nowMs : host.sinceMs;
   if (nowMs - drainingSinceMs > DRAIN_PATIENCE_MS) return undefined;
-  return drain(`${endpoint.runs.size} tasks are to end first`);
+  return drain(`${endpoint.runs.size} tasks must end first`);
 };
 
-/** In the order in which they are asked: budgets go before what only delays a host. */
+/** The rules in the order of evaluation: budgets come before rules that only delay a host. */
 const rules: readonly Rule[] = [
-  waitWhileRelaxed,
-  awaitSuspectedDomains,
+  deferWhileTimeRemains,
+  waitForSuspectedDomains,
   keepToOneRack,
-  limitClosing,
+  limitDraining,
   keepWithinBudgets,
-  keepWithinClaims,
+  keepWithinCombinedBudgets,
   keepWithinMaximum,
-  awaitFirstAnswer,
-  awaitShortTasks,
+  waitForFirstAnswer,
+  waitForShortTasks,
 ];
 
 /**
- * Decides what is done about a host. Nothing is changed.
+ * Decides what to do with a host, without changing any state.
  *
  * @param candidate - The host.
- * @param round - The pass so far.
+ * @param round - The planning pass so far.
  * @returns The decision with its reason.
  */
 export const decideOnHost = (candidate: Candidate, round: UpkeepRound): HostDecision => {
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/upkeep.ts
@@ -1,6 +1,6 @@
 /**
- * Maintenance waves over hosts: spare and empty hosts first, then those whose short tasks have
- * drained, within every lasting step's budget and the wave's maximum.
+ * Plans maintenance waves over hosts. Spare and empty hosts go down first, then hosts whose short tasks have ended, within
+ * the disruption budget of every long-running step and the maximum of each wave.
  */
 import { pipe } from 'fp-ts/lib/function.js';
 import * as RA from 'fp-ts/lib/ReadonlyArray.js';
@@ -23,7 +23,7 @@
 } from './upkeep-rules.js';
 import { planWave } from './wave-plan.js';
 
-/** A host of a wave that is to be ordered down. */
+/** An order for a host of a wave to go down, with the reason for the operators' view. */
 export type UpkeepStep = {
   readonly wave: UpkeepWave;
   readonly hostId: HostId;
@@ -31,9 +31,9 @@
 };
 
 /** An order without an answer is sent again after this time. */
-const ASK_AGAIN_MS = 1000;
-/** An order that was refused is sent again after this time: the platform may not know the wave yet. */
-const REFUSED_AGAIN_MS = 1500;
+const RETRY_UNANSWERED_MS = 1000;
+/** A refused order is sent again after this time, because the platform may not have known the wave yet. */
+const RETRY_REFUSED_MS = 1500;
 
 const endpointOf = (
   { state, inventory: { hosts } }: UpkeepWorld,
@@ -43,18 +43,21 @@
   return instanceId ? state.lives.get(instanceId) : undefined;
 };
 
-const rackOn = ({ inventory: { hosts } }: UpkeepWorld, hostId: HostId): string =>
+const rackOfHost = ({ inventory: { hosts } }: UpkeepWorld, hostId: HostId): string =>
   rackOf({ labels: hosts.get(hostId)?.labels ?? [] });
 
-/** One that had been down under an earlier holder did not go again: its endpoint lives on, and was closed. */
-const noteBack = (world: UpkeepWorld, hostId: HostId, host: UpkeepHost): void => {
+/**
+ * Marks a host as done. If it had already been down under an earlier leader, it did not go down again: its endpoint has
+ * been running all along and must be reopened to new work.
+ */
+const markDone = (world: UpkeepWorld, hostId: HostId, host: UpkeepHost): void => {
   const endpoint = endpointOf(world, hostId);
   change(host, { phase: 'done', sinceMs: world.inventory.listedAtMs });
   if (endpoint) change(endpoint, { isClosing: false });
 };
 
-/** Moves hosts on by what the list and the time say. */
-const settle = (world: UpkeepWorld, wave: UpkeepWave, nowMs: number): void => {
+/** Advances the phases of hosts by the host list and the elapsed time. */
+const advancePhases = (world: UpkeepWorld, wave: UpkeepWave, nowMs: number): void => {
   const {
     inventory: { hosts, listedAtMs },
     downMs,
@@ -62,22 +65,22 @@
   wave.hosts.forEach((host, hostId) => {
     const isUp = hosts.get(hostId)?.state === 'up';
     if (host.phase === 'down' && isUp && listedAtMs - host.sinceMs > downMs) {
-      noteBack(world, hostId, host);
+      markDone(world, hostId, host);
     }
-    if (host.phase === 'refused' && nowMs - host.sinceMs > REFUSED_AGAIN_MS) {
+    if (host.phase === 'refused' && nowMs - host.sinceMs > RETRY_REFUSED_MS) {
       change(host, { phase: 'waiting', sinceMs: nowMs });
     }
   });
 };
 
-/** What is said of a host that cannot be ordered since it is not listed. */
+/** The reasons shown for a host that cannot be ordered down because it is not listed. */
 const unlistedReasons: Readonly<Record<Exclude<HostPresence, 'listed'>, string>> = {
   unknown: 'the list of hosts has not been read yet',
   missing: 'the list of hosts does not show it',
   gone: 'it has left the list of hosts for good',
 };
 
-const noteUnlisted = (world: UpkeepWorld, wave: UpkeepWave): void => {
+const recordUnlistedReasons = (world: UpkeepWorld, wave: UpkeepWave): void => {
   wave.hosts.forEach((host, hostId) => {
     const presence = presenceInWave(world, hostId);
     if (host.phase === 'done' || presence === 'listed') return;
@@ -85,37 +88,38 @@
   });
 };
 
-const AWAITED: ReadonlySet<UpkeepHost['phase']> = new Set(['waiting', 'closing', 'refused']);
+const PENDING_PHASES: ReadonlySet<UpkeepHost['phase']> = new Set(['waiting', 'closing', 'refused']);
 
-const isAwaitedIn =
+/** Tells whether a wave has yet to take a host down. */
+const isPendingIn =
   (hostId: HostId) =>
   ({ hosts }: UpkeepWave): boolean => {
     const host = hosts.get(hostId);
-    return host !== undefined && AWAITED.has(host.phase);
+    return host !== undefined && PENDING_PHASES.has(host.phase);
   };
 
-/** A host that two waves name has maintenance ahead until both are through with it. */
-const markAwaited = (world: UpkeepWorld, waves: readonly UpkeepWave[]): void =>
+/** Marks endpoints on hosts with pending maintenance. A host in two waves stays marked until both have taken it down. */
+const markPendingMaintenance = (world: UpkeepWorld, waves: readonly UpkeepWave[]): void =>
   waves
     .flatMap(({ hosts }) => Array.from(hosts.keys()))
     .forEach((hostId) => {
       const endpoint = endpointOf(world, hostId);
-      if (endpoint) change(endpoint, { isAwaited: waves.some(isAwaitedIn(hostId)) });
+      if (endpoint) change(endpoint, { isAwaited: waves.some(isPendingIn(hostId)) });
     });
 
-const GOING: ReadonlySet<UpkeepHost['phase']> = new Set(['asked', 'down']);
+const ORDERED_PHASES: ReadonlySet<UpkeepHost['phase']> = new Set(['asked', 'down']);
 
 /**
- * What runs on a host that was ordered down is away for every budget. An answer that the endpoint gave before the
- * order took effect would count it as at work again.
+ * Counts the tasks on hosts that were ordered down as unavailable for every disruption budget. An answer that an
+ * endpoint gave before the order took effect would otherwise count them as available again.
  */
 const countOrderedAsAway = (world: UpkeepWorld, wave: UpkeepWave): void =>
   wave.hosts.forEach(({ phase }, hostId) => {
-    if (!GOING.has(phase)) return;
+    if (!ORDERED_PHASES.has(phase)) return;
     endpointOf(world, hostId)?.runs.forEach((run) => change(run, { percent: 0 }));
   });
 
-const mayBeOrdered = (
+const canBeOrdered = (
   { inventory }: UpkeepWorld,
   hostId: HostId,
   { phase }: UpkeepHost,
@@ -129,17 +133,17 @@
   const dataCentre = world.inventory.hosts.get(hostId)?.dataCentre;
   const isEvacuated = dataCentre !== undefined && world.state.evacuated.has(dataCentre);
   const lasting = endpoint ? lastingSteps(endpoint) : new Set<StepRun>();
-  return { hostId, host, endpoint, isEvacuated, lasting, rack: rackOn(world, hostId) };
+  return { hostId, host, endpoint, isEvacuated, lasting, rack: rackOfHost(world, hostId) };
 };
 
 const findCandidates = (world: UpkeepWorld, wave: UpkeepWave): readonly Candidate[] =>
   pipe(
     Array.from(wave.hosts),
-    RA.filter(([hostId, host]) => mayBeOrdered(world, hostId, host)),
+    RA.filter(([hostId, host]) => canBeOrdered(world, hostId, host)),
     RA.map(([hostId, host]) => candidateOf(world, hostId, host)),
   );
 
-/** The racks in which other waves have hosts down, by the steps that these took tasks of along. */
+/** For each step, finds the racks in which other waves have taken down hosts with tasks of that step. */
 const findRacksOfOthers = (
   world: UpkeepWorld,
   others: readonly UpkeepWave[],
@@ -147,8 +151,8 @@
   const racks = new Map<StepRun, Set<string>>();
   others.forEach(({ hosts }) =>
     hosts.forEach(({ phase, took }, hostId) => {
-      const rack = rackOn(world, hostId);
-      if (rack === '' || !GOING.has(phase)) return;
+      const rack = rackOfHost(world, hostId);
+      if (rack === '' || !ORDERED_PHASES.has(phase)) return;
       took.forEach((step) => racks.set(step, (racks.get(step) ?? new Set()).add(rack)));
     }),
   );
@@ -179,15 +183,15 @@
   };
 };
 
-const close = (round: UpkeepRound, { host, endpoint }: Candidate): void => {
+const startDraining = (round: UpkeepRound, { host, endpoint }: Candidate): void => {
   const sinceMs = host.phase === 'waiting' ? round.nowMs : host.sinceMs;
   change(round, { closingCount: round.closingCount + 1 });
   change(host, { phase: 'closing', sinceMs });
   if (endpoint) change(endpoint, { isClosing: true });
 };
 
-/** A host that may not go now must not be kept empty: what others need room for could be it. */
-const reopen = ({ host, endpoint }: Candidate): void => {
+/** Reopens a host that may not go down now. Keeping it empty would waste capacity that other tasks may need. */
+const stopDraining = ({ host, endpoint }: Candidate): void => {
   if (host.phase === 'closing') change(host, { phase: 'waiting' });
   if (endpoint) change(endpoint, { isClosing: false });
 };
@@ -199,8 +203,8 @@
   countOrderedAsAway(world, wave);
 };
 
-/** A host that drains has its lasting tasks moved meanwhile; what stays is to go with it. */
-const claimTasks = (round: UpkeepRound, candidate: Candidate): void => {
+/** Moves long-running tasks off a draining host and reserves budget for those that will go down with it. */
+const moveOrReserveTasks = (round: UpkeepRound, candidate: Candidate): void => {
   moveTasksEarly(candidate, round);
   candidate.lasting.forEach((step) => {
     const staying = countAtWork(candidate.endpoint, step);
@@ -208,36 +212,36 @@
   });
 };
 
-const carryOut = (round: UpkeepRound, candidate: Candidate, decision: HostDecision): void => {
+const applyDecision = (round: UpkeepRound, candidate: Candidate, decision: HostDecision): void => {
   change(candidate.host, { reason: decision.reason });
   if (decision.kind === 'keep-open') {
-    reopen(candidate);
+    stopDraining(candidate);
     return;
   }
-  close(round, candidate);
+  startDraining(round, candidate);
   if (decision.kind === 'spread') {
     const { obstacle, endpoint } = decision;
     moveOneAway(round.world.state, endpoint, { ...obstacle, nowMs: round.nowMs });
     return;
   }
   if (decision.kind === 'order-down') orderDown(round, candidate);
-  else claimTasks(round, candidate);
+  else moveOrReserveTasks(round, candidate);
 };
 
-const findUnanswered = (wave: UpkeepWave, nowMs: number): readonly HostId[] =>
+const findUnansweredOrders = (wave: UpkeepWave, nowMs: number): readonly HostId[] =>
   Array.from(wave.hosts)
-    .filter(([, { phase, sinceMs }]) => phase === 'asked' && nowMs - sinceMs > ASK_AGAIN_MS)
+    .filter(([, { phase, sinceMs }]) => phase === 'asked' && nowMs - sinceMs > RETRY_UNANSWERED_MS)
     .map(([hostId]) => hostId);
 
-/** How many hosts of each rack have begun. */
-const countBegun = (world: UpkeepWorld, wave: UpkeepWave): ReadonlyMap<string, number> => {
-  const begun = new Map<string, number>();
+/** Counts the hosts of each rack that have left the phase `waiting`. */
+const countStartedByRack = (world: UpkeepWorld, wave: UpkeepWave): ReadonlyMap<string, number> => {
+  const started = new Map<string, number>();
   wave.hosts.forEach(({ phase }, hostId) => {
-    const rack = rackOn(world, hostId);
+    const rack = rackOfHost(world, hostId);
     if (rack === '' || phase === 'waiting') return;
-    begun.set(rack, (begun.get(rack) ?? 0) + 1);
+    started.set(rack, (started.get(rack) ?? 0) + 1);
   });
-  return begun;
+  return started;
 };
 
 const planNext = (
@@ -246,14 +250,16 @@
   waves: readonly UpkeepWave[],
   nowMs: number,
 ): readonly UpkeepStep[] => {
-  const unanswered = findUnanswered(wave, nowMs);
+  const unanswered = findUnansweredOrders(wave, nowMs);
   const found = findCandidates(world, wave);
   const round = startRound(world, wave, found, waves, nowMs);
-  const candidates = sortCandidates(found, round, countBegun(world, wave));
+  const candidates = sortCandidates(found, round, countStartedByRack(world, wave));
   change(wave, { outlook: round.plan.outlook });
-  // One after the other: each decision depends on what those before took of the budgets.
-  candidates.forEach((candidate) => carryOut(round, candidate, decideOnHost(candidate, round)));
-  // What those that may go now leave of the allowances.
+  // Sequential: each decision depends on how much of the budgets the earlier ones have used.
+  candidates.forEach((candidate) =>
+    applyDecision(round, candidate, decideOnHost(candidate, round)),
+  );
+  // Spends the budget that the hosts which may go down now have left over on moves off the waiting hosts.
   candidates
     .filter(({ host }) => host.phase === 'waiting')
     .forEach((candidate) => moveTasksEarly(candidate, round));
@@ -267,9 +273,9 @@
 /**
  * Plans the next steps of all waves.
  *
- * @param world - Hosts and endpoints; endpoints that drain are marked as closing.
+ * @param world - Hosts and endpoints. Endpoints on draining hosts are marked as closing.
  * @param waves - The waves, changed in place.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  * @returns The hosts to order down now.
  */
 export const planUpkeep = (
@@ -278,10 +284,10 @@
   nowMs: number,
 ): readonly UpkeepStep[] => {
   waves.forEach((wave) => {
-    settle(world, wave, nowMs);
-    noteUnlisted(world, wave);
+    advancePhases(world, wave, nowMs);
+    recordUnlistedReasons(world, wave);
     countOrderedAsAway(world, wave);
   });
-  markAwaited(world, waves);
+  markPendingMaintenance(world, waves);
   return waves.flatMap((wave) => planNext(world, wave, waves, nowMs));
 };
--- a/packages/core/src/batch/maintenance/wave-plan.test.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.test.ts
@@ -1,4 +1,4 @@
-/** The latest times at which hosts of a wave must begin, and whether it can be in time. */
+/** Tests of the latest start times of the hosts of a wave, and of the forecast of late hosts. */
 import { describe, expect, it } from 'vitest';
 
 import { lastingSteps } from '../pools/hosts.js';
@@ -21,14 +21,14 @@
 
 const EMPTY: PlannedHost = { lasting: new Set() };
 
-describe('a wave planned backwards from its end', () => {
-  it('lets hosts without lasting tasks begin as late as the maximum allows', () => {
-    // 12 hosts, 4 at once: 3 rounds of 4 s, and 12 s are kept.
+describe('a wave planned backwards from its deadline', () => {
+  it('lets hosts without long-running tasks start as late as the maximum allows', () => {
+    // 12 hosts, 4 at a time: 3 rounds of 4 s, and 12 s are reserved before the deadline.
     expect(latestBeginMs(planOf(4, 0, 1).plan, EMPTY)).toBe(WITHIN_MS - 12_000 - 12_000);
   });
 
-  it('has hosts of a step begin earlier the more of them there are and the fewer may be missed', () => {
-    // Guards against hosts of a step that wait as long as those which only the maximum holds up.
+  it('makes hosts of a step start earlier with more hosts and a smaller disruption budget', () => {
+    // Regression: hosts of a step waited as long as hosts that are limited only by the maximum.
     const latest = ([tasks, mayMiss]: readonly [number, number]): number => {
       const { plan, hosts } = planOf(12, tasks, mayMiss);
       return latestBeginMs(plan, hosts[0] ?? EMPTY);
@@ -44,18 +44,18 @@
     expect(latestMs).toEqual([35_400, 10_200, 29_100, 35_400]);
   });
 
-  it('never lets hosts of a step begin later than the others', () => {
+  it('never lets hosts of a step start later than other hosts', () => {
     const { plan, hosts } = planOf(1, 1, 1);
     expect(latestBeginMs(plan, hosts[0] ?? EMPTY)).toBe(latestBeginMs(plan, EMPTY));
   });
 
-  it('calls a step tight where its hosts would take too long with their tasks', () => {
+  it('reports a step as tight if its hosts would miss the deadline without moving tasks', () => {
     expect(planOf(12, 12, 1).plan.tightSteps.size).toBe(0);
     expect(planOf(12, 12, 1, 20_000).plan.tightSteps.size).toBe(1);
     expect(planOf(12, 12, 2, 20_000).plan.tightSteps.size).toBe(0);
   });
 
-  it('tells how many hosts cannot be in time and why, by the maximum or by a step', () => {
+  it('reports how many hosts will be late, and whether the maximum or a step is the cause', () => {
     expect(planOf(4, 12, 2).plan.outlook).toEqual({ lateHosts: 0, reason: '' });
     expect(planOf(1, 0, 1, WITHIN_MS - 7000).plan.outlook).toEqual({
       lateHosts: 9,
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -1,51 +1,55 @@
 /**
- * When hosts of a maintenance wave must begin, planned backwards from the wave's end: for each lasting step from how
- * many of its tasks stand on hosts of the wave, and for the others from how many hosts may be down at once.
+ * Plans backwards from the deadline of a maintenance wave when its hosts must start at the latest. For hosts with tasks
+ * of a long-running step, this follows from the number of hosts with its tasks and its disruption budget; for the
+ * others, from the maximum number of hosts that may be down at the same time.
  */
 import type { StepRun } from '../model/state.js';
 import type { UpkeepWave, WaveOutlook } from './upkeep-progress.js';
 
-/** Short tasks on a host get this long to end before the host is taken down all the same. */
+/** Short tasks on a draining host get this long to end; after that, the host is taken down anyway. */
 export const DRAIN_PATIENCE_MS = 3000;
 
-/** A host drains for up to 3 s, is down for 2 s, and its lasting tasks take a second to be back. */
+/**
+ * Planned time per round, in which as many hosts go down as the wave's maximum allows. A host drains for up to 3 s and is
+ * down for 2 s, and its long-running tasks take one more second to become available again.
+ */
 const ROUND_MS = 4000;
-/** From the order that ends a lasting task to the answer that shows it at work again. */
-const BACK_MS = 1000;
+/** Time from the order that stops a long-running task to the answer that shows it available again. */
+const TASK_RESTART_MS = 1000;
 /**
- * From one host with tasks of a step to the next one, where hosts are at work and nothing moves first: 12 of 12 took
- * 25.7 s in the simulated fleet where one may be missed, and 15 s where two may.
+ * Time from one host with tasks of a step to the next one on busy hosts if no task is moved first. In the simulated
+ * fleet, 12 of 12 hosts took 25.7 s with a disruption budget of one task, and 15 s with a budget of two.
  */
 const TURN_MS = 2500;
 /**
- * The least time between two tasks of a step that may miss one: with an idle pool, 12 of 12 took 16.7 s in the
- * simulated fleet, where a task takes 1 s to be at work.
+ * Shortest time between two tasks of a step with a disruption budget of one. In an idle pool of the simulated fleet,
+ * where a task takes 1 s to become available, 12 of 12 hosts took 16.7 s.
  */
-const SHORTEST_TURN_MS = 1400;
+const MIN_TURN_MS = 1400;
 /**
- * Kept for a change of the holder and an outage of 4 s: with 9 s, 3 to 5 of 22 hosts were late on a day
- * with both.
+ * Time reserved before the deadline for a change of the leader and an outage of 4 s. With 9 s, 3 to 5 of 22 hosts were
+ * late in a run with both.
  */
 const RESERVE_MS = 12_000;
 
-/** A host that has not been ordered down yet. */
+/** A host that has not yet been ordered down. */
 export type PlannedHost = {
-  /** The lasting steps with a budget that have tasks on it. */
+  /** The long-running steps with a disruption budget that have tasks on it. */
   readonly lasting: ReadonlySet<StepRun>;
 };
 
-/** The latest times at which hosts of a wave must begin. */
+/** The latest times at which the hosts of a wave must start, in ms of the monotonic clock. */
 export type WavePlan = {
-  /** For hosts without lasting tasks. */
+  /** For hosts without long-running tasks. */
   readonly latestMs: number;
-  /** For hosts with tasks of a lasting step. */
+  /** For hosts with tasks of a long-running step, by step; never later than `latestMs`. */
   readonly latestByStep: ReadonlyMap<StepRun, number>;
-  /** Steps whose hosts would take too long if each took its tasks along. */
+  /** Steps whose hosts would miss the deadline if each went down with its tasks instead of having them moved. */
   readonly tightSteps: ReadonlySet<StepRun>;
   readonly outlook: WaveOutlook;
 };
 
-const dueAtMs = ({ seenAtMs, order }: UpkeepWave): number => seenAtMs + order.withinMs;
+const deadlineOf = ({ seenAtMs, order }: UpkeepWave): number => seenAtMs + order.withinMs;
 
 const countByStep = (hosts: readonly PlannedHost[]): ReadonlyMap<StepRun, number> => {
   const counts = new Map<StepRun, number>();
@@ -55,31 +59,31 @@
   return counts;
 };
 
-/** How long the hosts of a step take that go one after the other as its allowance lets them. */
-const stepNeedsMs = ({ spec }: StepRun, hostCount: number, turnMs: number): number =>
+/** Returns how long the hosts of a step take if they go down in successive groups as large as its disruption budget. */
+const stepDurationMs = ({ spec }: StepRun, hostCount: number, turnMs: number): number =>
   Math.ceil(hostCount / spec.mayMiss) * turnMs;
 
-const outlookOf = (lateHosts: number, reason: string): WaveOutlook =>
+const createOutlook = (lateHosts: number, reason: string): WaveOutlook =>
   lateHosts > 0 ? { lateHosts, reason } : { lateHosts: 0, reason: '' };
 
-/** How many hosts cannot be back in time even if nothing else holds them up. */
-const outlooks = (
+/** Lists forecasts of how many hosts cannot be back in time even if nothing else delays them: overall, then by step. */
+const forecastLateHosts = (
   wave: UpkeepWave,
   hosts: readonly PlannedHost[],
   downMs: number,
   nowMs: number,
 ): readonly WaveOutlook[] => {
   const { maximum } = wave.order;
-  const leftMs = Math.max(0, dueAtMs(wave) - nowMs);
-  const fit = Math.floor(leftMs / downMs) * maximum;
-  const overall = outlookOf(
-    hosts.length - fit,
+  const leftMs = Math.max(0, deadlineOf(wave) - nowMs);
+  const hostsInTime = Math.floor(leftMs / downMs) * maximum;
+  const overall = createOutlook(
+    hosts.length - hostsInTime,
     `${hosts.length} hosts are left, ${maximum} may be down at once, and ${Math.round(leftMs)} ms are left`,
   );
   const steps = Array.from(countByStep(hosts), ([step, count]) => {
     const { jobId, queue } = step.job.job;
-    const turns = leftMs < downMs ? 0 : 1 + Math.floor((leftMs - downMs) / SHORTEST_TURN_MS);
-    return outlookOf(
+    const turns = leftMs < downMs ? 0 : 1 + Math.floor((leftMs - downMs) / MIN_TURN_MS);
+    return createOutlook(
       count - turns * step.spec.mayMiss,
       `queue=${queue} job=${jobId}: ${count} hosts have tasks of it, ${step.spec.mayMiss} may be missed, and ${Math.round(leftMs)} ms are left`,
     );
@@ -88,13 +92,13 @@
 };
 
 /**
- * Plans a wave backwards from its end.
+ * Plans a wave backwards from its deadline.
  *
  * @param wave - The wave.
- * @param hosts - Its hosts that have not been ordered down.
- * @param downMs - How long a host is down.
- * @param nowMs - The time.
- * @returns The latest times to begin, and whether the wave can be in time.
+ * @param hosts - Its hosts that have not yet been ordered down.
+ * @param downMs - How long a host is down, in ms.
+ * @param nowMs - The current time.
+ * @returns The latest start times, and a forecast of whether the wave can finish in time.
  */
 export const planWave = (
   wave: UpkeepWave,
@@ -102,33 +106,33 @@
   downMs: number,
   nowMs: number,
 ): WavePlan => {
-  const endMs = dueAtMs(wave) - RESERVE_MS;
+  const endMs = deadlineOf(wave) - RESERVE_MS;
   const latestMs = endMs - Math.ceil(hosts.length / wave.order.maximum) * ROUND_MS;
   const counts = Array.from(countByStep(hosts));
-  const longestTurnMs = DRAIN_PATIENCE_MS + downMs + BACK_MS;
+  const maxTurnMs = DRAIN_PATIENCE_MS + downMs + TASK_RESTART_MS;
   const latestByStep = new Map(
     counts.map(([step, count]) => [
       step,
-      Math.min(latestMs, endMs - stepNeedsMs(step, count, longestTurnMs)),
+      Math.min(latestMs, endMs - stepDurationMs(step, count, maxTurnMs)),
     ]),
   );
   const tightSteps = new Set(
     counts
-      .filter(([step, count]) => nowMs + stepNeedsMs(step, count, TURN_MS) > endMs)
+      .filter(([step, count]) => nowMs + stepDurationMs(step, count, TURN_MS) > endMs)
       .map(([step]) => step),
   );
-  const worst = outlooks(wave, hosts, downMs, nowMs).reduce((one, other) =>
+  const worst = forecastLateHosts(wave, hosts, downMs, nowMs).reduce((one, other) =>
     other.lateHosts > one.lateHosts ? other : one,
   );
   return { latestMs, latestByStep, tightSteps, outlook: worst };
 };
 
 /**
- * Gives the latest time at which a host must begin.
+ * Returns the latest time at which a host must start draining.
  *
  * @param plan - The plan.
  * @param host - The host.
- * @returns The earliest of the times of its lasting steps, or that of hosts without any.
+ * @returns The earliest of the times of its long-running steps, or the time for hosts without any.
  */
 export const latestBeginMs = ({ latestMs, latestByStep }: WavePlan, host: PlannedHost): number =>
   Math.min(latestMs, ...Array.from(host.lasting, (step) => latestByStep.get(step) ?? Infinity));
