--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -1,7 +1,7 @@
 /**
- * Endpoints that crash under tasks. A task may bring down each endpoint that begins
- * it; an endpoint also crashes with no task to blame, and takes all that runs there with it. What
- * is known of each such end is kept with the task, so that the two can be told apart.
+ * Attributes endpoint crashes to tasks. A task may crash every endpoint that starts it. An endpoint may also crash for
+ * another reason, and then all of its runs are lost with it. What is known about each crash is recorded with the task,
+ * so that the two cases can be told apart.
  */
 import { change } from '../../shared/change.js';
 import { instanceOf } from '../model/endpoint-life.js';
@@ -20,35 +20,38 @@
 } from '../model/state.js';
 
 /**
- * A run with which its endpoint was heard to live for so long is not the first to be blamed for its
- * end. A busy endpoint is heard many times in this time, a quiet one is asked each 400 ms.
+ * Once an endpoint has been observed alive with a run for this long, the run is no longer a primary suspect for a crash.
+ * A busy endpoint reports many times in this period; a quiet one is polled every 400 ms.
  */
-const SETTLED_MS = 250;
-/** Under a task that takes endpoints down late the next one is watched for longer, up to this time. */
-const LONGEST_SETTLED_MS = 2000;
-/** A long-running task with which an endpoint has lived for so long has nothing to do with its end. */
-const LASTING_CLEARED_MS = 5000;
+const MIN_OBSERVATION_MS = 250;
+/** Upper bound of the observation period, which is extended for a task that crashes its endpoints late. */
+const MAX_OBSERVATION_MS = 2000;
+/** A long-running task with which an endpoint has been alive for this long is cleared of having caused a crash. */
+const LONG_RUNNING_CLEARED_MS = 5000;
 /**
- * A job is given up after so many ends that one of its tasks alone explains. One may be chance: of hosts that
- * crash each 10 s without blame, one in forty goes within a watch of 250 ms.
+ * A job is given up after this many crashes that only one of its tasks can explain. A single one may be a coincidence:
+ * of hosts that crash every 10 s for other reasons, one in 40 crashes within an observation period of 250 ms.
  */
-const MOST_EXPLAINED = 2;
+const MAX_EXPLAINED_CRASHES = 2;
 /**
- * And after so many of whatever kind. Of five at most a task may be the cause; one of them may have been
- * missed by a holder that was lost itself before it could write.
+ * A job is also given up after this many crashes of any kind under one of its tasks. The limit is one less than five, the
+ * most endpoints that a task may crash in total, because one crash goes uncounted if the leader is lost before writing it.
  */
-const MOST_CRASHES = 4;
+const MAX_CRASHES = 4;
 /**
- * What ran on an endpoint that was unresponsive for so long before its end was seen may have ended before it. The list
- * of hosts is read each second at least, a quarter later at most, and an endpoint is asked each 0.6 s.
+ * If an endpoint was unresponsive for this long before its crash was detected, its runs may have ended before the crash.
+ * The host list is read at least every second, up to a quarter of a second late, and an endpoint is polled every 0.6 s.
  */
-const LONGEST_UNRESPONSIVE_MS = 1900;
-/** Ends of endpoints within this time are taken for one event: the list of hosts is read each 0.4 to 1 s. */
-const CORRELATED_MS = 1000;
-/** So many unexplained ends at about one time are not the work of tasks. */
-const CORRELATED_ENDPOINTS = 2;
+const MAX_UNRESPONSIVE_MS = 1900;
+/** Crashes within this time are treated as one event, because the host list is read only every 0.4 to 1 s. */
+const CORRELATION_WINDOW_MS = 1000;
+/** If this many other endpoints crash unexplained at about the same time, tasks are not the cause. */
+const MIN_CORRELATED_ENDPOINTS = 2;
 
-/** The host, the address or the id has another life: nothing ordered or announced that. */
+/**
+ * Causes that show a crash: the endpoint is gone from its host, or another one has its host, address or id, without
+ * an order or announcement.
+ */
 const CRASH_CAUSES: ReadonlySet<GoneCause> = new Set([
   'host-list',
   'host-taken',
@@ -58,84 +61,96 @@
 ]);
 
 /**
- * Tells whether an endpoint crashed by itself.
+ * Tells whether an endpoint crashed, as opposed to being shut down.
  *
- * @param gone - The endpoint, with what shows that it is gone.
- * @returns False for one that said that it leaves, that was closed for an order to its host, or that may
- *   only be silent.
+ * @param gone - The endpoint, with the evidence that it is gone.
+ * @returns False if the endpoint announced its end, was closed because of an order to its host, or may only be
+ *   unresponsive.
  */
 export const isCrash = ({ endpoint, detail }: Pick<GoneEndpoint, 'endpoint' | 'detail'>): boolean =>
   CRASH_CAUSES.has(detail) && !endpoint.hasAnnouncedEnd && !endpoint.isClosing;
 
-/** For how long an endpoint is known to have lived with a run: it answered a question of that time. */
+/**
+ * Returns for how long an endpoint is known to have been alive with a run, in ms: until the poll that it last
+ * answered.
+ */
 const livedMs = ({ reportedAtMs }: EndpointState, { begunByMs }: RunState): number =>
   Math.max(0, Math.round(reportedAtMs - begunByMs));
 
-/** Twice the longest time that an endpoint lived with the task before it crashed. */
-const watchMs = ({ crashes }: Task): number => {
+/**
+ * Returns the observation period of a task: twice the longest time that an endpoint was alive with it before
+ * crashing, within bounds.
+ */
+const observationMs = ({ crashes }: Task): number => {
   const longestMs = Math.max(0, ...crashes.map((crash) => crash.livedMs));
-  return Math.min(LONGEST_SETTLED_MS, Math.max(SETTLED_MS, 2 * longestMs));
+  return Math.min(MAX_OBSERVATION_MS, Math.max(MIN_OBSERVATION_MS, 2 * longestMs));
 };
 
 /**
- * Tells whether an endpoint has lived with a run for so long that others are to be blamed first.
+ * Tells whether an endpoint has been alive with a run for the whole observation period, so that other runs are
+ * suspected first if it crashes.
  *
- * @param endpoint - The endpoint, as it was last heard.
+ * @param endpoint - The endpoint, as of its last report.
  * @param run - The run.
- * @returns True once it has.
+ * @returns True once the observation period has passed.
  */
 export const isSettled = (endpoint: EndpointState, run: RunState): boolean =>
-  livedMs(endpoint, run) >= watchMs(run.task);
+  livedMs(endpoint, run) >= observationMs(run.task);
 
 /**
- * Tells whether a task is begun only where it can harm no other, and where its endpoint's end would tell.
+ * Tells whether a task is a suspect. A suspect is started only in isolation, where it cannot harm other tasks and where
+ * a crash of its endpoint is conclusive.
  *
  * @param task - The task.
- * @returns True once an endpoint crashed that it may have taken down.
+ * @returns True if the task may have caused a crash, or if more than one endpoint crashed under it.
  */
 export const isSuspect = ({ crashes }: Pick<Task, 'crashes'>): boolean =>
   crashes.length > 1 || crashes.some(({ isSuspected }) => isSuspected);
 
-/** Nothing but the task explains the end. */
-const isTheTask = ({
+/** Tells whether only the task can explain a crash. */
+const isExplainedOnlyByTask = ({
   isSuspected,
   isSoleSuspect,
   isConfirmed,
   isCorrelated,
 }: EndpointCrash): boolean => isSuspected && isSoleSuspect && isConfirmed && !isCorrelated;
 
-/** An endpoint that lived with the task, whatever ended it later, speaks against what came before. */
-const explainedOf = (crashes: readonly EndpointCrash[]): number => {
-  const lastLived = crashes.findLastIndex(({ isSuspected }) => !isSuspected);
-  return crashes.slice(lastLived + 1).filter(isTheTask).length;
+/**
+ * Counts the crashes that only the task explains, since an endpoint last survived the observation period with it:
+ * that clears the task of earlier crashes.
+ */
+const countExplained = (crashes: readonly EndpointCrash[]): number => {
+  const lastSurvived = crashes.findLastIndex(({ isSuspected }) => !isSuspected);
+  return crashes.slice(lastSurvived + 1).filter(isExplainedOnlyByTask).length;
 };
 
 /**
- * Tells why a task is not to be begun again.
+ * Returns why a task must not be started again.
  *
  * @param task - The task.
- * @returns The reason, for its client and for operators; undefined while it may be begun.
+ * @returns The reason, for its client and for operators; undefined while the task may be started.
  */
 export const giveUpReason = ({
   key,
   crashes,
 }: Pick<Task, 'key' | 'crashes'>): string | undefined => {
-  const explained = explainedOf(crashes);
-  if (explained < MOST_EXPLAINED && crashes.length < MOST_CRASHES) return undefined;
+  const explained = countExplained(crashes);
+  if (explained < MAX_EXPLAINED_CRASHES && crashes.length < MAX_CRASHES) return undefined;
   return `${crashes.length} endpoints crashed under task ${key}, ${explained} of them while nothing else there could be the cause`;
 };
 
 /**
- * Lists what was on an endpoint as it was heard last.
+ * Lists the runs on an endpoint as of its last report.
  *
  * @param endpoint - The endpoint.
- * @returns Its runs, those among them that were given up since.
+ * @returns Its runs, including those that have been given up since.
  */
 export const lastRunsOf = ({ runs, lapsedRuns }: EndpointState): readonly RunState[] => [
   ...runs.values(),
   ...lapsedRuns,
 ];
 
+/** Returns the jobs with runs that the endpoint has not yet been alive with for the whole observation period. */
 const unsettledJobs = (endpoint: EndpointState): ReadonlySet<JobState> =>
   new Set(
     lastRunsOf(endpoint)
@@ -143,16 +158,21 @@
       .map(({ step }) => step.job),
   );
 
+/**
+ * Tells whether a task explains a crash: only one job has unsettled runs, and endpoints crashed before under one of
+ * them.
+ */
 const isExplained = (endpoint: EndpointState): boolean =>
   unsettledJobs(endpoint).size === 1 &&
   lastRunsOf(endpoint).some((run) => !isSettled(endpoint, run) && run.task.crashes.length > 0);
 
 /**
- * Notes that endpoints crashed, before what ran there is judged: whole racks go at once.
+ * Records that endpoints crashed. Must be called for all of them before the crashes are attributed to their runs,
+ * because a whole rack may be lost at once.
  *
- * @param state - All that is known, changed in place.
- * @param gone - The endpoints.
- * @param nowMs - The time.
+ * @param state - The scheduler's state, changed in place.
+ * @param gone - The endpoints that are gone; those that did not crash are ignored.
+ * @param nowMs - The current time.
  */
 export const noteCrashes = (
   state: BatchState,
@@ -163,40 +183,47 @@
     const { endpointId } = endpoint;
     return { endpointId, rack: rackOf(endpoint), atMs, isExplained: isExplained(endpoint) };
   });
-  const recent = state.recentCrashes.filter(({ atMs }) => nowMs - atMs < 2 * CORRELATED_MS);
+  const recent = state.recentCrashes.filter(({ atMs }) => nowMs - atMs < 2 * CORRELATION_WINDOW_MS);
   change(state, { recentCrashes: [...recent, ...fresh] });
 };
 
+/**
+ * Tells whether an endpoint crashed at about the same time as another one in its rack, or as at least
+ * MIN_CORRELATED_ENDPOINTS others anywhere. Crashes that a task explains are ignored, and several incarnations of one
+ * endpoint count once.
+ */
 const isCorrelated = ({ recentCrashes }: BatchState, { endpoint, atMs }: GoneEndpoint): boolean => {
   const others = recentCrashes.filter(
     (other) =>
       instanceOf(other.endpointId) !== instanceOf(endpoint.endpointId) &&
       !other.isExplained &&
-      Math.abs(other.atMs - atMs) < CORRELATED_MS,
+      Math.abs(other.atMs - atMs) < CORRELATION_WINDOW_MS,
   );
   const rack = rackOf(endpoint);
   const isRack = rack !== '' && others.some((other) => other.rack === rack);
   const endpoints = new Set(others.map(({ endpointId }) => instanceOf(endpointId)));
-  return isRack || endpoints.size >= CORRELATED_ENDPOINTS;
+  return isRack || endpoints.size >= MIN_CORRELATED_ENDPOINTS;
 };
 
-/** The run was there shortly before the endpoint's end was seen. */
-const wasThere = ({ endpoint, atMs }: GoneEndpoint, { begunByMs }: RunState): boolean =>
-  begunByMs < Infinity &&
-  atMs - Math.max(begunByMs, endpoint.reportedAtMs) < LONGEST_UNRESPONSIVE_MS;
+/** Tells whether the run is known to have been on the endpoint shortly before the crash was detected. */
+const wasPresentAtCrash = ({ endpoint, atMs }: GoneEndpoint, { begunByMs }: RunState): boolean =>
+  begunByMs < Infinity && atMs - Math.max(begunByMs, endpoint.reportedAtMs) < MAX_UNRESPONSIVE_MS;
 
-/** Another run that can hardly be to blame: a task that takes endpoints down may take its time. */
-const isHarmless = (endpoint: EndpointState, run: RunState, other: RunState): boolean =>
-  other.step.job === run.step.job || livedMs(endpoint, other) >= LONGEST_SETTLED_MS;
+/**
+ * Tells whether another run is unlikely to have caused a crash. This requires a longer time than `isSettled`, because a
+ * task may crash its endpoint late.
+ */
+const isUnlikelyCause = (endpoint: EndpointState, run: RunState, other: RunState): boolean =>
+  other.step.job === run.step.job || livedMs(endpoint, other) >= MAX_OBSERVATION_MS;
 
 /**
- * Judges what the end of an endpoint says of a run that was there.
+ * Evaluates what the loss of an endpoint implies about a run that was on it.
  *
- * @param state - All that is known.
- * @param gone - The endpoint, with all that ran there.
+ * @param state - The scheduler's state.
+ * @param gone - The endpoint, with all runs that were on it.
  * @param run - The run.
- * @param nowMs - The time.
- * @returns What is to be counted against the run's task, or undefined if the endpoint did not crash.
+ * @param nowMs - The current time.
+ * @returns The crash to record against the run's task; undefined if the endpoint did not crash.
  */
 export const judgeCrash = (
   state: BatchState,
@@ -209,9 +236,9 @@
   return {
     run: run.run,
     livedMs: livedMs(endpoint, run),
-    isConfirmed: wasThere(gone, run),
+    isConfirmed: wasPresentAtCrash(gone, run),
     isSuspected: !isSettled(endpoint, run),
-    isSoleSuspect: lastRunsOf(endpoint).every((other) => isHarmless(endpoint, run, other)),
+    isSoleSuspect: lastRunsOf(endpoint).every((other) => isUnlikelyCause(endpoint, run, other)),
     isCorrelated: isCorrelated(state, gone),
     fence: state.fence,
     countedAtMs: Math.round(nowMs + state.todayAheadMs),
@@ -219,19 +246,20 @@
 };
 
 /**
- * Counts the end of an endpoint against a task. The task is not begun again before that is written, so that no
- * holder begins it without knowing of all that was counted.
+ * Records a crash against a task. The task is not started again until the record has been written to its job's row, so
+ * that no leader starts the task without knowing all recorded crashes. A long-running task that its endpoint has been
+ * alive with for long enough is cleared of all earlier crashes instead.
  *
- * @param state - All that is known, changed in place.
- * @param run - The run that was there.
- * @param crash - What the end says of it.
+ * @param state - The scheduler's state, changed in place.
+ * @param run - The run that was on the endpoint.
+ * @param crash - What the crash implies about the run.
  */
 export const recordCrash = (
   state: BatchState,
   { task, step: { job, spec } }: RunState,
   crash: EndpointCrash,
 ): void => {
-  const isCleared = spec.isLasting && crash.livedMs >= LASTING_CLEARED_MS;
+  const isCleared = spec.isLasting && crash.livedMs >= LONG_RUNNING_CLEARED_MS;
   if (isCleared && task.crashes.length === 0) return;
   change(task, { crashes: isCleared ? [] : [...task.crashes, crash] });
   change(job, { blameRevision: job.blameRevision + 1 });
@@ -240,12 +268,13 @@
 };
 
 /**
- * Tells of what was counted against a task, for the line of its run.
+ * Returns the log fields that describe the crashes under a task.
  *
- * @param task - The task, with the last end counted.
+ * @param task - The task, with the last crash recorded.
  * @param endpoint - The endpoint that crashed last.
- * @param todayMs - The time of day.
- * @returns How many endpoints crashed under it, by whose count and since when, and what is known of the last.
+ * @param todayMs - The time of day, in ms.
+ * @returns The number of crashes, the fencing tokens of the leaders that recorded them, the age of the first one, and the
+ *   details of the last; no fields if there was no crash.
  */
 export const crashFields = (
   { crashes }: Pick<Task, 'crashes'>,
--- a/packages/core/src/batch/crashes/inherited-losses.ts
+++ b/packages/core/src/batch/crashes/inherited-losses.ts
@@ -1,8 +1,8 @@
 /**
- * Endpoints that crashed shortly before a change of the holder. The holder before may have been lost before it could
- * count that against the tasks there, and starts are written nowhere: so in a pool that shows such a crash, the new
- * holder announces the first start of each inherited task in its job's row. If it is lost in turn with the next
- * endpoint, the holder after it counts that start.
+ * Detects pools in which endpoints may have crashed shortly before a change of the leader. The previous leader may have
+ * been lost before it could record the crash against the tasks on the endpoint, and ordinary starts are not persisted.
+ * So in such a pool, the new leader records the first start of each inherited task in its job's row before ordering it.
+ * If this leader is lost as well, together with the next endpoint, its successor counts that start as a crash.
  */
 import type { HostView } from '../pools/hosts.js';
 import { bornAtMs } from '../model/endpoint-life.js';
@@ -16,14 +16,17 @@
 } from '../model/state.js';
 import { firstRunNumber } from '../endpoints/runs.js';
 
-/** A host is back some seconds after a crash; a takeover takes up to 8.5 s. */
-const RECENT_MS = 12_000;
+/**
+ * How far back before a takeover crashes are looked for: a host is back some seconds after a crash, and a takeover
+ * takes up to 8.5 s.
+ */
+const LOOKBACK_MS = 12_000;
 
 /**
- * Notes which pools have hosts that are down at the first reading of the list of hosts.
+ * Records which pools have hosts that are down in the first read of the host list.
  *
- * @param state - All that is known, changed in place.
- * @param hosts - The list.
+ * @param state - The scheduler's state, changed in place.
+ * @param hosts - The host list.
  */
 export const noteLossesBefore = (state: BatchState, hosts: readonly HostView[]): void =>
   hosts
@@ -32,38 +35,41 @@
       poolOf(state, pool).hasLossBefore = true;
     });
 
-/** A life that began shortly before this term may have followed one that crashed. */
-const isRestart = (
+/** Tells whether an endpoint started shortly before the takeover, so that it may be the restart of one that crashed. */
+const hasStartedBeforeTakeover = (
   { takenOverAtMs, todayAheadMs }: BatchState,
   { endpointId }: EndpointState,
 ): boolean => {
   const atMs = bornAtMs(endpointId);
   if (atMs === undefined) return false;
   const takenOverTodayMs = takenOverAtMs + todayAheadMs;
-  return atMs > takenOverTodayMs - RECENT_MS && atMs < takenOverTodayMs;
+  return atMs > takenOverTodayMs - LOOKBACK_MS && atMs < takenOverTodayMs;
 };
 
 /**
- * Tells whether an endpoint of a pool may have crashed shortly before this holder took over.
+ * Tells whether an endpoint of a pool may have crashed shortly before this leader took over.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param pool - The pool.
  * @param endpoints - Its endpoints.
- * @returns True if a host was down then, or an endpoint had just begun.
+ * @returns True if a host of the pool was down in the first read of the host list, or if an endpoint had just started.
  */
 export const hasLossBefore = (
   state: BatchState,
   pool: PoolState,
   endpoints: readonly EndpointState[],
-): boolean => pool.hasLossBefore || endpoints.some((endpoint) => isRestart(state, endpoint));
+): boolean =>
+  pool.hasLossBefore || endpoints.some((endpoint) => hasStartedBeforeTakeover(state, endpoint));
 
 /**
- * Tells whether the next start of a task is the first by this holder of a task that the one before may have begun.
+ * Tells whether the next start of a task is the first one by this leader, and an earlier leader may have started the
+ * task before.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param step - The task's step.
  * @param task - The task.
- * @returns True if the start is to be announced where the pool has a loss before.
+ * @returns True if the start must be recorded first, provided that the pool may have lost an endpoint before the
+ *   takeover.
  */
 export const isFirstStartOfInherited = (
   { fence }: BatchState,
--- a/packages/core/src/batch/crashes/isolation.test.ts
+++ b/packages/core/src/batch/crashes/isolation.test.ts
@@ -1,4 +1,4 @@
-/** Which endpoints are kept for tasks under which others crashed, and what may begin there. */
+/** Tests of which endpoints are reserved for tasks under which endpoints crashed, and of what may start there. */
 import { describe, expect, it } from 'vitest';
 
 import { change } from '../../shared/change.js';
@@ -43,8 +43,8 @@
 const placesOf = (state: BatchState, jobId: JobId): readonly EndpointId[] =>
   tasksOf(state, jobId).flatMap((task) => endpointsOf(state, task));
 
-/** An endpoint answers that all runs there run. */
-const hear = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
+/** Has an endpoint report all of its runs as running. */
+const reportRunning = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
   const runs = Array.from(state.endpoints.get(endpointId)?.runs.values() ?? []);
   const running = runs.map(({ task, run }) => ({
     task: task.key,
@@ -56,8 +56,12 @@
   answer(state, { endpointId, running, askedAtMs: nowMs - 1, nowMs });
 };
 
-/** All that runs on some endpoints is done. */
-const endAll = (state: BatchState, endpointIds: readonly EndpointId[], nowMs: number): void =>
+/** Has endpoints report all of their runs as done. */
+const reportAllDone = (
+  state: BatchState,
+  endpointIds: readonly EndpointId[],
+  nowMs: number,
+): void =>
   endpointIds.forEach((endpointId) => {
     const runs = Array.from(state.endpoints.get(endpointId)?.runs.values() ?? []);
     const ended = runs.map(({ task, run }, index) => ({
@@ -75,27 +79,27 @@
   settleGoneEndpoints(state, nowMs);
 };
 
-/** Of a job of so many tasks one or more ran on the first of three endpoints as it crashed. */
+/** Creates a state in which the first of three endpoints has crashed while it ran the tasks of a job. */
 const afterCrash = (step: Partial<StepSpec> = {}): BatchState => {
   const state = createBatchState(2);
   see(state, FIRST);
-  hear(state, FIRST, 10);
+  reportRunning(state, FIRST, 10);
   submit(state, SUSPECT, step, 20);
   schedulePool(state, POOL, 20);
   [SECOND, THIRD].forEach((endpointId) => {
     see(state, endpointId, 25);
-    hear(state, endpointId, 30);
+    reportRunning(state, endpointId, 30);
   });
   crash(state, FIRST, 1000);
   return state;
 };
 
-describe('crashes about the time of a task', () => {
-  /** Two others crash 0.7 and 0.2 s before the task's endpoint. */
+describe('crashes of other endpoints at about the same time', () => {
+  /** Two other endpoints crash 0.7 s and 0.2 s before the endpoint of a task. */
   const isCorrelatedWith = ([one, other]: readonly [EndpointId, EndpointId]): boolean => {
     const state = createBatchState(2);
     see(state, FIRST);
-    hear(state, FIRST, 10);
+    reportRunning(state, FIRST, 10);
     submit(state, SUSPECT, {}, 20);
     schedulePool(state, POOL, 20);
     see(state, one, 30);
@@ -106,17 +110,17 @@
     return tasksOf(state, SUSPECT)[0]?.crashes[0]?.isCorrelated ?? false;
   };
 
-  it('have a cause of their own if two other endpoints crashed', () => {
+  it('mark a crash as correlated if two other endpoints crashed', () => {
     expect(isCorrelatedWith([SECOND, THIRD])).toBe(true);
   });
 
-  it('say nothing if one other endpoint crashed in each of two lives', () => {
+  it('do not mark a crash as correlated if one other endpoint crashed twice', () => {
     expect(isCorrelatedWith([lifeOf(SECOND, 1), lifeOf(SECOND, 2)])).toBe(false);
   });
 });
 
 describe('a task under which an endpoint crashed', () => {
-  it('is begun only once that is written', () => {
+  it('is started only after the crash has been written to its row', () => {
     const state = afterCrash();
     schedulePool(state, POOL, 1010);
     expect(placesOf(state, SUSPECT)).toEqual([]);
@@ -124,7 +128,7 @@
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
-  it('is begun only once its start is written, too', () => {
+  it('is started only after its trial start has been written, too', () => {
     const state = afterCrash();
     writeRows(state);
     schedulePool(state, POOL, 1010);
@@ -134,8 +138,8 @@
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
-  describe('and that a lost holder had announced', () => {
-    const inherited = (): BatchState => {
+  describe('and whose trial start a lost leader had announced', () => {
+    const takeOver = (): BatchState => {
       const before = afterCrash();
       writeRows(before);
       schedulePool(before, POOL, 1010);
@@ -149,12 +153,12 @@
         todayMs: 2000,
       });
       see(state, SECOND, 2000);
-      hear(state, SECOND, 2010);
+      reportRunning(state, SECOND, 2010);
       return state;
     };
 
-    it('counts as crashed once no endpoint tells of its run', () => {
-      const state = inherited();
+    it('has the trial start counted as a crash if no endpoint reports the run', () => {
+      const state = takeOver();
       scheduleWritten(state, 2020);
       expect(tasksOf(state, SUSPECT)[0]?.crashes).toMatchObject([
         { isSuspected: true },
@@ -162,8 +166,8 @@
       ]);
     });
 
-    it('does not count while an endpoint that may run it has not answered', () => {
-      const state = inherited();
+    it('has no crash counted while an endpoint that may run it has not answered', () => {
+      const state = takeOver();
       state.inheritedLeasesEndAtMs = 9000;
       expectReports(state, [{ instanceId: instanceOf(THIRD), pool: POOL }]);
       scheduleWritten(state, 2020);
@@ -171,7 +175,7 @@
     });
   });
 
-  it('has an endpoint to itself until that was heard to live with it', () => {
+  it('has an endpoint to itself until the endpoint has survived the observation period', () => {
     const state = afterCrash();
     scheduleWritten(state, 1020);
     const [place] = placesOf(state, SUSPECT);
@@ -179,19 +183,19 @@
     schedulePool(state, POOL, 1030);
     expect(placesOf(state, OTHER)).toHaveLength(8);
     expect(placesOf(state, OTHER)).not.toContain(place);
-    hear(state, place as EndpointId, 1040);
-    hear(state, place as EndpointId, 1400);
+    reportRunning(state, place as EndpointId, 1040);
+    reportRunning(state, place as EndpointId, 1400);
     schedulePool(state, POOL, 1410);
     expect(placesOf(state, OTHER)).toContain(place);
   });
 
-  it('waits until runs of others have ended, but no longer than 2 s for those that last', () => {
+  it('waits until runs of other jobs have ended, but at most 2 s for settled ones', () => {
     const state = afterCrash();
     submit(state, OTHER, { taskCount: 2, mostPerEndpoint: 1, cpuMillis: 6000 }, 1000);
     schedulePool(state, POOL, 1000);
     writeRows(state);
     const pass = (nowMs: number): readonly EndpointId[] => {
-      [SECOND, THIRD].forEach((endpointId) => hear(state, endpointId, nowMs));
+      [SECOND, THIRD].forEach((endpointId) => reportRunning(state, endpointId, nowMs));
       scheduleWritten(state, nowMs);
       return placesOf(state, SUSPECT);
     };
@@ -200,25 +204,27 @@
     expect(pass(3100)).toHaveLength(1);
   });
 
-  it('is given a place where antiaffinity leaves one, not beside those of its own step', () => {
+  it('is placed on an endpoint that the limit per endpoint of its own step leaves free', () => {
     const state = createBatchState(2);
-    const live = (endpointId: EndpointId, nowMs: number): void => {
+    const addLiveEndpoint = (endpointId: EndpointId, nowMs: number): void => {
       see(state, endpointId, nowMs);
-      hear(state, endpointId, nowMs + 1);
+      reportRunning(state, endpointId, nowMs + 1);
     };
-    [FIRST, SECOND].forEach((endpointId) => live(endpointId, 10));
+    [FIRST, SECOND].forEach((endpointId) => addLiveEndpoint(endpointId, 10));
     submit(state, SUSPECT, { taskCount: 2, mostPerEndpoint: 1, isLasting: true }, 20);
     schedulePool(state, POOL, 20);
-    [THIRD, FOURTH].forEach((endpointId) => live(endpointId, 25));
+    [THIRD, FOURTH].forEach((endpointId) => addLiveEndpoint(endpointId, 25));
     [FIRST, SECOND].forEach((endpointId) => crash(state, endpointId, 1000));
     scheduleWritten(state, 1020);
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
-    [1040, 1400].forEach((nowMs) => [THIRD, FOURTH].forEach((id) => hear(state, id, nowMs)));
+    [1040, 1400].forEach((nowMs) =>
+      [THIRD, FOURTH].forEach((id) => reportRunning(state, id, nowMs)),
+    );
     schedulePool(state, POOL, 1410);
     expect(new Set(placesOf(state, SUSPECT))).toEqual(new Set([THIRD, FOURTH]));
   });
 
-  /** Nothing has been written yet, and other tasks have taken all room meanwhile. */
+  /** The crash is written only after tasks of another job have taken all capacity. */
   const inFullPool = (step: Partial<StepSpec> = {}): BatchState => {
     const state = afterCrash(step);
     submit(state, OTHER, { taskCount: 16 }, 10);
@@ -228,31 +234,32 @@
     return state;
   };
 
-  it('is not kept waiting by others that find no place, however many go before it', () => {
+  it('is not blocked by any number of unplaceable jobs ahead of it', () => {
     const state = inFullPool();
     Array.from({ length: 60 }).forEach((_, index) => {
       const jobId = brand<JobId>(`${index}`.padStart(16, '0'));
       submit(state, jobId, { cpuMillis: 8000, taskCount: 2 }, 10);
     });
     schedulePool(state, POOL, 1410);
-    endAll(state, [SECOND, THIRD], 1500);
+    reportAllDone(state, [SECOND, THIRD], 1500);
     scheduleWritten(state, 1510);
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
-  it('keeps the endpoint that is emptied for it while its step is not tried again', () => {
-    // The ninth task of the step had not begun, may stand beside others, and finds no place.
+  it('keeps the endpoint reserved for it while placement of its step is not retried', () => {
+    // The ninth task of the step had not started when the endpoint crashed, so it needs no isolation, and it cannot
+    // be placed.
     const state = inFullPool({ taskCount: 9 });
     const later = brand<JobId>('00000000000000d4');
     schedulePool(state, POOL, 1001);
     submit(state, later, { taskCount: 16 }, 1002);
-    endAll(state, [SECOND], 1003);
+    reportAllDone(state, [SECOND], 1003);
     scheduleWritten(state, 1004);
     expect(placesOf(state, later)).toEqual([]);
     expect(placesOf(state, SUSPECT)).toEqual(Array.from({ length: 8 }, () => SECOND));
   });
 
-  it('leaves most of a pool to others, however many wait so', () => {
+  it('leaves most of a pool to other jobs, however many suspects wait', () => {
     const state = afterCrash({ taskCount: 8 });
     scheduleWritten(state, 1020);
     expect(new Set(placesOf(state, SUSPECT)).size).toBe(1);
@@ -261,7 +268,7 @@
     expect(placesOf(state, OTHER)).toHaveLength(1);
   });
 
-  it('has all members of its gang begun with it, where nothing of others is', () => {
+  it('is started with all members of its gang, away from runs of other jobs', () => {
     const state = afterCrash({ taskCount: 8, isGang: true });
     submit(state, OTHER, {}, 1010);
     scheduleWritten(state, 1020);
@@ -271,10 +278,10 @@
 });
 
 describe('an endpoint that crashed', () => {
-  it('is held against no task of a job that is over, and nothing is kept of it', () => {
+  it('is not recorded against tasks of a job that has ended, and leaves no suspect job behind', () => {
     const state = createBatchState(2);
     see(state, FIRST);
-    hear(state, FIRST, 10);
+    reportRunning(state, FIRST, 10);
     submit(state, SUSPECT, {}, 20);
     schedulePool(state, POOL, 20);
     cancelJob(state, SUSPECT, null);
@@ -283,37 +290,37 @@
     expect(state.suspectJobs.size).toBe(0);
   });
 
-  const blamedOf = (state: BatchState, jobId: JobId): boolean | undefined =>
+  const isSuspectedOf = (state: BatchState, jobId: JobId): boolean | undefined =>
     tasksOf(state, jobId)[0]?.crashes.at(-1)?.isSuspected;
 
-  /** One run with which the endpoint was heard to live for so long, beside one that has just begun. */
-  const besideOneOf = (livedMs: number): BatchState => {
+  /** Crashes an endpoint with one run that it has been alive with for the given time, and one that has just started. */
+  const crashBesideRunOf = (livedMs: number): BatchState => {
     const state = createBatchState(2);
     see(state, FIRST);
-    hear(state, FIRST, 10);
+    reportRunning(state, FIRST, 10);
     submit(state, OTHER, {}, 20);
     schedulePool(state, POOL, 20);
-    hear(state, FIRST, 100);
-    hear(state, FIRST, 101 + livedMs);
+    reportRunning(state, FIRST, 100);
+    reportRunning(state, FIRST, 101 + livedMs);
     submit(state, SUSPECT, {}, 110 + livedMs);
     schedulePool(state, POOL, 110 + livedMs);
     crash(state, FIRST, 1000 + livedMs);
     return state;
   };
 
-  it('is not held against a run with which it had been heard to live', () => {
-    const state = besideOneOf(600);
-    expect(blamedOf(state, OTHER)).toBe(false);
-    expect(blamedOf(state, SUSPECT)).toBe(true);
+  it('does not make a run a suspect that it had survived for the observation period', () => {
+    const state = crashBesideRunOf(600);
+    expect(isSuspectedOf(state, OTHER)).toBe(false);
+    expect(isSuspectedOf(state, SUSPECT)).toBe(true);
   });
 
-  it('proves something of a run only if the others had been there for 2 s', () => {
-    const proves = (livedMs: number) =>
-      tasksOf(besideOneOf(livedMs), SUSPECT)[0]?.crashes[0]?.isSoleSuspect;
-    expect([proves(600), proves(2000)]).toEqual([false, true]);
+  it('makes a run the sole suspect only if all others had run there for 2 s', () => {
+    const isSoleSuspectAfter = (livedMs: number) =>
+      tasksOf(crashBesideRunOf(livedMs), SUSPECT)[0]?.crashes[0]?.isSoleSuspect;
+    expect([isSoleSuspectAfter(600), isSoleSuspectAfter(2000)]).toEqual([false, true]);
   });
 
-  it('is not held against a run of an earlier holder that it had had since before', () => {
+  it('does not make a run a suspect that had started under an earlier leader', () => {
     const state = createBatchState(2);
     change(state, { takenOverAtMs: 0 });
     submit(state, OTHER, {}, 10);
@@ -323,10 +330,10 @@
     ];
     answer(state, { endpointId: FIRST, running, askedAtMs: 500, nowMs: 510 });
     crash(state, FIRST, 1000);
-    expect(blamedOf(state, OTHER)).toBe(false);
+    expect(isSuspectedOf(state, OTHER)).toBe(false);
   });
 
-  it('proves nothing together with one before an endpoint that lived with the task', () => {
+  it('is not added to crashes from before an endpoint survived the task when deciding to give up', () => {
     const crashOf = (isSuspected: boolean): EndpointCrash => ({
       run: 2001,
       livedMs: isSuspected ? 0 : 800,
@@ -344,14 +351,14 @@
     expect(reasonAfter(true, false, true, false)).toContain('4 endpoints crashed');
   });
 
-  it('is not held against a long-running task that had run there for long', () => {
+  it('is not recorded against a long-running task that had run there for 5 s', () => {
     const state = createBatchState(2);
     see(state, FIRST);
-    hear(state, FIRST, 10);
+    reportRunning(state, FIRST, 10);
     submit(state, OTHER, { isLasting: true }, 20);
     schedulePool(state, POOL, 20);
-    hear(state, FIRST, 100);
-    hear(state, FIRST, 6000);
+    reportRunning(state, FIRST, 100);
+    reportRunning(state, FIRST, 6000);
     crash(state, FIRST, 7000);
     expect(tasksOf(state, OTHER)[0]?.crashes).toEqual([]);
   });
--- a/packages/core/src/batch/crashes/isolation.ts
+++ b/packages/core/src/batch/crashes/isolation.ts
@@ -1,8 +1,7 @@
 /**
- * Where tasks are begun under which endpoints crashed. Each gets an endpoint to itself until that has
- * been heard to live with it: one that takes endpoints down takes no work of others with it then, and
- * the end of its endpoint tells. One that was only there loses little: the others go elsewhere for
- * the quarter of a second that it takes.
+ * Isolates suspects, the tasks under which endpoints crashed. Each runs on an endpoint of its own until the endpoint has
+ * been alive with it for the observation period. If the task does crash its endpoint, no work of other jobs is lost and
+ * the crash is conclusive. If it does not, little is lost: other tasks are placed elsewhere for a quarter of a second.
  */
 import type { EndpointId } from '../../shared/ids.js';
 import { isSettled, isSuspect } from './endpoint-crashes.js';
@@ -19,27 +18,33 @@
 } from '../model/state.js';
 
 /**
- * Only this share of a pool's endpoints is kept for such tasks, so that a wave of them does not stop the
- * pool's other work. At least one is, or they would wait for ever in a pool that is always full.
+ * At most this share of a pool's endpoints is reserved for suspects, so that many suspects at once do not stop the pool's
+ * other work. At least one endpoint may be reserved; otherwise suspects would wait forever in a pool that is always full.
  */
-const MOST_SHARE = 0.25;
-/** Of endpoints that stand empty more may be: a task that was only there would wait for long in a pool of little use. */
-const MOST_EMPTY_SHARE = 0.5;
-/** After this time runs of others that have long been there need not have ended: some last for minutes. */
-const PATIENCE_MS = 2000;
+const MAX_RESERVED_SHARE = 0.25;
+/**
+ * Up to this share of the pool may be reserved if the endpoints are empty. Otherwise suspects that caused no crash would
+ * wait for a long time in a pool with little load.
+ */
+const MAX_EMPTY_SHARE = 0.5;
+/**
+ * From this time after the last end of a run of its step, a suspect no longer waits for settled short runs of other jobs
+ * to end, because some take minutes.
+ */
+const MAX_WAIT_MS = 2000;
 
-/** Endpoints on which nothing but tasks of the job begins. */
+/** Reserved endpoints, each with the only job whose tasks may start on it. */
 export type IsolatedEndpoints = ReadonlyMap<EndpointId, JobState>;
 
-/** Nothing is kept for anybody. */
+/** No endpoint is reserved. */
 export const NONE_ISOLATED: IsolatedEndpoints = new Map();
 
 /**
- * Lists the tasks of a step that wait to be begun on an endpoint of their own.
+ * Lists the tasks of a step that are waiting to be started in isolation.
  *
- * @param state - All that is known.
+ * @param state - The scheduler's state.
  * @param step - The step.
- * @returns The tasks; of a gang all members, since they run together.
+ * @returns The tasks; for a gang with a waiting suspect, all waiting members, because they run together.
  */
 export const waitingSuspects = (state: BatchState, step: StepRun): readonly Task[] => {
   if (!state.suspectJobs.has(step.job)) return [];
@@ -48,18 +53,19 @@
   return waiting.filter(isSuspect);
 };
 
+/** Tells whether a run of a suspect has not yet survived the observation period. */
 const isUnproven = (endpoint: EndpointState, run: RunState): boolean =>
   isSuspect(run.task) && !isSettled(endpoint, run);
 
-/** Endpoints that hold tasks of a job. */
+/** Lists the endpoints that have tasks of a job. */
 const endpointsWith = (state: BatchState, { occurrences }: JobState): readonly EndpointState[] => {
   const steps = Array.from(occurrences.values()).flatMap((one) => one.steps);
   const ids = new Set(steps.flatMap(({ perEndpoint }) => Array.from(perEndpoint.keys())));
   return Array.from(ids).flatMap((endpointId) => state.endpoints.get(endpointId) ?? []);
 };
 
-/** Endpoints that have not been heard to live with a task that was begun there by itself. */
-const underWay = (state: BatchState): Map<EndpointId, JobState> => {
+/** Finds the endpoints with a run of a suspect that has not yet survived the observation period. */
+const endpointsWithUnprovenRuns = (state: BatchState): Map<EndpointId, JobState> => {
   const found = new Map<EndpointId, JobState>();
   state.suspectJobs.forEach((job) => {
     endpointsWith(state, job)
@@ -73,36 +79,43 @@
   return found;
 };
 
-/** Runs of others that would be lost with the endpoint, or be the cause of its end. */
-const othersOn = ({ runs }: EndpointState, job: JobState): readonly RunState[] =>
+/** Lists runs of other jobs, which would be lost if the endpoint crashed, or could be the cause of a crash. */
+const runsOfOtherJobs = ({ runs }: EndpointState, job: JobState): readonly RunState[] =>
   Array.from(runs.values()).filter(({ step }) => step.job !== job);
 
-/** The one that is empty soonest; of those the one that has been there longest: it is not one that comes and goes. */
-const byFitness =
+/**
+ * Sorts endpoints by the fewest runs of other jobs, then by the longest uptime, which avoids endpoints that restart
+ * often.
+ */
+const byFewestOtherRuns =
   (job: JobState) =>
   (left: EndpointState, right: EndpointState): number =>
-    othersOn(left, job).length - othersOn(right, job).length || left.seenAtMs - right.seenAtMs;
+    runsOfOtherJobs(left, job).length - runsOfOtherJobs(right, job).length ||
+    left.seenAtMs - right.seenAtMs;
 
-/** What stays on an endpoint that is kept for a job: its own tasks, and long-running ones of others. */
-const stayingOn = ({ runs }: EndpointState, job: JobState): readonly StepSpec[] =>
+/**
+ * Lists what keeps running on an endpoint reserved for a job: the job's own tasks, and long-running tasks of other
+ * jobs.
+ */
+const remainingSpecs = ({ runs }: EndpointState, job: JobState): readonly StepSpec[] =>
   Array.from(runs.values(), ({ step }) => step)
     .filter((step) => step.job === job || step.spec.isLasting)
     .map(({ spec }) => spec);
 
 /**
- * Tells how many tasks of a step an endpoint could begin once the runs that end by themselves have ended.
+ * Returns how many tasks of a step an endpoint could start once the short runs of other jobs have ended.
  *
  * @param endpoint - The endpoint.
  * @param step - The step.
- * @returns The number; Infinity for tasks that take no room.
+ * @returns The number of tasks; Infinity for tasks that need no resources.
  */
 export const couldBegin = (endpoint: EndpointState, step: StepRun): number => {
   const { endpointId, labels, capacity } = endpoint;
   const { spec, perEndpoint, job } = step;
   if (spec.requiredLabel !== '' && !labels.includes(spec.requiredLabel)) return 0;
-  const staying = stayingOn(endpoint, job);
+  const remaining = remainingSpecs(endpoint, job);
   const times = (room: number, needOf: (one: StepSpec) => number): number => {
-    const taken = staying.reduce((sum, one) => sum + needOf(one), 0);
+    const taken = remaining.reduce((sum, one) => sum + needOf(one), 0);
     return needOf(spec) === 0 ? Infinity : Math.floor((room - taken) / needOf(spec));
   };
   const room = Math.min(
@@ -116,52 +129,53 @@
   return Math.max(0, room);
 };
 
-const haveRoom = (chosen: readonly EndpointState[], step: StepRun, tasks: number): boolean =>
+const haveCapacity = (chosen: readonly EndpointState[], step: StepRun, tasks: number): boolean =>
   chosen.reduce((sum, endpoint) => sum + couldBegin(endpoint, step), 0) >= tasks;
 
-/** What a step may be given, for as long as it waits. */
+/** A waiting step with suspects, and the endpoints that could be reserved for it. */
 export type IsolationRequest = {
   readonly step: StepRun;
-  /** The endpoints of the pool that take new work and may run the step. */
+  /** The endpoints of the pool that accept new work and may run the step. */
   readonly admitted: readonly EndpointState[];
 };
 
-/** How many endpoints of a pool may be kept at once. */
-const mostIsolated = (endpoints: readonly EndpointState[]): number => {
+/** Returns how many endpoints of a pool may be reserved at once. */
+const maxReservedEndpoints = (endpoints: readonly EndpointState[]): number => {
   const empty = endpoints.filter(({ runs }) => runs.size === 0).length;
   return Math.max(
-    Math.ceil(endpoints.length * MOST_SHARE),
-    Math.min(empty, Math.floor(endpoints.length * MOST_EMPTY_SHARE)),
+    Math.ceil(endpoints.length * MAX_RESERVED_SHARE),
+    Math.min(empty, Math.floor(endpoints.length * MAX_EMPTY_SHARE)),
   );
 };
 
 /**
- * Decides which endpoints of a pool are kept for tasks under which others crashed.
+ * Decides which endpoints of a pool are reserved for suspects.
  *
- * @param state - All that is known.
- * @param questions - The open steps with tasks that are to be alone, in their order.
- * @param endpoints - The endpoints of the pool that take new work.
- * @returns The endpoints, those where such a task was begun and has not proved harmless among them.
+ * @param state - The scheduler's state.
+ * @param requests - The open steps with suspects, in order of priority.
+ * @param endpoints - The endpoints of the pool that accept new work.
+ * @returns The reserved endpoints, including those with a running suspect that has not yet survived the observation
+ *   period.
  */
 export const planIsolation = (
   state: BatchState,
-  questions: readonly IsolationRequest[],
+  requests: readonly IsolationRequest[],
   endpoints: readonly EndpointState[],
 ): IsolatedEndpoints => {
-  const isolated = underWay(state);
-  const most = mostIsolated(endpoints);
-  questions.forEach(({ step, admitted }) => {
+  const isolated = endpointsWithUnprovenRuns(state);
+  const most = maxReservedEndpoints(endpoints);
+  requests.forEach(({ step, admitted }) => {
     const { job } = step;
     const { length: waiting } = waitingSuspects(state, step);
     if (!isWritten(job)) return;
     const chosen = admitted.filter(({ endpointId }) => isolated.get(endpointId) === job);
     const free = admitted
       .filter((one) => !isolated.has(one.endpointId) && couldBegin(one, step) > 0)
-      .sort(byFitness(job));
-    // A gang gets all that it needs or nothing: without another to wait for it may have more than the share.
+      .sort(byFewestOtherRuns(job));
+    // A gang needs all of its endpoints at once. If nothing else is reserved, it may exceed the share.
     const mayExceed = step.spec.isGang && isolated.size === 0;
     while (
-      !haveRoom(chosen, step, waiting) &&
+      !haveCapacity(chosen, step, waiting) &&
       free.length > 0 &&
       (mayExceed || isolated.size < most)
     ) {
@@ -174,12 +188,13 @@
 };
 
 /**
- * Lists where the waiting tasks of a step may be begun that are to be alone.
+ * Lists the endpoints on which the waiting suspects of a step may be started now.
  *
- * @param isolated - What is kept for whom.
- * @param question - The step, and the endpoints that may run it.
- * @param nowMs - The time.
- * @returns The endpoints on which only tasks of its job run, or, after some time, only ones that have long been there.
+ * @param isolated - The reserved endpoints.
+ * @param request - The step, and the endpoints that may run it.
+ * @param nowMs - The current time.
+ * @returns The endpoints reserved for the step's job that run only tasks of the job and settled long-running tasks of
+ *   others, or, after a waiting time, settled tasks of any kind.
  */
 export const isolatedPlaces = (
   isolated: IsolatedEndpoints,
@@ -189,12 +204,12 @@
   const { job } = step;
   if (!isWritten(job)) return [];
   const endedAtMs = Math.max(0, ...step.tasks.map(({ lastEnd }) => lastEnd?.countedAtMs ?? 0));
-  const isPatient = nowMs - endedAtMs < PATIENCE_MS;
-  const mayStay = (endpoint: EndpointState, run: RunState): boolean =>
-    isSettled(endpoint, run) && (run.step.spec.isLasting || !isPatient);
+  const isWaiting = nowMs - endedAtMs < MAX_WAIT_MS;
+  const mayShareWith = (endpoint: EndpointState, run: RunState): boolean =>
+    isSettled(endpoint, run) && (run.step.spec.isLasting || !isWaiting);
   return admitted.filter(
     (endpoint) =>
       isolated.get(endpoint.endpointId) === job &&
-      othersOn(endpoint, job).every((run) => mayStay(endpoint, run)),
+      runsOfOtherJobs(endpoint, job).every((run) => mayShareWith(endpoint, run)),
   );
 };
--- a/packages/core/src/batch/crashes/trials.ts
+++ b/packages/core/src/batch/crashes/trials.ts
@@ -1,7 +1,7 @@
 /**
- * Starts of tasks that endpoints crashed under. Each is written to the job's row before it is ordered: a holder that
- * is lost before it could write that the next endpoint crashed, too, leaves the start behind, and the next holder counts
- * it unless an endpoint tells what became of it.
+ * Trial starts: starts of tasks under which endpoints crashed. Each is written to the job's row before it is ordered. If
+ * the leader is lost before it can record that the next endpoint crashed as well, the row still holds the trial start,
+ * and the next leader counts it as a crash unless an endpoint reports what became of the run.
  */
 import { change } from '../../shared/change.js';
 import { isSettled } from './endpoint-crashes.js';
@@ -15,44 +15,46 @@
   Task,
 } from '../model/state.js';
 
-const isAccountedFor = ({ lastEnd, crashes }: Task, run: number): boolean =>
+/** Tells whether the end of a run, or of a later run of the task, is known. */
+const hasKnownEnd = ({ lastEnd, crashes }: Task, run: number): boolean =>
   (lastEnd?.run ?? 0) >= run || crashes.some((crash) => crash.run >= run);
 
 /**
- * Gives the announced start of a task of which no end is known.
+ * Returns the trial start of a task if the end of its run is not known.
  *
  * @param task - The task.
- * @returns The run, or undefined if none is open.
+ * @returns The run number; undefined if no trial start is open.
  */
 export const openTrialOf = (
   task: Pick<Task, 'trial' | 'lastEnd' | 'crashes'>,
 ): number | undefined =>
-  task.trial && !isAccountedFor(task as Task, task.trial.run) ? task.trial.run : undefined;
+  task.trial && !hasKnownEnd(task as Task, task.trial.run) ? task.trial.run : undefined;
 
 /**
- * Tells whether a task may be begun under the run that was announced for it.
+ * Returns the run under which a task may be started because this leader announced it as a trial start.
  *
  * @param task - The task.
- * @returns The run, or undefined if one must be announced first.
+ * @returns The run number; undefined if a trial start must be announced first.
  */
 export const announcedRunOf = (task: Task): number | undefined =>
   task.trial?.isInherited === false ? openTrialOf(task) : undefined;
 
 /**
- * Tells whether all that was counted and announced is in the job's row, so that whoever holds control next knows of it.
+ * Tells whether all recorded crashes and trial starts are in the job's row, so that the next leader will know of them.
  *
  * @param job - The job.
- * @returns False while a write is awaited.
+ * @returns False while a write is pending.
  */
 export const isWritten = ({ blameRevision, writtenBlameRevision }: JobState): boolean =>
   writtenBlameRevision >= blameRevision;
 
 /**
- * Announces the next start of tasks in the row of their job; they are not begun before it is written.
+ * Announces the next start of tasks as a trial start in the row of their job. The tasks are not started until the row
+ * has been written.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The scheduler's state, changed in place.
  * @param step - Their step.
- * @param tasks - The tasks; all get the same run, as members of a gang must have.
+ * @param tasks - The tasks. All get the same run number, as the members of a gang must.
  */
 export const announceTrials = (state: BatchState, step: StepRun, tasks: readonly Task[]): void => {
   const { job } = step;
@@ -63,21 +65,21 @@
 };
 
 /**
- * Notes a start that an earlier holder announced.
+ * Restores a trial start that an earlier leader announced.
  *
  * @param task - The task, changed in place.
- * @param run - The run.
+ * @param run - The run number.
  */
 export const inheritTrial = (task: Task, run: number): void =>
   change(task, { trial: { run, isInherited: true }, lastRun: Math.max(task.lastRun, run) });
 
 /**
- * Counts the inherited starts of a step that no endpoint tells of, once all that may run them have answered: the
- * endpoint that began one is gone.
+ * Counts the inherited trial starts of a step that no endpoint reports as crashes, because the endpoint that started
+ * the run must be gone. To be called only after all endpoints that may run the step have answered.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The scheduler's state, changed in place.
  * @param step - The step.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  */
 export const countLostTrials = (state: BatchState, step: StepRun, nowMs: number): void => {
   const { job, tasks } = step;
@@ -109,10 +111,11 @@
 };
 
 /**
- * Closes the announced start of a run that its endpoint has lived with: its end tells nothing any more.
+ * Closes the trial start of a run once its endpoint has been alive with it for the observation period: a later crash is
+ * no longer conclusive.
  *
- * @param state - All that is known, changed in place.
- * @param endpoint - Where it runs.
+ * @param state - The scheduler's state, changed in place.
+ * @param endpoint - The endpoint that runs it.
  * @param run - The run.
  */
 export const closeTrial = (state: BatchState, endpoint: EndpointState, run: RunState): void => {
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -81,7 +81,10 @@
   return isAtWork ? keepOpen('it is running tasks, and there is time left') : undefined;
 };
 
-/** The full extent of a suspected outage is not known yet, so none of any step's disruption budget is spent on maintenance. */
+/**
+ * The full extent of a suspected outage is not known yet, so none of any step's disruption budget is spent on
+ * maintenance.
+ */
 const waitForSuspectedDomains: Rule = ({ lasting }, { world }) => {
   if (lasting.size === 0 || world.state.suspectedDomains.size === 0) return undefined;
   return keepOpen('a rack or a data centre is suspected lost');
@@ -106,7 +109,10 @@
   return isFull ? keepOpen('as many hosts as allowed are ahead of it') : undefined;
 };
 
-/** Tells whether a host has more tasks of a step than its disruption budget, so that it could never go down with all of them. */
+/**
+ * Tells whether a host has more tasks of a step than its disruption budget, so that it could never go down with all
+ * of them.
+ */
 const exceedsBudgetAlone = ({ runs }: EndpointState, { step }: BudgetObstacle): boolean => {
   const staying = Array.from(runs.values()).filter(
     (run) => run.step === step && run.phase !== 'stopping',
