--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -1,4 +1,4 @@
-/** A small state for tests of decisions: one job of one task, two endpoints, and their answers. */
+/** A small scheduler state for unit tests: a job with one task, two endpoint ids, and helpers to apply their reports. */
 import { schedulePool } from '../placement/schedule.js';
 import { change } from '../../shared/change.js';
 import {
@@ -16,12 +16,15 @@
 import { applyReport, type EndpointReport } from '../endpoints/reports.js';
 import { createBatchState, type BatchState, type Task } from '../model/state.js';
 
+/** The id of the default job. */
 export const JOB = brand<JobId>('00000000000000aa');
+/** The pool of all jobs and endpoints of these fixtures. */
 export const POOL = brand<PoolName>('alpha');
 export const FIRST = brand<EndpointId>('i-0000000001');
 export const SECOND = brand<EndpointId>('i-0000000002');
+/** The key of the default job's only task. */
 export const TASK = taskKey(JOB, 0, 0, 0);
-/** The first run number of the holder of these tests. */
+/** The first run number that the leader with fencing token FENCE assigns. */
 export const FIRST_RUN = 2001;
 
 const FENCE = 2;
@@ -38,21 +41,23 @@
   acceptedAtMs: 0,
 };
 
-/** A further job of one step; what is left out is as in the job of these tests. */
+/** The options of an additional job with one step. Omitted options are as in the default job. */
 export type Submission = {
   readonly step?: Partial<StepSpec>;
   readonly owner?: JobOwner | undefined;
   readonly priority?: number;
+  /** True if the job was accepted by an earlier leader. */
   readonly isInherited?: boolean;
+  /** When the job is accepted; 0 by default. */
   readonly nowMs?: number;
 };
 
 /**
- * Has a holder take a further job in.
+ * Adds another job to the state.
  *
  * @param state - The state, changed in place.
- * @param jobId - The job.
- * @param submission - What is particular to it.
+ * @param jobId - The id of the job.
+ * @param submission - How it differs from the default job.
  */
 export const submitJob = (
   state: BatchState,
@@ -75,9 +80,9 @@
 };
 
 /**
- * Builds the state of a holder that has taken the job in.
+ * Creates the state of a leader that has accepted the default job.
  *
- * @param options - Whether an earlier holder had it, and how often its task may fail.
+ * @param options - Whether an earlier leader had accepted the job, and the maximum number of attempts of its task.
  * @returns The state, without endpoints.
  */
 export const stateWithJob = ({ isInherited = false, maxAttempts = 3 } = {}): BatchState => {
@@ -88,23 +93,23 @@
 };
 
 /**
- * Finds the job's task.
+ * Returns the task of the default job.
  *
  * @param state - The state.
- * @returns The task.
+ * @returns The task; throws if the state does not contain it.
  */
 export const taskOf = (state: BatchState): Task => {
   const task = state.jobs.get(JOB)?.occurrences.get(0)?.steps[0]?.tasks[0];
-  if (!task) throw new Error('there is no task');
+  if (!task) throw new Error('the state does not contain the task of the default job');
   return task;
 };
 
 /**
- * Has an endpoint with room for eight tasks listed.
+ * Adds an endpoint with capacity for eight tasks, as if it had appeared in the endpoint list.
  *
  * @param state - The state, changed in place.
  * @param endpointId - The endpoint.
- * @param nowMs - The time.
+ * @param nowMs - The time at which it is first seen.
  */
 export const see = (state: BatchState, endpointId: EndpointId, nowMs = 0): void => {
   seeEndpoint(
@@ -124,7 +129,7 @@
 };
 
 /**
- * Writes the rows of all jobs, as the holder does after each change.
+ * Marks the rows of all jobs as written, as the leader does after each change once the write has completed.
  *
  * @param state - The state, changed in place.
  */
@@ -132,11 +137,11 @@
   state.jobs.forEach((one) => change(one, { writtenBlameRevision: one.blameRevision }));
 
 /**
- * Places what waits in the pool as a holder does that writes its rows after each change: what must be written first is
- * placed by the next pass.
+ * Runs two scheduling passes over the pool, each after the rows have been written. Tasks whose starts must be written
+ * first are placed by the second pass.
  *
  * @param state - The state, changed in place.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  */
 export const scheduleWritten = (state: BatchState, nowMs: number): void => {
   writeRows(state);
@@ -145,15 +150,15 @@
   schedulePool(state, POOL, nowMs);
 };
 
-/** An answer; what is left out is empty, and it comes from the first endpoint. */
+/** A report of an endpoint. Omitted lists are empty, and the endpoint is FIRST by default. */
 export type Answer = Pick<EndpointReport, 'askedAtMs' | 'nowMs'> &
   Partial<EndpointReport> & { readonly endpointId?: EndpointId };
 
 /**
- * Has an endpoint answer.
+ * Applies a report of an endpoint.
  *
  * @param state - The state, changed in place.
- * @param answer - Who answers what.
+ * @param answer - The report.
  */
 export const answer = (
   state: BatchState,
--- a/packages/core/src/batch/testing/domains.fixtures.ts
+++ b/packages/core/src/batch/testing/domains.fixtures.ts
@@ -1,34 +1,36 @@
-/** A fleet in racks and data centres, for tests of decisions. */
+/** Fleets spread over racks and data centres, for unit tests. */
 import { brand, type DataCentreId, type EndpointId, type PoolName } from '../../shared/ids.js';
 import { seeEndpoint } from '../endpoints/endpoints.js';
 import type { BatchState, EndpointState } from '../model/state.js';
 import { answer, POOL } from './batch-state.fixtures.js';
 
-/** How many racks there are, with how many hosts; racks take turns over the data centres. */
+/** The size and layout of a fleet. Racks are assigned to the data centres in turn. */
 export type RackedFleet = {
   readonly racks: number;
   readonly hostsPerRack: number;
+  /** The number of data centres; 1 by default. */
   readonly dataCentres?: number;
-  /** False for a fleet whose endpoints have no rack's label. */
+  /** False for a fleet whose endpoints have no rack label. */
   readonly hasRacks?: boolean;
   readonly pool?: PoolName;
 };
 
-/** An endpoint of such a fleet. */
+/** An endpoint of such a fleet, with its location. */
 export type RackedEndpoint = {
+  /** The number from which the ids of the endpoint and its host are derived. */
   readonly number: number;
   readonly dataCentre: string;
-  /** '' for none. */
+  /** The rack label; '' for none. */
   readonly rack: string;
   readonly pool?: PoolName;
 };
 
 /**
- * Has an endpoint with room for eight tasks listed.
+ * Adds an endpoint with capacity for eight tasks at a given location.
  *
  * @param state - The state, changed in place.
- * @param endpoint - Where it stands.
- * @returns Its state.
+ * @param endpoint - The endpoint's number and location.
+ * @returns The state of the endpoint.
  */
 export const seeAt = (
   state: BatchState,
@@ -50,11 +52,11 @@
   );
 
 /**
- * Has a fleet of endpoints listed, of which each has answered.
+ * Adds a fleet of endpoints, each of which has sent its first report.
  *
  * @param state - The state, changed in place.
- * @param fleet - Its racks and data centres.
- * @returns The endpoints, rack by rack.
+ * @param fleet - The size and layout of the fleet.
+ * @returns The endpoints in rack order.
  */
 export const seeFleet = (
   state: BatchState,
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -1,4 +1,4 @@
-/** Several pools under load from client accounts, step by step, with hosts that move between the pools. */
+/** A time-stepped simulation of several pools under load from client accounts, with hosts that move between the pools. */
 import {
   brand,
   type AccountName,
@@ -31,69 +31,83 @@
 import { noteOutlooks, planMoves, planReclaims } from '../pools/pool-moves.js';
 import { observePeaks } from '../pools/pool-needs.js';
 
-const STEP_MS = 20;
-const MOVE_EVERY_STEPS = 12;
+const TIME_STEP_MS = 20;
+const TIME_STEPS_PER_MOVE_PASS = 12;
 const MOVE_MS = 1500;
 const HOST_CPU = 64_000;
 const SPARE = brand<PoolName>('spare');
-const TASKS = 8;
+const TASKS_PER_STEP = 8;
 const POLICY: QueuePolicy = { priority: 0, maxAttempts: 3, stretch: 1.5, targetLatencyMs: 600 };
-/** A late success is worth something until so many objectives have passed. */
-const LATE_FACTOR = 3;
+/**
+ * A late success still counts within this many times the latency objective of its job. The simulation therefore continues
+ * for this many times the longest objective after the last submission.
+ */
+const LATE_OBJECTIVES = 3;
 
-/** The jobs of a pool: two steps of eight tasks, one after the other. */
+/** A simulated pool. Its jobs have two steps of eight tasks, one after the other. */
 export type PlayedPool = {
   readonly name: PoolName;
+  /** The number of hosts at the start. */
   readonly hosts: number;
+  /** CPU request of a task, in millicores. */
   readonly taskCpu: number;
+  /** Duration of a task, in ms. */
   readonly runMs: number;
 };
 
-/** What an account hands in. */
+/** A simulated client account and its load. */
 export type PlayedClient = {
   readonly name: AccountName;
   readonly pool: PoolName;
-  /** 0 for an account that is not declared. */
+  /** The account's weight in the configuration; 0 for an account that is not declared there. */
   readonly weight: number;
+  /** The submission rate at a given time, in jobs per second. */
   readonly jobsPerS: (nowMs: number) => number;
 };
 
+/** The parameters of a simulation. */
 export type FleetPlay = {
   readonly pools: readonly PlayedPool[];
   readonly spareHosts: number;
   readonly clients: readonly PlayedClient[];
+  /** For how long clients submit jobs, in ms. */
   readonly forMs: number;
-  /** Jobs that could not be served are refused. */
+  /** Whether admission control refuses jobs that cannot be served in time; true by default. */
   readonly isAdmissionOn?: boolean;
-  /** A refused client comes back so often. */
+  /** Maximum number of attempts per job, including the first one; 3 by default. */
   readonly mostTries?: number;
 };
 
-/** What became of one job. */
+/** The outcome of one job. */
 export type PlayedJob = {
   readonly jobId: JobId;
   readonly client: PlayedClient;
-  /** When it was handed in for the first time. */
+  /** When it was first submitted. */
   readonly atMs: number;
+  /** The latency objective, in ms. */
   readonly objectiveMs: number;
+  /** How often admission control refused it. */
   refusals: number;
   isAccepted: boolean;
+  /** Infinity for a job that was not accepted. */
   acceptedAtMs: number;
+  /** True once one of its tasks has started. */
   hasRun: boolean;
-  /** Infinity for one that is not done. */
+  /** Infinity for a job that is not done. */
   doneAtMs: number;
 };
 
+/** The result of a simulation. */
 export type PlayedFleet = {
   readonly jobs: readonly PlayedJob[];
   readonly state: BatchState;
-  /** Core-milliseconds of all runs, by pool. */
+  /** Core-milliseconds of all started runs, by pool. */
   readonly workedCoreMs: ReadonlyMap<PoolName, number>;
   readonly admission: AdmissionControl;
 };
 
-/** A source of chance that repeats. */
-const createChance = (): (() => number) => {
+/** Creates a deterministic random number generator with values between 0 and 1 (Lehmer, fixed seed). */
+const createRandom = (): (() => number) => {
   let state = 7;
   return () => {
     state = (state * 48271) % 2147483647;
@@ -101,10 +115,11 @@
   };
 };
 
+/** Returns the latency objective of a pool's jobs: the stretched duration of their two steps plus the target latency. */
 const objectiveOf = ({ runMs }: PlayedPool): number =>
   POLICY.stretch * 2 * runMs + POLICY.targetLatencyMs;
 
-/** The hosts of a play, their moves and what runs on them. */
+/** Creates the hosts of a simulation, with functions that move hosts between pools. */
 const createHosts = (state: BatchState, { pools, spareHosts }: FleetPlay) => {
   const hosts = new Map<HostId, HostView>();
   const backAtMs = new Map<HostId, number>();
@@ -114,7 +129,7 @@
   ];
   let lives = 0;
 
-  const raise = (host: HostView, nowMs: number): void => {
+  const bringUp = (host: HostView, nowMs: number): void => {
     if (host.pool === SPARE) {
       hosts.set(host.hostId, { ...host, state: 'up', instanceId: null });
       return;
@@ -135,7 +150,7 @@
       const hostId = brand<HostId>(`h-${pool}-${index}`);
       const capacity = { cpuMillis: HOST_CPU, memoryMb: 256_000, accelerators: 0 };
       const dataCentre = brand<DataCentreId>('dc');
-      raise({ hostId, pool, state: 'up', dataCentre, labels: [], capacity, instanceId: null }, 0);
+      bringUp({ hostId, pool, state: 'up', dataCentre, labels: [], capacity, instanceId: null }, 0);
     });
   };
   pools.forEach(({ name, hosts: count }) => add(name, count));
@@ -145,7 +160,7 @@
     Array.from(backAtMs).forEach(([hostId, atMs]) => {
       if (atMs > nowMs) return;
       backAtMs.delete(hostId);
-      raise(hosts.get(hostId) as HostView, nowMs);
+      bringUp(hosts.get(hostId) as HostView, nowMs);
     });
 
   const move = (hostId: HostId, pool: PoolName, nowMs: number): void => {
@@ -159,7 +174,7 @@
 
   return {
     finishMoves,
-    moveSome: (nowMs: number): void => {
+    planAndStartMoves: (nowMs: number): void => {
       const world = { state, hosts, pools: views, busyHosts: new Set<HostId>(), nowMs };
       observePeaks(world);
       change(state, { reclaimed: planReclaims(world) });
@@ -170,34 +185,39 @@
 };
 
 /**
- * Plays a load.
+ * Simulates a fleet under load.
  *
- * @param play - The pools, the hosts and what clients hand in.
- * @returns What became of each job.
+ * @param play - The pools, the hosts and the load from clients.
+ * @returns The outcome of each job, and the final state.
  */
 export const playFleet = (play: FleetPlay): PlayedFleet => {
   const { pools, clients, forMs, isAdmissionOn = true, mostTries = 3 } = play;
   const state = createBatchState(2);
   change(state, { takenOverAtMs: -Infinity });
-  const random = createChance();
-  const admission = createAdmissionControl({ state, random: createChance() });
+  const random = createRandom();
+  const admission = createAdmissionControl({ state, random: createRandom() });
   const declared = clients.filter(({ weight }) => weight > 0);
   takeAccounts(
     state,
     new Map(declared.map(({ name, weight }) => [name, { weight, maximum: NO_LIMIT }] as const)),
   );
   const fleet = createHosts(state, play);
-  const poolBy = new Map(pools.map((pool) => [pool.name, pool]));
+  const poolByName = new Map(pools.map((pool) => [pool.name, pool]));
   const played = new Map<JobId, PlayedJob>();
-  const returning: { readonly job: PlayedJob; readonly atMs: number }[] = [];
+  const retries: { readonly job: PlayedJob; readonly atMs: number }[] = [];
   const workedCoreMs = new Map<PoolName, number>();
   const ends = new Map<EndpointId, { readonly atMs: number; readonly end: EndReport }[]>();
   let ended = 0;
 
-  const handIn = (job: PlayedJob, nowMs: number): void => {
+  const submitAttempt = (job: PlayedJob, nowMs: number): void => {
     const { client, jobId } = job;
-    const { taskCpu, runMs } = poolBy.get(client.pool) as PlayedPool;
-    const step = { ...PLAIN_STEP, taskCount: TASKS, cpuMillis: taskCpu, estimateMs: runMs };
+    const { taskCpu, runMs } = poolByName.get(client.pool) as PlayedPool;
+    const step = {
+      ...PLAIN_STEP,
+      taskCount: TASKS_PER_STEP,
+      cpuMillis: taskCpu,
+      estimateMs: runMs,
+    };
     const owner = { account: client.name, maximum: NO_LIMIT };
     const submitted: BatchJob = {
       jobId,
@@ -223,32 +243,32 @@
     admission.noteRefused(refusal, client.pool);
     noteFirstAttempts(state, [{ jobId, atMs: nowMs }]);
     change(job, { refusals: job.refusals + 1 });
-    if (job.refusals < mostTries) returning.push({ job, atMs: nowMs + refusal.retryAfterMs });
+    if (job.refusals < mostTries) retries.push({ job, atMs: nowMs + refusal.retryAfterMs });
   };
 
   const submit = (client: PlayedClient, nowMs: number): void => {
     const jobId = brand<JobId>((played.size + 1).toString(16).padStart(16, '0'));
-    const objectiveMs = objectiveOf(poolBy.get(client.pool) as PlayedPool);
-    const ofNew = {
+    const objectiveMs = objectiveOf(poolByName.get(client.pool) as PlayedPool);
+    const initialOutcome = {
       refusals: 0,
       isAccepted: false,
       acceptedAtMs: Infinity,
       hasRun: false,
       doneAtMs: Infinity,
     };
-    const job: PlayedJob = { jobId, client, atMs: nowMs, objectiveMs, ...ofNew };
+    const job: PlayedJob = { jobId, client, atMs: nowMs, objectiveMs, ...initialOutcome };
     played.set(jobId, job);
-    handIn(job, nowMs);
+    submitAttempt(job, nowMs);
   };
 
-  const begin = (endpoint: EndpointState, task: TaskKey, run: number, nowMs: number): void => {
-    const { runMs, taskCpu } = poolBy.get(endpoint.pool) as PlayedPool;
+  const startRun = (endpoint: EndpointState, task: TaskKey, run: number, nowMs: number): void => {
+    const { runMs, taskCpu } = poolByName.get(endpoint.pool) as PlayedPool;
     const { endpointId, pool } = endpoint;
     ended += 1;
     const end = { number: ended, task, run, kind: 'done' as const, checkpoint: '' };
     const list = ends.get(endpointId) ?? [];
     ends.set(endpointId, list);
-    list.push({ atMs: nowMs + Math.ceil(runMs / STEP_MS) * STEP_MS, end });
+    list.push({ atMs: nowMs + Math.ceil(runMs / TIME_STEP_MS) * TIME_STEP_MS, end });
     workedCoreMs.set(pool, (workedCoreMs.get(pool) ?? 0) + (runMs * taskCpu) / 1000);
     const job = played.get(brand<JobId>(task.slice(0, 16)));
     if (job) change(job, { hasRun: true });
@@ -266,47 +286,47 @@
     applyReport(state, endpointId, { ...rest, ended: over.map(({ end }) => end) });
   };
 
-  const noteDone = (nowMs: number): void =>
+  const recordDoneJobs = (nowMs: number): void =>
     state.jobs.forEach((job, jobId) => {
       if (job.phase !== 'completed') return;
       (played.get(jobId) as PlayedJob).doneAtMs = nowMs;
       state.jobs.delete(jobId);
     });
 
-  const cycle = (nowMs: number, step: number): void => {
+  const runTimeStep = (nowMs: number, step: number): void => {
     fleet.finishMoves(nowMs);
     Array.from(state.endpoints.keys()).forEach((endpointId) => report(endpointId, nowMs));
-    noteDone(nowMs);
+    recordDoneJobs(nowMs);
     admission.followUp(nowMs);
-    if (step % MOVE_EVERY_STEPS === 0) fleet.moveSome(nowMs);
+    if (step % TIME_STEPS_PER_MOVE_PASS === 0) fleet.planAndStartMoves(nowMs);
     pools.forEach(({ name }) => schedulePool(state, name, nowMs));
     takeEffects(state).forEach((effect) => {
       const endpoint = effect.kind === 'start' && state.endpoints.get(effect.endpointId);
-      if (endpoint) begin(endpoint, effect.task, effect.run, nowMs);
+      if (endpoint) startRun(endpoint, effect.task, effect.run, nowMs);
     });
   };
 
-  const longestMs = Math.max(...pools.map(objectiveOf)) * LATE_FACTOR;
-  for (let nowMs = 0, step = 0; nowMs < forMs + longestMs; nowMs += STEP_MS, step += 1) {
+  const longestMs = Math.max(...pools.map(objectiveOf)) * LATE_OBJECTIVES;
+  for (let nowMs = 0, step = 0; nowMs < forMs + longestMs; nowMs += TIME_STEP_MS, step += 1) {
     state.clockMs = nowMs;
     clients.forEach((client) => {
-      const isDrawn = random() < (client.jobsPerS(nowMs) * STEP_MS) / 1000;
-      if (isDrawn && nowMs < forMs) submit(client, nowMs);
+      const isArrival = random() < (client.jobsPerS(nowMs) * TIME_STEP_MS) / 1000;
+      if (isArrival && nowMs < forMs) submit(client, nowMs);
     });
-    returning
+    retries
       .splice(0)
-      .forEach((one) => (one.atMs <= nowMs ? handIn(one.job, nowMs) : returning.push(one)));
-    cycle(nowMs, step);
+      .forEach((one) => (one.atMs <= nowMs ? submitAttempt(one.job, nowMs) : retries.push(one)));
+    runTimeStep(nowMs, step);
   }
   return { jobs: Array.from(played.values()), state, workedCoreMs, admission };
 };
 
 /**
- * Gives the share of jobs that were done within their objective.
+ * Returns the share of jobs that were done within their latency objective.
  *
  * @param jobs - The jobs.
- * @param factor - Within so many objectives.
- * @returns 0 to 1; 1 without any job.
+ * @param factor - The factor by which the objective is multiplied.
+ * @returns A number from 0 to 1; 1 if there are no jobs.
  */
 export const shareInTime = (jobs: readonly PlayedJob[], factor = 1): number =>
   jobs.length === 0
--- a/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
+++ b/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
@@ -1,4 +1,4 @@
-/** A wave of maintenance over hosts in memory, for tests of its plan. */
+/** An in-memory maintenance wave over hosts, for unit tests of its planning. */
 import {
   type DataCentreId,
   type EndpointId,
@@ -24,19 +24,21 @@
 
 const POOL = brand<PoolName>('alpha');
 const CAPACITY = { cpuMillis: 8000, memoryMb: 8000, accelerators: 0 };
-/** The time of a wave that has no time left for anything, and of one that has. */
+/** The time limit of a wave whose hosts must all start immediately, in ms. */
 export const LATE_MS = 1000;
+/** The time limit of a wave with plenty of time left, in ms. */
 export const EARLY_MS = 300_000;
 
 /**
- * Builds a wave over hosts with an endpoint each that has answered; hosts beside it come after those.
+ * Creates a maintenance wave over hosts. Each host has an endpoint that has answered. Hosts outside the wave are numbered
+ * after its hosts.
  *
- * @param hostCount - How many hosts the wave has.
- * @param maximum - How many may be down at once.
- * @param withinMs - The wave's time.
- * @param besideCount - How many hosts are not in it.
- * @param rackOf - The rack of a host by its number; '' for none.
- * @returns The wave, and ways to have tasks run on its hosts and to plan it.
+ * @param hostCount - The number of hosts in the wave.
+ * @param maximum - The maximum number of hosts that may be down at the same time.
+ * @param withinMs - The time limit of the wave, in ms.
+ * @param besideCount - The number of hosts outside the wave.
+ * @param rackOf - Returns the rack label of a host by its number; '' for none.
+ * @returns The wave, and functions that add running tasks to its hosts and plan it.
  */
 export const waveOver = (
   hostCount: number,
@@ -77,7 +79,7 @@
   const order = { waveNumber: 1, hosts: hostIds, withinMs, maximum };
   const wave = createUpkeepWave(order, [], 0);
 
-  /** Has the tasks of a step run on the endpoints of these numbers. */
+  /** Adds a job whose tasks run on the endpoints with the given numbers, one task per entry. */
   const runOn = (name: string, changes: Partial<StepSpec>, places: readonly number[]): StepRun => {
     const jobId = brand<JobId>(name);
     const job = { jobId, queue: brand<never>('q'), pool: POOL, spec: '', repeats: 0 };
@@ -94,6 +96,7 @@
     return step;
   };
 
+  /** Plans the given waves together and returns the hosts that are ordered down. */
   const planBoth = (
     waves: readonly UpkeepWave[],
     nowMs: number,
@@ -104,7 +107,7 @@
     );
   const plan = (nowMs: number, isShort = false): readonly string[] =>
     planBoth([wave], nowMs, isShort);
-  /** The wave's first host in one wave and its second in another. */
+  /** Creates two waves, one with the first host of the wave and one with the second. */
   const split = (): readonly [UpkeepWave, UpkeepWave] => {
     const [first, second] = hostIds.map((hostId, index) =>
       createUpkeepWave({ ...order, waveNumber: index + 1, hosts: [hostId] }, [], 0),
@@ -113,7 +116,7 @@
     return [first, second];
   };
   const hosts = (): readonly UpkeepHost[] => Array.from(wave.hosts.values());
-  /** All hosts are listed as up, with the same endpoints as before. */
+  /** Applies a host list in which all hosts are up, with the same endpoints as before. */
   const relist = (nowMs: number) => takeHostList(inventory, views, nowMs);
   return { state, endpoints, wave, runOn, plan, planBoth, split, hosts, relist };
 };
