--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -32,12 +32,12 @@
  * A job is given up after this many crashes that only one of its tasks can explain. A single one may be a coincidence:
  * of hosts that crash every 10 s for other reasons, one in 40 crashes within an observation period of 250 ms.
  */
-const MAX_EXPLAINED_CRASHES = 2;
+const EXPLAINED_CRASH_LIMIT = 2;
 /**
  * A job is also given up after this many crashes of any kind under one of its tasks. The limit is one less than five, the
- * most endpoints that a task may crash in total, because one crash goes uncounted if the leader is lost before writing it.
+ * most endpoints that a task may crash in total, because one crash may go uncounted if the leader is lost before writing it.
  */
-const MAX_CRASHES = 4;
+const CRASH_LIMIT = 4;
 /**
  * If an endpoint was unresponsive for this long before its crash was detected, its runs may have ended before the crash.
  * The host list is read at least every second, up to a quarter of a second late, and an endpoint is polled every 0.6 s.
@@ -135,7 +135,7 @@
   crashes,
 }: Pick<Task, 'key' | 'crashes'>): string | undefined => {
   const explained = countExplained(crashes);
-  if (explained < MAX_EXPLAINED_CRASHES && crashes.length < MAX_CRASHES) return undefined;
+  if (explained < EXPLAINED_CRASH_LIMIT && crashes.length < CRASH_LIMIT) return undefined;
   return `${crashes.length} endpoints crashed under task ${key}, ${explained} of them while nothing else there could be the cause`;
 };
 
--- a/packages/core/src/batch/crashes/isolation.ts
+++ b/packages/core/src/batch/crashes/isolation.ts
@@ -114,21 +114,22 @@
   const { spec, perEndpoint, job } = step;
   if (spec.requiredLabel !== '' && !labels.includes(spec.requiredLabel)) return 0;
   const remaining = remainingSpecs(endpoint, job);
-  const times = (room: number, needOf: (one: StepSpec) => number): number => {
-    const taken = remaining.reduce((sum, one) => sum + needOf(one), 0);
-    return needOf(spec) === 0 ? Infinity : Math.floor((room - taken) / needOf(spec));
+  const countFitting = (total: number, requestOf: (one: StepSpec) => number): number => {
+    const reserved = remaining.reduce((sum, one) => sum + requestOf(one), 0);
+    return requestOf(spec) === 0 ? Infinity : Math.floor((total - reserved) / requestOf(spec));
   };
-  const room = Math.min(
-    times(capacity.cpuMillis, reservedCpu),
-    times(capacity.memoryMb, ({ memoryMb }) => memoryMb),
-    times(capacity.accelerators, ({ accelerators }) => accelerators),
+  const startable = Math.min(
+    countFitting(capacity.cpuMillis, reservedCpu),
+    countFitting(capacity.memoryMb, ({ memoryMb }) => memoryMb),
+    countFitting(capacity.accelerators, ({ accelerators }) => accelerators),
     spec.mostPerEndpoint === 0
       ? Infinity
       : spec.mostPerEndpoint - (perEndpoint.get(endpointId) ?? 0),
   );
-  return Math.max(0, room);
+  return Math.max(0, startable);
 };
 
+/** Tells whether endpoints have capacity for a number of tasks of a step. */
 const haveCapacity = (chosen: readonly EndpointState[], step: StepRun, tasks: number): boolean =>
   chosen.reduce((sum, endpoint) => sum + couldBegin(endpoint, step), 0) >= tasks;
 
@@ -172,7 +173,7 @@
     const free = admitted
       .filter((one) => !isolated.has(one.endpointId) && couldBegin(one, step) > 0)
       .sort(byFewestOtherRuns(job));
-    // A gang needs all of its endpoints at once. If nothing else is reserved, it may exceed the share.
+    // A gang must get all the endpoints that it needs at once. If nothing else is reserved, it may exceed the share.
     const mayExceed = step.spec.isGang && isolated.size === 0;
     while (
       !haveCapacity(chosen, step, waiting) &&
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -28,7 +28,7 @@
 const MIN_TURN_MS = 1400;
 /**
  * Time reserved before the deadline for a change of the leader and an outage of 4 s. With 9 s, 3 to 5 of 22 hosts were
- * late in a run with both.
+ * late on a day with both.
  */
 const RESERVE_MS = 12_000;
 
@@ -59,14 +59,16 @@
   return counts;
 };
 
-/** Returns how long the hosts of a step take if they go down in successive groups as large as its disruption budget. */
+/** Returns how long the hosts of a step take in total if its disruption budget limits how many go down per turn. */
 const stepDurationMs = ({ spec }: StepRun, hostCount: number, turnMs: number): number =>
   Math.ceil(hostCount / spec.mayMiss) * turnMs;
 
 const createOutlook = (lateHosts: number, reason: string): WaveOutlook =>
   lateHosts > 0 ? { lateHosts, reason } : { lateHosts: 0, reason: '' };
 
-/** Lists forecasts of how many hosts cannot be back in time even if nothing else delays them: overall, then by step. */
+/**
+ * Lists forecasts of how many hosts cannot be back in time even if nothing else delays them: overall, then by step.
+ */
 const forecastLateHosts = (
   wave: UpkeepWave,
   hosts: readonly PlannedHost[],
