--- a/packages/core/src/batch/placement/advice.ts
+++ b/packages/core/src/batch/placement/advice.ts
@@ -1,40 +1,41 @@
 /**
- * Queues whose policy lets only some endpoints run a step. A service apart knows which: it is asked
- * for few endpoints, once a step, and what it answers does not change. An endpoint that may run the
- * step gets a ticket, which holds for all tasks of the step at that life of the endpoint.
+ * Advice on queues whose policy allows only some endpoints to run a step. A separate advice service decides which:
+ * it is asked about a few endpoints, once for each step, and its answer does not change. An endpoint that may run the
+ * step gets a ticket, which is valid for all tasks of the step on that incarnation of the endpoint.
  */
 import type { EndpointId } from '../../shared/ids.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
 import { findTask } from '../jobs/jobs.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
 
-/** The objective of a job counts one question about so many endpoints a step. */
-const MOST_ASKED = 30;
-/** A refused endpoint costs another question: twice as many as are needed are asked about. */
+/** The largest number of endpoints in one question. A job's objective allows for one question of this size for each step. */
+const MAX_ASKED = 30;
+/** Each refused endpoint costs another question, so twice as many endpoints as needed are asked about. */
 const SPARE_FACTOR = 2;
-const LEAST_ASKED = 4;
-/** A ticket is not used in its last moments: the order is under way meanwhile. */
+/** The smallest number of endpoints that a question asks about, if as many are unknown. */
+const MIN_ASKED = 4;
+/** A ticket is not used this shortly before it expires, because the start order still has to reach the endpoint. */
 const TICKET_MARGIN_MS = 200;
-/** A question without an answer is asked again after this time. */
+/** How long to wait before asking again after a question was not answered. */
 const ASK_AGAIN_MS = 400;
 
 /**
- * Gives the ticket of an endpoint.
+ * Returns the ticket with which an endpoint may run a step.
  *
  * @param step - The step.
  * @param endpointId - The endpoint.
- * @returns The ticket; '' where the queue needs none.
+ * @returns The ticket; '' if the queue needs no advice or the endpoint has no ticket.
  */
 export const ticketOf = ({ advice }: StepRun, endpointId: EndpointId): string =>
   advice?.tickets.get(endpointId)?.ticket ?? '';
 
 /**
- * Keeps the endpoints that may run a step by what is known now.
+ * Filters the endpoints that are known to be allowed to run a step.
  *
  * @param step - The step.
  * @param endpoints - The endpoints.
- * @param nowMs - The time.
- * @returns All of them where the queue needs no advice, else those with a ticket.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
+ * @returns All of them if the queue needs no advice, else those with a valid ticket.
  */
 export const admittedEndpoints = (
   { advice }: StepRun,
@@ -47,25 +48,27 @@
         ({ endpointId }) => (advice.tickets.get(endpointId)?.validUntilMs ?? 0) > nowMs,
       );
 
-/** How many endpoints a step needs, if they were empty. */
+/** Estimates how many empty endpoints the waiting tasks of a step need. */
 const neededEndpoints = (
   { waiting, spec }: StepRun,
   endpoints: readonly EndpointState[],
 ): number => {
-  const cpuMillis = Math.max(0, ...endpoints.map(({ capacity }) => capacity.cpuMillis));
-  const byCpu = spec.fillsGaps || spec.cpuMillis === 0 ? Infinity : cpuMillis / spec.cpuMillis;
-  const byRule = spec.mostPerEndpoint === 0 ? Infinity : spec.mostPerEndpoint;
-  const perEndpoint = Math.max(1, Math.floor(Math.min(byCpu, byRule, waiting.length)));
+  const largestCpuMillis = Math.max(0, ...endpoints.map(({ capacity }) => capacity.cpuMillis));
+  const byCpu =
+    spec.fillsGaps || spec.cpuMillis === 0 ? Infinity : largestCpuMillis / spec.cpuMillis;
+  const byLimit = spec.mostPerEndpoint === 0 ? Infinity : spec.mostPerEndpoint;
+  const perEndpoint = Math.max(1, Math.floor(Math.min(byCpu, byLimit, waiting.length)));
   return Math.ceil(waiting.length / perEndpoint);
 };
 
 /**
- * Has the service asked about endpoints with room that are not known yet, unless it is being asked.
+ * Requests advice on endpoints that have room and about which nothing is known yet. Does nothing while a question for the
+ * step is open, or for a short time after one was not answered.
  *
- * @param state - All that is known, changed in place.
- * @param step - A step with tasks that wait.
- * @param candidates - Endpoints that have room for a task of it.
- * @param nowMs - The time.
+ * @param state - The batch state, changed in place.
+ * @param step - A step with waiting tasks.
+ * @param candidates - Endpoints that have room for a task of the step.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  */
 export const wantAdvice = (
   state: BatchState,
@@ -81,8 +84,8 @@
       (advice.tickets.get(endpointId)?.validUntilMs ?? 0) <= nowMs,
   );
   if (unknown.length === 0) return;
-  const wanted = Math.max(LEAST_ASKED, SPARE_FACTOR * neededEndpoints(step, candidates));
-  const asked = unknown.slice(0, Math.min(MOST_ASKED, wanted));
+  const wanted = Math.max(MIN_ASKED, SPARE_FACTOR * neededEndpoints(step, candidates));
+  const asked = unknown.slice(0, Math.min(MAX_ASKED, wanted));
   advice.isAsking = true;
   state.effects.push({
     kind: 'advise',
@@ -93,23 +96,24 @@
   });
 };
 
-/** What the service answered. */
+/** An answer of the advice service. */
 export type AdviceAnswer = {
-  /** Endpoints that may run the step, with their tickets. */
+  /** The endpoints that may run the step, each with its ticket. */
   readonly good: readonly (readonly [EndpointId, string])[];
+  /** For how long the tickets are valid, in milliseconds. */
   readonly validMs: number;
 };
 
-/** Which step was asked about. */
+/** A question to the advice service: a step and the endpoints asked about. */
 export type AdviceQuestion = Extract<BatchState['effects'][number], { kind: 'advise' }>;
 
 /**
- * Applies an answer of the service.
+ * Applies an answer of the advice service.
  *
- * @param state - All that is known, changed in place.
- * @param question - What was asked.
- * @param answer - The answer; undefined if there was none.
- * @param nowMs - The time.
+ * @param state - The batch state, changed in place.
+ * @param question - The question.
+ * @param answer - The answer; undefined if the service did not answer.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  */
 export const applyAdvice = (
   state: BatchState,
@@ -136,10 +140,10 @@
 };
 
 /**
- * Forgets a ticket that an endpoint did not take.
+ * Removes a ticket that an endpoint did not accept.
  *
- * @param state - All that is known, changed in place.
- * @param key - The task that it was shown for.
+ * @param state - The batch state, changed in place.
+ * @param key - The task whose start order carried the ticket.
  * @param endpointId - The endpoint.
  */
 export const dropTicket = (state: BatchState, key: TaskKey, endpointId: EndpointId): void => {
--- a/packages/core/src/batch/placement/best-endpoint.ts
+++ b/packages/core/src/batch/placement/best-endpoint.ts
@@ -1,4 +1,4 @@
-/** Which endpoint takes a task. */
+/** Chooses the endpoint for a task. */
 import { mayHold } from '../endpoints/sound-endpoints.js';
 import type { EndpointState } from '../model/state.js';
 import { scoreOf, type PlacementScore, type PlacementView } from './scores.js';
@@ -6,10 +6,10 @@
 /**
  * Chooses the endpoint with the best score that may hold a task.
  *
- * @param endpoints - Those that take new work.
- * @param view - The task, and what is known.
- * @param scores - What makes an endpoint better than another.
- * @returns The endpoint; undefined where none has room.
+ * @param endpoints - The endpoints that take new work.
+ * @param view - The task and the state that its scores are computed from.
+ * @param scores - The scores to add up for each endpoint.
+ * @returns The first endpoint with the highest score; undefined if no endpoint may hold the task.
  */
 export const bestFor = (
   endpoints: readonly EndpointState[],
--- a/packages/core/src/batch/placement/candidates.test.ts
+++ b/packages/core/src/batch/placement/candidates.test.ts
@@ -1,4 +1,6 @@
-/** Places that are chosen for one task after the other: they are those that scoring all endpoints anew gives. */
+/**
+ * The endpoints chosen for the tasks of a step in turn must be those that scoring all endpoints again for each task gives.
+ */
 import { fc, test } from '@fast-check/vitest';
 import { describe, expect } from 'vitest';
 
@@ -33,25 +35,25 @@
     fc.constantFrom(...PLACEMENT_POLICIES),
     fc.array(fc.option(fc.nat({ max: 11 })), { minLength: 12, maxLength: 12 }),
   ])(
-    'are chosen as if each were scored anew for each task',
-    (places, spec, placementPolicy, failedAt) => {
-      // Guards against a score that a placement changes and that is not taken again.
+    'are chosen as if every endpoint were scored again for each task',
+    (endpointSpecs, stepSpec, placementPolicy, failedAt) => {
+      // Guards against a score that a placement changes and that is not computed again.
       const state = createBatchState(2);
       change(state, { placementPolicy });
-      const endpoints = places.map(({ rack, dataCentre, usedMillis, isAwaited }, number) => {
+      const endpoints = endpointSpecs.map(({ rack, dataCentre, usedMillis, isAwaited }, number) => {
         const endpoint = seeAt(state, { number, dataCentre, rack });
         change(endpoint, { isAwaited });
         change(endpoint.used, { cpuMillis: usedMillis });
         return endpoint;
       });
-      submitJob(state, JOB, { step: { taskCount: 12, ...spec } });
+      submitJob(state, JOB, { step: { taskCount: 12, ...stepSpec } });
       const step = state.jobs.get(JOB)?.occurrences.get(0)?.steps[0] as StepRun;
       const view = { state, step, nowMs: 20 };
       const table = scoresFor(state, endpoints, step);
       const candidates = createCandidates(endpoints, view, table);
       step.tasks.forEach((task, index) => {
-        const failed = endpoints[failedAt[index] ?? -1];
-        change(task, { avoid: failed?.endpointId ?? null });
+        const failedEndpoint = endpoints[failedAt[index] ?? -1];
+        change(task, { avoid: failedEndpoint?.endpointId ?? null });
         const expected = bestFor(endpoints, { ...view, task }, table.scores);
         const chosen = candidates.choose(task);
         expect(chosen?.endpointId).toBe(expected?.endpointId);
--- a/packages/core/src/batch/placement/candidates.ts
+++ b/packages/core/src/batch/placement/candidates.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints that may take the tasks of a step: scored once, and then only where the placement of a task changes a
- * score. Scoring all of them for each task took 0.1 ms at 900 endpoints.
+ * The endpoints that may take the tasks of a step. They are scored once; afterwards only the endpoints whose score a
+ * placement changes are scored again. Scoring all of them for each task took 0.1 ms with 900 endpoints.
  */
 import { dataCentreCountKey, rackCountKey } from '../domains/domains.js';
 import { mayHold } from '../endpoints/sound-endpoints.js';
@@ -9,24 +9,24 @@
 import { bestFor } from './best-endpoint.js';
 import type { PlacementView, ScoreTable } from './scores.js';
 
-/** Endpoints among which places are chosen for tasks of one step, one after the other. */
+/** The scored endpoints from which one is chosen for each task of a step in turn. */
 export type Candidates = {
   /**
-   * Chooses the endpoint with the best score that may hold a task, the first of equals.
+   * Chooses the endpoint with the best score that may hold a task; among equal scores the first one.
    *
    * @param task - The task.
-   * @returns The endpoint; undefined where none has room.
+   * @returns The endpoint; undefined if none may hold the task.
    */
   readonly choose: (task: Task) => EndpointState | undefined;
   /**
-   * Scores again what a placement has changed.
+   * Updates the scores that a placement has changed.
    *
-   * @param endpoint - Where a task was placed.
+   * @param endpoint - The endpoint on which a task was placed.
    */
   readonly notePlaced: (endpoint: EndpointState) => void;
 };
 
-/** Numbers the domains of endpoints, as numbers compare faster than names. */
+/** Gives each endpoint the number of its domain, because numbers compare faster than names. */
 const numberDomains = (
   endpoints: readonly EndpointState[],
   keyOf: (domains: EndpointState['domains']) => DomainId,
@@ -46,9 +46,9 @@
  * Builds the candidates of a step.
  *
  * @param endpoints - The endpoints that take new work.
- * @param view - The step, and what is known.
- * @param table - What makes an endpoint better than another.
- * @returns The candidates. Nothing but placements of the step may change them.
+ * @param view - The step and the state that scores are computed from.
+ * @param table - The table of scores for the step.
+ * @returns The candidates. While they are in use, only placements of this step may change the endpoints.
  */
 export const createCandidates = (
   endpoints: readonly EndpointState[],
@@ -56,60 +56,63 @@
   { scores, isByDomain = false }: ScoreTable,
 ): Candidates => {
   const { step } = view;
-  /** Rows that depend on the task are 0 for a task that has failed nowhere. */
-  const rows = scores.filter(({ isOfTask }) => !isOfTask);
-  const someTask = step.tasks[0] as Task;
-  const shared: PlacementView = { ...view, task: someTask };
+  /** Scores that depend on the task are left out, because they are 0 for a task without an endpoint to avoid. */
+  const sharedScores = scores.filter(({ isOfTask }) => !isOfTask);
+  const anyTask = step.tasks[0] as Task;
+  const sharedView: PlacementView = { ...view, task: anyTask };
 
-  const valueOf = (endpoint: EndpointState): number => {
+  const computeScore = (endpoint: EndpointState): number => {
     if (!mayHold(endpoint, step)) return -Infinity;
     let sum = 0;
-    for (let row = 0; row < rows.length; row += 1) {
-      const { weight, of } = rows[row] as (typeof rows)[number];
-      sum += weight * of(endpoint, shared);
+    for (let index = 0; index < sharedScores.length; index += 1) {
+      const { weight, of } = sharedScores[index] as (typeof sharedScores)[number];
+      sum += weight * of(endpoint, sharedView);
     }
     return sum;
   };
 
-  const values = new Float64Array(endpoints.length);
+  const cachedScores = new Float64Array(endpoints.length);
   endpoints.forEach((endpoint, index) => {
-    values[index] = valueOf(endpoint);
+    cachedScores[index] = computeScore(endpoint);
   });
   const racks = isByDomain ? numberDomains(endpoints, rackCountKey) : undefined;
   const dataCentres = isByDomain ? numberDomains(endpoints, dataCentreCountKey) : undefined;
 
-  const chooseIndex = (): number => {
+  const findBestIndex = (): number => {
     let best = -1;
-    let bestValue = -Infinity;
-    for (let index = 0; index < values.length; index += 1) {
-      const value = values[index] as number;
-      if (value > bestValue) {
+    let bestScore = -Infinity;
+    for (let index = 0; index < cachedScores.length; index += 1) {
+      const score = cachedScores[index] as number;
+      if (score > bestScore) {
         best = index;
-        bestValue = value;
+        bestScore = score;
       }
     }
     return best;
   };
 
-  /** All in the domains of one: the counts of its rack and its data centre have changed. */
-  const scoreNeighbours = (placed: number): void => {
+  /**
+   * Scores all endpoints in the rack or data centre of the placed task again, because the counts of tasks in these
+   * domains have changed.
+   */
+  const rescoreDomains = (placed: number): void => {
     if (!racks || !dataCentres) return;
-    for (let index = 0; index < values.length; index += 1) {
-      const isNeighbour =
+    for (let index = 0; index < cachedScores.length; index += 1) {
+      const sharesDomain =
         racks[index] === racks[placed] || dataCentres[index] === dataCentres[placed];
-      if (isNeighbour) values[index] = valueOf(endpoints[index] as EndpointState);
+      if (sharesDomain) cachedScores[index] = computeScore(endpoints[index] as EndpointState);
     }
   };
 
   return {
     choose: (task) =>
       task.avoid === null
-        ? endpoints[chooseIndex()]
+        ? endpoints[findBestIndex()]
         : bestFor(endpoints, { ...view, task }, scores),
     notePlaced: (endpoint) => {
       const placed = endpoints.indexOf(endpoint);
-      values[placed] = valueOf(endpoint);
-      scoreNeighbours(placed);
+      cachedScores[placed] = computeScore(endpoint);
+      rescoreDomains(placed);
     },
   };
 };
--- a/packages/core/src/batch/placement/gang-places.ts
+++ b/packages/core/src/batch/placement/gang-places.ts
@@ -1,21 +1,26 @@
-/** Where all members of a gang find places at once. */
+/** Finds endpoints for all tasks of a gang at once. */
 import { rackOf } from '../endpoints/endpoints.js';
 import { hasLabel } from '../endpoints/sound-endpoints.js';
 import type { EndpointState, StepRun } from '../model/state.js';
 
-/** The endpoints that a gang may be spread over: one rack, if it must stay together and fits. */
-const gangSets = (
+/**
+ * Lists the sets of endpoints to try for a gang, in order: for a rack-local gang each rack by itself and then all endpoints,
+ * for any other gang all endpoints.
+ */
+const endpointSetsFor = (
   step: StepRun,
   endpoints: readonly EndpointState[],
 ): readonly (readonly EndpointState[])[] => {
   if (!step.spec.isRackLocal) return [endpoints];
   const racks = new Set(endpoints.map(rackOf));
-  const perRack = Array.from(racks, (rack) => endpoints.filter((one) => rackOf(one) === rack));
+  const perRack = Array.from(racks, (rack) =>
+    endpoints.filter((endpoint) => rackOf(endpoint) === rack),
+  );
   return [...perRack, endpoints];
 };
 
-/** Finds places for all members at once, or none. */
-const placesOn = (
+/** Finds an endpoint for each task of the gang within one set; undefined if they do not all fit. */
+const findPlacesIn = (
   step: StepRun,
   endpoints: readonly EndpointState[],
 ): readonly EndpointState[] | undefined => {
@@ -23,7 +28,7 @@
   const places: EndpointState[] = [];
   endpoints.forEach((endpoint) => {
     const { capacity, used } = endpoint;
-    const free = [
+    const limits = [
       spec.fillsGaps || spec.cpuMillis === 0
         ? Infinity
         : (capacity.cpuMillis - used.cpuMillis) / spec.cpuMillis,
@@ -34,8 +39,8 @@
       spec.mostPerEndpoint === 0 ? Infinity : spec.mostPerEndpoint,
       spec.taskCount,
     ];
-    const members = hasLabel(endpoint, spec.requiredLabel) ? Math.floor(Math.min(...free)) : 0;
-    for (let one = 0; one < members && places.length < spec.taskCount; one += 1) {
+    const maxTasks = hasLabel(endpoint, spec.requiredLabel) ? Math.floor(Math.min(...limits)) : 0;
+    for (let placed = 0; placed < maxTasks && places.length < spec.taskCount; placed += 1) {
       places.push(endpoint);
     }
   });
@@ -43,16 +48,17 @@
 };
 
 /**
- * Finds places for all members of a gang at once: on one rack, if it must stay together and fits there.
+ * Finds endpoints for all tasks of a gang at once. A rack-local gang is placed in one rack if it fits into one, else
+ * across racks.
  *
- * @param step - The gang.
+ * @param step - The step whose tasks form the gang.
  * @param endpoints - The endpoints that may run it.
- * @returns An endpoint for each member, or undefined.
+ * @returns An endpoint for each task of the gang; undefined if they do not all fit.
  */
 export const placesForGang = (
   step: StepRun,
   endpoints: readonly EndpointState[],
 ): readonly EndpointState[] | undefined =>
-  gangSets(step, endpoints)
-    .map((set) => placesOn(step, set))
+  endpointSetsFor(step, endpoints)
+    .map((set) => findPlacesIn(step, set))
     .find((found) => found !== undefined);
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -1,4 +1,4 @@
-/** Which endpoints that have not answered hold up tasks of an earlier holder, and which do not. */
+/** Which endpoints that have not reported to a new holder block inherited tasks, and which do not. */
 import { describe, expect, it } from 'vitest';
 
 import {
@@ -27,10 +27,10 @@
 const SILENT = brand<EndpointId>('i-0000000003');
 const FORMER_ORDERS_END_MS = 100;
 const LEASES_END_MS = 9000;
-/** The run that the holder before began. */
+/** The number of the run that the earlier holder started. */
 const FORMER_RUN = 1001;
 
-/** A new holder of whose endpoints one stays silent; it has no label and a quarter of the room. */
+/** Builds the state of a new holder. One of its three endpoints stays silent; that one has no label and a quarter of the room. */
 const takenOver = (step: Partial<StepSpec> = {}): BatchState => {
   const state = createBatchState(2);
   Object.assign(state, {
@@ -64,8 +64,8 @@
 
 const keyOf = (index: number) => taskKey(INHERITED, 0, 0, index);
 
-/** An endpoint answers; it lists runs of these tasks that the holder before began. */
-const hear = (
+/** Applies a report of an endpoint that lists runs of these tasks, started by the earlier holder. */
+const report = (
   state: BatchState,
   endpointId: EndpointId,
   atMs: number,
@@ -89,87 +89,90 @@
   settleGoneEndpoints(state, nowMs);
 };
 
-const runningAt = (state: BatchState, endpointId: EndpointId): readonly string[] =>
+const runningOn = (state: BatchState, endpointId: EndpointId): readonly string[] =>
   Array.from(state.endpoints.get(endpointId)?.runs.keys() ?? []);
 
-describe('an endpoint that has not answered', () => {
-  const heardAndScheduled = (step: Partial<StepSpec>): BatchState => {
+describe('an endpoint that has not reported', () => {
+  const reportedAndScheduled = (step: Partial<StepSpec>): BatchState => {
     const state = takenOver(step);
-    [FIRST, SECOND].forEach((endpointId) => hear(state, endpointId, 10));
+    [FIRST, SECOND].forEach((endpointId) => report(state, endpointId, 10));
     scheduleWritten(state, 20);
     return state;
   };
 
-  const isBegun = (state: BatchState): boolean =>
-    [FIRST, SECOND].some((endpointId) => runningAt(state, endpointId).length > 0);
+  const isAnyStarted = (state: BatchState): boolean =>
+    [FIRST, SECOND].some((endpointId) => runningOn(state, endpointId).length > 0);
 
-  it('holds up inherited tasks that may run there', () => {
-    expect(isBegun(heardAndScheduled({}))).toBe(false);
+  it('blocks inherited tasks that may run there', () => {
+    expect(isAnyStarted(reportedAndScheduled({}))).toBe(false);
   });
 
-  it('does not hold up those whose label it lacks', () => {
-    // One silent endpoint held up all inherited tasks of its pool, also those that it may not run.
-    expect(isBegun(heardAndScheduled({ requiredLabel: 'fast' }))).toBe(true);
+  it('does not block inherited tasks that require a label it lacks', () => {
+    // Guards against one silent endpoint blocking all inherited tasks of its pool, including those that it may not run.
+    expect(isAnyStarted(reportedAndScheduled({ requiredLabel: 'fast' }))).toBe(true);
   });
 
-  it('does not hold up those that need more room than it has', () => {
-    expect(isBegun(heardAndScheduled({ cpuMillis: 9000 }))).toBe(true);
+  it('does not block inherited tasks that need more room than it has', () => {
+    expect(isAnyStarted(reportedAndScheduled({ cpuMillis: 9000 }))).toBe(true);
   });
 
-  it('holds up all while it is in no list of endpoints', () => {
+  it('blocks all inherited tasks while it is in no list of endpoints', () => {
     const state = takenOver({ requiredLabel: 'fast' });
     expectReports(state, [{ instanceId: instanceOf(brand('i-0000000009')), pool: POOL }]);
-    [FIRST, SECOND].forEach((endpointId) => hear(state, endpointId, 10));
+    [FIRST, SECOND].forEach((endpointId) => report(state, endpointId, 10));
     scheduleWritten(state, 20);
-    expect(isBegun(state)).toBe(false);
+    expect(isAnyStarted(state)).toBe(false);
   });
 });
 
-describe('an inherited task that was heard to run', () => {
-  it('begins elsewhere beside a silent endpoint if no earlier holder could order any more', () => {
+describe('an inherited task that an endpoint reported as running', () => {
+  it('starts elsewhere despite a silent endpoint if no earlier holder could send orders at the time of the report', () => {
     const state = takenOver();
-    hear(state, SECOND, FORMER_ORDERS_END_MS);
-    hear(state, FIRST, FORMER_ORDERS_END_MS, [0]);
+    report(state, SECOND, FORMER_ORDERS_END_MS);
+    report(state, FIRST, FORMER_ORDERS_END_MS, [0]);
     lose(state, FIRST, 200);
     scheduleWritten(state, 200);
-    expect(runningAt(state, SECOND)).toEqual([keyOf(0)]);
+    expect(runningOn(state, SECOND)).toEqual([keyOf(0)]);
   });
 
-  it('waits if an earlier holder could order then: it may have begun it there since', () => {
+  it('waits if an earlier holder could still send orders then, since it may have started the task there afterwards', () => {
     const state = takenOver();
-    hear(state, SECOND, FORMER_ORDERS_END_MS);
-    hear(state, FIRST, FORMER_ORDERS_END_MS - 1, [0]);
+    report(state, SECOND, FORMER_ORDERS_END_MS);
+    report(state, FIRST, FORMER_ORDERS_END_MS - 1, [0]);
     lose(state, FIRST, 200);
     scheduleWritten(state, 200);
-    expect(runningAt(state, SECOND)).toEqual([]);
+    expect(runningOn(state, SECOND)).toEqual([]);
     scheduleWritten(state, LEASES_END_MS);
-    expect(runningAt(state, SECOND)).toEqual([keyOf(0)]);
+    expect(runningOn(state, SECOND)).toEqual([keyOf(0)]);
   });
 
-  it('does not take others of its step along that were not heard', () => {
+  it('does not let other tasks of its step start that were not reported', () => {
     const state = takenOver({ taskCount: 2 });
-    hear(state, SECOND, FORMER_ORDERS_END_MS);
-    hear(state, FIRST, FORMER_ORDERS_END_MS, [0]);
+    report(state, SECOND, FORMER_ORDERS_END_MS);
+    report(state, FIRST, FORMER_ORDERS_END_MS, [0]);
     lose(state, FIRST, 200);
     scheduleWritten(state, 200);
-    expect(runningAt(state, SECOND)).toEqual([keyOf(0)]);
+    expect(runningOn(state, SECOND)).toEqual([keyOf(0)]);
   });
 
-  it('waits for all members of its gang', () => {
+  it('waits until all tasks of its gang were reported', () => {
     const state = takenOver({ taskCount: 2, isGang: true });
-    hear(state, SECOND, FORMER_ORDERS_END_MS);
-    hear(state, FIRST, FORMER_ORDERS_END_MS, [0]);
+    report(state, SECOND, FORMER_ORDERS_END_MS);
+    report(state, FIRST, FORMER_ORDERS_END_MS, [0]);
     lose(state, FIRST, 200);
     scheduleWritten(state, 200);
-    expect(runningAt(state, SECOND)).toEqual([]);
+    expect(runningOn(state, SECOND)).toEqual([]);
   });
 });
 
-describe('an endpoint that only the list of hosts has named', () => {
+describe('an endpoint that is named only by the list of hosts', () => {
   const HOST = brand<HostId>('h-9');
   const UNSEEN = brand<InstanceId>('i-0000000009');
 
-  /** A later reading of the list has its host with this endpoint; tells whether inherited tasks still wait for it. */
+  /**
+   * Applies a later list of hosts in which the host has the given endpoint. Tells whether inherited tasks still wait for
+   * the report of the endpoint that the first list named.
+   */
   const isAwaitedAfter = (
     instanceId: InstanceId | null,
     { soleUntilMs = Infinity, isSeen = false } = {},
@@ -183,20 +186,20 @@
     return state.pools.get(POOL)?.notReported.has(UNSEEN) === true;
   };
 
-  it('is waited for while its host has it', () => {
+  it('is waited for while its host still has it', () => {
     expect(isAwaitedAfter(UNSEEN)).toBe(true);
   });
 
-  it('is not waited for once its host has none, or another', () => {
+  it('is not waited for once its host has no endpoint or another one', () => {
     expect(isAwaitedAfter(null)).toBe(false);
     expect(isAwaitedAfter(brand('i-0000000010'))).toBe(false);
   });
 
-  it('is waited for by a holder that may have been replaced: the next one may have heard what ran there', () => {
+  it('is waited for by a holder that may have been replaced, since the next holder may know what ran there', () => {
     expect(isAwaitedAfter(null, { soleUntilMs: 40 })).toBe(true);
   });
 
-  it('is waited for if it was seen since: its end is settled with what ran there', () => {
+  it('is waited for if it was seen since, because its runs are settled when it is found gone', () => {
     expect(isAwaitedAfter(null, { isSeen: true })).toBe(true);
   });
 });
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -1,4 +1,7 @@
-/** Tasks of jobs that an earlier holder accepted: which of them may begin, and what is written before they do. */
+/**
+ * Inherited tasks, which belong to jobs that an earlier holder accepted: which of them may start, and which starts must
+ * be written to the job's row first.
+ */
 import type { InstanceId } from '../../shared/ids.js';
 import { isFirstStartOfInherited } from '../crashes/inherited-losses.js';
 import { waitingSuspects } from '../crashes/isolation.js';
@@ -13,15 +16,17 @@
 } from '../model/state.js';
 
 /**
- * Tells whether tasks of a step may still run where nobody has reported. A task of an earlier holder may be on an endpoint that has not
- * reported yet, or on one that no list names: the list of endpoints loses some in an outage, and that of hosts may not
- * have been read. Only endpoints that may run the step are waited for.
+ * Tells whether tasks of a step may still be running on an endpoint that has not reported to this holder. Such a task,
+ * started by an earlier holder, may be on an endpoint that has not reported yet or on one that is in no list: the list of
+ * endpoints loses some in an outage, and the list of hosts may not have been read yet. Only endpoints that may run the
+ * step are waited for. The wait ends when all leases granted by earlier holders have ended, if this holder is still
+ * the only one.
  *
- * @param state - All that is known.
+ * @param state - The batch state.
  * @param pool - The step's pool.
  * @param step - The step.
- * @param nowMs - The time.
- * @returns True while its tasks wait for reports.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
+ * @returns True while tasks of the step must wait for reports of endpoints.
  */
 export const isBlocked = (
   state: BatchState,
@@ -31,19 +36,19 @@
 ): boolean => {
   if (!job.isInherited) return false;
   if (nowMs >= state.inheritedLeasesEndAtMs && isSoleHolder(state, nowMs)) return false;
-  const mayRunThere = (instanceId: InstanceId): boolean => mayHaveBegun(state, instanceId, spec);
-  return state.isHostListAwaited || Array.from(notReported).some(mayRunThere);
+  const mayRunOn = (instanceId: InstanceId): boolean => mayHaveBegun(state, instanceId, spec);
+  return state.isHostListAwaited || Array.from(notReported).some(mayRunOn);
 };
 
 /**
- * Lists the tasks of a step that may begin. Of a blocked step these are tasks that an endpoint listed to this holder
- * when no earlier one could order any more. Suspects of a step are placed together, so none of them begins before all
- * may.
+ * Lists the waiting tasks of a step that may start. In a blocked step, only tasks that an endpoint reported to this holder
+ * after the last earlier holder could send orders may start. The tasks of a gang are placed together, and so are the tasks
+ * of a step that are suspected of crashing endpoints: if any of these may not start yet, no task of the step may.
  *
- * @param state - All that is known.
+ * @param state - The batch state.
  * @param pool - The step's pool.
  * @param step - The step.
- * @param nowMs - The time.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns The tasks.
  */
 export const unblockedTasks = (
@@ -54,26 +59,29 @@
 ): readonly Task[] => {
   const waiting = step.waiting.flatMap((index) => step.tasks[index] ?? []);
   if (!isBlocked(state, pool, step, nowMs)) return waiting;
-  const mustAllBegin = step.spec.isGang ? waiting : waitingSuspects(state, step);
-  if (!mustAllBegin.every(({ isLocated }) => isLocated)) return [];
+  const startedTogether = step.spec.isGang ? waiting : waitingSuspects(state, step);
+  if (!startedTogether.every(({ isLocated }) => isLocated)) return [];
   return waiting.filter(({ isLocated }) => isLocated);
 };
 
 /**
- * Announces the first starts of inherited tasks, where an endpoint may have crashed under them unreported.
+ * Announces the first starts of inherited tasks in the rows of their jobs, in case an endpoint crashed while running
+ * them and the earlier holder could not record that.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The batch state, changed in place.
  * @param step - The step.
- * @param tasks - Those of its tasks that wait.
- * @returns The tasks that may begin now: those whose start is written, or need not be.
+ * @param tasks - The waiting tasks of the step that may start.
+ * @returns The tasks that may start now: their start is written to the job's row, or need not be.
  */
 export const announceInherited = (
   state: BatchState,
   step: StepRun,
   tasks: readonly Task[],
 ): readonly Task[] => {
-  const isHeld = (task: Task): boolean => isFirstStartOfInherited(state, step, task);
-  const unannounced = tasks.filter((task) => isHeld(task) && announcedRunOf(task) === undefined);
+  const needsAnnouncement = (task: Task): boolean => isFirstStartOfInherited(state, step, task);
+  const unannounced = tasks.filter(
+    (task) => needsAnnouncement(task) && announcedRunOf(task) === undefined,
+  );
   if (unannounced.length > 0) announceTrials(state, step, unannounced);
-  return isWritten(step.job) ? tasks : tasks.filter((task) => !isHeld(task));
+  return isWritten(step.job) ? tasks : tasks.filter((task) => !needsAnnouncement(task));
 };
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -1,36 +1,38 @@
 /**
- * In which order open steps get places. Work that can still be done within its objective goes
- * first, the earliest objective before the others; then work that can still earn a late success;
- * then the rest, oldest first, so that nothing waits for ever.
+ * The order in which open steps are placed. Steps that can still finish within their job's objective come first, those
+ * whose objective ends earliest before the others. Steps that can still be a late success come next, and then the rest.
+ * Within each of these tiers, steps of equal priority are ordered by the end of their objective, so that no step waits
+ * for ever. The `OrderWay` decides where the shares of client accounts come in.
  */
-
 import type { OrderWay } from '../model/order-ways.js';
 import { goesWithOwed } from '../accounts/shares.js';
 import type { BatchState, JobState, StepRun } from '../model/state.js';
 import { expectStepTime } from '../jobs/step-times.js';
 
-/** A late success is still worth something to its client until this many times the objective. */
+/** A job that finishes within this many times its objective is a late success, which is still of use to its client. */
 export const LATE_FACTOR = 3;
 
-/** What decides the place of a step in the queue. */
+/** The values that decide the position of a step in the queue. */
 export type Rank = {
   readonly step: StepRun;
-  /** 0: can be in time. 1: can be late. 2: is past both. */
+  /** 0: can finish within the objective. 1: can still be a late success. 2: can be neither. */
   readonly tier: 0 | 1 | 2;
-  /** When the objective ends. */
+  /** When the objective of the job ends, on the holder's monotonic clock. */
   readonly dueAtMs: number;
-  /** 0: its account is owed it. 1: it is beyond what its account is owed. */
+  /** 0: the job is within its account's share. 1: the job is beyond that share. */
   readonly claim: 0 | 1;
+  /** The priority of the job's queue; 0 goes before all others. */
   readonly priority: number;
+  /** See `JobShare`. */
   readonly virtualStart: number;
 };
 
 /**
- * Expects how long the longest chain of what is left of an occurrence takes.
+ * Estimates how long the longest chain of dependent steps takes, from an open step to the end of its occurrence.
  *
- * @param state - What was learned of run times.
- * @param step - An open step; what comes after it is counted.
- * @returns The time in milliseconds.
+ * @param state - The batch state, which holds the learned run times.
+ * @param step - The open step; the steps that depend on it are included.
+ * @returns The duration in milliseconds.
  */
 export const remainingChainMs = (state: BatchState, step: StepRun): number => {
   const { steps } = step.occurrence;
@@ -43,29 +45,36 @@
   return expectStepTime(state, step) + afterMs;
 };
 
-const isFirst = ({ spec }: StepRun): boolean => spec.after.length === 0;
+/** Tells whether a step depends on no other step. */
+const isFirstStep = ({ spec }: StepRun): boolean => spec.after.length === 0;
 
-/** The longest chain of a whole occurrence, where that of one of its steps is known. */
-const wholeChainMs = (state: BatchState, step: StepRun, remainingMs: number): number => {
-  let longestMs = isFirst(step) ? remainingMs : 0;
+/**
+ * Estimates the longest chain of dependent steps of a whole occurrence, in milliseconds. `remainingMs` is the chain from
+ * `step` on, which the caller has computed already.
+ */
+const longestChainMs = (state: BatchState, step: StepRun, remainingMs: number): number => {
+  let longestMs = isFirstStep(step) ? remainingMs : 0;
   step.occurrence.steps.forEach((first) => {
-    if (first === step || !isFirst(first)) return;
+    if (first === step || !isFirstStep(first)) return;
     longestMs = Math.max(longestMs, remainingChainMs(state, first));
   });
   return longestMs;
 };
 
-/** Since when the clock of an occurrence runs. */
-const beganAtMs = ({ job, occurrence }: StepRun): number =>
+/**
+ * Returns the time from which the objective counts: when the occurrence of a repeating job is due, or when the client first
+ * tried to submit a job that runs once.
+ */
+const objectiveStartMs = ({ job, occurrence }: StepRun): number =>
   job.job.repeats > 0 ? occurrence.dueAtMs : job.sinceMs;
 
 /**
- * Reckons the objective of a job.
+ * Computes the objective of a job: the duration within which it should finish.
  *
- * @param state - What was learned of run times.
+ * @param state - The batch state, which holds the learned run times.
  * @param step - A step of the job.
- * @param remainingMs - The chain of what is left from the step on, where it is known.
- * @returns The time in milliseconds that the job may take.
+ * @param remainingMs - The longest chain from the step on, in milliseconds; computed if left out.
+ * @returns The objective in milliseconds.
  */
 export const objectiveMsOf = (
   state: BatchState,
@@ -73,16 +82,16 @@
   remainingMs = remainingChainMs(state, step),
 ): number => {
   const { stretch, targetLatencyMs } = step.job.policy;
-  return stretch * wholeChainMs(state, step, remainingMs) + targetLatencyMs;
+  return stretch * longestChainMs(state, step, remainingMs) + targetLatencyMs;
 };
 
 /**
- * Tells whether a job that runs once is past all use.
+ * Tells whether a job that runs once is too late even for a late success.
  *
- * @param state - What was learned of run times.
+ * @param state - The batch state, which holds the learned run times.
  * @param job - The job.
- * @param nowMs - The time.
- * @returns True if it cannot even be a late success any more.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
+ * @returns True if more than `LATE_FACTOR` times the objective has passed; false for a repeating job.
  */
 export const isPastUse = (state: BatchState, job: JobState, nowMs: number): boolean => {
   const step = job.occurrences.get(0)?.steps[0];
@@ -91,12 +100,12 @@
 };
 
 /**
- * Tells whether a job is within its objective.
+ * Tells whether a job is still within its objective.
  *
- * @param state - What was learned of run times.
+ * @param state - The batch state, which holds the learned run times.
  * @param job - The job.
- * @param nowMs - The time.
- * @returns True also for a job whose time is not that of a first occurrence.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
+ * @returns True also for a repeating job and for a job without occurrence 0.
  */
 export const isInTime = (state: BatchState, job: JobState, nowMs: number): boolean => {
   const step = job.occurrences.get(0)?.steps[0];
@@ -105,26 +114,26 @@
 };
 
 /**
- * Ranks a step.
+ * Computes the rank of an open step.
  *
- * @param state - What was learned of run times.
- * @param step - The open step.
- * @param nowMs - The time.
- * @returns Its rank.
+ * @param state - The batch state, which holds the learned run times.
+ * @param step - The step.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
+ * @returns The rank.
  */
 export const rankStep = (state: BatchState, step: StepRun, nowMs: number): Rank => {
   const { policy, share } = step.job;
   const remainingMs = remainingChainMs(state, step);
   const objectiveMs = objectiveMsOf(state, step, remainingMs);
-  const sinceMs = beganAtMs(step);
+  const sinceMs = objectiveStartMs(step);
   const dueAtMs = sinceMs + objectiveMs;
   const endsAtMs = nowMs + remainingMs;
   const canBeInTime = step.spec.isLasting || endsAtMs <= dueAtMs;
-  const isLate = endsAtMs <= sinceMs + LATE_FACTOR * objectiveMs;
-  const tierOfRest = isLate ? 1 : 2;
+  const canBeLateSuccess = endsAtMs <= sinceMs + LATE_FACTOR * objectiveMs;
+  const lateTier = canBeLateSuccess ? 1 : 2;
   return {
     step,
-    tier: canBeInTime ? 0 : tierOfRest,
+    tier: canBeInTime ? 0 : lateTier,
     dueAtMs,
     claim: goesWithOwed(step.job, nowMs) ? 0 : 1,
     priority: policy.priority,
@@ -132,48 +141,48 @@
   };
 };
 
-/** A part of the order: the step with the lower figure goes first. */
-type Figure = (rank: Rank) => number;
+/** One criterion of the order; the step with the lower value goes first. */
+type SortKey = (rank: Rank) => number;
 
-const tierOf: Figure = ({ tier }) => tier;
-const claimOf: Figure = ({ claim }) => claim;
-const priorityOf: Figure = ({ priority }) => priority;
-const dueOf: Figure = ({ dueAtMs }) => dueAtMs;
-const virtualStartOf: Figure = ({ virtualStart }) => virtualStart;
+const tierOf: SortKey = ({ tier }) => tier;
+const claimOf: SortKey = ({ claim }) => claim;
+const priorityOf: SortKey = ({ priority }) => priority;
+const dueOf: SortKey = ({ dueAtMs }) => dueAtMs;
+const virtualStartOf: SortKey = ({ virtualStart }) => virtualStart;
 
-/** Among what accounts are not owed, the account that is furthest behind goes first. */
-const fairnessOfRest: Figure = ({ claim, virtualStart }) => claim * virtualStart;
+/** Orders the jobs beyond their account's share by virtual start; all jobs within their share are equal. */
+const virtualStartBeyondShare: SortKey = ({ claim, virtualStart }) => claim * virtualStart;
 
-const URGENCY: readonly Figure[] = [tierOf, priorityOf, dueOf];
+const URGENCY_KEYS: readonly SortKey[] = [tierOf, priorityOf, dueOf];
 
-/** What decides in each way, the first figure that differs before the others. */
-const FIGURES: Readonly<Record<OrderWay, readonly Figure[]>> = {
-  'due-first': URGENCY,
-  'owed-first': [claimOf, ...URGENCY],
-  'owed-then-fair': [claimOf, tierOf, fairnessOfRest, ...URGENCY],
-  'fair-first': [tierOf, virtualStartOf, ...URGENCY],
+/** The sort keys of each queue order; the first key in which two ranks differ decides. */
+const SORT_KEYS: Readonly<Record<OrderWay, readonly SortKey[]>> = {
+  'due-first': URGENCY_KEYS,
+  'owed-first': [claimOf, ...URGENCY_KEYS],
+  'owed-then-fair': [claimOf, tierOf, virtualStartBeyondShare, ...URGENCY_KEYS],
+  'fair-first': [tierOf, virtualStartOf, ...URGENCY_KEYS],
 };
 
-/** Compares two ranks; below 0 if the left one goes first. */
+/** Compares two ranks; the result is below 0 if the left one goes first. */
 type Comparison = (left: Rank, right: Rank) => number;
 
-/** Loops instead of closures over closures: a large backlog is compared 60,000 times at each ranking. */
+/** Uses a loop rather than nested closures, because ranking a large backlog makes 60,000 comparisons. */
 const compareBy =
-  (figures: readonly Figure[]): Comparison =>
+  (sortKeys: readonly SortKey[]): Comparison =>
   (left, right) => {
-    for (let index = 0; index < figures.length; index += 1) {
-      const figure = figures[index] as Figure;
-      const ofLeft = figure(left);
-      const ofRight = figure(right);
-      if (ofLeft !== ofRight) return ofLeft < ofRight ? -1 : 1;
+    for (let index = 0; index < sortKeys.length; index += 1) {
+      const sortKey = sortKeys[index] as SortKey;
+      const leftValue = sortKey(left);
+      const rightValue = sortKey(right);
+      if (leftValue !== rightValue) return leftValue < rightValue ? -1 : 1;
     }
     return 0;
   };
 
-/** The orders of the queue, by their way. */
+/** The comparison of ranks for each queue order. */
 export const compareRanks: Readonly<Record<OrderWay, Comparison>> = {
-  'due-first': compareBy(FIGURES['due-first']),
-  'owed-first': compareBy(FIGURES['owed-first']),
-  'owed-then-fair': compareBy(FIGURES['owed-then-fair']),
-  'fair-first': compareBy(FIGURES['fair-first']),
+  'due-first': compareBy(SORT_KEYS['due-first']),
+  'owed-first': compareBy(SORT_KEYS['owed-first']),
+  'owed-then-fair': compareBy(SORT_KEYS['owed-then-fair']),
+  'fair-first': compareBy(SORT_KEYS['fair-first']),
 };
--- a/packages/core/src/batch/placement/ranking.test.ts
+++ b/packages/core/src/batch/placement/ranking.test.ts
@@ -1,4 +1,4 @@
-/** What a pass over a large backlog considers, and what that costs. */
+/** Which steps of a large backlog a scheduling pass considers, and how many of them it ranks. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName, type JobId } from '../../shared/ids.js';
@@ -15,7 +15,7 @@
 
 const jobIdOf = (number: number): JobId => brand<JobId>(number.toString(16).padStart(16, '0'));
 
-/** An endpoint with eight places, and a heavy account that has handed in jobs of one task. */
+/** Builds a state with one endpoint that has room for eight tasks, and a backlog of one-task jobs of a single account. */
 const withBacklog = (heavyMaximum: Capacity = NO_LIMIT): BatchState => {
   const state = createBatchState(2);
   const limits = { weight: 1, maximum: NO_LIMIT };
@@ -46,9 +46,9 @@
     ({ step }) => step.job.job.jobId === jobId,
   );
 
-const endOne = (state: BatchState, nowMs: number): void => {
+const completeOneRun = (state: BatchState, nowMs: number): void => {
   const [run] = Array.from(state.endpoints.get(FIRST)?.runs.values() ?? []);
-  if (!run) throw new Error('nothing runs');
+  if (!run) throw new Error('no run on the endpoint');
   const end = {
     number: 1,
     task: run.task.key,
@@ -60,34 +60,34 @@
 };
 
 describe('passes over a pool with 5,000 waiting steps', () => {
-  it('rank few of them: ranking all at each pass took the whole processor of a holder', () => {
+  it('rank only a part of them: ranking all in each pass took all CPU time of the holder', () => {
     const state = withBacklog();
     schedulePool(state, POOL, 20);
     const { byKind } = state.runTimes;
-    const lookUp = byKind.get.bind(byKind);
-    let lookUps = 0;
+    const originalGet = byKind.get.bind(byKind);
+    let lookupCount = 0;
     byKind.get = (kind) => {
-      lookUps += 1;
-      return lookUp(kind);
+      lookupCount += 1;
+      return originalGet(kind);
     };
     const passes = 100;
     for (let pass = 1; pass <= passes; pass += 1) {
       schedulePool(state, POOL, 20 + pass * PASS_EVERY_MS);
     }
-    // One look-up a step that is ranked: 500 at a pass, and all of them at each tenth.
-    expect(lookUps / passes).toBeLessThan(BACKLOG / 4);
+    // Each ranked step costs one look-up: 500 in a pass, and the whole backlog in each tenth pass.
+    expect(lookupCount / passes).toBeLessThan(BACKLOG / 4);
   });
 
-  it('give the first place that comes free to a step that was opened since the last ranking', () => {
+  it('give the first free place to a step that was opened since the last ranking', () => {
     const state = withBacklog();
     schedulePool(state, POOL, 1000);
     const jobId = submitOther(state, 1001);
-    endOne(state, 1002);
+    completeOneRun(state, 1002);
     schedulePool(state, POOL, 1003);
     expect(isRunning(state, jobId)).toBe(true);
   });
 
-  it('serve others where all those wait for the quota of their account', () => {
+  it('place a step of another account while the whole backlog waits for its account quota', () => {
     const state = withBacklog({ ...NO_LIMIT, cpuMillis: 2000 });
     schedulePool(state, POOL, 1000);
     const jobId = submitOther(state, 1001);
--- a/packages/core/src/batch/placement/ranking.ts
+++ b/packages/core/src/batch/placement/ranking.ts
@@ -1,7 +1,7 @@
 /**
- * The open steps of a pool in the order in which they get places. A small backlog is ranked at each pass. Of a large one
- * the first steps are kept as a shortlist, and a pass ranks only these and what was opened since: a pass comes after
- * each report of an endpoint, and ranking thousands of steps each time takes the whole processor of a holder.
+ * The open steps of a pool in the order in which they are placed. A small backlog is ranked in each scheduling pass. Of a
+ * large backlog the first steps are kept as a shortlist, and a pass ranks only these and the steps opened since. A pass
+ * follows each report of an endpoint, and ranking thousands of steps each time would take all of the holder's CPU time.
  */
 import type { AccountName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
@@ -9,22 +9,31 @@
 import { isFinal, type BatchState, type PoolState, type StepRun } from '../model/state.js';
 import { compareRanks, rankStep, type Rank } from './order.js';
 
-/** Up to so many open steps each pass ranks all of them. */
-const MOST_RANKED = 500;
-/** How often a larger backlog is ranked as a whole: a step past its time falls back this much later. */
+/** Each pass ranks all open steps of a pool that has at most this many. This is also the length of the shortlist. */
+const MAX_RANKED = 500;
+/**
+ * The least time between two rankings of a whole larger backlog. A step that can no longer finish within its objective
+ * moves back in the order with up to this delay.
+ */
 const RANK_EVERY_MS = 50;
-/** 5,000 steps take 2 ms to rank: beyond these the whole is ranked less often, at the same share of a processor. */
+/**
+ * Ranking 5,000 steps takes 2 ms. A backlog of more steps is ranked less often, so that ranking takes the same share of
+ * CPU time.
+ */
 const RANK_EVERY_MS_PER_STEP = 0.01;
-/** Steps of one account that wait for its quota take so many places of the shortlist, or they would fill it. */
-const MOST_BLOCKED = 20;
+/**
+ * How many steps of one account may be on the shortlist while they wait for the account's quota. Without this limit they
+ * could fill the shortlist.
+ */
+const MAX_QUOTA_BLOCKED = 20;
 
 /**
- * Ranks steps.
+ * Sorts steps by rank.
  *
- * @param state - What was learned of run times.
+ * @param state - The batch state, which holds the learned run times.
  * @param steps - The steps.
- * @param nowMs - The time.
- * @returns The steps, the first to get a place first.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
+ * @returns The steps in the order in which they are placed.
  */
 export const inOrder = (
   state: BatchState,
@@ -36,32 +45,33 @@
     .sort(compareRanks[state.orderWay])
     .map(({ step }) => step);
 
-/** The first steps in order, with few that wait for a quota. */
+/** Selects the first steps in order, with a limited number of steps that wait for the quota of the same account. */
 const shortlistOf = (state: BatchState, ordered: readonly StepRun[]): readonly StepRun[] => {
-  const blocked = new Map<AccountName | undefined, number>();
+  const quotaBlocked = new Map<AccountName | undefined, number>();
   const shortlist: StepRun[] = [];
   ordered.some((step) => {
     if (!isWithinQuota(state, step)) {
-      const count = blocked.get(accountOf(step)) ?? 0;
-      if (count >= MOST_BLOCKED) return false;
-      blocked.set(accountOf(step), count + 1);
+      const count = quotaBlocked.get(accountOf(step)) ?? 0;
+      if (count >= MAX_QUOTA_BLOCKED) return false;
+      quotaBlocked.set(accountOf(step), count + 1);
     }
     shortlist.push(step);
-    return shortlist.length >= MOST_RANKED;
+    return shortlist.length >= MAX_RANKED;
   });
   return shortlist;
 };
 
+/** Tells whether the job of a step has not ended. */
 const isLive = ({ job }: StepRun): boolean => !isFinal(job.phase);
 
 /**
- * Lists the open steps of a pool that a pass considers.
+ * Lists the open steps of a pool that a scheduling pass considers.
  *
- * @param state - All that is known.
+ * @param state - The batch state.
  * @param pool - The pool; its shortlist is changed in place.
- * @param nowMs - The time.
- * @param mayBegin - Tells whether a step may be tried at all.
- * @returns The steps in order: all of them, or the first ones of a large backlog.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
+ * @param mayBegin - Tells whether any task of a step may start.
+ * @returns The steps in order; of a large backlog only the shortlist and the steps opened since.
  */
 export const rankedSteps = (
   state: BatchState,
@@ -75,7 +85,7 @@
       Array.from(steps).filter((step) => isLive(step) && mayBegin(step)),
       nowMs,
     );
-  if (open.size <= MOST_RANKED) {
+  if (open.size <= MAX_RANKED) {
     change(ranking, { shortlist: [], opened: [], rankedAtMs: -Infinity });
     return rank(open);
   }
--- a/packages/core/src/batch/placement/schedule-cycle.ts
+++ b/packages/core/src/batch/placement/schedule-cycle.ts
@@ -1,4 +1,7 @@
-/** One pass over all pools: they take it in rotation to be first, or one would take what may be sent. */
+/**
+ * A scheduling pass over all pools. The pool that comes first rotates from pass to pass, because otherwise one pool could
+ * use up all the starts that may be sent.
+ */
 import { change } from '../../shared/change.js';
 import { endOldSuspicions } from '../domains/outage.js';
 import { settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
@@ -7,23 +10,23 @@
 import type { BatchState } from '../model/state.js';
 
 /**
- * Builds the passes of one holder.
+ * Builds the function that runs the scheduling passes of one holder.
  *
- * @param state - All that is known, changed in place.
- * @returns A function that places what waits in all pools, with how many starts may be sent now.
+ * @param state - The batch state, changed in place.
+ * @returns A function that places waiting tasks in all pools. `startsLeft` is how many starts may be sent now.
  */
 export const createScheduleCycle = (
   state: BatchState,
 ): ((startsLeft: number, nowMs: number) => void) => {
-  let first = 0;
+  let firstPool = 0;
   return (startsLeft, nowMs) => {
     change(state, { startsLeft });
     endOldSuspicions(state, nowMs);
     settleGoneEndpoints(state, nowMs);
     reckonUnreported(state, nowMs);
     const names = Array.from(state.pools.keys());
-    first = (first + 1) % Math.max(1, names.length);
-    [...names.slice(first), ...names.slice(0, first)].forEach((name) =>
+    firstPool = (firstPool + 1) % Math.max(1, names.length);
+    [...names.slice(firstPool), ...names.slice(0, firstPool)].forEach((name) =>
       schedulePool(state, name, nowMs),
     );
   };
--- a/packages/core/src/batch/placement/schedule.test.ts
+++ b/packages/core/src/batch/placement/schedule.test.ts
@@ -1,4 +1,4 @@
-/** In which order open steps get the room that comes free. */
+/** The order in which open steps get room that becomes free. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type JobId } from '../../shared/ids.js';
@@ -19,13 +19,13 @@
 const submit = (state: BatchState, number: number, submission: Submission): void =>
   submitJob(state, jobIdOf(number), submission);
 
-const runsOf = (state: BatchState, number: number): number =>
+const countRuns = (state: BatchState, number: number): number =>
   Array.from(state.endpoints.values())
     .flatMap(({ runs }) => Array.from(runs.values()))
     .filter(({ step }) => step.job.job.jobId === jobIdOf(number)).length;
 
-/** Two endpoints of eight cores that the first job fills. */
-const full = (): BatchState => {
+/** Builds a state with two endpoints of eight cores each, filled by the first job. */
+const createFullState = (): BatchState => {
   const state = createBatchState(2);
   [FIRST, SECOND].forEach((endpointId) => {
     see(state, endpointId);
@@ -36,8 +36,8 @@
   return state;
 };
 
-/** So many tasks on the first endpoint are done. */
-const endSome = (state: BatchState, count: number, nowMs: number): void => {
+/** Completes this many tasks on the first endpoint. */
+const completeRuns = (state: BatchState, count: number, nowMs: number): void => {
   const runs = Array.from(state.endpoints.get(FIRST)?.runs.values() ?? []);
   const ended = runs.slice(0, count).map(({ task, run }, index) => ({
     number: index + 1,
@@ -49,34 +49,36 @@
   answer(state, { ended, askedAtMs: nowMs - 1, nowMs });
 };
 
-describe('room that comes free just after the first step in order had fitted nowhere', () => {
-  it('goes to that step, not to one behind it', () => {
-    const state = full();
+describe('room that becomes free just after the first step in order could not be placed', () => {
+  it('goes to that step and not to one behind it', () => {
+    const state = createFullState();
     submit(state, 2, { priority: 0, step: { taskCount: 4 } });
     schedulePool(state, POOL, 100);
     submit(state, 3, { priority: 1, step: { taskCount: 4 } });
-    endSome(state, 4, 105);
+    completeRuns(state, 4, 105);
     schedulePool(state, POOL, 110);
-    expect([runsOf(state, 2), runsOf(state, 3)]).toEqual([4, 0]);
+    expect([countRuns(state, 2), countRuns(state, 3)]).toEqual([4, 0]);
   });
 
-  it('goes to a step behind it that fits where it does not', () => {
-    const state = full();
+  it('goes to a step behind it if only that one fits', () => {
+    const state = createFullState();
     submit(state, 2, { priority: 0, step: { taskCount: 1, cpuMillis: 6000 } });
     schedulePool(state, POOL, 100);
     submit(state, 3, { priority: 1, step: { taskCount: 4 } });
-    endSome(state, 4, 105);
+    completeRuns(state, 4, 105);
     schedulePool(state, POOL, 110);
-    expect([runsOf(state, 2), runsOf(state, 3)]).toEqual([0, 4]);
+    expect([countRuns(state, 2), countRuns(state, 3)]).toEqual([0, 4]);
   });
 
-  it('goes in order also to the steps that were not tried, so many stood before them', () => {
-    const state = full();
+  it('goes in order to the remaining steps when more are open than one pass tries', () => {
+    const state = createFullState();
     Array.from({ length: 60 }).forEach((_, index) => submit(state, 10 + index, {}));
     schedulePool(state, POOL, 100);
-    endSome(state, 2, 105);
+    completeRuns(state, 2, 105);
     schedulePool(state, POOL, 110);
-    expect(Array.from({ length: 60 }, (_, index) => runsOf(state, 10 + index)).indexOf(1)).toBe(0);
-    expect(runsOf(state, 11)).toBe(1);
+    expect(Array.from({ length: 60 }, (_, index) => countRuns(state, 10 + index)).indexOf(1)).toBe(
+      0,
+    );
+    expect(countRuns(state, 11)).toBe(1);
   });
 });
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -1,4 +1,7 @@
-/** Places waiting tasks on endpoints: the fullest endpoint that fits, so that others stand empty. */
+/**
+ * Places waiting tasks on endpoints. Unless a placement policy says otherwise, a task goes to the fullest endpoint that
+ * fits, so that other endpoints stay empty.
+ */
 import type { EndpointId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { once } from '../../shared/once.js';
@@ -36,22 +39,27 @@
 } from '../model/state.js';
 
 /**
- * A pass is bounded: after so many steps that fit nowhere, the smaller ones behind them wait for
- * the next pass.
+ * Bounds the work of a scheduling pass: after this many steps that could not be placed completely, the steps behind them
+ * wait for the next pass, also those that would fit.
+ */
+const MAX_UNPLACED_STEPS_PER_PASS = 40;
+/**
+ * A step that could not be placed completely is tried on all endpoints again after this time. Before that it is tried only
+ * on endpoints where room has become free since.
  */
-const MAX_MISFITS_PER_CYCLE = 40;
-/** A step that fitted nowhere is tried again everywhere after this time, and before it where room came free. */
 const RETRY_MS = 25;
 
-/** Where a run is to begin, and what decided that. */
-type Place = { readonly endpoint: EndpointState; readonly run: number; readonly reason: string };
+/** The endpoint on which a run is to start, the run's number and the reason for the choice. */
+type Start = { readonly endpoint: EndpointState; readonly run: number; readonly reason: string };
 
-type Placing = { readonly state: BatchState; readonly step: StepRun; readonly nowMs: number };
+/** The step that is being placed, with the state and the current time. */
+type PlacingStep = { readonly state: BatchState; readonly step: StepRun; readonly nowMs: number };
 
-const startOn = (
-  { state, step, nowMs }: Placing,
+/** Records a new run of a task and emits the order to start it. */
+const startRun = (
+  { state, step, nowMs }: PlacingStep,
   task: Task,
-  { endpoint, run, reason }: Place,
+  { endpoint, run, reason }: Start,
 ): void => {
   noteStartAgain(state, { endpoint, task, run, nowMs });
   addRun(state, { endpoint, step, task, run, phase: 'starting', nowMs });
@@ -68,8 +76,9 @@
   });
 };
 
+/** Places tasks one by one; false if one of them found no endpoint or exceeds its account's quota. */
 const placeEach = (
-  placing: Placing,
+  placing: PlacingStep,
   endpoints: readonly EndpointState[],
   tasks: readonly Task[],
 ): boolean => {
@@ -82,15 +91,16 @@
     const endpoint = candidates.choose(task);
     if (!endpoint) return false;
     const run = announcedRunOf(task) ?? nextRunNumber(state.fence, task.lastRun);
-    startOn(placing, task, { endpoint, run, reason: table.name });
+    startRun(placing, task, { endpoint, run, reason: table.name });
     candidates.notePlaced(endpoint);
     return true;
   });
 };
 
-const placeGang = (placing: Placing, endpoints: readonly EndpointState[]): boolean => {
+/** Places all tasks of a gang or none; false if they do not fit or exceed their account's quota. */
+const placeGang = (placing: PlacingStep, endpoints: readonly EndpointState[]): boolean => {
   const { state, step } = placing;
-  // Members that were lost take the others with them: wait until all have ended.
+  // When one task of a gang is lost, the others are stopped as well: wait until all of them have ended.
   if (step.waiting.length < step.spec.taskCount) return true;
   if (!isWithinQuota(state, step, step.spec.taskCount)) return false;
   const places = placesForGang(step, endpoints);
@@ -102,13 +112,14 @@
   step.tasks.forEach((task, index) => {
     change(task, { checkpoint });
     const endpoint = places[index] as EndpointState;
-    startOn(placing, task, { endpoint, run, reason: 'all of its gang' });
+    startRun(placing, task, { endpoint, run, reason: 'all of its gang' });
   });
   return true;
 };
 
-const wantAdviceFor = (
-  { state, step, nowMs }: Placing,
+/** Requests advice on the endpoints that have room for a task of a step. */
+const requestAdvice = (
+  { state, step, nowMs }: PlacingStep,
   endpoints: readonly EndpointState[],
 ): void => {
   if (step.advice === null) return;
@@ -116,12 +127,15 @@
   wantAdvice(state, step, withRoom, nowMs);
 };
 
-/** Places the tasks of a step that may stand beside others; true if none is left for want of room. */
-const placeOrdinary = (
-  placing: Placing,
+/**
+ * Places the tasks of a step that may share an endpoint with other jobs. Returns true if no task is left over for lack of
+ * room or quota.
+ */
+const placeUnsuspected = (
+  placing: PlacingStep,
   endpoints: readonly EndpointState[],
   suspects: readonly Task[],
-  mayHaveLost: () => boolean,
+  mayHaveCrashed: () => boolean,
 ): boolean => {
   const { state, step, nowMs } = placing;
   const { isGang } = step.spec;
@@ -130,15 +144,18 @@
   const waiting = unblockedTasks(state, pool, step, nowMs).filter(
     (task) => !suspects.includes(task),
   );
-  const mayBeLost = step.job.isInherited && mayHaveLost();
-  const tasks = mayBeLost ? announceInherited(state, step, waiting) : waiting;
+  const mayHaveCrashedBefore = step.job.isInherited && mayHaveCrashed();
+  const tasks = mayHaveCrashedBefore ? announceInherited(state, step, waiting) : waiting;
   if (isGang) return tasks.length < waiting.length || placeGang(placing, endpoints);
   return placeEach(placing, endpoints, tasks);
 };
 
-/** Places those that are to be alone; true if none is left. */
+/**
+ * Places the tasks of a step that must run isolated, because endpoints have crashed under them. A task whose start is not
+ * announced yet is announced now and placed in a later pass. Returns true if no task is left over for lack of room or quota.
+ */
 const placeSuspects = (
-  placing: Placing,
+  placing: PlacingStep,
   endpoints: readonly EndpointState[],
   suspects: readonly Task[],
 ): boolean => {
@@ -153,9 +170,12 @@
   return isGang ? placeGang(placing, endpoints) : placeEach(placing, endpoints, suspects);
 };
 
-/** Those that are to be alone are asked about wherever there could be room: the endpoint is emptied for them. */
-const wantAdviceForSuspects = (
-  { state, step, nowMs }: Placing,
+/**
+ * Requests advice for tasks that must run isolated. It is requested on every endpoint that could have room once other
+ * runs have ended, because the endpoint is emptied for them.
+ */
+const requestAdviceForSuspects = (
+  { state, step, nowMs }: PlacingStep,
   endpoints: readonly EndpointState[],
 ): void => {
   if (step.advice === null) return;
@@ -163,49 +183,51 @@
   wantAdvice(state, step, couldHold, nowMs);
 };
 
-/** The pool as a pass over it finds it. */
-type Pass = {
+/** The context of one scheduling pass over a pool. */
+type PoolPass = {
   readonly state: BatchState;
-  /** Those that take new work. */
+  /** The endpoints of the pool that take new work. */
   readonly endpoints: readonly EndpointState[];
-  /** An endpoint of the pool may have crashed shortly before this holder took over. */
-  readonly mayHaveLost: () => boolean;
+  /** Tells whether an endpoint of the pool may have crashed shortly before this holder took over. */
+  readonly mayHaveCrashed: () => boolean;
   readonly nowMs: number;
 };
 
 /**
- * Places the tasks that are to be alone, before all others: an endpoint that is kept for one stands idle until
- * then. Which are kept does not hang on whether a step is tried in this pass, or they would fill up between.
+ * Places the tasks that must run isolated, before all others, because an endpoint that is reserved for such a task is idle
+ * until the task starts. Returns the reserved endpoints. They stay reserved whether or not their step is tried in this
+ * pass; otherwise other tasks would fill them between two tries.
  */
 const placeIsolated = (
-  { state, endpoints, nowMs }: Pass,
+  { state, endpoints, nowMs }: PoolPass,
   steps: readonly StepRun[],
 ): IsolatedEndpoints => {
-  const questions = steps
+  const requests = steps
     .filter((step) => waitingSuspects(state, step).length > 0)
     .map((step): IsolationRequest => ({
       step,
       admitted: admittedEndpoints(step, endpoints, nowMs),
     }));
-  const isolated = planIsolation(state, questions, endpoints);
-  questions.forEach((question) => {
+  const isolated = planIsolation(state, requests, endpoints);
+  requests.forEach((request) => {
     if (state.startsLeft <= 0) return;
-    const { step } = question;
-    const placing: Placing = { state, step, nowMs };
-    const places = isolatedPlaces(isolated, question, nowMs);
+    const { step } = request;
+    const placing: PlacingStep = { state, step, nowMs };
+    const places = isolatedPlaces(isolated, request, nowMs);
     const isPlaced = placeSuspects(placing, places, waitingSuspects(state, step));
-    if (!isPlaced) wantAdviceForSuspects(placing, endpoints);
+    if (!isPlaced) requestAdviceForSuspects(placing, endpoints);
   });
   return isolated;
 };
 
 /**
- * The endpoints on which a step is tried: all of them, or, a short time after it fitted nowhere, those where room came
- * free since. Without these, what comes behind it in the order would take that room.
+ * Lists the endpoints on which a step is tried: all of them, or, for a short time after it could not be placed completely,
+ * those where room has become free since. If the step were not tried on these, steps behind it in the order would take
+ * that room.
  */
-const triedOn = (
+const endpointsToTry = (
   { retryAtMs, triedAtRevision, spec }: StepRun,
-  { endpoints, nowMs }: Pass,
+  { endpoints, nowMs }: PoolPass,
   newestRevision: number,
 ): readonly EndpointState[] => {
   if (retryAtMs <= nowMs) return endpoints;
@@ -213,49 +235,56 @@
   return endpoints.filter(({ roomRevision }) => roomRevision > triedAtRevision);
 };
 
-/** Endpoints where a step may begin: not those that are reclaimed for what is owed, where it is not owed itself. */
-const openTo = (step: StepRun, { state, nowMs }: Pass, endpoints: readonly EndpointState[]) =>
+/**
+ * Leaves out the endpoints that are reclaimed for jobs within their account's share, unless the step's own job counts as
+ * one of these.
+ */
+const withoutReclaimed = (
+  step: StepRun,
+  { state, nowMs }: PoolPass,
+  endpoints: readonly EndpointState[],
+) =>
   state.reclaimed.size === 0 || goesWithOwed(step.job, nowMs)
     ? endpoints
     : endpoints.filter(({ endpointId }) => !state.reclaimed.has(endpointId));
 
-/** Places what may stand beside others. */
-const placeShared = (pass: Pass, steps: readonly StepRun[]): void => {
+/** Places the tasks that may share an endpoint with other jobs. */
+const placeShared = (pass: PoolPass, steps: readonly StepRun[]): void => {
   const { state, endpoints, nowMs } = pass;
   const newestRevision = Math.max(...endpoints.map(({ roomRevision }) => roomRevision));
-  let misfits = 0;
+  let unplacedSteps = 0;
   steps.some((step) => {
     if (state.startsLeft <= 0) return true;
-    const places = triedOn(step, pass, newestRevision);
+    const places = endpointsToTry(step, pass, newestRevision);
     if (places.length === 0) return false;
-    // One that waits for its quota must not use up what may be tried in a pass.
+    // A step that waits for its account's quota must not count as one that could not be placed.
     if (!isWithinQuota(state, step, step.spec.isGang ? step.spec.taskCount : 1)) return false;
-    const placing: Placing = { state, step, nowMs };
-    const admitted = openTo(step, pass, admittedEndpoints(step, places, nowMs));
-    const isPlaced = placeOrdinary(
+    const placing: PlacingStep = { state, step, nowMs };
+    const admitted = withoutReclaimed(step, pass, admittedEndpoints(step, places, nowMs));
+    const isPlaced = placeUnsuspected(
       placing,
       admitted,
       waitingSuspects(state, step),
-      pass.mayHaveLost,
+      pass.mayHaveCrashed,
     );
     if (isPlaced) return false;
-    const isWhole = places === endpoints;
-    if (isWhole) wantAdviceFor(placing, endpoints);
-    misfits += 1;
+    const isTriedOnAll = places === endpoints;
+    if (isTriedOnAll) requestAdvice(placing, endpoints);
+    unplacedSteps += 1;
     change(step, {
       triedAtRevision: state.roomRevision,
-      retryAtMs: isWhole ? nowMs + RETRY_MS : step.retryAtMs,
+      retryAtMs: isTriedOnAll ? nowMs + RETRY_MS : step.retryAtMs,
     });
-    return misfits >= MAX_MISFITS_PER_CYCLE;
+    return unplacedSteps >= MAX_UNPLACED_STEPS_PER_PASS;
   });
 };
 
 /**
- * Lists the steps of suspected jobs in order. Starts that an earlier holder announced and nobody tells of count against
- * their tasks first, and may end the job.
+ * Lists the steps of jobs suspected of crashing endpoints, in order. Before that, each start that an earlier holder
+ * announced and no endpoint has reported is counted as a crash of its task, which may end the job.
  */
 const liveSuspects = (
-  { state, nowMs }: Pass,
+  { state, nowMs }: PoolPass,
   pool: PoolState,
   steps: readonly StepRun[],
 ): readonly StepRun[] => {
@@ -271,27 +300,27 @@
 };
 
 /**
- * Places what waits in one pool.
+ * Places the waiting tasks of one pool.
  *
- * @param state - All that is known, changed in place.
- * @param name - The pool.
- * @param nowMs - The time.
+ * @param state - The batch state, changed in place.
+ * @param name - The pool's name.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  */
 export const schedulePool = (state: BatchState, name: PoolName, nowMs: number): void => {
   const pool = poolOf(state, name);
   if (pool.open.size === 0) return;
   const endpoints = usableEndpoints(state, name, nowMs);
   if (endpoints.length === 0) return;
-  const isAnySuspect = state.suspectJobs.size > 0;
-  const pass: Pass = {
+  const hasSuspects = state.suspectJobs.size > 0;
+  const pass: PoolPass = {
     state,
     endpoints,
-    mayHaveLost: once(() => hasLossBefore(state, pool, endpoints)),
+    mayHaveCrashed: once(() => hasLossBefore(state, pool, endpoints)),
     nowMs,
   };
   const mayBegin = (step: StepRun): boolean =>
     !isBlocked(state, pool, step, nowMs) || unblockedTasks(state, pool, step, nowMs).length > 0;
-  const isolated = isAnySuspect
+  const isolated = hasSuspects
     ? placeIsolated(pass, liveSuspects(pass, pool, Array.from(pool.open).filter(mayBegin)))
     : NONE_ISOLATED;
   const shared =
@@ -303,11 +332,11 @@
 };
 
 /**
- * Tells where a task stands, for tests and for operators.
+ * Lists the endpoints that hold a run of a task, for tests and for operators.
  *
- * @param state - All that is known.
+ * @param state - The batch state.
  * @param task - The task.
- * @returns The endpoints that hold a run of it.
+ * @returns The ids of the endpoints.
  */
 export const endpointsOf = (state: BatchState, { key }: Task): readonly EndpointId[] =>
   Array.from(state.endpoints.values())
--- a/packages/core/src/batch/placement/scores.test.ts
+++ b/packages/core/src/batch/placement/scores.test.ts
@@ -1,4 +1,4 @@
-/** Where tasks of short steps go by each policy of placement. */
+/** Where each placement policy places the tasks of short steps. */
 import { describe, expect, it } from 'vitest';
 
 import { change } from '../../shared/change.js';
@@ -14,7 +14,7 @@
 
 const jobIdOf = (number: number): JobId => brand<JobId>(number.toString(16).padStart(16, '0'));
 
-const place = (
+const setUp = (
   placementPolicy: PlacementPolicy,
   fleet: RackedFleet = FLEET,
 ): {
@@ -37,14 +37,14 @@
   return { state, endpoints, submit };
 };
 
-describe('the policy of placement of short steps', () => {
-  it('is the fullest endpoint if nothing else is chosen', () => {
+describe('the placement policy of short steps', () => {
+  it('prefers the fullest endpoint by default', () => {
     expect(createBatchState(2).placementPolicy).toBe('fullest');
-    const { submit } = place('fullest');
+    const { submit } = setUp('fullest');
     expect(submit(1, { taskCount: 4 })).toEqual([4, 0, 0, 0, 0, 0, 0, 0]);
   });
 
-  it('accepts its three names only', () => {
+  it('accepts only its three names', () => {
     expect(['fullest', 'spread', 'together', '', 'Spread'].map(isPlacementPolicy)).toEqual([
       true,
       true,
@@ -56,12 +56,12 @@
 
   describe('spread', () => {
     it('places the tasks of a step evenly over racks, on the fullest endpoint of each', () => {
-      const { submit } = place('spread');
+      const { submit } = setUp('spread');
       expect(submit(1, { taskCount: 8 })).toEqual([2, 0, 2, 0, 2, 0, 2, 0]);
     });
 
-    it('goes elsewhere than where a task has failed', () => {
-      const { state, endpoints } = place('spread', { racks: 2, hostsPerRack: 1 });
+    it('avoids the endpoint on which a task has failed', () => {
+      const { state, endpoints } = setUp('spread', { racks: 2, hostsPerRack: 1 });
       submitJob(state, jobIdOf(1), { step: { taskCount: 2 } });
       state.jobs
         .get(jobIdOf(1))
@@ -73,52 +73,52 @@
       expect(endpoints.map(({ runs }) => runs.size)).toEqual([0, 2]);
     });
 
-    it('is as the fullest endpoint where no endpoint has a rack', () => {
-      const { submit } = place('spread', { ...FLEET, hasRacks: false });
+    it('places on the fullest endpoint if no endpoint has a rack', () => {
+      const { submit } = setUp('spread', { ...FLEET, hasRacks: false });
       expect(submit(1, { taskCount: 10 })).toEqual([8, 2, 0, 0, 0, 0, 0, 0]);
     });
   });
 
   describe('together', () => {
-    /** Another job fills each first host of a rack but for so many cores. */
-    const beside = (cores: number) => {
-      const placed = place('together');
+    /** Fills the first host of each rack except for this many cores. */
+    const setUpWithFreeCores = (freeCores: number) => {
+      const fixture = setUp('together');
       [0, 2, 4, 6].forEach((index) => {
-        const endpoint = placed.endpoints[index];
-        if (endpoint) change(endpoint.used, { cpuMillis: 8000 - cores * 1000 });
+        const endpoint = fixture.endpoints[index];
+        if (endpoint) change(endpoint.used, { cpuMillis: 8000 - freeCores * 1000 });
       });
-      return placed;
+      return fixture;
     };
 
-    it('places tasks on a host, then in a rack, where tasks of the job stand', () => {
-      // By fullness the job would stand on all four hosts that are nearly full, in four racks.
-      expect(beside(2).submit(1, { taskCount: 4 })).toEqual([2, 2, 0, 0, 0, 0, 0, 0]);
+    it('prefers hosts, then racks, that hold tasks of the same job', () => {
+      // By fullness alone the job would be placed on the four nearly full hosts, in four racks.
+      expect(setUpWithFreeCores(2).submit(1, { taskCount: 4 })).toEqual([2, 2, 0, 0, 0, 0, 0, 0]);
     });
 
-    it('follows the job, not the step: a second step stands where the first does', () => {
-      const { state, endpoints } = beside(2);
+    it('places tasks beside other steps of the same job, not only beside their own step', () => {
+      const { state, endpoints } = setUpWithFreeCores(2);
       const step = { taskCount: 1 };
       submitJob(state, jobIdOf(1), { step });
       submitJob(state, jobIdOf(2), { step });
       const [first, second] = [1, 2].map(
         (number) => state.jobs.get(jobIdOf(number))?.occurrences.get(0)?.steps[0],
       );
-      if (!first || !second) throw new Error('there is no step');
+      if (!first || !second) throw new Error('the submitted jobs have no first step');
       second.perEndpoint.set(endpoints[7]?.endpointId ?? brand(''), 1);
       first.occurrence.steps.push(second);
       schedulePool(state, POOL, 20);
       expect(endpoints[7]?.runs.size).toBe(2);
     });
 
-    it('counts another job for nothing', () => {
-      const { submit } = beside(1);
+    it('gives no preference to endpoints that hold tasks of another job', () => {
+      const { submit } = setUpWithFreeCores(1);
       expect(submit(1, { taskCount: 1 })).toEqual([1, 0, 0, 0, 0, 0, 0, 0]);
       expect(submit(2, { taskCount: 1 })).toEqual([0, 0, 1, 0, 0, 0, 0, 0]);
     });
   });
 
-  it('says nothing of long-running steps', () => {
-    const { submit } = place('together');
+  it('does not affect the placement of long-running steps', () => {
+    const { submit } = setUp('together');
     expect(submit(1, { taskCount: 4, isLasting: true })).toEqual([1, 0, 1, 0, 1, 0, 1, 0]);
   });
 });
--- a/packages/core/src/batch/placement/scores.ts
+++ b/packages/core/src/batch/placement/scores.ts
@@ -1,12 +1,12 @@
 /**
- * How good an endpoint is for a task: named scores with their weights. An endpoint's score is the sum; the greatest
- * one takes the task, the first of equals.
+ * Scores that rate how suitable an endpoint is for a task, each with a name and a weight. An endpoint's total score is the
+ * weighted sum. The endpoint with the highest total takes the task; among equal totals the first one.
  */
 import { dataCentreCountKey, rackCountKey } from '../domains/domains.js';
 import type { PlacementPolicy } from '../model/placement-policy.js';
 import type { BatchState, EndpointState, StepRun, Task } from '../model/state.js';
 
-/** What a score is reckoned from. */
+/** The values that a score is computed from, apart from the endpoint. */
 export type PlacementView = {
   readonly state: BatchState;
   readonly nowMs: number;
@@ -14,31 +14,31 @@
   readonly task: Task;
 };
 
-/** One score. */
+/** One named score. */
 export type PlacementScore = {
-  /** For operators. */
+  /** The name that operators see. */
   readonly name: string;
-  /** What the score counts for. */
+  /** The factor by which the score enters the total. */
   readonly weight: number;
-  /** From 0 to 1; for counts of tasks, the count. */
+  /** Computes the score: from 0 to 1, or for counts of tasks the count. */
   readonly of: (endpoint: EndpointState, view: PlacementView) => number;
-  /** It decides before the spread over racks and data centres does. */
+  /** The score takes precedence over the spread over racks and data centres. */
   readonly outranksSpread?: boolean;
-  /** It depends on the task, and is 0 for one that has failed nowhere. */
+  /** The score depends on the task, and is 0 for a task that has no endpoint to avoid. */
   readonly isOfTask?: boolean;
 };
 
 const fullness: PlacementScore['of'] = ({ used, capacity }) =>
   used.cpuMillis / Math.max(1, capacity.cpuMillis);
 
-const isNearData: PlacementScore['of'] = ({ labels }, { step: { spec } }) =>
+const nearData: PlacementScore['of'] = ({ labels }, { step: { spec } }) =>
   Number(spec.nearRack !== '' && labels.includes(spec.nearRack));
 
-const hasFailedTask: PlacementScore['of'] = ({ endpointId }, { task }) =>
+const failedThere: PlacementScore['of'] = ({ endpointId }, { task }) =>
   Number(task.avoid === endpointId);
 
-/** A long-running task that begins on a host with maintenance ahead would move again. */
-const movesAgain: PlacementScore['of'] = ({ isAwaited }, { step: { spec } }) =>
+/** A long-running task that starts on a host with upcoming maintenance would have to move again. */
+const wouldMoveAgain: PlacementScore['of'] = ({ isAwaited }, { step: { spec } }) =>
   Number(spec.isLasting && isAwaited);
 
 const tasksInRack: PlacementScore['of'] = ({ domains }, { step: { perDomain } }) =>
@@ -47,38 +47,46 @@
 const tasksInDataCentre: PlacementScore['of'] = ({ domains }, { step: { perDomain } }) =>
   perDomain.get(dataCentreCountKey(domains)) ?? 0;
 
-/** An endpoint that is slow after its data centre was taken back: a warm one with room goes first. */
-const isCold: PlacementScore['of'] = ({ coldUntilMs }, { nowMs }) => Number(coldUntilMs > nowMs);
+/**
+ * An endpoint is cold, and therefore slow, for a time after its data centre was taken back into service. A warm endpoint
+ * with room is preferred.
+ */
+const coldness: PlacementScore['of'] = ({ coldUntilMs }, { nowMs }) => Number(coldUntilMs > nowMs);
 
-/** Tasks of the same job: of all steps of one occurrence. */
-const isHostOfJob: PlacementScore['of'] = ({ endpointId }, { step: { occurrence } }) =>
+/** Tells whether the endpoint holds tasks of the same job, counting all steps of the occurrence. */
+const hasJobOnEndpoint: PlacementScore['of'] = ({ endpointId }, { step: { occurrence } }) =>
   Number(occurrence.steps.some(({ perEndpoint }) => perEndpoint.has(endpointId)));
 
-const isRackOfJob: PlacementScore['of'] = ({ domains }, { step: { occurrence } }) =>
+/** Tells whether the endpoint's rack holds tasks of the same job, counting all steps of the occurrence. */
+const hasJobInRack: PlacementScore['of'] = ({ domains }, { step: { occurrence } }) =>
   Number(occurrence.steps.some(({ perDomain }) => perDomain.has(rackCountKey(domains))));
 
-/** Being near its data outweighs fullness, and a place that has not failed the task outweighs both. */
+/** Being near the task's data outweighs fullness, and avoiding the endpoint of the task's last failure outweighs both. */
 export const PLACEMENT_SCORES: readonly PlacementScore[] = [
   { name: 'fullest', weight: 1, of: fullness },
-  { name: 'near its data', weight: 2, of: isNearData },
-  { name: 'failed there', weight: -4, of: hasFailedTask, outranksSpread: true, isOfTask: true },
-  { name: 'maintenance ahead', weight: -3, of: movesAgain, outranksSpread: true },
-  { name: 'cold', weight: -1, of: isCold },
+  { name: 'near its data', weight: 2, of: nearData },
+  { name: 'failed there', weight: -4, of: failedThere, outranksSpread: true, isOfTask: true },
+  { name: 'maintenance ahead', weight: -3, of: wouldMoveAgain, outranksSpread: true },
+  { name: 'cold', weight: -1, of: coldness },
 ];
 
 /**
- * One task more or less in a data centre outweighs all rows that do not outrank the spread, one in a rack outweighs
- * the 20,000 tasks that a job may have in a data centre, and the rows above outweigh as many in a rack.
+ * The weights of the spread over domains. One task more or less in a data centre outweighs all scores that do not outrank
+ * the spread. One task more or less in a rack outweighs the 20,000 tasks that a job may have in a data centre. The scores
+ * that outrank the spread outweigh 20,000 tasks in a rack.
  */
 const DATA_CENTRE_WEIGHT = -10;
 const RACK_WEIGHT = -1e6;
-const OUTRANKING = 1e11;
-/** Tasks of the same job in the rack outweigh fullness and near-data, on the host both and the rack. */
+const OUTRANKING_FACTOR = 1e11;
+/**
+ * The weight of having tasks of the same job in the rack, and again of having them on the endpoint. The former outweighs
+ * fullness and being near the data together; both together outweigh these two and tasks in another endpoint's rack.
+ */
 const TOGETHER_WEIGHT = 5;
 
-/** The rows of every table, with room for others between those that outrank them and the rest. */
-const RANKED_SCORES = PLACEMENT_SCORES.map((score) =>
-  score.outranksSpread ? { ...score, weight: score.weight * OUTRANKING } : score,
+/** The scores of every table that spreads tasks, with those that outrank the spread weighted above the spread's own weights. */
+const SCORES_AROUND_SPREAD = PLACEMENT_SCORES.map((score) =>
+  score.outranksSpread ? { ...score, weight: score.weight * OUTRANKING_FACTOR } : score,
 );
 
 const SPREAD_OVER_RACKS: PlacementScore = {
@@ -87,42 +95,42 @@
   of: tasksInRack,
 };
 
-/** A table of scores, and what it does in a word or two. */
+/** A named table of scores; the name says in a few words where the table places tasks. */
 export type ScoreTable = {
   readonly name: string;
   readonly scores: readonly PlacementScore[];
-  /** A placement changes the scores of all endpoints in the same rack and data centre. */
+  /** A placement changes the scores of all endpoints in the same rack or data centre. */
   readonly isByDomain?: boolean;
 };
 
 const FULLEST: ScoreTable = { name: 'fullest', scores: PLACEMENT_SCORES };
 
-/** For long-running steps where endpoints have racks: the loss of one takes as few tasks as can be. */
+/** For long-running steps if endpoints have racks: the loss of one domain then affects as few tasks as possible. */
 const SPREAD: ScoreTable = {
   name: 'spread over racks and data centres',
   isByDomain: true,
   scores: [
-    ...RANKED_SCORES,
+    ...SCORES_AROUND_SPREAD,
     SPREAD_OVER_RACKS,
     { name: 'spread over data centres', weight: DATA_CENTRE_WEIGHT, of: tasksInDataCentre },
   ],
 };
 
-/** For short steps. */
+/** The tables for short steps, by placement policy. */
 const SHORT_STEPS: Readonly<Record<PlacementPolicy, ScoreTable>> = {
   fullest: FULLEST,
   spread: {
     name: 'spread over racks',
     isByDomain: true,
-    scores: [...RANKED_SCORES, SPREAD_OVER_RACKS],
+    scores: [...SCORES_AROUND_SPREAD, SPREAD_OVER_RACKS],
   },
   together: {
     name: 'beside its job',
     isByDomain: true,
     scores: [
-      ...RANKED_SCORES,
-      { name: 'host of its job', weight: TOGETHER_WEIGHT, of: isHostOfJob },
-      { name: 'rack of its job', weight: TOGETHER_WEIGHT, of: isRackOfJob },
+      ...SCORES_AROUND_SPREAD,
+      { name: 'host of its job', weight: TOGETHER_WEIGHT, of: hasJobOnEndpoint },
+      { name: 'rack of its job', weight: TOGETHER_WEIGHT, of: hasJobInRack },
     ],
   },
 };
@@ -130,10 +138,10 @@
 const hasRack = ({ domains }: EndpointState): boolean => domains.rack !== null;
 
 /**
- * Chooses the table of scores for a step. Without a rack among the endpoints, spread changes nothing.
+ * Chooses the table of scores for a step. A long-running step is spread only if some endpoint has a rack.
  *
- * @param state - All that is known.
- * @param endpoints - The endpoints that may take its tasks.
+ * @param state - The batch state.
+ * @param endpoints - The endpoints that may take tasks of the step.
  * @param step - The step.
  * @returns The table.
  */
@@ -147,12 +155,12 @@
 };
 
 /**
- * Scores an endpoint for a task.
+ * Computes the total score of an endpoint for a task.
  *
  * @param endpoint - The endpoint.
- * @param view - The task, and what is known.
- * @param scores - The table.
- * @returns The sum of all scores by their weights; larger is better.
+ * @param view - The task and the state that its scores are computed from.
+ * @param scores - The scores to add up.
+ * @returns The weighted sum of all scores; larger is better.
  */
 export const scoreOf = (
   endpoint: EndpointState,
