--- a/packages/core/src/batch/model/accounts.ts
+++ b/packages/core/src/batch/model/accounts.ts
@@ -1,29 +1,32 @@
-/** Client accounts: whose keys open which queues, and which jobs belong to whom. */
+/** Client accounts: the keys that identify a caller, and the ownership of jobs. */
 import type { AccountName, Branded } from '../../shared/ids.js';
 import type { Capacity } from './capacity.js';
 
-/** A key as it is kept and compared: its digest, from which it cannot be found. */
+/** The digest of an account's key. Only digests are stored and compared, because a key cannot be recovered from its digest. */
 export type KeyDigest = Branded<'KeyDigest'>;
 
 /** A client account as the configuration declares it. */
 export type ClientAccount = {
   readonly name: AccountName;
   readonly keyDigests: readonly KeyDigest[];
-  /** 0 goes before all others. */
+  /** The account's priority; 0 goes before all others. */
   readonly priority: number;
-  /** Its share when all is full, in jobs a second. */
+  /** The account's share while there is not room for all jobs, in jobs per second. */
   readonly weight: number;
-  /** What it may have running at once on all endpoints; 0 is without a limit. */
+  /** The most that the account may have running at once on all endpoints; a resource of 0 has no limit. */
   readonly maximum: Capacity;
 };
 
-/** What a holder goes by for an account: from the newest configuration that named it, or from the rows of its jobs. */
+/**
+ * The limits that a holder applies to an account. They come from the newest configuration that names the account, or else
+ * from the rows of its jobs.
+ */
 export type AccountLimits = Pick<ClientAccount, 'maximum' | 'weight'>;
 
-/** Who owns a job, and what its account might have running as the job came in. */
+/** The account that owns a job, with the account's maximum at the time the job was accepted. */
 export type JobOwner = Pick<ClientAccount, 'maximum'> & { readonly account: AccountName };
 
-/** Who makes a request: an account, or null for a caller of a queue that is open to all. */
+/** The account that makes a request; null for a caller without an account, who may use queues that are open to all. */
 export type Caller = AccountName | null;
 
 /** An index over the accounts of one configuration. */
@@ -33,9 +36,9 @@
 };
 
 /**
- * Builds an index, so that the check of a key does not take longer with more keys.
+ * Builds an index, so that checking a key takes the same time however many keys there are.
  *
- * @param accounts - The accounts; a key of two of them stays with the first.
+ * @param accounts - The accounts; a key that two of them share belongs to the first.
  * @returns The index.
  */
 export const indexAccounts = (accounts: readonly ClientAccount[]): AccountIndex => {
@@ -51,9 +54,9 @@
 /**
  * Tells whether a caller may see and cancel a job.
  *
- * @param owner - The job's account; undefined for a job of none, which all callers of its queue may see.
- * @param caller - Who asks.
- * @returns False for a job of another account, which must look to the caller like one that is not there.
+ * @param owner - The job's account; undefined for a job without one, which all callers of its queue may see.
+ * @param caller - The caller.
+ * @returns False for a job of another account. The caller must get the same answer for it as for a job that does not exist.
  */
 export const maySee = (owner: AccountName | undefined, caller: Caller): boolean =>
   owner === undefined || owner === caller;
--- a/packages/core/src/batch/model/capacity.ts
+++ b/packages/core/src/batch/model/capacity.ts
@@ -1,23 +1,23 @@
-/** Amounts of room: what an endpoint has, what a task takes, what an account may have running. */
+/** Amounts of resources: what an endpoint has, what a task needs, and what an account may have running. */
 
-/** An amount of each resource. */
+/** An amount of each resource: CPU in thousandths of a core, memory in megabytes, and a number of accelerators. */
 export type Capacity = {
   readonly cpuMillis: number;
   readonly memoryMb: number;
   readonly accelerators: number;
 };
 
-/** An amount of room that changes in place. */
+/** An amount of each resource that is changed in place. */
 export type Usage = { -readonly [Resource in keyof Capacity]: number };
 
-/** The resources that are counted. */
+/** The names of all resources. */
 export const RESOURCES = ['cpuMillis', 'memoryMb', 'accelerators'] as const;
 
-/** What an account without a maximum may have running. */
+/** The maximum of an account without a limit: 0 stands for no limit. */
 export const NO_LIMIT: Capacity = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
 
 /**
- * Builds an amount of nothing.
+ * Builds an amount of 0 of each resource.
  *
  * @returns The amount.
  */
--- a/packages/core/src/batch/model/domain.ts
+++ b/packages/core/src/batch/model/domain.ts
@@ -1,22 +1,23 @@
-/** Sets of endpoints that fail together. */
+/** Failure domains: sets of endpoints that can fail together. */
 import type { DomainId, EndpointId } from '../../shared/ids.js';
 import type { EndpointState } from './endpoint-state.js';
 
 export type DomainKind = 'rack' | 'dataCentre';
 
-/** A rack or a data centre. */
+/** A rack or a data centre with the endpoints in it. */
 export type Domain = {
   readonly domainId: DomainId;
   readonly kind: DomainKind;
   readonly members: Set<EndpointState>;
 };
 
-/** A domain that may be lost as a whole. */
+/** A domain that is suspected to have failed as a whole. */
 export type SuspectedDomain = {
   readonly domainId: DomainId;
+  /** When the suspicion began. */
   readonly sinceMs: number;
-  /** How many endpoints stood in it then. */
+  /** How many endpoints were in the domain at that time. */
   readonly endpoints: number;
-  /** Those that have not answered since. */
+  /** The endpoints that have not answered since then. */
   readonly awaited: Set<EndpointId>;
 };
--- a/packages/core/src/batch/model/endpoint-life.ts
+++ b/packages/core/src/batch/model/endpoint-life.ts
@@ -1,46 +1,49 @@
 /**
- * Lives of endpoints. An endpoint may start again under the id that it had; it then holds and knows
- * nothing of before, and its counts begin anew. So each life is an endpoint of its own here: nothing that is
- * kept under an `EndpointId` outlives it, and what does is kept under the `InstanceId`.
+ * Incarnations of endpoints. An endpoint may restart under the same platform id; it then has no runs, no memory of earlier
+ * orders, and its counters start again. Each incarnation is therefore treated as an endpoint of its own, with its own
+ * `EndpointId`. State kept under an `EndpointId` ends with the incarnation; state that must outlast it is kept under the
+ * `InstanceId`.
  *
- * Lives are told apart by the time of their start, and never ordered by it: hosts' clocks jump. An answer
- * of a life other than the one that was asked is of a later one, since the list is read before the question is sent.
+ * Incarnations are told apart by their start time but never ordered by it, because the clocks of hosts can jump. An
+ * answer from another incarnation than the one that was asked always comes from a later one, because the list of endpoints
+ * is read before the question is sent.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 
 import { brand, type EndpointId, type InstanceId } from '../../shared/ids.js';
 import type { OrderError } from './orders.js';
 
+/** Separates the instance id from the start time. */
 const SEPARATOR = '@';
-/** Ids stand in each line of the log: eight characters in place of thirteen. */
+/** The radix of the start time. Ids are in each line of the log, and this radix needs 8 characters instead of 13. */
 const RADIX = 36;
 
 /**
- * Names one life of an endpoint.
+ * Builds the id of one incarnation of an endpoint.
  *
  * @param instanceId - The id that the endpoint has on the platform.
- * @param startedAtMs - The time of day of its start, by its host, in milliseconds.
- * @returns The life's own id.
+ * @param startedAtMs - The wall-clock time of its start, by its host's clock, in milliseconds since 1970.
+ * @returns The id of the incarnation.
  */
 export const lifeOf = (instanceId: string, startedAtMs: number): EndpointId =>
   brand<EndpointId>(`${instanceId}${SEPARATOR}${startedAtMs.toString(RADIX)}`);
 
 /**
- * Gives the id that an endpoint has on the platform, which its other lives may have too.
+ * Returns the id that an endpoint has on the platform, which all its incarnations share.
  *
- * @param endpointId - One life.
- * @returns The id.
+ * @param endpointId - The id of an incarnation.
+ * @returns The platform's id.
  */
 export const instanceOf = (endpointId: EndpointId): InstanceId => {
-  const end = endpointId.lastIndexOf(SEPARATOR);
-  return brand<InstanceId>(end < 0 ? endpointId : endpointId.slice(0, end));
+  const separatorAt = endpointId.lastIndexOf(SEPARATOR);
+  return brand<InstanceId>(separatorAt < 0 ? endpointId : endpointId.slice(0, separatorAt));
 };
 
 /**
- * Gives the time of day at which a life began, by its host.
+ * Returns the wall-clock time at which an incarnation started, by its host's clock.
  *
- * @param endpointId - The life.
- * @returns The time in milliseconds; undefined where the platform does not tell.
+ * @param endpointId - The id of the incarnation.
+ * @returns The time in milliseconds since 1970; undefined if the platform does not report it.
  */
 export const bornAtMs = (endpointId: EndpointId): number | undefined => {
   const start = endpointId.lastIndexOf(SEPARATOR);
@@ -49,22 +52,21 @@
 };
 
 /**
- * Passes over what another life answered: its lists say nothing of the life that was asked.
+ * Rejects an answer that came from another incarnation, because its lists say nothing about the incarnation that was
+ * asked.
  *
- * @param endpointId - The life that was asked.
- * @param answeringBornAtMs - When the life that answered was born; undefined where the platform does not tell.
- * @param answer - What it answered.
- * @returns The answer, or that another life has the id now.
+ * @param endpointId - The incarnation that was asked.
+ * @param answeringStartMs - When the incarnation that answered started; undefined if the platform does not report it.
+ * @param answer - The answer.
+ * @returns The answer, or an error with the reason `other-life`.
  */
 export const requireLife = <Answer>(
   endpointId: EndpointId,
-  answeringBornAtMs: number | undefined,
+  answeringStartMs: number | undefined,
   answer: Answer,
 ): Result<Answer, OrderError> => {
-  const answering =
-    answeringBornAtMs === undefined
-      ? endpointId
-      : lifeOf(instanceOf(endpointId), answeringBornAtMs);
-  if (answering === endpointId) return Ok(answer);
-  return Err({ verdict: 'mayHaveRun', reason: 'other-life', detail: `${answering} answers` });
+  const answeringId =
+    answeringStartMs === undefined ? endpointId : lifeOf(instanceOf(endpointId), answeringStartMs);
+  if (answeringId === endpointId) return Ok(answer);
+  return Err({ verdict: 'mayHaveRun', reason: 'other-life', detail: `${answeringId} answers` });
 };
--- a/packages/core/src/batch/model/endpoint-state.ts
+++ b/packages/core/src/batch/model/endpoint-state.ts
@@ -1,4 +1,4 @@
-/** What is known of endpoints, and of what runs on them. Records change in place. */
+/** The state of endpoints and of the runs on them. Records are changed in place. */
 import type {
   DataCentreId,
   DomainId,
@@ -11,39 +11,42 @@
 import type { TaskKey } from './job.js';
 import type { EndpointCrash, StepRun, Task } from './job-state.js';
 
-/** A run of a task on an endpoint. */
+/** A run: one execution of a task on an endpoint. */
 export type RunState = {
   readonly task: Task;
   readonly step: StepRun;
   readonly run: number;
-  /** `unsure`: the order to start it had no answer. */
+  /** `unsure`: the order to start the run was not answered. */
   phase: 'starting' | 'running' | 'unsure' | 'stopping';
+  /** When the run was added here. */
   readonly startedAtMs: number;
-  /** When the endpoint confirmed it; infinite before. */
+  /** When the endpoint confirmed the run; infinite before that. */
   confirmedAtMs: number;
-  /** When it had surely begun; infinite before that is known. */
+  /** The time by which the run had certainly started; infinite while that is not known. */
   begunByMs: number;
-  /** The list of the life that it is on has named it: it did not begin in a later one. */
+  /** This incarnation of the endpoint has listed the run, so the run did not start in a later incarnation. */
   isListed: boolean;
-  /** When an order to stop it was answered; infinite before. */
+  /** When an order to stop the run was answered; infinite before that. */
   stopAnsweredAtMs: number;
+  /** The progress that the endpoint reported last, in percent. */
   percent: number;
-  /** A serving task's tail of answer times in milliseconds; another's processors in use. */
+  /** For a serving task its tail latency in milliseconds; for any other task the number of cores it uses. */
   figure: number;
-  /** The share of its work that it is let to do; 100 unless it was paced. */
+  /** The percentage of its full pace that the run is allowed; 100 unless it was paced. */
   pacePercent: number;
+  /** When `pacePercent` was last changed. */
   pacedAtMs: number;
-  /** When the percentage last rose. */
+  /** When `percent` last rose. */
   progressAtMs: number;
 };
 
-/** The failure domains that an endpoint stands in; null for a rack or a data centre without a name. */
+/** The failure domains of an endpoint; null for a rack or a data centre without a name. */
 export type EndpointDomains = {
   readonly rack: DomainId | null;
   readonly dataCentre: DomainId | null;
 };
 
-/** An endpoint of a pool. */
+/** One incarnation of an endpoint of a pool. */
 export type EndpointState = {
   readonly endpointId: EndpointId;
   readonly pool: PoolName;
@@ -55,80 +58,85 @@
   readonly used: { cpuMillis: number; memoryMb: number; accelerators: number };
   readonly runs: Map<TaskKey, RunState>;
   /**
-   * Runs that were given up as the lease ended, until the endpoint answers or is found gone: then it shows
-   * that it had crashed under them.
+   * Runs that were given up when the lease of the endpoint ended. They are kept until the endpoint answers or is found
+   * gone; in the latter case the endpoint had crashed while it ran them.
    */
   lapsedRuns: readonly RunState[];
-  /** Of what it listed last beside these: it was ordered to stop it. */
+  /** The steps of further runs that the endpoint listed last. It was ordered to stop these runs. */
   strays: readonly StepRun[];
-  /** It has answered under the present fence, so all that runs there is known. */
+  /** The endpoint has answered under this holder's fencing token, so all of its runs are known. */
   isKnown: boolean;
   isDraining: boolean;
-  /** It said itself that it will leave: its end is no failure. */
+  /** The endpoint has announced that it will shut down, so its end is not a failure. */
   hasAnnouncedEnd: boolean;
-  /** Withheld from new work until then, with the reason. */
+  /** Until this time the endpoint gets no new work; `withheldReason` tells why. */
   withheldUntilMs: number;
   withheldReason: string;
-  /** It is slow until then: its data centre was taken back into service. */
+  /** Until this time the endpoint is slow, because its data centre was taken back into service. */
   coldUntilMs: number;
-  /** Kept empty for maintenance or a move. */
+  /** The endpoint gets no new work, so that its host can be maintained or moved to another pool. */
   isClosing: boolean;
-  /** Its host has maintenance ahead: what lasts and is begun here would move again. */
+  /** Its host has upcoming maintenance, so a long-running task that starts here would have to move again. */
   isAwaited: boolean;
-  /** When nothing that it may have been told to run can still be running. */
+  /** The time after which no run that it was ordered to start can still be running. */
   leaseEndsAtMs: number;
   idleSinceMs: number;
-  /** Rises as room comes free here; see `BatchState`. */
+  /** The `roomRevision` of the `BatchState` at which room last became free on this endpoint. */
   roomRevision: number;
   readonly seenAtMs: number;
   /** When the question was sent whose answer was applied last. */
   reportedAtMs: number;
-  /** When a question or an order since its last answer was first left unanswered; infinite if none was. */
+  /** When the first question or order since the last answer went unanswered; infinite if none did. */
   unansweredSinceMs: number;
   health: EndpointHealth;
 };
 
 /**
- * What shows that an endpoint is gone. `host-list`: its host has none. `host-taken`: its host has another one. `host-ordered`: its
- * host goes through a move or maintenance. `replaced`: another endpoint has its address. `restarted`: a later
- * life has its id. `succeeded`: its lease is over, and another that came later answers from its host.
- * `unlisted`: nothing ran there, and it is listed no more.
+ * The evidence that an endpoint is gone.
+ * - `host-list`: the list of hosts shows no endpoint on its host.
+ * - `host-taken`: its host has another endpoint.
+ * - `host-ordered`: its host is being moved or maintained by order.
+ * - `replaced`: another endpoint has its address.
+ * - `restarted`: a later incarnation has its platform id.
+ * - `succeeded`: its lease has ended, and an endpoint that came later answers from its host.
+ * - `unlisted`: it had no runs, and it is no longer in the list of endpoints.
  */
 export type GoneCause =
   'host-list' | 'host-taken' | 'host-ordered' | 'replaced' | 'restarted' | 'succeeded' | 'unlisted';
 
-/** An endpoint whose life is over, until what ran there is given up. */
+/** An endpoint that is gone, kept until its runs are given up. */
 export type GoneEndpoint = {
   readonly endpoint: EndpointState;
   readonly detail: GoneCause;
-  /** When that held. */
+  /** When the evidence held. */
   readonly atMs: number;
-  /** What it says of the runs that were there; null before it was judged. */
+  /** The crash to record for each run that was on the endpoint; null until the cause of its end was evaluated. */
   verdicts: ReadonlyMap<RunState, EndpointCrash> | null;
-  /** A later life has answered: what that did not name has ended. */
+  /** A later incarnation has answered, so every run that it did not list has ended. */
   isFollowed: boolean;
 };
 
-/** An endpoint that crashed by itself a short time ago. */
+/** A recent crash of an endpoint; an end that was ordered or announced is no crash. */
 export type RecentCrash = {
   readonly endpointId: EndpointId;
   readonly rack: string;
   readonly atMs: number;
-  /** Only one job had begun something there, and endpoints had crashed under that before. */
+  /** Only one job had started tasks there, and endpoints had crashed under that job before. */
   readonly isExplained: boolean;
 };
 
-/** Signs that an endpoint fails or hangs what it is given. */
+/** Signs that tasks fail or hang on an endpoint. */
 export type EndpointHealth = {
-  /** Distinct jobs whose tasks failed here since the last task that was done. */
+  /** The jobs of which tasks have failed here since a task was last completed here. */
   readonly failedJobs: Set<JobId>;
-  /** How often it was withheld in a row. */
+  /** How often in a row the endpoint was withheld from new work. */
   strikes: number;
 };
 
-/** An order to start that had no answer, and may still be carried out. */
+/** An order to start a run that was not answered and may still be carried out. */
 export type OpenStart = {
   readonly task: TaskKey;
   readonly run: number;
+  /** The time until which the order may still be carried out. */
   readonly untilMs: number;
 };
--- a/packages/core/src/batch/model/job-state.ts
+++ b/packages/core/src/batch/model/job-state.ts
@@ -1,76 +1,82 @@
-/** What is known of jobs, their steps and tasks. Records change in place. */
+/** The state of jobs, their steps and tasks. Records are changed in place. */
 import type { DomainId, EndpointId } from '../../shared/ids.js';
 import type { JobShare } from './share.js';
 import type { BatchJob, BatchPhase, QueuePolicy, StepSpec, TaskKey } from './job.js';
 
-/** One task. */
+/** The state of one task. */
 export type Task = {
   readonly key: TaskKey;
   readonly index: number;
   phase: 'waiting' | 'placed' | 'done';
   /**
-   * The runs that failed. Numbers rather than a count: reports come again until they are
-   * acknowledged, from several endpoints in any order.
+   * The numbers of the runs that failed. A count would not do: reports are repeated until they are acknowledged, and
+   * come from several endpoints in any order.
    */
   failedRuns: readonly number[];
-  /** The highest run number that was used. */
+  /** The highest run number used so far. */
   lastRun: number;
-  /** The run that ended last, and when it was counted as ended; null if none is known to have. */
   /**
-   * An endpoint listed a run of it when no earlier holder could order any more: that run was the only one, and
-   * whatever has begun since was ordered by this holder.
+   * An endpoint reported a run of the task at a time when no earlier holder could send orders any more. That run was
+   * therefore the only one, and every later run was ordered by this holder.
    */
   isLocated: boolean;
+  /** The run that ended last, and when it was counted as ended; null if no run is known to have ended. */
   lastEnd: { readonly run: number; readonly countedAtMs: number } | null;
-  /** Where the work can be resumed; '' for the start. */
+  /** The checkpoint from which the task can be resumed; '' to start from the beginning. */
   checkpoint: string;
-  /** The endpoint of the last failure: the next run goes elsewhere if it can. */
+  /** The endpoint of the last failure, which the next run avoids if possible; null if there is none. */
   avoid: EndpointId | null;
-  /** For lasting tasks: since when it has not been at work; 0 while it is. */
+  /** For a long-running task: since when it has not been at work; 0 while it is at work. */
   awaySinceMs: number;
-  /** Endpoints that crashed by themselves under it, the first one first. */
+  /** Crashes of endpoints that held the task, the first one first. An end that was ordered or announced is no crash. */
   crashes: readonly EndpointCrash[];
-  /** The start that its job's row announces, for a task that endpoints crashed under; null where none is open. */
+  /** The start that is announced in the job's row, for a task that endpoints crashed under; null if there is none. */
   trial: Trial | null;
 };
 
-/** A start that is written down before it is ordered. */
+/** A start that is written to the job's row before it is ordered. */
 export type Trial = {
   readonly run: number;
-  /** An earlier holder announced it: the run may have begun. */
+  /** An earlier holder announced the start, so the run may have started. */
   readonly isInherited: boolean;
 };
 
-/** An endpoint that crashed by itself while a run of a task was there. */
+/** A crash of an endpoint while it held a run of a task; an end that was ordered or announced is no crash. */
 export type EndpointCrash = {
   readonly run: number;
-  /** For how long the endpoint is known to have lived with the run. */
+  /** For how long the endpoint is known to have stayed up with the run, in milliseconds. */
   readonly livedMs: number;
-  /** The endpoint is known to have begun the run, and to have been responsive until shortly before its end. */
+  /** The endpoint is known to have started the run, and to have been responsive until shortly before it crashed. */
   readonly isConfirmed: boolean;
-  /** The run had begun so short a time before that it may be to blame. */
+  /** The run had started so shortly before the crash that it may have caused it. */
   readonly isSuspected: boolean;
-  /** Every run of another job had been there for long. */
+  /** All runs of other jobs had been on the endpoint for long. */
   readonly isSoleSuspect: boolean;
-  /** Others, of which no task explains the end, crashed about then: a rack, a power feed. */
+  /**
+   * Other endpoints, whose crashes no task explains, crashed at about the same time, for example because a rack or a power
+   * feed failed.
+   */
   readonly isCorrelated: boolean;
-  /** The fence of the holder that counted it. */
+  /** The fencing token of the holder that counted the crash. */
   readonly fence: number;
-  /** When it was counted, by the time of day. */
+  /** The wall-clock time at which the crash was counted, in milliseconds since 1970. */
   readonly countedAtMs: number;
 };
 
-/** Which endpoints may run a step, as far as it was asked. */
+/** What the advice service has answered about a step: which endpoints may run it. */
 export type StepAdvice = {
+  /** The endpoints that may run the step, with their tickets. */
   readonly tickets: Map<EndpointId, { readonly ticket: string; readonly validUntilMs: number }>;
+  /** The endpoints that may not run the step. */
   readonly refused: Set<EndpointId>;
+  /** A question is open. */
   isAsking: boolean;
-  /** After a question without an answer. */
+  /** No question is asked before this time; set after a question that was not answered. */
   notBeforeMs: number;
 };
 
 /**
- * Builds the advice of a step that nothing was asked about yet.
+ * Builds the advice of a step about which no question has been asked yet.
  *
  * @returns The advice.
  */
@@ -87,50 +93,53 @@
   readonly occurrence: OccurrenceState;
   readonly number: number;
   readonly spec: StepSpec;
-  /** Tasks of a kind take alike times: those of a queue with the same image. */
+  /** The queue and image of the tasks. Run times are learned for each kind, because tasks of one kind take similar times. */
   readonly kind: string;
   readonly tasks: readonly Task[];
-  /** Indices of tasks that wait for a place; meaningful once the step is open. */
+  /** The indices of the tasks that wait to be placed; meaningful only once the step is open. */
   waiting: number[];
+  /** All steps that the step depends on are done, so its tasks may start. */
   isOpen: boolean;
   doneCount: number;
-  /** How many tasks of the step stand on an endpoint. */
+  /** The number of the step's tasks on each endpoint. */
   readonly perEndpoint: Map<EndpointId, number>;
-  /** How many stand in a rack or a data centre. */
+  /** The number of the step's tasks in each rack and data centre. */
   readonly perDomain: Map<DomainId, number>;
-  /** Not tried again everywhere before this time. */
+  /** The step is not tried on all endpoints again before this time. */
   retryAtMs: number;
-  /** It fitted nowhere as the room was at this revision. */
+  /** The `roomRevision` of the `BatchState` at which the step last could not be placed completely. */
   triedAtRevision: number;
-  /** Null where the queue needs no advice. */
+  /** Null if the queue needs no advice. */
   readonly advice: StepAdvice | null;
 };
 
 /** One repetition of a job's steps. */
 export type OccurrenceState = {
   readonly number: number;
+  /** When the occurrence is due. */
   readonly dueAtMs: number;
   readonly steps: StepRun[];
 };
 
-/** A job with the state of its tasks. */
+/** The state of a job and of its tasks. */
 export type JobState = {
   readonly job: BatchJob;
   policy: QueuePolicy;
   phase: BatchPhase;
-  /** In terms of the operator's labels: why it stands where it does. */
+  /** Why the job is in its phase, in terms that operators know, such as the names of its queue and pool. */
   reason: string;
   readonly occurrences: Map<number, OccurrenceState>;
   nextOccurrence: number;
-  /** When its client first tried to hand it in, as far as that is known, by the monotonic clock. */
+  /** When the client first tried to submit the job, as far as known, on the monotonic clock. */
   readonly sinceMs: number;
-  /** Where it stands among the jobs of all accounts. */
+  /** The position of the job among the jobs of all accounts. */
   readonly share: JobShare;
-  /** Accepted under an earlier holder: a task may be running where nobody has answered yet. */
+  /** The job was accepted under an earlier holder, so a task may be running on an endpoint that has not answered yet. */
   readonly isInherited: boolean;
-  /** A task of it is known to have begun; that one was ordered does not show it. */
+  /** A task of the job is known to have started. An order to start one is not enough to know that. */
   hasBegun: boolean;
-  /** Rises with each change of what its row tells of crashes and trials: here, and as the row has them. */
+  /** Incremented with each change of the crashes and announced starts that the job's row contains. */
   blameRevision: number;
+  /** The `blameRevision` that the job's row was last written with. */
   writtenBlameRevision: number;
 };
--- a/packages/core/src/batch/model/job.ts
+++ b/packages/core/src/batch/model/job.ts
@@ -1,98 +1,99 @@
-/** Batch jobs: steps of equal tasks, as they were accepted. */
+/** Batch jobs as they were accepted. A job consists of steps, and a step of tasks of the same size. */
 import type { AccountName, Branded, JobId, PoolName } from '../../shared/ids.js';
 import type { JobOwner } from './accounts.js';
 
 export type QueueName = Branded<'QueueName'>;
-/** Names one task of a fleet: job, occurrence, step and index, joined by dots. */
+/** Identifies one task in the fleet: job id, occurrence, step and index, joined by dots. */
 export type TaskKey = Branded<'TaskKey'>;
 
-/** One step: `taskCount` tasks of the same size. Absent requirements are 0, '' or false. */
+/** One step: `taskCount` tasks of the same size. A requirement that a step does not have is 0, '' or false. */
 export type StepSpec = {
   readonly taskCount: number;
   readonly cpuMillis: number;
   readonly memoryMb: number;
   readonly accelerators: number;
-  /** A rough guess by the client of a task's run time. */
+  /** The client's rough estimate of a task's run time, in milliseconds. */
   readonly estimateMs: number;
-  /** The steps, by number, whose tasks must all be done before. */
+  /** The numbers of the steps whose tasks must all be done before this step starts. */
   readonly after: readonly number[];
-  /** The tasks work only together and end together. */
+  /** The tasks form a gang: they can only run together, and end together. */
   readonly isGang: boolean;
-  /** The tasks of a gang slow down when they are spread over racks. */
+  /** The tasks of the gang slow down when they are spread over several racks. */
   readonly isRackLocal: boolean;
-  /** A label that the endpoint must have. */
+  /** A label that an endpoint must have to run the tasks. */
   readonly requiredLabel: string;
-  /** The rack where the data is; the task is slower elsewhere. */
+  /** The rack that holds the tasks' data; the tasks are slower elsewhere. */
   readonly nearRack: string;
-  /** How many tasks of the step one endpoint may hold; 0 for any number. */
+  /** How many tasks of the step one endpoint may hold; 0 for no limit. */
   readonly mostPerEndpoint: number;
   readonly isSpeculative: boolean;
   /** The tasks run until the job is cancelled. */
   readonly isLasting: boolean;
-  /** How many tasks of a lasting step may be away at once by our doing. */
+  /** How many tasks of a long-running step may be stopped at the same time by planned actions of this system. */
   readonly mayMiss: number;
   readonly image: string;
-  /** The tail of answer times that a lasting task is to stay under; 0 for none. */
+  /** The tail latency that a long-running task should stay below, in milliseconds; 0 for no target. */
   readonly targetMs: number;
-  /** The step's processors are not reserved: it takes what others leave unused. */
+  /** No CPU is reserved for the step: its tasks use what other tasks leave unused. */
   readonly fillsGaps: boolean;
   readonly savesProgress: boolean;
 };
 
-/** How the tasks of a queue are treated; from the configuration. */
+/** How the jobs of a queue are treated, as the configuration declares it. */
 export type QueuePolicy = {
   /** 0 goes before all others. */
   readonly priority: number;
-  /** A task that has failed so often fails its job. */
+  /** A task that has failed this many times fails its job. */
   readonly maxAttempts: number;
-  /** The objective is this many times the longest chain of work, plus `targetLatencyMs`. */
+  /** A job's objective is this many times its longest chain of dependent steps, plus `targetLatencyMs`. */
   readonly stretch: number;
   readonly targetLatencyMs: number;
   /** Only endpoints with a ticket may run the queue's steps: see `advice.ts`. */
   readonly needsAdvice?: boolean;
 };
 
-/** A job as a client handed it in. */
+/** A job as a client submitted it. */
 export type BatchJob = {
   readonly jobId: JobId;
   readonly queue: QueueName;
   readonly pool: PoolName;
-  /** Text for the tasks; not read by us. */
+  /** The text that is passed to the tasks and not interpreted here. */
   readonly spec: string;
   readonly steps: readonly StepSpec[];
-  /** How often the steps run; 0 for once, at once. */
+  /** How many occurrences the job has; 0 for one that starts immediately. */
   readonly repeats: number;
-  /** When occurrence 0 is due, by the time of day, in milliseconds since 1970. */
+  /** The wall-clock time at which occurrence 0 is due, in milliseconds since 1970. */
   readonly firstDueAtMs: number;
+  /** The time between the due times of two occurrences. */
   readonly intervalMs: number;
-  /** By the time of day of the entry that accepted it. */
+  /** When the job was accepted, by the wall clock of the entry that accepted it. */
   readonly acceptedAtMs: number;
-  /** Left out for a job of a queue that is open to all, and in rows from before there were accounts. */
+  /** Absent for a job of a queue that is open to all, and in rows written before accounts existed. */
   readonly owner?: JobOwner;
 };
 
-/** What a client sees of a job. */
+/** The phase of a job that its client sees. */
 export type BatchPhase = 'pending' | 'running' | 'completed' | 'failed' | 'cancelled';
 
 /** The phases that never change again. */
 export type FinalPhase = Exclude<BatchPhase, 'pending' | 'running'>;
 
-/** What a job's client and operators are told of it. */
+/** The status of a job that its client and operators see. */
 export type JobStatus = {
   readonly phase: BatchPhase;
-  /** Why it is in its final phase; '' before that. */
+  /** Why the job is in its final phase; '' before that. */
   readonly reason: string;
-  /** Whose job it is; left out for a job of no account. */
+  /** The account that owns the job; absent for a job without one. */
   readonly account?: AccountName | undefined;
 };
 
 /**
- * Names a task.
+ * Builds the key of a task.
  *
  * @param jobId - The job.
- * @param occurrence - Which of its repetitions, from 0.
+ * @param occurrence - The number of the job's occurrence, from 0.
  * @param step - The step's number, from 0.
- * @param index - The task within the step, from 0.
+ * @param index - The index of the task within the step, from 0.
  * @returns The key.
  */
 export const taskKey = (jobId: string, occurrence: number, step: number, index: number): TaskKey =>
@@ -107,10 +108,10 @@
 };
 
 /**
- * Takes a task's key apart.
+ * Parses the key of a task.
  *
  * @param key - The key, as an endpoint reports it.
- * @returns Its parts, or undefined for what is no key.
+ * @returns Its parts; undefined if the text is not a key.
  */
 export const parseTaskKey = (key: string): TaskName | undefined => {
   const parts = key.split('.');
@@ -129,11 +130,12 @@
   };
 };
 
-/** The most tasks and steps of one job that are accepted: each costs memory until the job's end. */
+/** The largest numbers of tasks and steps in a job that is accepted. Each of them takes memory until the job ends. */
 export const MOST_TASKS_PER_JOB = 20_000;
 export const MOST_STEPS_PER_JOB = 256;
 
-const stepFault = (
+/** Describes what is wrong with a step; undefined if nothing is. The text follows the step's number in a sentence. */
+const findStepFault = (
   step: StepSpec,
   number: number,
   steps: readonly StepSpec[],
@@ -149,28 +151,29 @@
   return undefined;
 };
 
+/** Tells whether some steps depend on each other in a cycle. */
 const hasCycle = (steps: readonly StepSpec[]): boolean => {
-  const done = new Set<number>();
+  const sorted = new Set<number>();
   for (;;) {
     const next = steps.findIndex(
-      ({ after }, number) => !done.has(number) && after.every((one) => done.has(one)),
+      ({ after }, number) => !sorted.has(number) && after.every((one) => sorted.has(one)),
     );
-    if (next < 0) return done.size < steps.length;
-    done.add(next);
+    if (next < 0) return sorted.size < steps.length;
+    sorted.add(next);
   }
 };
 
 /**
- * Checks a job before it is accepted.
+ * Validates a job before it is accepted.
  *
  * @param job - The job.
- * @returns What is wrong with it, for people, or undefined.
+ * @returns A message that describes the first fault; undefined if the job is valid.
  */
 export const findJobFault = ({ steps, repeats, intervalMs }: BatchJob): string | undefined => {
   if (steps.length === 0) return 'a job needs at least one step';
   if (steps.length > MOST_STEPS_PER_JOB) return `a job has at most ${MOST_STEPS_PER_JOB} steps`;
   const faults = steps.flatMap((step, number) => {
-    const fault = stepFault(step, number, steps);
+    const fault = findStepFault(step, number, steps);
     return fault === undefined ? [] : [`step ${number} ${fault}`];
   });
   if (faults.length > 0) return faults[0];
--- a/packages/core/src/batch/model/order-ways.ts
+++ b/packages/core/src/batch/model/order-ways.ts
@@ -1,10 +1,13 @@
-/** The ways to order the queue that can be told apart by measurement. */
+/** The available orders of the queue. Measurements can be run with each of them to compare them. */
 
 /**
- * `due-first`: what can be in time, then the more urgent queue, then what is due first, whoever owns it.
- * `owed-first`: the same among what accounts are owed, and after it the same among the rest.
- * `owed-then-fair`: the same among what accounts are owed, and after it, of what can be in time, the job whose
- * account is furthest behind.
- * `fair-first`: among what can be in time, the job whose account is furthest behind its weight.
+ * How open steps are ordered.
+ * - `due-first`: steps that can finish within their objective first, then by priority, then by the end of the objective;
+ *   accounts do not matter.
+ * - `owed-first`: the jobs within their account's share in the order of `due-first`, then all other jobs in that order.
+ * - `owed-then-fair`: the jobs within their account's share in the order of `due-first`. Then the other jobs: those that
+ *   can finish within their objective first, and among them the job whose account is furthest behind its weight.
+ * - `fair-first`: steps that can finish within their objective first, and among them the job whose account is furthest
+ *   behind its weight.
  */
 export type OrderWay = 'due-first' | 'owed-first' | 'owed-then-fair' | 'fair-first';
--- a/packages/core/src/batch/model/plain-step.ts
+++ b/packages/core/src/batch/model/plain-step.ts
@@ -1,7 +1,7 @@
-/** The step that simulated fleets and tests build theirs from. */
+/** The step from which simulated fleets and tests derive their steps. */
 import type { StepSpec } from './job.js';
 
-/** One task of one core that asks for nothing else. */
+/** A step of one task that needs one core and little memory and has no other requirement. */
 export const PLAIN_STEP: StepSpec = {
   taskCount: 1,
   cpuMillis: 1000,
--- a/packages/core/src/batch/model/share.ts
+++ b/packages/core/src/batch/model/share.ts
@@ -1,20 +1,31 @@
-/** What client accounts are owed of the work that they hand in. */
+/**
+ * The shares of client accounts. Each account may submit as many jobs per second as its weight; these jobs are within its
+ * share and are called owed. Jobs beyond the share are placed after them.
+ */
 
-/** What one account is still owed. */
+/** The state of one account's share. */
 export type AccountShare = {
-  /** Jobs that it may hand in now. */
+  /** How many jobs within its share the account may submit now. */
   jobsLeft: number;
+  /** When `jobsLeft` was last updated. */
   settledAtMs: number;
-  /** When its work so far would be done if it had its weight of all work alone; see `JobShare`. */
+  /**
+   * When all jobs submitted so far would be done if the account were served at exactly its weight, in seconds on the
+   * monotonic clock; see `JobShare`.
+   */
   virtualEnd: number;
 };
 
-/** Where a job stands among those of all accounts. */
+/** The position of a job among the jobs of all accounts. */
 export type JobShare = {
+  /** The job is within its account's share. */
   readonly isOwed: boolean;
-  /** By weighted fair queueing: when the work before it of its own account would be done. */
+  /**
+   * The start time of weighted fair queueing, in seconds: when the earlier jobs of the same account would be done. Of two jobs,
+   * the one with the lower value belongs to the account that is further behind.
+   */
   readonly virtualStart: number;
 };
 
-/** A job of no account, or of an earlier holder's time, is owed. */
+/** The share of a job without an account, or of one accepted under an earlier holder: both count as owed. */
 export const OWED: JobShare = { isOwed: true, virtualStart: 0 };
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -1,7 +1,7 @@
 /**
- * What the holder of control knows of batch work. The records change in place: an endpoint reports
- * many ends a second, and nothing else reads them meanwhile. Times are of the holder's monotonic
- * clock unless a name says otherwise.
+ * The state of batch work that the holder, the entry that holds the control lease, keeps in memory. The records are changed
+ * in place, because each endpoint reports many ended runs a second and nothing reads the records during a change. Times are
+ * on the holder's monotonic clock, in milliseconds, unless a name or comment says otherwise.
  */
 import type {
   AccountName,
@@ -31,47 +31,48 @@
 export * from './endpoint-state.js';
 export * from './job-state.js';
 
-/** Where a platform does not bound the lease that one order may grant. */
-const LONGEST_LEASE_MS = 10_000;
+/** The longest lease that one order may grant, if the platform does not set a bound. */
+const DEFAULT_LONGEST_LEASE_MS = 10_000;
 
-/** After so many opened steps a backlog is ranked as a whole at the next pass. */
-const MOST_OPENED = 1000;
+/** After this many steps were opened since the last ranking, the next pass ranks the whole backlog. */
+const MAX_OPENED = 1000;
 
-/** What a pool remembers of the order of a large backlog. */
+/** The last ranking of a pool's large backlog. */
 export type PoolRanking = {
-  /** The first steps in order as the backlog was ranked last. */
+  /** The first steps in order when the whole backlog was last ranked. */
   shortlist: readonly StepRun[];
-  /** Steps that were opened since. */
+  /** The steps opened since then. */
   opened: StepRun[];
   rankedAtMs: number;
 };
 
-/** Room that a pool can get, by the list of hosts. */
+/** The CPU that a pool can gain, by the list of hosts, in thousandths of a core. */
 export type PoolOutlook = {
-  /** On hosts that are on their way to it. */
+  /** The CPU of hosts that are being moved to the pool. */
   readonly comingCpu: number;
-  /** On free hosts of other pools and of the spare one. */
+  /** The CPU of free hosts in other pools and in the spare pool. */
   readonly freeCpu: number;
-  /** On hosts of other pools that are emptied for work that is owed. */
+  /** The CPU of hosts in other pools that are being emptied for jobs within their account's share. */
   readonly reclaimedCpu: number;
 };
 
-/** A pool with its open steps. */
+/** The state of a pool. */
 export type PoolState = {
   readonly name: PoolName;
+  /** The steps whose tasks may start. */
   readonly open: Set<StepRun>;
   readonly ranking: PoolRanking;
   readonly demand: Demand;
   outlook: PoolOutlook;
-  /** Work of its tasks that are done, in core-milliseconds. */
+  /** The work of the tasks completed so far, in core-milliseconds. */
   doneCoreMs: number;
-  /** Endpoints that may run inherited tasks and of which no life has answered yet. */
+  /** The endpoints that may run inherited tasks and of which no incarnation has answered yet. */
   readonly notReported: Set<InstanceId>;
-  /** A host was down as this holder first read the list: see `inherited-losses.ts`. */
+  /** A host of the pool was down when this holder first read the list of hosts: see `inherited-losses.ts`. */
   hasLossBefore: boolean;
 };
 
-/** What the runtime has to do. */
+/** An action that the runtime has to perform. */
 export type BatchEffect =
   | {
       readonly kind: 'start';
@@ -80,7 +81,7 @@
       readonly run: number;
       readonly spec: string;
       readonly checkpoint: string;
-      /** '' where the queue needs no advice. */
+      /** The ticket of the advice service; '' if the queue needs no advice. */
       readonly ticket: string;
       readonly reason: string;
     }
@@ -106,7 +107,7 @@
       readonly percent: number;
       readonly reason: string;
     }
-  /** Asks an endpoint at once whether it is there. */
+  /** Sends a question to an endpoint at once, to find out whether it still answers. */
   | { readonly kind: 'ask'; readonly endpointId: EndpointId }
   | { readonly kind: 'save'; readonly jobId: JobId; readonly isUrgent: boolean }
   | {
@@ -115,71 +116,81 @@
       readonly fields: Readonly<Record<string, string | number | boolean | undefined>>;
     };
 
-/** All that a holder knows. */
+/** The whole state of a holder. */
 export type BatchState = {
+  /** The holder's fencing token. */
   readonly fence: number;
   /** The monotonic time of the event that is being applied. */
   clockMs: number;
-  /** What the time of day is ahead of the monotonic time. */
+  /** The wall-clock time minus the monotonic time. */
   todayAheadMs: number;
   /**
-   * Until then no other entry can have become the holder. Later another may have prolonged leases on
-   * endpoints and heard how runs ended: nothing is concluded from what this one has not heard.
+   * Until this time no other entry can have become the holder. Afterwards another holder may have extended leases on
+   * endpoints and received reports of ended runs, so this holder concludes nothing from reports that it has not received.
    */
   soleHolderUntilMs: number;
-  /** When this holder took over; infinite before it began. */
+  /** When this holder took over; infinite before that. */
   takenOverAtMs: number;
-  /** When every lease granted by an earlier holder has surely ended. */
+  /** The time at which every lease granted by an earlier holder has certainly ended. */
   inheritedLeasesEndAtMs: number;
-  /** From then on no earlier holder orders endpoints any more. */
+  /** From this time on no earlier holder sends orders to endpoints. */
   formerOrdersEndAtMs: number;
-  /** The hosts have not been read yet, so any of them may hold an endpoint that is in no list. */
+  /** The list of hosts has not been read yet, so any host may have an endpoint that is in no list. */
   isHostListAwaited: boolean;
-  /** Data centres whose endpoints begin nothing, as the operator has ordered. */
+  /** The data centres that an operator has ordered to be evacuated. Their endpoints get no new work. */
   evacuated: ReadonlySet<DataCentreId>;
   readonly jobs: Map<JobId, JobState>;
   readonly pools: Map<PoolName, PoolState>;
   readonly endpoints: Map<EndpointId, EndpointState>;
-  /** Racks and data centres with the endpoints that stand in them; none is empty. */
+  /** The racks and data centres with the endpoints in them; none of them is empty. */
   readonly domains: Map<DomainId, Domain>;
-  /** Those that may be lost as a whole: what has not answered since gets no new work. */
+  /** The domains suspected to have failed as a whole. Endpoints in them that have not answered since get no new work. */
   readonly suspectedDomains: Map<DomainId, SuspectedDomain>;
-  /** The life that each endpoint is known to be in. */
+  /** The current incarnation of each endpoint, as far as known. */
   readonly lives: Map<InstanceId, EndpointState>;
+  /** The endpoints that are gone and whose runs are not given up yet. */
   readonly goneEndpoints: Map<EndpointId, GoneEndpoint>;
-  /** Orders to start that had no answer, by where they were sent. */
+  /** The unanswered start orders by the endpoint that they were sent to. */
   readonly openStarts: Map<InstanceId, readonly OpenStart[]>;
-  /** For how long an endpoint may keep what runs there by one order. */
+  /** The longest lease that one order may grant to the runs on an endpoint. */
   longestLeaseMs: number;
   recentCrashes: readonly RecentCrash[];
+  /** The actions that the runtime has to perform next. */
   readonly effects: BatchEffect[];
-  /** Rises each time that room comes free on an endpoint. */
+  /** Incremented whenever room becomes free on an endpoint. */
   roomRevision: number;
-  /** How many more starts may be sent now: what the holder's link carries. */
+  /** How many more start orders may be sent now. The capacity of the holder's network link limits them. */
   startsLeft: number;
   readonly runTimes: RunTimes;
   readonly peaks: DemandPeaks;
-  /** Jobs with occurrences still to come. */
+  /** The jobs with occurrences that are still to come. */
   readonly timed: Set<JobState>;
-  /** Live jobs with tasks under which endpoints crashed, or may have. */
+  /** The jobs that have not ended and have tasks under which endpoints crashed or may have crashed. */
   readonly suspectJobs: Set<JobState>;
-  /** By the newest configuration; and those that it has lost, or that only rows tell of. */
+  /** The limits of the accounts in the newest configuration. */
   accounts: ReadonlyMap<AccountName, AccountLimits>;
+  /** The limits of accounts that the configuration no longer contains, or that are known only from rows of jobs. */
   readonly formerAccounts: Map<AccountName, AccountLimits>;
-  /** What each account has running, ordered or being stopped, as far as it is known here. */
+  /** The resources of each account's runs that are known here, including those that are being started or stopped. */
   readonly usage: Map<AccountName, Usage>;
-  /** What each may have running besides, begun by an earlier holder; reckoned at the time that follows. */
+  /**
+   * The resources that each account's runs may use in addition: runs that an earlier holder started and no endpoint has
+   * reported yet. Computed at `unreportedAtMs`.
+   */
   unreportedUsage: ReadonlyMap<AccountName, Usage>;
   unreportedAtMs: number;
-  /** What each account is owed of what it hands in. */
+  /** The share of each account. */
   readonly shares: Map<AccountName, AccountShare>;
-  /** When clients first tried to hand in jobs that were refused. */
+  /** When clients first tried to submit jobs that were refused. */
   readonly firstAttempts: Map<JobId, number>;
-  /** Endpoints that take no further work beyond what accounts are owed: their hosts are owed to other pools. */
+  /**
+   * Endpoints that take only jobs within their account's share, because their hosts are needed by other pools for such
+   * jobs.
+   */
   reclaimed: ReadonlySet<EndpointId>;
-  /** How the queue is ordered. */
+  /** The order of the queue. */
   orderWay: OrderWay;
-  /** Where tasks of short steps go. */
+  /** How tasks of short steps are placed. */
   placementPolicy: PlacementPolicy;
 };
 
@@ -207,7 +218,7 @@
   lives: new Map(),
   goneEndpoints: new Map(),
   openStarts: new Map(),
-  longestLeaseMs: LONGEST_LEASE_MS,
+  longestLeaseMs: DEFAULT_LONGEST_LEASE_MS,
   recentCrashes: [],
   effects: [],
   roomRevision: 0,
@@ -229,27 +240,27 @@
 });
 
 /**
- * Tells whether a run that was not heard to end may be given up and its task started again. A holder
- * that may have been replaced must not: what it has not heard, the next one may have.
+ * Tells whether this holder is certainly the only one. Only then may it give up a run of which it has not received the
+ * end, and start the task again: if it may have been replaced, the next holder may have received that end.
  *
- * @param state - All that is known.
- * @param nowMs - The time.
+ * @param state - The batch state.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True while no other entry can have become the holder.
  */
 export const isSoleHolder = ({ soleHolderUntilMs }: BatchState, nowMs: number): boolean =>
   nowMs < soleHolderUntilMs;
 
 /**
- * Gives the state of a pool.
+ * Returns the state of a pool.
  *
- * @param state - All that is known.
- * @param name - The pool.
- * @returns Its state; built at the first use.
+ * @param state - The batch state.
+ * @param name - The pool's name.
+ * @returns Its state, which is created at the first use.
  */
 export const poolOf = (state: BatchState, name: PoolName): PoolState => {
   const known = state.pools.get(name);
   if (known) return known;
-  const built: PoolState = {
+  const created: PoolState = {
     name,
     open: new Set(),
     ranking: { shortlist: [], opened: [], rankedAtMs: -Infinity },
@@ -259,29 +270,29 @@
     notReported: new Set(),
     hasLossBefore: false,
   };
-  state.pools.set(name, built);
-  return built;
+  state.pools.set(name, created);
+  return created;
 };
 
 /**
- * Opens a step: its waiting tasks may begin.
+ * Opens a step, so that its waiting tasks may start.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The batch state, changed in place.
  * @param step - The step.
  */
 export const addOpenStep = (state: BatchState, step: StepRun): void => {
   const { open, ranking } = poolOf(state, step.job.job.pool);
   open.add(step);
   ranking.opened.push(step);
-  // A pool without endpoints is not ranked meanwhile.
-  if (ranking.opened.length > MOST_OPENED) change(ranking, { opened: [], rankedAtMs: -Infinity });
+  // A pool without endpoints is never ranked, which would let this list grow without bound.
+  if (ranking.opened.length > MAX_OPENED) change(ranking, { opened: [], rankedAtMs: -Infinity });
 };
 
 /**
- * Takes what is to be done.
+ * Removes and returns the actions that the runtime has to perform.
  *
- * @param state - All that is known; its effects are empty afterwards.
- * @returns The effects in order.
+ * @param state - The batch state; its list of effects is empty afterwards.
+ * @returns The actions in order.
  */
 export const takeEffects = (state: BatchState): readonly BatchEffect[] =>
   state.effects.splice(0, state.effects.length);
@@ -290,6 +301,6 @@
  * Tells whether a phase is final.
  *
  * @param phase - The phase of a job.
- * @returns True for completed, failed and cancelled.
+ * @returns True for `completed`, `failed` and `cancelled`.
  */
 export const isFinal = (phase: BatchPhase): boolean => phase !== 'pending' && phase !== 'running';
