--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -118,7 +118,7 @@
 };
 
 /** Requests advice on the endpoints that have room for a task of a step. */
-const requestAdvice = (
+const requestAdviceWithRoom = (
   { state, step, nowMs }: PlacingStep,
   endpoints: readonly EndpointState[],
 ): void => {
@@ -269,7 +269,7 @@
     );
     if (isPlaced) return false;
     const isTriedOnAll = places === endpoints;
-    if (isTriedOnAll) requestAdvice(placing, endpoints);
+    if (isTriedOnAll) requestAdviceWithRoom(placing, endpoints);
     unplacedSteps += 1;
     change(step, {
       triedAtRevision: state.roomRevision,
