--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -85,7 +85,7 @@
     const endpoint = candidates.choose(task);
     if (!endpoint) return;
     addRun(state, { endpoint, step, task, run: 1, phase: 'running', nowMs: 1 });
-    candidates.notePlaced(endpoint);
+    candidates.recordPlacement(endpoint);
   });
   return ((performance.now() - beganAtMs) / step.tasks.length) * US_PER_MS;
 };
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -10,7 +10,7 @@
 import type { BatchJob, QueueName, QueuePolicy, StepSpec } from '../model/job.js';
 import type { JobShare } from '../model/share.js';
 import { poolOf, type BatchState } from '../model/state.js';
-import { LATE_FACTOR } from '../placement/order.js';
+import { LATE_SUCCESS_FACTOR } from '../placement/order.js';
 import { forecastJob, type Forecast, type JobOutlook } from './forecast.js';
 import { measureLoads, type PoolLoad, type WaitingWork } from './pool-load.js';
 import { expectRunTime } from './run-times.js';
@@ -253,7 +253,7 @@
     const objectiveMs = policy.stretch * jobWork.chainMs + policy.targetLatencyMs;
     const elapsedMs = Math.max(0, nowMs - (state.firstAttempts.get(job.jobId) ?? nowMs));
     const timeToObjectiveMs = objectiveMs - elapsedMs;
-    const limitMs = LATE_FACTOR * objectiveMs - elapsedMs;
+    const limitMs = LATE_SUCCESS_FACTOR * objectiveMs - elapsedMs;
     const share =
       timeToObjectiveMs < jobWork.chainMs ? LAST_SHARE : peekShare(state, account, nowMs);
     const outlook = outlookOf(submitted, share, jobWork, nowMs);
--- a/packages/core/src/batch/jobs/pool-load.ts
+++ b/packages/core/src/batch/jobs/pool-load.ts
@@ -4,7 +4,7 @@
 import { reservedCpu } from '../endpoints/runs.js';
 import { isSound } from '../endpoints/sound-endpoints.js';
 import { isFinal, type BatchState, type EndpointState, type JobState } from '../model/state.js';
-import { isPastUse } from '../placement/order.js';
+import { isTooLate } from '../placement/order.js';
 import { expectStepWork } from './step-times.js';
 
 /** The queued work of one job, with its rank. */
@@ -65,7 +65,7 @@
     if (coreMs === 0) return;
     queuedWorkOf(job.job.pool).push({
       isOwed: goesWithOwed(job, nowMs),
-      isPastUse: isPastUse(state, job, nowMs),
+      isPastUse: isTooLate(state, job, nowMs),
       priority: job.policy.priority,
       virtualStart: job.share.virtualStart,
       coreMs,
--- a/packages/core/src/batch/placement/advice.ts
+++ b/packages/core/src/batch/placement/advice.ts
@@ -70,7 +70,7 @@
  * @param candidates - Endpoints that have room for a task of the step.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  */
-export const wantAdvice = (
+export const requestAdvice = (
   state: BatchState,
   step: StepRun,
   candidates: readonly EndpointState[],
@@ -146,7 +146,7 @@
  * @param key - The task whose start order carried the ticket.
  * @param endpointId - The endpoint.
  */
-export const dropTicket = (state: BatchState, key: TaskKey, endpointId: EndpointId): void => {
+export const removeTicket = (state: BatchState, key: TaskKey, endpointId: EndpointId): void => {
   const name = parseTaskKey(key);
   const found = name && findTask(state, name);
   found?.step.advice?.tickets.delete(endpointId);
--- a/packages/core/src/batch/placement/best-endpoint.ts
+++ b/packages/core/src/batch/placement/best-endpoint.ts
@@ -1,7 +1,7 @@
 /** Chooses the endpoint for a task. */
 import { mayHold } from '../endpoints/sound-endpoints.js';
 import type { EndpointState } from '../model/state.js';
-import { scoreOf, type PlacementScore, type PlacementView } from './scores.js';
+import { computeTotalScore, type PlacementScore, type PlacementView } from './scores.js';
 
 /**
  * Chooses the endpoint with the best score that may hold a task.
@@ -11,7 +11,7 @@
  * @param scores - The scores to add up for each endpoint.
  * @returns The first endpoint with the highest score; undefined if no endpoint may hold the task.
  */
-export const bestFor = (
+export const chooseBestEndpoint = (
   endpoints: readonly EndpointState[],
   view: PlacementView,
   scores: readonly PlacementScore[],
@@ -20,7 +20,7 @@
   let bestScore = -Infinity;
   endpoints.forEach((endpoint) => {
     if (!mayHold(endpoint, view.step)) return;
-    const score = scoreOf(endpoint, view, scores);
+    const score = computeTotalScore(endpoint, view, scores);
     if (score <= bestScore) return;
     best = endpoint;
     bestScore = score;
--- a/packages/core/src/batch/placement/candidates.test.ts
+++ b/packages/core/src/batch/placement/candidates.test.ts
@@ -10,7 +10,7 @@
 import { createBatchState, type StepRun } from '../model/state.js';
 import { JOB, submitJob } from '../testing/batch-state.fixtures.js';
 import { seeAt } from '../testing/domains.fixtures.js';
-import { bestFor } from './best-endpoint.js';
+import { chooseBestEndpoint } from './best-endpoint.js';
 import { createCandidates } from './candidates.js';
 import { scoresFor } from './scores.js';
 
@@ -54,12 +54,12 @@
       step.tasks.forEach((task, index) => {
         const failedEndpoint = endpoints[failedAt[index] ?? -1];
         change(task, { avoid: failedEndpoint?.endpointId ?? null });
-        const expected = bestFor(endpoints, { ...view, task }, table.scores);
+        const expected = chooseBestEndpoint(endpoints, { ...view, task }, table.scores);
         const chosen = candidates.choose(task);
         expect(chosen?.endpointId).toBe(expected?.endpointId);
         if (!chosen) return;
         addRun(state, { endpoint: chosen, step, task, run: 1, phase: 'running', nowMs: 20 });
-        candidates.notePlaced(chosen);
+        candidates.recordPlacement(chosen);
       });
     },
   );
--- a/packages/core/src/batch/placement/candidates.ts
+++ b/packages/core/src/batch/placement/candidates.ts
@@ -6,7 +6,7 @@
 import { mayHold } from '../endpoints/sound-endpoints.js';
 import type { DomainId } from '../../shared/ids.js';
 import type { EndpointState, Task } from '../model/state.js';
-import { bestFor } from './best-endpoint.js';
+import { chooseBestEndpoint } from './best-endpoint.js';
 import type { PlacementView, ScoreTable } from './scores.js';
 
 /** The scored endpoints from which one is chosen for each task of a step in turn. */
@@ -23,7 +23,7 @@
    *
    * @param endpoint - The endpoint on which a task was placed.
    */
-  readonly notePlaced: (endpoint: EndpointState) => void;
+  readonly recordPlacement: (endpoint: EndpointState) => void;
 };
 
 /** Gives each endpoint the number of its domain, because numbers compare faster than names. */
@@ -53,11 +53,11 @@
 export const createCandidates = (
   endpoints: readonly EndpointState[],
   view: Omit<PlacementView, 'task'>,
-  { scores, isByDomain = false }: ScoreTable,
+  { scores, dependsOnDomain = false }: ScoreTable,
 ): Candidates => {
   const { step } = view;
   /** Scores that depend on the task are left out, because they are 0 for a task without an endpoint to avoid. */
-  const sharedScores = scores.filter(({ isOfTask }) => !isOfTask);
+  const sharedScores = scores.filter(({ dependsOnTask }) => !dependsOnTask);
   const anyTask = step.tasks[0] as Task;
   const sharedView: PlacementView = { ...view, task: anyTask };
 
@@ -65,8 +65,8 @@
     if (!mayHold(endpoint, step)) return -Infinity;
     let sum = 0;
     for (let index = 0; index < sharedScores.length; index += 1) {
-      const { weight, of } = sharedScores[index] as (typeof sharedScores)[number];
-      sum += weight * of(endpoint, sharedView);
+      const { weight, compute } = sharedScores[index] as (typeof sharedScores)[number];
+      sum += weight * compute(endpoint, sharedView);
     }
     return sum;
   };
@@ -75,8 +75,8 @@
   endpoints.forEach((endpoint, index) => {
     cachedScores[index] = computeScore(endpoint);
   });
-  const racks = isByDomain ? numberDomains(endpoints, rackCountKey) : undefined;
-  const dataCentres = isByDomain ? numberDomains(endpoints, dataCentreCountKey) : undefined;
+  const racks = dependsOnDomain ? numberDomains(endpoints, rackCountKey) : undefined;
+  const dataCentres = dependsOnDomain ? numberDomains(endpoints, dataCentreCountKey) : undefined;
 
   const findBestIndex = (): number => {
     let best = -1;
@@ -108,8 +108,8 @@
     choose: (task) =>
       task.avoid === null
         ? endpoints[findBestIndex()]
-        : bestFor(endpoints, { ...view, task }, scores),
-    notePlaced: (endpoint) => {
+        : chooseBestEndpoint(endpoints, { ...view, task }, scores),
+    recordPlacement: (endpoint) => {
       const placed = endpoints.indexOf(endpoint);
       cachedScores[placed] = computeScore(endpoint);
       rescoreDomains(placed);
--- a/packages/core/src/batch/placement/gang-places.ts
+++ b/packages/core/src/batch/placement/gang-places.ts
@@ -55,7 +55,7 @@
  * @param endpoints - The endpoints that may run it.
  * @returns An endpoint for each task of the gang; undefined if they do not all fit.
  */
-export const placesForGang = (
+export const findGangPlaces = (
   step: StepRun,
   endpoints: readonly EndpointState[],
 ): readonly EndpointState[] | undefined =>
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -28,7 +28,7 @@
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True while tasks of the step must wait for reports of endpoints.
  */
-export const isBlocked = (
+export const awaitsReports = (
   state: BatchState,
   { notReported }: PoolState,
   { job, spec }: StepRun,
@@ -51,14 +51,14 @@
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns The tasks.
  */
-export const unblockedTasks = (
+export const startableTasks = (
   state: BatchState,
   pool: PoolState,
   step: StepRun,
   nowMs: number,
 ): readonly Task[] => {
   const waiting = step.waiting.flatMap((index) => step.tasks[index] ?? []);
-  if (!isBlocked(state, pool, step, nowMs)) return waiting;
+  if (!awaitsReports(state, pool, step, nowMs)) return waiting;
   const startedTogether = step.spec.isGang ? waiting : waitingSuspects(state, step);
   if (!startedTogether.every(({ isLocated }) => isLocated)) return [];
   return waiting.filter(({ isLocated }) => isLocated);
@@ -73,7 +73,7 @@
  * @param tasks - The waiting tasks of the step that may start.
  * @returns The tasks that may start now: their start is written to the job's row, or need not be.
  */
-export const announceInherited = (
+export const announceInheritedStarts = (
   state: BatchState,
   step: StepRun,
   tasks: readonly Task[],
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -10,7 +10,7 @@
 import { expectStepTime } from '../jobs/step-times.js';
 
 /** A job that finishes within this many times its objective is a late success, which is still of use to its client. */
-export const LATE_FACTOR = 3;
+export const LATE_SUCCESS_FACTOR = 3;
 
 /** The values that decide the position of a step in the queue. */
 export type Rank = {
@@ -20,7 +20,7 @@
   /** When the objective of the job ends, on the holder's monotonic clock. */
   readonly dueAtMs: number;
   /** 0: the job is within its account's share. 1: the job is beyond that share. */
-  readonly claim: 0 | 1;
+  readonly shareTier: 0 | 1;
   /** The priority of the job's queue; 0 goes before all others. */
   readonly priority: number;
   /** See `JobShare`. */
@@ -34,13 +34,13 @@
  * @param step - The open step; the steps that depend on it are included.
  * @returns The duration in milliseconds.
  */
-export const remainingChainMs = (state: BatchState, step: StepRun): number => {
+export const remainingCriticalPathMs = (state: BatchState, step: StepRun): number => {
   const { steps } = step.occurrence;
   let afterMs = 0;
   for (let index = 0; index < steps.length; index += 1) {
     const next = steps[index] as StepRun;
     const isFollower = next.spec.after.includes(step.number);
-    if (isFollower) afterMs = Math.max(afterMs, remainingChainMs(state, next));
+    if (isFollower) afterMs = Math.max(afterMs, remainingCriticalPathMs(state, next));
   }
   return expectStepTime(state, step) + afterMs;
 };
@@ -56,7 +56,7 @@
   let longestMs = isFirstStep(step) ? remainingMs : 0;
   step.occurrence.steps.forEach((first) => {
     if (first === step || !isFirstStep(first)) return;
-    longestMs = Math.max(longestMs, remainingChainMs(state, first));
+    longestMs = Math.max(longestMs, remainingCriticalPathMs(state, first));
   });
   return longestMs;
 };
@@ -79,7 +79,7 @@
 export const objectiveMsOf = (
   state: BatchState,
   step: StepRun,
-  remainingMs = remainingChainMs(state, step),
+  remainingMs = remainingCriticalPathMs(state, step),
 ): number => {
   const { stretch, targetLatencyMs } = step.job.policy;
   return stretch * longestChainMs(state, step, remainingMs) + targetLatencyMs;
@@ -93,10 +93,10 @@
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True if more than `LATE_FACTOR` times the objective has passed; false for a repeating job.
  */
-export const isPastUse = (state: BatchState, job: JobState, nowMs: number): boolean => {
+export const isTooLate = (state: BatchState, job: JobState, nowMs: number): boolean => {
   const step = job.occurrences.get(0)?.steps[0];
   if (!step || job.job.repeats > 0) return false;
-  return nowMs > job.sinceMs + LATE_FACTOR * objectiveMsOf(state, step);
+  return nowMs > job.sinceMs + LATE_SUCCESS_FACTOR * objectiveMsOf(state, step);
 };
 
 /**
@@ -107,7 +107,7 @@
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True also for a repeating job and for a job without occurrence 0.
  */
-export const isInTime = (state: BatchState, job: JobState, nowMs: number): boolean => {
+export const isWithinObjective = (state: BatchState, job: JobState, nowMs: number): boolean => {
   const step = job.occurrences.get(0)?.steps[0];
   if (!step || job.job.repeats > 0) return true;
   return nowMs <= job.sinceMs + objectiveMsOf(state, step);
@@ -123,19 +123,19 @@
  */
 export const rankStep = (state: BatchState, step: StepRun, nowMs: number): Rank => {
   const { policy, share } = step.job;
-  const remainingMs = remainingChainMs(state, step);
+  const remainingMs = remainingCriticalPathMs(state, step);
   const objectiveMs = objectiveMsOf(state, step, remainingMs);
   const sinceMs = objectiveStartMs(step);
   const dueAtMs = sinceMs + objectiveMs;
   const endsAtMs = nowMs + remainingMs;
   const canBeInTime = step.spec.isLasting || endsAtMs <= dueAtMs;
-  const canBeLateSuccess = endsAtMs <= sinceMs + LATE_FACTOR * objectiveMs;
+  const canBeLateSuccess = endsAtMs <= sinceMs + LATE_SUCCESS_FACTOR * objectiveMs;
   const lateTier = canBeLateSuccess ? 1 : 2;
   return {
     step,
     tier: canBeInTime ? 0 : lateTier,
     dueAtMs,
-    claim: goesWithOwed(step.job, nowMs) ? 0 : 1,
+    shareTier: goesWithOwed(step.job, nowMs) ? 0 : 1,
     priority: policy.priority,
     virtualStart: share.virtualStart,
   };
@@ -145,13 +145,13 @@
 type SortKey = (rank: Rank) => number;
 
 const tierOf: SortKey = ({ tier }) => tier;
-const claimOf: SortKey = ({ claim }) => claim;
+const claimOf: SortKey = ({ shareTier }) => shareTier;
 const priorityOf: SortKey = ({ priority }) => priority;
 const dueOf: SortKey = ({ dueAtMs }) => dueAtMs;
 const virtualStartOf: SortKey = ({ virtualStart }) => virtualStart;
 
 /** Orders the jobs beyond their account's share by virtual start; all jobs within their share are equal. */
-const virtualStartBeyondShare: SortKey = ({ claim, virtualStart }) => claim * virtualStart;
+const virtualStartBeyondShare: SortKey = ({ shareTier, virtualStart }) => shareTier * virtualStart;
 
 const URGENCY_KEYS: readonly SortKey[] = [tierOf, priorityOf, dueOf];
 
--- a/packages/core/src/batch/placement/ranking.ts
+++ b/packages/core/src/batch/placement/ranking.ts
@@ -35,7 +35,7 @@
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns The steps in the order in which they are placed.
  */
-export const inOrder = (
+export const sortByRank = (
   state: BatchState,
   steps: readonly StepRun[],
   nowMs: number,
@@ -73,14 +73,14 @@
  * @param mayBegin - Tells whether any task of a step may start.
  * @returns The steps in order; of a large backlog only the shortlist and the steps opened since.
  */
-export const rankedSteps = (
+export const listRankedSteps = (
   state: BatchState,
   { ranking, open }: PoolState,
   nowMs: number,
   mayBegin: (step: StepRun) => boolean,
 ): readonly StepRun[] => {
   const rank = (steps: Iterable<StepRun>): readonly StepRun[] =>
-    inOrder(
+    sortByRank(
       state,
       Array.from(steps).filter((step) => isLive(step) && mayBegin(step)),
       nowMs,
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -5,16 +5,16 @@
 import type { EndpointId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { once } from '../../shared/once.js';
-import { admittedEndpoints, ticketOf, wantAdvice } from './advice.js';
+import { admittedEndpoints, ticketOf, requestAdvice } from './advice.js';
 import { giveUpIfDue } from '../jobs/give-up.js';
-import { inOrder, rankedSteps } from './ranking.js';
+import { sortByRank, listRankedSteps } from './ranking.js';
 import { noteStartAgain } from '../endpoints/run-end.js';
 import { hasLossBefore } from '../crashes/inherited-losses.js';
 import { announcedRunOf, announceTrials, countLostTrials } from '../crashes/trials.js';
-import { announceInherited, isBlocked, unblockedTasks } from './inherited-tasks.js';
+import { announceInheritedStarts, awaitsReports, startableTasks } from './inherited-tasks.js';
 import { goesWithOwed } from '../accounts/shares.js';
 import { isWithinQuota } from '../accounts/quota.js';
-import { placesForGang } from './gang-places.js';
+import { findGangPlaces } from './gang-places.js';
 import { createCandidates } from './candidates.js';
 import { scoresFor } from './scores.js';
 import { mayHold, usableEndpoints } from '../endpoints/sound-endpoints.js';
@@ -92,7 +92,7 @@
     if (!endpoint) return false;
     const run = announcedRunOf(task) ?? nextRunNumber(state.fence, task.lastRun);
     startRun(placing, task, { endpoint, run, reason: table.name });
-    candidates.notePlaced(endpoint);
+    candidates.recordPlacement(endpoint);
     return true;
   });
 };
@@ -103,7 +103,7 @@
   // When one task of a gang is lost, the others are stopped as well: wait until all of them have ended.
   if (step.waiting.length < step.spec.taskCount) return true;
   if (!isWithinQuota(state, step, step.spec.taskCount)) return false;
-  const places = placesForGang(step, endpoints);
+  const places = findGangPlaces(step, endpoints);
   if (!places) return false;
   const lastRun = Math.max(...step.tasks.map((task) => task.lastRun));
   const announced = step.tasks.find((task) => announcedRunOf(task) !== undefined);
@@ -124,7 +124,7 @@
 ): void => {
   if (step.advice === null) return;
   const withRoom = endpoints.filter((endpoint) => mayHold(endpoint, step));
-  wantAdvice(state, step, withRoom, nowMs);
+  requestAdvice(state, step, withRoom, nowMs);
 };
 
 /**
@@ -141,11 +141,11 @@
   const { isGang } = step.spec;
   if (isGang && suspects.length > 0) return true;
   const pool = poolOf(state, step.job.job.pool);
-  const waiting = unblockedTasks(state, pool, step, nowMs).filter(
+  const waiting = startableTasks(state, pool, step, nowMs).filter(
     (task) => !suspects.includes(task),
   );
   const mayHaveCrashedBefore = step.job.isInherited && mayHaveCrashed();
-  const tasks = mayHaveCrashedBefore ? announceInherited(state, step, waiting) : waiting;
+  const tasks = mayHaveCrashedBefore ? announceInheritedStarts(state, step, waiting) : waiting;
   if (isGang) return tasks.length < waiting.length || placeGang(placing, endpoints);
   return placeEach(placing, endpoints, tasks);
 };
@@ -180,7 +180,7 @@
 ): void => {
   if (step.advice === null) return;
   const couldHold = endpoints.filter((endpoint) => couldBegin(endpoint, step) > 0);
-  wantAdvice(state, step, couldHold, nowMs);
+  requestAdvice(state, step, couldHold, nowMs);
 };
 
 /** The context of one scheduling pass over a pool. */
@@ -290,13 +290,13 @@
 ): readonly StepRun[] => {
   const suspects = steps.filter(({ job }) => state.suspectJobs.has(job));
   suspects
-    .filter((step) => !isBlocked(state, pool, step, nowMs))
+    .filter((step) => !awaitsReports(state, pool, step, nowMs))
     .forEach((step) => {
       countLostTrials(state, step, nowMs);
       step.tasks.forEach((task) => giveUpIfDue(state, { task, step }));
     });
   const live = suspects.filter(({ job }) => !isFinal(job.phase));
-  return inOrder(state, live, nowMs);
+  return sortByRank(state, live, nowMs);
 };
 
 /**
@@ -319,7 +319,7 @@
     nowMs,
   };
   const mayBegin = (step: StepRun): boolean =>
-    !isBlocked(state, pool, step, nowMs) || unblockedTasks(state, pool, step, nowMs).length > 0;
+    !awaitsReports(state, pool, step, nowMs) || startableTasks(state, pool, step, nowMs).length > 0;
   const isolated = hasSuspects
     ? placeIsolated(pass, liveSuspects(pass, pool, Array.from(pool.open).filter(mayBegin)))
     : NONE_ISOLATED;
@@ -328,7 +328,7 @@
       ? endpoints
       : endpoints.filter(({ endpointId }) => !isolated.has(endpointId));
   if (shared.length === 0) return;
-  placeShared({ ...pass, endpoints: shared }, rankedSteps(state, pool, nowMs, mayBegin));
+  placeShared({ ...pass, endpoints: shared }, listRankedSteps(state, pool, nowMs, mayBegin));
 };
 
 /**
--- a/packages/core/src/batch/placement/scores.ts
+++ b/packages/core/src/batch/placement/scores.ts
@@ -21,53 +21,53 @@
   /** The factor by which the score enters the total. */
   readonly weight: number;
   /** Computes the score: from 0 to 1, or for counts of tasks the count. */
-  readonly of: (endpoint: EndpointState, view: PlacementView) => number;
+  readonly compute: (endpoint: EndpointState, view: PlacementView) => number;
   /** The score takes precedence over the spread over racks and data centres. */
   readonly outranksSpread?: boolean;
   /** The score depends on the task, and is 0 for a task that has no endpoint to avoid. */
-  readonly isOfTask?: boolean;
+  readonly dependsOnTask?: boolean;
 };
 
-const fullness: PlacementScore['of'] = ({ used, capacity }) =>
+const fullness: PlacementScore['compute'] = ({ used, capacity }) =>
   used.cpuMillis / Math.max(1, capacity.cpuMillis);
 
-const nearData: PlacementScore['of'] = ({ labels }, { step: { spec } }) =>
+const nearData: PlacementScore['compute'] = ({ labels }, { step: { spec } }) =>
   Number(spec.nearRack !== '' && labels.includes(spec.nearRack));
 
-const failedThere: PlacementScore['of'] = ({ endpointId }, { task }) =>
+const failedThere: PlacementScore['compute'] = ({ endpointId }, { task }) =>
   Number(task.avoid === endpointId);
 
 /** A long-running task that starts on a host with upcoming maintenance would have to move again. */
-const wouldMoveAgain: PlacementScore['of'] = ({ isAwaited }, { step: { spec } }) =>
+const wouldMoveAgain: PlacementScore['compute'] = ({ isAwaited }, { step: { spec } }) =>
   Number(spec.isLasting && isAwaited);
 
-const tasksInRack: PlacementScore['of'] = ({ domains }, { step: { perDomain } }) =>
+const tasksInRack: PlacementScore['compute'] = ({ domains }, { step: { perDomain } }) =>
   perDomain.get(rackCountKey(domains)) ?? 0;
 
-const tasksInDataCentre: PlacementScore['of'] = ({ domains }, { step: { perDomain } }) =>
+const tasksInDataCentre: PlacementScore['compute'] = ({ domains }, { step: { perDomain } }) =>
   perDomain.get(dataCentreCountKey(domains)) ?? 0;
 
 /**
  * An endpoint is cold, and therefore slow, for a time after its data centre was taken back into service. A warm endpoint
  * with room is preferred.
  */
-const coldness: PlacementScore['of'] = ({ coldUntilMs }, { nowMs }) => Number(coldUntilMs > nowMs);
+const coldness: PlacementScore['compute'] = ({ coldUntilMs }, { nowMs }) => Number(coldUntilMs > nowMs);
 
 /** Tells whether the endpoint holds tasks of the same job, counting all steps of the occurrence. */
-const hasJobOnEndpoint: PlacementScore['of'] = ({ endpointId }, { step: { occurrence } }) =>
+const hasJobOnEndpoint: PlacementScore['compute'] = ({ endpointId }, { step: { occurrence } }) =>
   Number(occurrence.steps.some(({ perEndpoint }) => perEndpoint.has(endpointId)));
 
 /** Tells whether the endpoint's rack holds tasks of the same job, counting all steps of the occurrence. */
-const hasJobInRack: PlacementScore['of'] = ({ domains }, { step: { occurrence } }) =>
+const hasJobInRack: PlacementScore['compute'] = ({ domains }, { step: { occurrence } }) =>
   Number(occurrence.steps.some(({ perDomain }) => perDomain.has(rackCountKey(domains))));
 
 /** Being near the task's data outweighs fullness, and avoiding the endpoint of the task's last failure outweighs both. */
 export const PLACEMENT_SCORES: readonly PlacementScore[] = [
-  { name: 'fullest', weight: 1, of: fullness },
-  { name: 'near its data', weight: 2, of: nearData },
-  { name: 'failed there', weight: -4, of: failedThere, outranksSpread: true, isOfTask: true },
-  { name: 'maintenance ahead', weight: -3, of: wouldMoveAgain, outranksSpread: true },
-  { name: 'cold', weight: -1, of: coldness },
+  { name: 'fullest', weight: 1, compute: fullness },
+  { name: 'near its data', weight: 2, compute: nearData },
+  { name: 'failed there', weight: -4, compute: failedThere, outranksSpread: true, dependsOnTask: true },
+  { name: 'maintenance ahead', weight: -3, compute: wouldMoveAgain, outranksSpread: true },
+  { name: 'cold', weight: -1, compute: coldness },
 ];
 
 /**
@@ -92,7 +92,7 @@
 const SPREAD_OVER_RACKS: PlacementScore = {
   name: 'spread over racks',
   weight: RACK_WEIGHT,
-  of: tasksInRack,
+  compute: tasksInRack,
 };
 
 /** A named table of scores; the name says in a few words where the table places tasks. */
@@ -100,7 +100,7 @@
   readonly name: string;
   readonly scores: readonly PlacementScore[];
   /** A placement changes the scores of all endpoints in the same rack or data centre. */
-  readonly isByDomain?: boolean;
+  readonly dependsOnDomain?: boolean;
 };
 
 const FULLEST: ScoreTable = { name: 'fullest', scores: PLACEMENT_SCORES };
@@ -108,11 +108,11 @@
 /** For long-running steps if endpoints have racks: the loss of one domain then affects as few tasks as possible. */
 const SPREAD: ScoreTable = {
   name: 'spread over racks and data centres',
-  isByDomain: true,
+  dependsOnDomain: true,
   scores: [
     ...SCORES_AROUND_SPREAD,
     SPREAD_OVER_RACKS,
-    { name: 'spread over data centres', weight: DATA_CENTRE_WEIGHT, of: tasksInDataCentre },
+    { name: 'spread over data centres', weight: DATA_CENTRE_WEIGHT, compute: tasksInDataCentre },
   ],
 };
 
@@ -121,16 +121,16 @@
   fullest: FULLEST,
   spread: {
     name: 'spread over racks',
-    isByDomain: true,
+    dependsOnDomain: true,
     scores: [...SCORES_AROUND_SPREAD, SPREAD_OVER_RACKS],
   },
   together: {
     name: 'beside its job',
-    isByDomain: true,
+    dependsOnDomain: true,
     scores: [
       ...SCORES_AROUND_SPREAD,
-      { name: 'host of its job', weight: TOGETHER_WEIGHT, of: hasJobOnEndpoint },
-      { name: 'rack of its job', weight: TOGETHER_WEIGHT, of: hasJobInRack },
+      { name: 'host of its job', weight: TOGETHER_WEIGHT, compute: hasJobOnEndpoint },
+      { name: 'rack of its job', weight: TOGETHER_WEIGHT, compute: hasJobInRack },
     ],
   },
 };
@@ -162,14 +162,14 @@
  * @param scores - The scores to add up.
  * @returns The weighted sum of all scores; larger is better.
  */
-export const scoreOf = (
+export const computeTotalScore = (
   endpoint: EndpointState,
   view: PlacementView,
   scores: readonly PlacementScore[],
 ): number => {
   let sum = 0;
-  scores.forEach(({ weight, of }) => {
-    sum += weight * of(endpoint, view);
+  scores.forEach(({ weight, compute }) => {
+    sum += weight * compute(endpoint, view);
   });
   return sum;
 };
--- a/packages/core/src/batch/placement/sharing.ts
+++ b/packages/core/src/batch/placement/sharing.ts
@@ -66,6 +66,6 @@
  * @param state - The batch state, changed in place.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  */
-export const paceFillers = (state: BatchState, nowMs: number): void => {
+export const paceGapFillers = (state: BatchState, nowMs: number): void => {
   state.endpoints.forEach((endpoint) => paceEndpoint(state, endpoint, nowMs));
 };
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -13,9 +13,9 @@
   createScheduleCycle,
   expectReports,
   instanceOf,
-  isInTime,
+  isWithinObjective,
   noteFirstAttempts,
-  paceFillers,
+  paceGapFillers,
   soleForMs,
   takeAccounts,
   takeEffects,
@@ -296,7 +296,7 @@
       const job = state.jobs.get(jobId);
       if (job && isUrgent) {
         log.info('job-ended', { job: jobId, phase: job.phase, reason: job.reason });
-        if (job.phase === 'completed') admission.noteDone(job.job, isInTime(state, job, nowMs()));
+        if (job.phase === 'completed') admission.noteDone(job.job, isWithinObjective(state, job, nowMs()));
       }
       saver.mark(jobId, isUrgent);
     },
@@ -354,7 +354,7 @@
     evacuations.look();
     state.timed.forEach((job) => beginDue(state, job, nowMs(), todayMs()));
     watchRuns(state, nowMs()).forEach(noteLapsed);
-    paceFillers(state, nowMs());
+    paceGapFillers(state, nowMs());
     admission.followUp(nowMs());
     cycle();
   };
--- a/packages/daemon/src/batch/endpoints/start-orders.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.ts
@@ -2,7 +2,7 @@
 import {
   applyStartOutcome,
   closeStart,
-  dropTicket,
+  removeTicket,
   isSoleHolder,
   isSuspected,
   openStart,
@@ -146,7 +146,7 @@
     }
     const order = { task, run, spec, checkpoint, ticket, keepUntilMs, fence: state.fence };
     const { outcome, error, isOpen } = await sendStart(order);
-    if (error?.reason === 'ticket') dropTicket(state, task, endpointId);
+    if (error?.reason === 'ticket') removeTicket(state, task, endpointId);
     const reason = error?.reason;
     applyStartOutcome(state, endpointId, { task, run, outcome, reason, nowMs: nowMs() });
     if (!isOpen) closeStart(state, endpointId, order);
