--- a/packages/bench/src/backlog/backlog.ts
+++ b/packages/bench/src/backlog/backlog.ts
@@ -3,7 +3,7 @@
   applyReport,
   createAdmissionControl,
   createBatchState,
-  PLAIN_STEP,
+  DEFAULT_STEP,
   schedulePool,
   seeEndpoint,
   takeAccounts,
@@ -65,7 +65,7 @@
 };
 
 const jobOf = (number: number, nowMs: number): SubmittedJob => {
-  const step = { ...PLAIN_STEP, taskCount: TASKS, cpuMillis: 6200, estimateMs: 800 };
+  const step = { ...DEFAULT_STEP, taskCount: TASKS, cpuMillis: 6200, estimateMs: 800 };
   return {
     job: {
       jobId: brand(number.toString(16).padStart(16, '0')),
@@ -121,7 +121,7 @@
   const times = Array.from({ length: PASSES }, pass).sort((left, right) => left - right);
   const judged = judgeTimes(state, nowMs);
   return {
-    waitingSteps: state.pools.get(POOL)?.open.size ?? 0,
+    waitingSteps: state.pools.get(POOL)?.openSteps.size ?? 0,
     meanMs: rounded(times.reduce((sum, one) => sum + one, 0) / PASSES),
     medianMs: rounded(times[PASSES / 2] ?? 0),
     p99Ms: rounded(times[Math.floor(PASSES * 0.99)] ?? 0),
--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -1,7 +1,7 @@
 /** What it costs to choose an endpoint for a task at 21,000 hosts in 1,000 racks. */
 import {
   createBatchState,
-  PLAIN_STEP,
+  DEFAULT_STEP,
   seeEndpoint,
   takeInJob,
   usableEndpoints,
@@ -48,7 +48,7 @@
       },
       0,
     );
-    change(endpoint, { isKnown: true });
+    change(endpoint, { hasReported: true });
     change(endpoint.used, { cpuMillis: (index * 7919) % CORES_MILLIS });
   });
   return state;
@@ -61,7 +61,7 @@
       queue: brand('q'),
       pool: poolName(0),
       spec: '',
-      steps: [{ ...PLAIN_STEP, cpuMillis: 2000, memoryMb: 100, ...spec }],
+      steps: [{ ...DEFAULT_STEP, cpuMillis: 2000, memoryMb: 100, ...spec }],
       repeats: 0,
       firstDueAtMs: 0,
       intervalMs: 0,
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -13,13 +13,13 @@
   submitJob,
   type Submission,
 } from '../testing/batch-state.fixtures.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { expectReports } from '../endpoints/endpoints.js';
 import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { taskKey, type StepSpec } from '../model/job.js';
 import { cancelJob } from '../jobs/jobs.js';
 import { applyStartOutcome } from '../endpoints/order-answers.js';
-import { PLAIN_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/plain-step.js';
 import { findQuotaFault, reckonUnreported, takeAccounts, takeOwner } from './quota.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, type BatchState } from '../model/state.js';
@@ -177,7 +177,7 @@
   const stateAfterTakeover = (step: Partial<StepSpec>): BatchState => {
     const state = stateWithTwoEndpoints();
     see(state, THIRD);
-    expectReports(state, [{ instanceId: instanceOf(THIRD), pool: POOL }]);
+    expectReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
     state.inheritedLeasesEndAtMs = 9000;
     submit(state, JOBS[0], { step, owner: ownerOf(NORTH, 10_000), isInherited: true });
     submit(state, JOBS[1], { step: { taskCount: 10 }, owner: ownerOf(NORTH, 10_000) });
@@ -240,7 +240,7 @@
     [{ taskCount: 11, isGang: true }, 'the 11 tasks of gang step 0 needs 11000 cpuMillis'],
     [{ taskCount: 11 }, undefined],
   ])('names a step that can never start under the maximum: %j', (step, expected) => {
-    const fault = findQuotaFault([{ ...PLAIN_STEP, ...step }], ownerOf(NORTH, 10_000));
+    const fault = findQuotaFault([{ ...DEFAULT_STEP, ...step }], ownerOf(NORTH, 10_000));
     if (expected === undefined) expect(fault).toBeUndefined();
     else expect(fault).toContain(expected);
   });
--- a/packages/core/src/batch/accounts/quota.ts
+++ b/packages/core/src/batch/accounts/quota.ts
@@ -6,7 +6,7 @@
 import type { AccountName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import type { AccountLimits, JobOwner } from '../model/accounts.js';
-import { noUsage, RESOURCES, type Usage } from '../model/capacity.js';
+import { createZeroUsage, RESOURCES, type Usage } from '../model/capacity.js';
 import type { EndpointState } from '../model/endpoint-state.js';
 import type { StepSpec } from '../model/job.js';
 import type { BatchState, JobState, StepRun } from '../model/state.js';
@@ -67,7 +67,7 @@
 export const chargeRun = (state: BatchState, step: StepRun, sign: 1 | -1): void => {
   const account = accountOf(step);
   if (account === undefined) return;
-  const usage = state.usage.get(account) ?? noUsage();
+  const usage = state.usage.get(account) ?? createZeroUsage();
   state.usage.set(account, usage);
   RESOURCES.forEach((resource) => {
     usage[resource] += sign * step.spec[resource];
@@ -80,16 +80,16 @@
  *
  * @param state - The state, changed in place.
  * @param endpoint - The endpoint.
- * @param strays - The steps of these runs; they replace those of the previous report.
+ * @param unexpectedSteps - The steps of these runs; they replace those of the previous report.
  */
 export const chargeStrays = (
   state: BatchState,
   endpoint: EndpointState,
-  strays: readonly StepRun[],
+  unexpectedSteps: readonly StepRun[],
 ): void => {
-  endpoint.strays.forEach((step) => chargeRun(state, step, -1));
-  strays.forEach((step) => chargeRun(state, step, 1));
-  change(endpoint, { strays });
+  endpoint.unexpectedSteps.forEach((step) => chargeRun(state, step, -1));
+  unexpectedSteps.forEach((step) => chargeRun(state, step, 1));
+  change(endpoint, { unexpectedSteps });
 };
 
 const fitsMaximum = (used: number, need: number, maximum: number, count: number): boolean =>
@@ -163,7 +163,7 @@
   state.jobs.forEach((job) => {
     const account = job.job.owner?.account;
     if (account === undefined || !job.isInherited) return;
-    const sums = work.get(account) ?? { all: noUsage(), fills: noUsage() };
+    const sums = work.get(account) ?? { all: createZeroUsage(), fills: createZeroUsage() };
     work.set(account, sums);
     stepsOf(job).forEach(({ spec, waiting }) =>
       RESOURCES.forEach((resource) => {
@@ -180,16 +180,16 @@
  * largest known amount of each resource.
  */
 const unreportedCapacity = (state: BatchState): Usage => {
-  const total = noUsage();
-  const largest = noUsage();
+  const total = createZeroUsage();
+  const largest = createZeroUsage();
   state.endpoints.forEach(({ capacity }) =>
     RESOURCES.forEach((resource) => {
       largest[resource] = Math.max(largest[resource], capacity[resource]);
     }),
   );
-  state.pools.forEach(({ notReported }) =>
-    notReported.forEach((instanceId) => {
-      const capacity = state.lives.get(instanceId)?.capacity ?? largest;
+  state.pools.forEach(({ unreportedInstances }) =>
+    unreportedInstances.forEach((instanceId) => {
+      const capacity = state.currentIncarnations.get(instanceId)?.capacity ?? largest;
       RESOURCES.forEach((resource) => {
         total[resource] += capacity[resource];
       });
@@ -200,7 +200,7 @@
 
 const isAnyReportAwaited = (state: BatchState): boolean =>
   state.isHostListAwaited ||
-  Array.from(state.pools.values()).some(({ notReported }) => notReported.size > 0);
+  Array.from(state.pools.values()).some(({ unreportedInstances }) => unreportedInstances.size > 0);
 
 /** Whether runs started by an earlier control holder may still exist that no endpoint has reported. */
 const mayRunUnreported = (state: BatchState, nowMs: number): boolean =>
@@ -228,7 +228,7 @@
   const isCapacityKnown = !state.isHostListAwaited;
   const unreportedUsage = new Map<AccountName, Usage>();
   inheritedNeeds(state).forEach(({ all, fills }, account) => {
-    const usage = noUsage();
+    const usage = createZeroUsage();
     RESOURCES.forEach((resource) => {
       // Steps that fill gaps reserve no processors, so they come on top of the capacity.
       const bound = isCapacityKnown ? capacity[resource] + fills[resource] : Infinity;
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-play.fixtures.ts
@@ -6,8 +6,8 @@
 import { answer, POOL, see } from '../testing/batch-state.fixtures.js';
 import type { TaskKey } from '../model/job.js';
 import { takeInJob } from '../jobs/jobs.js';
-import type { OrderWay } from '../model/order-ways.js';
-import { PLAIN_STEP } from '../model/plain-step.js';
+import type { QueueOrder } from '../model/order-ways.js';
+import { DEFAULT_STEP } from '../model/plain-step.js';
 import { takeAccounts } from './quota.js';
 import type { EndReport } from '../endpoints/reports.js';
 import { schedulePool } from '../placement/schedule.js';
@@ -28,7 +28,7 @@
 
 /** What a simulation runs. */
 export type SharePlay = {
-  readonly way: OrderWay;
+  readonly way: QueueOrder;
   readonly accounts: readonly PlayedAccount[];
   /** The number of endpoints; each runs eight tasks at once. */
   readonly endpoints: number;
@@ -57,7 +57,7 @@
   forMs,
 }: SharePlay): ReadonlyMap<AccountName, number> => {
   const state = createBatchState(2);
-  state.orderWay = way;
+  state.queueOrder = way;
   const limits = accounts.map(({ name, weight }) => [name, { weight, maximum: NO_LIMIT }] as const);
   takeAccounts(state, new Map(limits));
   const ids = Array.from({ length: endpoints }, (_, index) => brand<EndpointId>(`i-${index}`));
@@ -82,7 +82,7 @@
         queue: brand('q'),
         pool: POOL,
         spec: '',
-        steps: [{ ...PLAIN_STEP, taskCount: TASKS_PER_JOB, estimateMs: RUN_MS }],
+        steps: [{ ...DEFAULT_STEP, taskCount: TASKS_PER_JOB, estimateMs: RUN_MS }],
         repeats: 0,
         firstDueAtMs: 0,
         intervalMs: 0,
--- a/packages/core/src/batch/accounts/shares.ts
+++ b/packages/core/src/batch/accounts/shares.ts
@@ -4,7 +4,7 @@
  * they get the capacity that owed jobs leave unused.
  */
 import type { AccountName } from '../../shared/ids.js';
-import { OWED, type AccountShare, type JobShare } from '../model/share.js';
+import { WITHIN_SHARE, type AccountShare, type JobShare } from '../model/share.js';
 import { limitsOf } from './quota.js';
 import type { BatchState, JobState } from '../model/state.js';
 
@@ -16,8 +16,8 @@
 
 const createShare = (weight: number): AccountShare => ({
   jobsLeft: weight * BURST_ALLOWANCE_S,
-  settledAtMs: -Infinity,
-  virtualEnd: 0,
+  updatedAtMs: -Infinity,
+  virtualFinish: 0,
 });
 
 const shareOf = (state: BatchState, account: AccountName, weight: number): AccountShare => {
@@ -34,17 +34,17 @@
   weight: number,
   nowMs: number,
 ): { readonly job: JobShare; readonly after: AccountShare } => {
-  const elapsedS = Math.max(0, nowMs - share.settledAtMs) / MS_PER_S;
+  const elapsedS = Math.max(0, nowMs - share.updatedAtMs) / MS_PER_S;
   const maxJobs = Math.max(1, weight * BURST_ALLOWANCE_S);
   const jobsLeft = Math.min(maxJobs, share.jobsLeft + elapsedS * weight);
-  const isOwed = jobsLeft >= 1;
-  const virtualStart = Math.max(share.virtualEnd, nowMs / MS_PER_S);
+  const isWithinShare = jobsLeft >= 1;
+  const virtualStart = Math.max(share.virtualFinish, nowMs / MS_PER_S);
   return {
-    job: { isOwed, virtualStart },
+    job: { isWithinShare, virtualStart },
     after: {
-      jobsLeft: isOwed ? jobsLeft - 1 : jobsLeft,
-      settledAtMs: nowMs,
-      virtualEnd: virtualStart + 1 / weight,
+      jobsLeft: isWithinShare ? jobsLeft - 1 : jobsLeft,
+      updatedAtMs: nowMs,
+      virtualFinish: virtualStart + 1 / weight,
     },
   };
 };
@@ -63,7 +63,7 @@
   nowMs: number,
 ): JobShare => {
   const weight = account === undefined ? 0 : (limitsOf(state, account)?.weight ?? 0);
-  if (account === undefined || weight === 0) return OWED;
+  if (account === undefined || weight === 0) return WITHIN_SHARE;
   return nextShare(state.shares.get(account) ?? createShare(weight), weight, nowMs).job;
 };
 
@@ -81,7 +81,7 @@
   nowMs: number,
 ): JobShare => {
   const weight = account === undefined ? 0 : (limitsOf(state, account)?.weight ?? 0);
-  if (account === undefined || weight === 0) return OWED;
+  if (account === undefined || weight === 0) return WITHIN_SHARE;
   const share = shareOf(state, account, weight);
   const { job, after } = nextShare(share, weight, nowMs);
   Object.assign(share, after);
@@ -95,5 +95,5 @@
  * @param nowMs - The current time by the monotonic clock.
  * @returns True for an owed job, and for any other job that has waited longer than `MAX_DEFERRAL_MS`.
  */
-export const goesWithOwed = ({ share, sinceMs }: JobState, nowMs: number): boolean =>
-  share.isOwed || nowMs - sinceMs > MAX_DEFERRAL_MS;
+export const goesWithOwed = ({ share, submittedAtMs }: JobState, nowMs: number): boolean =>
+  share.isWithinShare || nowMs - submittedAtMs > MAX_DEFERRAL_MS;
--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -4,7 +4,7 @@
  * so that the two cases can be told apart.
  */
 import { change } from '../../shared/change.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { rackOf } from '../endpoints/endpoints.js';
 import type { NoteFields } from '../endpoints/run-end.js';
 import type {
@@ -68,14 +68,14 @@
  *   unresponsive.
  */
 export const isCrash = ({ endpoint, detail }: Pick<GoneEndpoint, 'endpoint' | 'detail'>): boolean =>
-  CRASH_CAUSES.has(detail) && !endpoint.hasAnnouncedEnd && !endpoint.isClosing;
+  CRASH_CAUSES.has(detail) && !endpoint.hasAnnouncedEnd && !endpoint.isCordoned;
 
 /**
  * Returns for how long an endpoint is known to have been alive with a run, in ms: until the poll that it last
  * answered.
  */
-const livedMs = ({ reportedAtMs }: EndpointState, { begunByMs }: RunState): number =>
-  Math.max(0, Math.round(reportedAtMs - begunByMs));
+const livedMs = ({ reportedAtMs }: EndpointState, { startedByMs }: RunState): number =>
+  Math.max(0, Math.round(reportedAtMs - startedByMs));
 
 /**
  * Returns the observation period of a task: twice the longest time that an endpoint was alive with it before
@@ -145,9 +145,9 @@
  * @param endpoint - The endpoint.
  * @returns Its runs, including those that have been given up since.
  */
-export const lastRunsOf = ({ runs, lapsedRuns }: EndpointState): readonly RunState[] => [
+export const lastRunsOf = ({ runs, expiredRuns }: EndpointState): readonly RunState[] => [
   ...runs.values(),
-  ...lapsedRuns,
+  ...expiredRuns,
 ];
 
 /** Returns the jobs with runs that the endpoint has not yet been alive with for the whole observation period. */
@@ -195,19 +195,19 @@
 const isCorrelated = ({ recentCrashes }: BatchState, { endpoint, atMs }: GoneEndpoint): boolean => {
   const others = recentCrashes.filter(
     (other) =>
-      instanceOf(other.endpointId) !== instanceOf(endpoint.endpointId) &&
+      instanceIdOf(other.endpointId) !== instanceIdOf(endpoint.endpointId) &&
       !other.isExplained &&
       Math.abs(other.atMs - atMs) < CORRELATION_WINDOW_MS,
   );
   const rack = rackOf(endpoint);
   const isRack = rack !== '' && others.some((other) => other.rack === rack);
-  const endpoints = new Set(others.map(({ endpointId }) => instanceOf(endpointId)));
+  const endpoints = new Set(others.map(({ endpointId }) => instanceIdOf(endpointId)));
   return isRack || endpoints.size >= MIN_CORRELATED_ENDPOINTS;
 };
 
 /** Tells whether the run is known to have been on the endpoint shortly before the crash was detected. */
-const wasPresentAtCrash = ({ endpoint, atMs }: GoneEndpoint, { begunByMs }: RunState): boolean =>
-  begunByMs < Infinity && atMs - Math.max(begunByMs, endpoint.reportedAtMs) < MAX_UNRESPONSIVE_MS;
+const wasPresentAtCrash = ({ endpoint, atMs }: GoneEndpoint, { startedByMs }: RunState): boolean =>
+  startedByMs < Infinity && atMs - Math.max(startedByMs, endpoint.reportedAtMs) < MAX_UNRESPONSIVE_MS;
 
 /**
  * Tells whether another run is unlikely to have caused a crash. This requires a longer time than `isSettled`, because a
@@ -241,7 +241,7 @@
     isSoleSuspect: lastRunsOf(endpoint).every((other) => isUnlikelyCause(endpoint, run, other)),
     isCorrelated: isCorrelated(state, gone),
     fence: state.fence,
-    countedAtMs: Math.round(nowMs + state.todayAheadMs),
+    countedAtMs: Math.round(nowMs + state.wallClockOffsetMs),
   };
 };
 
@@ -262,7 +262,7 @@
   const isCleared = spec.isLasting && crash.livedMs >= LONG_RUNNING_CLEARED_MS;
   if (isCleared && task.crashes.length === 0) return;
   change(task, { crashes: isCleared ? [] : [...task.crashes, crash] });
-  change(job, { blameRevision: job.blameRevision + 1 });
+  change(job, { crashRecordRevision: job.crashRecordRevision + 1 });
   state.suspectJobs.add(job);
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
 };
--- a/packages/core/src/batch/crashes/inherited-losses.ts
+++ b/packages/core/src/batch/crashes/inherited-losses.ts
@@ -5,7 +5,7 @@
  * If this leader is lost as well, together with the next endpoint, its successor counts that start as a crash.
  */
 import type { HostView } from '../pools/hosts.js';
-import { bornAtMs } from '../model/endpoint-life.js';
+import { incarnationStartMs } from '../model/endpoint-life.js';
 import {
   poolOf,
   type BatchState,
@@ -32,17 +32,17 @@
   hosts
     .filter((host) => host.state === 'down')
     .forEach(({ pool }) => {
-      poolOf(state, pool).hasLossBefore = true;
+      poolOf(state, pool).hadHostDownAtTakeover = true;
     });
 
 /** Tells whether an endpoint started shortly before the takeover, so that it may be the restart of one that crashed. */
 const hasStartedBeforeTakeover = (
-  { takenOverAtMs, todayAheadMs }: BatchState,
+  { takenOverAtMs, wallClockOffsetMs }: BatchState,
   { endpointId }: EndpointState,
 ): boolean => {
-  const atMs = bornAtMs(endpointId);
+  const atMs = incarnationStartMs(endpointId);
   if (atMs === undefined) return false;
-  const takenOverTodayMs = takenOverAtMs + todayAheadMs;
+  const takenOverTodayMs = takenOverAtMs + wallClockOffsetMs;
   return atMs > takenOverTodayMs - LOOKBACK_MS && atMs < takenOverTodayMs;
 };
 
@@ -59,7 +59,7 @@
   pool: PoolState,
   endpoints: readonly EndpointState[],
 ): boolean =>
-  pool.hasLossBefore || endpoints.some((endpoint) => hasStartedBeforeTakeover(state, endpoint));
+  pool.hadHostDownAtTakeover || endpoints.some((endpoint) => hasStartedBeforeTakeover(state, endpoint));
 
 /**
  * Tells whether the next start of a task is the first one by this leader, and an earlier leader may have started the
--- a/packages/core/src/batch/crashes/isolation.test.ts
+++ b/packages/core/src/batch/crashes/isolation.test.ts
@@ -14,7 +14,7 @@
   submitJob,
 } from '../testing/batch-state.fixtures.js';
 import { giveUpReason } from './endpoint-crashes.js';
-import { instanceOf, lifeOf } from '../model/endpoint-life.js';
+import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
 import { expectReports } from '../endpoints/endpoints.js';
 import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { taskKey, type StepSpec } from '../model/job.js';
@@ -115,7 +115,7 @@
   });
 
   it('do not mark a crash as correlated if one other endpoint crashed twice', () => {
-    expect(isCorrelatedWith([lifeOf(SECOND, 1), lifeOf(SECOND, 2)])).toBe(false);
+    expect(isCorrelatedWith([endpointIdOf(SECOND, 1), endpointIdOf(SECOND, 2)])).toBe(false);
   });
 });
 
@@ -169,7 +169,7 @@
     it('has no crash counted while an endpoint that may run it has not answered', () => {
       const state = takeOver();
       state.inheritedLeasesEndAtMs = 9000;
-      expectReports(state, [{ instanceId: instanceOf(THIRD), pool: POOL }]);
+      expectReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
       scheduleWritten(state, 2020);
       expect(tasksOf(state, SUSPECT)[0]?.crashes).toHaveLength(1);
     });
--- a/packages/core/src/batch/crashes/trials.ts
+++ b/packages/core/src/batch/crashes/trials.ts
@@ -45,8 +45,8 @@
  * @param job - The job.
  * @returns False while a write is pending.
  */
-export const isWritten = ({ blameRevision, writtenBlameRevision }: JobState): boolean =>
-  writtenBlameRevision >= blameRevision;
+export const isWritten = ({ crashRecordRevision, writtenCrashRecordRevision }: JobState): boolean =>
+  writtenCrashRecordRevision >= crashRecordRevision;
 
 /**
  * Announces the next start of tasks as a trial start in the row of their job. The tasks are not started until the row
@@ -60,7 +60,7 @@
   const { job } = step;
   const run = nextRunNumber(state.fence, Math.max(...tasks.map(({ lastRun }) => lastRun)));
   tasks.forEach((task) => change(task, { trial: { run, isInherited: false } }));
-  change(job, { blameRevision: job.blameRevision + 1 });
+  change(job, { crashRecordRevision: job.crashRecordRevision + 1 });
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
 };
 
@@ -101,12 +101,12 @@
           isSoleSuspect: true,
           isCorrelated: false,
           fence: state.fence,
-          countedAtMs: Math.round(nowMs + state.todayAheadMs),
+          countedAtMs: Math.round(nowMs + state.wallClockOffsetMs),
         },
       ],
     }),
   );
-  change(job, { blameRevision: job.blameRevision + 1 });
+  change(job, { crashRecordRevision: job.crashRecordRevision + 1 });
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
 };
 
--- a/packages/core/src/batch/domains/outage.test.ts
+++ b/packages/core/src/batch/domains/outage.test.ts
@@ -83,7 +83,7 @@
 
   it('is not suspected because of endpoints whose hosts were ordered to go down', () => {
     const { state, endpoints } = createFleet({ racks: 2, hostsPerRack: 4 });
-    endpoints.slice(0, 2).forEach((endpoint) => change(endpoint, { isClosing: true }));
+    endpoints.slice(0, 2).forEach((endpoint) => change(endpoint, { isCordoned: true }));
     leaveUnanswered(state, endpoints.slice(0, 2));
     expect(suspectedIn(state)).toEqual([]);
   });
--- a/packages/core/src/batch/domains/outage.ts
+++ b/packages/core/src/batch/domains/outage.ts
@@ -31,8 +31,8 @@
 type SuspicionEndReason = 'answered' | 'time' | 'gone';
 
 /** Whether an endpoint is expected to stay. The end of one that leaves as planned shows nothing about its domain. */
-const isExpectedToStay = ({ isClosing, hasAnnouncedEnd }: EndpointState): boolean =>
-  !isClosing && !hasAnnouncedEnd;
+const isExpectedToStay = ({ isCordoned, hasAnnouncedEnd }: EndpointState): boolean =>
+  !isCordoned && !hasAnnouncedEnd;
 
 /** Whether enough endpoints of a rack leave requests unanswered for the rack to be lost. */
 const mayRackBeLost = (unanswering: readonly EndpointState[]): boolean =>
@@ -64,12 +64,12 @@
   unanswering: number,
   nowMs: number,
 ): void => {
-  const awaited = new Set(Array.from(members, ({ endpointId }) => endpointId));
+  const unansweringEndpoints = new Set(Array.from(members, ({ endpointId }) => endpointId));
   state.suspectedDomains.set(domainId, {
     domainId,
     sinceMs: nowMs,
-    endpoints: members.size,
-    awaited,
+    endpointCount: members.size,
+    unansweringEndpoints,
   });
   recordEvent(state, 'domain-suspected', {
     domain: domainName(domainId),
@@ -78,7 +78,7 @@
     unanswering,
     runs: Array.from(members).reduce((sum, { runs }) => sum + runs.size, 0),
   });
-  awaited.forEach((endpointId) => state.effects.push({ kind: 'ask', endpointId }));
+  unansweringEndpoints.forEach((endpointId) => state.effects.push({ kind: 'ask', endpointId }));
 };
 
 const checkDomain = (state: BatchState, domain: Domain, nowMs: number): void => {
@@ -113,15 +113,15 @@
 
 const endSuspicion = (
   state: BatchState,
-  { domainId, sinceMs, endpoints, awaited }: SuspectedDomain,
+  { domainId, sinceMs, endpointCount, unansweringEndpoints }: SuspectedDomain,
   reason: SuspicionEndReason,
   nowMs: number,
 ): void => {
   state.suspectedDomains.delete(domainId);
   recordEvent(state, 'domain-back', {
     domain: domainName(domainId),
-    endpoints,
-    unanswering: awaited.size,
+    endpoints: endpointCount,
+    unanswering: unansweringEndpoints.size,
     afterMs: Math.round(nowMs - sinceMs),
     relief: reason,
   });
@@ -139,10 +139,10 @@
 ): void =>
   namedDomains(domains).forEach(({ domainId }) => {
     const suspected = state.suspectedDomains.get(domainId);
-    if (!suspected?.awaited.delete(endpointId)) return;
-    const { awaited, endpoints } = suspected;
-    const isBack = reason === 'answered' && awaited.size < endpoints / 2;
-    if (isBack || awaited.size === 0) endSuspicion(state, suspected, reason, nowMs);
+    if (!suspected?.unansweringEndpoints.delete(endpointId)) return;
+    const { unansweringEndpoints, endpointCount } = suspected;
+    const isBack = reason === 'answered' && unansweringEndpoints.size < endpointCount / 2;
+    if (isBack || unansweringEndpoints.size === 0) endSuspicion(state, suspected, reason, nowMs);
   });
 
 /**
@@ -177,7 +177,7 @@
 export const endOldSuspicions = (state: BatchState, nowMs: number): void =>
   state.suspectedDomains.forEach((suspected) => {
     if (nowMs - suspected.sinceMs < MAX_SUSPICION_MS) return;
-    suspected.awaited.forEach((endpointId) => {
+    suspected.unansweringEndpoints.forEach((endpointId) => {
       const endpoint = state.endpoints.get(endpointId);
       if (endpoint) change(endpoint, { unansweredSinceMs: Infinity });
     });
@@ -198,5 +198,5 @@
   suspectedDomains.size > 0 &&
   [rack, dataCentre].some(
     (domainId) =>
-      domainId !== null && suspectedDomains.get(domainId)?.awaited.has(endpointId) === true,
+      domainId !== null && suspectedDomains.get(domainId)?.unansweringEndpoints.has(endpointId) === true,
   );
--- a/packages/core/src/batch/domains/spread.test.ts
+++ b/packages/core/src/batch/domains/spread.test.ts
@@ -80,7 +80,7 @@
     const state = createBatchState(2);
     const [first] = seeFleet(state, { racks: 2, hostsPerRack: 1 });
     submitJob(state, JOB_ID, { step: { ...LONG_RUNNING, taskCount: 2 } });
-    stepOf(state).tasks.forEach((task) => change(task, { avoid: first?.endpointId ?? null }));
+    stepOf(state).tasks.forEach((task) => change(task, { avoidedEndpoint: first?.endpointId ?? null }));
     schedulePool(state, POOL, 20);
     expect(countBy(state, 'rack')).toEqual([0, 2]);
   });
@@ -88,7 +88,7 @@
   it('do not start on endpoints whose hosts await maintenance, even if that would spread them better', () => {
     const state = createBatchState(2);
     const endpoints = seeFleet(state, { racks: 2, hostsPerRack: 2 });
-    endpoints.slice(0, 2).forEach((endpoint) => change(endpoint, { isAwaited: true }));
+    endpoints.slice(0, 2).forEach((endpoint) => change(endpoint, { hasMaintenanceAhead: true }));
     submit(state, { taskCount: 4 });
     expect(countBy(state, 'rack')).toEqual([0, 4]);
   });
--- a/packages/core/src/batch/endpoints/endpoint-model.ts
+++ b/packages/core/src/batch/endpoints/endpoint-model.ts
@@ -5,7 +5,7 @@
 import { Err, Ok, type Result } from 'ts-results-es';
 
 import type { EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
-import { lifeOf } from '../model/endpoint-life.js';
+import { endpointIdOf } from '../model/endpoint-life.js';
 import type { TaskKey } from '../model/job.js';
 import type {
   EndpointClock,
@@ -280,7 +280,7 @@
     pool,
     capacity,
     bornAtMs,
-    endpointId: lifeOf(instanceId, bornAtMs),
+    endpointId: endpointIdOf(instanceId, bornAtMs),
     isUp: () => isUp,
     runs,
     list,
--- a/packages/core/src/batch/endpoints/endpoints.ts
+++ b/packages/core/src/batch/endpoints/endpoints.ts
@@ -1,7 +1,7 @@
 /** Registers and updates endpoints from the platform's list of endpoints. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
 import { domainsOf, joinDomains } from '../domains/domains.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import {
   isSoleHolder,
   poolOf,
@@ -56,27 +56,27 @@
     capacity: sighting.capacity,
     used: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
     runs: new Map(),
-    lapsedRuns: [],
-    strays: [],
-    isKnown: false,
+    expiredRuns: [],
+    unexpectedSteps: [],
+    hasReported: false,
     isDraining: sighting.isDraining,
     hasAnnouncedEnd: sighting.isDraining,
     withheldUntilMs: 0,
     withheldReason: '',
     coldUntilMs,
-    isClosing: false,
-    isAwaited: false,
+    isCordoned: false,
+    hasMaintenanceAhead: false,
     leaseEndsAtMs: 0,
     idleSinceMs: nowMs,
     roomRevision: 0,
     seenAtMs: nowMs,
     reportedAtMs: 0,
     unansweredSinceMs: Infinity,
-    health: { failedJobs: new Set(), strikes: 0 },
+    health: { failedJobs: new Set(), withholdCount: 0 },
   };
   state.endpoints.set(endpoint.endpointId, endpoint);
   joinDomains(state, endpoint);
-  state.lives.set(instanceOf(endpoint.endpointId), endpoint);
+  state.currentIncarnations.set(instanceIdOf(endpoint.endpointId), endpoint);
   return endpoint;
 };
 
@@ -101,7 +101,7 @@
 ): void => {
   endpoints.forEach(({ instanceId, pool }) => {
     const known = poolOf(state, pool);
-    if (!state.lives.get(instanceId)?.isKnown) known.notReported.add(instanceId);
+    if (!state.currentIncarnations.get(instanceId)?.hasReported) known.unreportedInstances.add(instanceId);
   });
 };
 
@@ -109,9 +109,9 @@
 export type HostedEndpoint = { readonly instanceId: InstanceId; readonly hostId: HostId };
 
 /** True if no list of endpoints has named the endpoint. Otherwise its end is handled together with its runs. */
-const wasNeverListed = ({ lives, goneEndpoints }: BatchState, instanceId: InstanceId): boolean =>
-  !lives.has(instanceId) &&
-  !Array.from(goneEndpoints.keys()).some((endpointId) => instanceOf(endpointId) === instanceId);
+const wasNeverListed = ({ currentIncarnations, goneEndpoints }: BatchState, instanceId: InstanceId): boolean =>
+  !currentIncarnations.has(instanceId) &&
+  !Array.from(goneEndpoints.keys()).some((endpointId) => instanceIdOf(endpointId) === instanceId);
 
 /**
  * Stops waiting for reports of endpoints that no list of endpoints has named, once a later list of hosts shows their
@@ -130,7 +130,7 @@
   nowMs: number,
 ): void => {
   const isAnyReportAwaited = Array.from(state.pools.values()).some(
-    (pool) => pool.notReported.size > 0,
+    (pool) => pool.unreportedInstances.size > 0,
   );
   if (!isAnyReportAwaited || !isSoleHolder(state, nowMs)) return;
   expected
@@ -141,6 +141,6 @@
       );
     })
     .forEach(({ instanceId }) =>
-      state.pools.forEach(({ notReported }) => notReported.delete(instanceId)),
+      state.pools.forEach(({ unreportedInstances }) => unreportedInstances.delete(instanceId)),
     );
 };
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.test.ts
@@ -13,7 +13,7 @@
   taskOf,
   scheduleWritten,
 } from '../testing/batch-state.fixtures.js';
-import { instanceOf, lifeOf } from '../model/endpoint-life.js';
+import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
 import { barOpenStarts } from './followed-runs.js';
 import { removeEndpoint, settleGoneEndpoints } from './gone-endpoints.js';
 import { cancelJob } from '../jobs/jobs.js';
@@ -24,8 +24,8 @@
 import { takeEffects, type BatchEffect, type BatchState, type GoneCause } from '../model/state.js';
 import { watchRuns } from './watch-runs.js';
 
-const FIRST_INCARNATION = lifeOf('i-0000000001', 1_700_000_000_000);
-const NEXT_INCARNATION = lifeOf('i-0000000001', 1_700_000_000_900);
+const FIRST_INCARNATION = endpointIdOf('i-0000000001', 1_700_000_000_000);
+const NEXT_INCARNATION = endpointIdOf('i-0000000001', 1_700_000_000_900);
 const SENT_AT_MS = 1000;
 const GONE_AT_MS = 1400;
 const RESPONSE_AT_MS = 1900;
@@ -247,7 +247,7 @@
       nowMs: RESPONSE_AT_MS,
     });
     expect(Array.from(state.goneEndpoints.keys())).toEqual([FIRST_INCARNATION, NEXT_INCARNATION]);
-    expect(state.lives.has(instanceOf(FIRST_INCARNATION))).toBe(false);
+    expect(state.currentIncarnations.has(instanceIdOf(FIRST_INCARNATION))).toBe(false);
     Object.assign(state, { soleHolderUntilMs: Infinity });
     runCycle(RESPONSE_AT_MS + 10);
     expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -6,7 +6,7 @@
  */
 import { change } from '../../shared/change.js';
 import { judgeCrash, recordCrash } from '../crashes/endpoint-crashes.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { giveUpIfDue } from '../jobs/give-up.js';
 import { isStartOpen, openStartsAt, type StartedRun } from './open-starts.js';
 import { moveRun, stopRun } from './runs.js';
@@ -83,14 +83,14 @@
  */
 export const mayBeFollowed = (
   state: BatchState,
-  { endpoint, detail, atMs, isFollowed }: GoneEndpoint,
+  { endpoint, detail, atMs, hasSuccessorAnswered }: GoneEndpoint,
   run: RunState,
   nowMs: number,
 ): boolean => {
   if (CAUSES_WITHOUT_LATER_INCARNATION.has(detail)) return false;
   if (isStartUnanswered(state, endpoint, run, nowMs)) return true;
   const isKnownToBeOver =
-    isFollowed || (CAUSES_WITH_NONE_RUNNING.has(detail) && atMs > run.confirmedAtMs);
+    hasSuccessorAnswered || (CAUSES_WITH_NONE_RUNNING.has(detail) && atMs > run.confirmedAtMs);
   return !isKnownToBeOver && mayRunInLaterLife(state, endpoint, run, nowMs);
 };
 
@@ -147,7 +147,7 @@
   run: RunState,
   nowMs: number,
 ): void => {
-  const crash = gone.verdicts ? gone.verdicts.get(run) : judgeCrash(state, gone, run, nowMs);
+  const crash = gone.crashesByRun ? gone.crashesByRun.get(run) : judgeCrash(state, gone, run, nowMs);
   if (crash && !isFinal(run.step.job.phase)) recordCrash(state, run, crash);
   logRunFollowed(state, run, [gone.endpoint, next], 'barred');
   const moved = moveRun(state, { from: gone.endpoint, to: next, run, phase: 'unsure' });
@@ -173,8 +173,8 @@
     listed.some((one) => one.task === task.key && one.run === run);
   state.goneEndpoints.forEach((gone) => {
     const { endpoint: previous } = gone;
-    if (instanceOf(previous.endpointId) !== instanceOf(next.endpointId)) return;
-    change(gone, { isFollowed: true });
+    if (instanceIdOf(previous.endpointId) !== instanceIdOf(next.endpointId)) return;
+    change(gone, { hasSuccessorAnswered: true });
     previous.runs.forEach((run) => {
       if (isInReport(run)) {
         moveToNextIncarnation(state, previous, next, run);
@@ -194,10 +194,10 @@
  * @param nowMs - The current time.
  */
 export const barOpenStarts = (state: BatchState, next: EndpointState, nowMs: number): void => {
-  const instanceId = instanceOf(next.endpointId);
+  const instanceId = instanceIdOf(next.endpointId);
   const heldTasks = new Set(
     Array.from(state.goneEndpoints.values())
-      .filter(({ endpoint }) => instanceOf(endpoint.endpointId) === instanceId)
+      .filter(({ endpoint }) => instanceIdOf(endpoint.endpointId) === instanceId)
       .flatMap(({ endpoint }) => Array.from(endpoint.runs.keys())),
   );
   openStartsAt(state, instanceId, nowMs)
--- a/packages/core/src/batch/endpoints/gone-endpoints.test.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.test.ts
@@ -11,7 +11,7 @@
   taskOf,
   scheduleWritten,
 } from '../testing/batch-state.fixtures.js';
-import { instanceOf, lifeOf } from '../model/endpoint-life.js';
+import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
 import { expectReports } from './endpoints.js';
 import { removeEndpoint, settleGoneEndpoints } from './gone-endpoints.js';
 import { endpointsOf } from '../placement/schedule.js';
@@ -94,14 +94,14 @@
     });
 
     it('keeps inherited tasks waiting that may run in its next incarnation', () => {
-      const life = lifeOf('i-0000000001', 1);
-      const next = lifeOf('i-0000000001', 2);
+      const life = endpointIdOf('i-0000000001', 1);
+      const next = endpointIdOf('i-0000000001', 2);
       const state = stateWith({ isInherited: true });
       Object.assign(state, { inheritedLeasesEndAtMs: 9000, soleHolderUntilMs: Infinity });
       [life, SECOND].forEach((endpointId) => see(state, endpointId));
       expectReports(state, [
-        { instanceId: instanceOf(life), pool: POOL },
-        { instanceId: instanceOf(SECOND), pool: POOL },
+        { instanceId: instanceIdOf(life), pool: POOL },
+        { instanceId: instanceIdOf(SECOND), pool: POOL },
       ]);
       respond(state, SECOND, 30);
       removeEndpoint(state, life, { detail: 'restarted', atMs: 100, nowMs: 100 });
@@ -118,8 +118,8 @@
       see(state, FIRST);
       see(state, SECOND);
       expectReports(state, [
-        { instanceId: instanceOf(FIRST), pool: POOL },
-        { instanceId: instanceOf(SECOND), pool: POOL },
+        { instanceId: instanceIdOf(FIRST), pool: POOL },
+        { instanceId: instanceIdOf(SECOND), pool: POOL },
       ]);
       respond(state, SECOND, 30);
       loseEndpoint(state, FIRST, SOLE_HOLDER_UNTIL_MS + 100);
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -14,7 +14,7 @@
 } from '../crashes/endpoint-crashes.js';
 import { leaveDomains } from '../domains/domains.js';
 import { forgetSuspect } from '../domains/outage.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { mayBeFollowed } from './followed-runs.js';
 import { giveUpIfDue } from '../jobs/give-up.js';
 import { loseRun } from './lost-runs.js';
@@ -51,12 +51,12 @@
   leaveDomains(state, endpoint);
   forgetSuspect(state, endpoint, nowMs);
   chargeStrays(state, endpoint, []);
-  const instanceId = instanceOf(endpointId);
-  if (state.lives.get(instanceId) === endpoint) state.lives.delete(instanceId);
+  const instanceId = instanceIdOf(endpointId);
+  if (state.currentIncarnations.get(instanceId) === endpoint) state.currentIncarnations.delete(instanceId);
   endpoint.runs.forEach(({ step, task }) => {
-    if (step.spec.isLasting && task.awaySinceMs === 0) change(task, { awaySinceMs: nowMs });
+    if (step.spec.isLasting && task.unavailableSinceMs === 0) change(task, { unavailableSinceMs: nowMs });
   });
-  const gone = { endpoint, detail, atMs, verdicts: null, isFollowed: false };
+  const gone = { endpoint, detail, atMs, crashesByRun: null, hasSuccessorAnswered: false };
   state.goneEndpoints.set(endpointId, gone);
 };
 
@@ -66,23 +66,23 @@
     const crash = judgeCrash(state, gone, run, nowMs);
     return crash ? [[run, crash] as const] : [];
   });
-  change(gone, { verdicts: new Map(judged) });
+  change(gone, { crashesByRun: new Map(judged) });
 };
 
 /** Counts an endpoint crash against the tasks whose runs ended with it, and returns the log fields for these runs. */
 const countCrashes = (
   state: BatchState,
-  { endpoint, verdicts }: GoneEndpoint,
+  { endpoint, crashesByRun }: GoneEndpoint,
   runs: readonly RunState[],
   nowMs: number,
 ): ReadonlyMap<RunState, NoteFields> => {
   const judged = runs.flatMap((run) => {
     const isLive = run.task.phase !== 'done' && !isFinal(run.step.job.phase);
-    const crash = isLive ? verdicts?.get(run) : undefined;
+    const crash = isLive ? crashesByRun?.get(run) : undefined;
     return crash ? [{ run, crash }] : [];
   });
   judged.forEach(({ run, crash }) => recordCrash(state, run, crash));
-  const todayMs = nowMs + state.todayAheadMs;
+  const todayMs = nowMs + state.wallClockOffsetMs;
   return new Map(judged.map(({ run }) => [run, crashFields(run.task, endpoint, todayMs)]));
 };
 
@@ -114,7 +114,7 @@
  */
 const stopAwaitingReport = (state: BatchState, { endpoint, detail }: GoneEndpoint): void => {
   if (detail === 'restarted') return;
-  poolOf(state, endpoint.pool).notReported.delete(instanceOf(endpoint.endpointId));
+  poolOf(state, endpoint.pool).unreportedInstances.delete(instanceIdOf(endpoint.endpointId));
 };
 
 /** Gives up the runs that ended with an endpoint. Runs that may be in its next incarnation are kept. */
@@ -124,7 +124,7 @@
   const endedRuns = Array.from(endpoint.runs.values()).filter(
     (run) => !mayBeFollowed(state, gone, run, nowMs),
   );
-  const lapsed = endpoint.lapsedRuns;
+  const lapsed = endpoint.expiredRuns;
   const fieldsOf = countCrashes(state, gone, [...endedRuns, ...lapsed], nowMs);
   endedRuns.forEach((run) => {
     const fields = fieldsOf.get(run);
@@ -132,7 +132,7 @@
     loseRun(state, { endpoint, run, evidence, nowMs, fields, afterwards });
   });
   lapsed.forEach((run) => logLapsedRunEnd(state, gone, run, fieldsOf.get(run), nowMs));
-  change(endpoint, { lapsedRuns: [] });
+  change(endpoint, { expiredRuns: [] });
   if (endpoint.runs.size === 0) state.goneEndpoints.delete(endpoint.endpointId);
 };
 
@@ -146,7 +146,7 @@
 export const settleGoneEndpoints = (state: BatchState, nowMs: number): void => {
   if (state.goneEndpoints.size === 0 || !isSoleHolder(state, nowMs)) return;
   const gone = Array.from(state.goneEndpoints.values());
-  const unjudged = gone.filter(({ verdicts }) => verdicts === null);
+  const unjudged = gone.filter(({ crashesByRun }) => crashesByRun === null);
   noteCrashes(state, unjudged, nowMs);
   unjudged.forEach((one) => {
     judgeRuns(state, one, nowMs);
--- a/packages/core/src/batch/endpoints/health.ts
+++ b/packages/core/src/batch/endpoints/health.ts
@@ -27,8 +27,8 @@
   nowMs: number,
 ): void => {
   const { endpointId, pool, health } = endpoint;
-  const forMs = Math.min(MAX_WITHHOLD_MS, FIRST_WITHHOLD_MS * 2 ** health.strikes);
-  health.strikes += 1;
+  const forMs = Math.min(MAX_WITHHOLD_MS, FIRST_WITHHOLD_MS * 2 ** health.withholdCount);
+  health.withholdCount += 1;
   health.failedJobs.clear();
   change(endpoint, { withheldUntilMs: nowMs + forMs, withheldReason: reason });
   state.effects.push({
@@ -65,5 +65,5 @@
 export const noteDone = (endpoint: EndpointState): void => {
   const { health } = endpoint;
   health.failedJobs.clear();
-  health.strikes = 0;
+  health.withholdCount = 0;
 };
--- a/packages/core/src/batch/endpoints/lost-runs.ts
+++ b/packages/core/src/batch/endpoints/lost-runs.ts
@@ -20,7 +20,7 @@
 ): void => {
   const { task, step } = run;
   const settle = (): void => {
-    if (step.spec.isLasting && task.awaySinceMs === 0) task.awaySinceMs = nowMs;
+    if (step.spec.isLasting && task.unavailableSinceMs === 0) task.unavailableSinceMs = nowMs;
     requeue(state, step, task);
     afterwards?.();
   };
--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/open-starts.ts
@@ -4,22 +4,22 @@
  * the fence that the previous incarnation had seen.
  */
 import type { EndpointId, InstanceId } from '../../shared/ids.js';
-import { instanceOf } from '../model/endpoint-life.js';
-import type { BatchState, OpenStart } from '../model/state.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
+import type { BatchState, UnansweredStart } from '../model/state.js';
 
 /** The longest time for which a platform may delay an order. */
 export const LATEST_ORDER_MS = 12_000;
 
 /** The run that an order is to start. */
-export type StartedRun = Pick<OpenStart, 'task' | 'run'>;
+export type StartedRun = Pick<UnansweredStart, 'task' | 'run'>;
 
 const setOpenStarts = (
   state: BatchState,
   instanceId: InstanceId,
-  open: readonly OpenStart[],
+  open: readonly UnansweredStart[],
 ): void => {
-  if (open.length > 0) state.openStarts.set(instanceId, open);
-  else state.openStarts.delete(instanceId);
+  if (open.length > 0) state.unansweredStarts.set(instanceId, open);
+  else state.unansweredStarts.delete(instanceId);
 };
 
 const isSameRun =
@@ -39,8 +39,8 @@
   state: BatchState,
   instanceId: InstanceId,
   nowMs: number,
-): readonly OpenStart[] => {
-  const known = state.openStarts.get(instanceId);
+): readonly UnansweredStart[] => {
+  const known = state.unansweredStarts.get(instanceId);
   if (!known) return [];
   const open = known.filter(({ untilMs }) => untilMs > nowMs);
   if (open.length < known.length) setOpenStarts(state, instanceId, open);
@@ -61,7 +61,7 @@
   started: StartedRun,
   nowMs: number,
 ): void => {
-  const instanceId = instanceOf(endpointId);
+  const instanceId = instanceIdOf(endpointId);
   const others = openStartsAt(state, instanceId, nowMs).filter((one) => !isSameRun(started)(one));
   const { task, run } = started;
   setOpenStarts(state, instanceId, [...others, { task, run, untilMs: nowMs + LATEST_ORDER_MS }]);
@@ -79,8 +79,8 @@
   endpointId: EndpointId,
   started: StartedRun,
 ): void => {
-  const instanceId = instanceOf(endpointId);
-  const open = state.openStarts.get(instanceId) ?? [];
+  const instanceId = instanceIdOf(endpointId);
+  const open = state.unansweredStarts.get(instanceId) ?? [];
   setOpenStarts(
     state,
     instanceId,
@@ -102,4 +102,4 @@
   endpointId: EndpointId,
   started: StartedRun,
   nowMs: number,
-): boolean => openStartsAt(state, instanceOf(endpointId), nowMs).some(isSameRun(started));
+): boolean => openStartsAt(state, instanceIdOf(endpointId), nowMs).some(isSameRun(started));
--- a/packages/core/src/batch/endpoints/order-answers.ts
+++ b/packages/core/src/batch/endpoints/order-answers.ts
@@ -52,9 +52,9 @@
   if (!endpoint || !known || known.run !== run || known.phase !== 'starting') return;
   if (outcome === 'started') {
     known.phase = 'running';
-    change(known.step.job, { hasBegun: true });
+    change(known.step.job, { hasStarted: true });
     known.confirmedAtMs = nowMs;
-    known.begunByMs = Math.min(known.begunByMs, nowMs);
+    known.startedByMs = Math.min(known.startedByMs, nowMs);
   }
   if (outcome === 'rejected') {
     const evidence: RunEvidence = { cause: 'start-refused', atMs: nowMs, detail: reason };
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -2,7 +2,7 @@
 import type { EndpointId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { noteAnswered } from '../domains/outage.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { followRuns } from './followed-runs.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
 import { endJob, findReportedTask, markDone } from '../jobs/jobs.js';
@@ -77,7 +77,7 @@
 const handleFailure: EndHandler = (state, context) => {
   const { step, task, end, endpoint } = context;
   if (task.failedRuns.includes(end.run)) return;
-  change(task, { avoid: endpoint.endpointId });
+  change(task, { avoidedEndpoint: endpoint.endpointId });
   noteFailure(state, endpoint, step.job.job.jobId);
   if (step.spec.isLasting) {
     returnToQueue(state, context);
@@ -127,7 +127,7 @@
   const name = parseTaskKey(task);
   const found = name && findReportedTask(state, name);
   const evidence: RunEvidence = { cause: 'reported', atMs: askedAtMs, detail: kind };
-  if (found) change(found.step.job, { hasBegun: true });
+  if (found) change(found.step.job, { hasStarted: true });
   const settleWithRunTime = (ranMs: number): void => {
     if (!found || isFinal(found.step.job.phase)) return;
     endHandlers[kind](state, { ...found, end, endpoint, ranMs });
@@ -148,20 +148,20 @@
   report: RunningReport,
   { askedAtMs, nowMs }: ReportTimes,
 ): void => {
-  const { task, step, phase, percent, progressAtMs, confirmedAtMs, begunByMs } = run;
-  change(step.job, { hasBegun: true });
+  const { task, step, phase, percent, progressAtMs, confirmedAtMs, startedByMs } = run;
+  change(step.job, { hasStarted: true });
   change(run, {
     confirmedAtMs: Math.min(confirmedAtMs, nowMs),
-    begunByMs: Math.min(begunByMs, nowMs),
+    startedByMs: Math.min(startedByMs, nowMs),
     isListed: true,
     phase: phase === 'stopping' ? phase : 'running',
     progressAtMs: report.percent > percent ? nowMs : progressAtMs,
     percent: report.percent,
-    figure: report.figure,
+    loadFigure: report.figure,
   });
   if (askedAtMs >= formerOrdersEndAtMs) task.isLocated = true;
   if (report.checkpoint !== '') task.checkpoint = report.checkpoint;
-  if (step.spec.isLasting && report.percent >= 100) task.awaySinceMs = 0;
+  if (step.spec.isLasting && report.percent >= 100) task.unavailableSinceMs = 0;
 };
 
 const mayAdopt = (found: { readonly step: StepRun; readonly task: Task } | undefined): boolean =>
@@ -184,7 +184,7 @@
   if (found && mayAdopt(found)) {
     const run = addRun(state, { endpoint, ...found, run: report.run, phase: 'running', nowMs });
     // The start order was sent before this holder took over, and the endpoint has been running the task since then.
-    change(run, { begunByMs: Math.min(nowMs, state.takenOverAtMs) });
+    change(run, { startedByMs: Math.min(nowMs, state.takenOverAtMs) });
     updateRun(state, run, report, times);
     return undefined;
   }
@@ -235,7 +235,7 @@
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint) return;
   const times: ReportTimes = { askedAtMs, nowMs };
-  if (!endpoint.isKnown && !hasMoreEnds) {
+  if (!endpoint.hasReported && !hasMoreEnds) {
     followRuns(state, endpoint, { listed: [...running, ...ended], nowMs });
   }
   ended.forEach((end) => applyEnd(state, endpoint, end, times));
@@ -253,6 +253,6 @@
   chargeStrays(state, endpoint, strays);
   if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
   noteAnswered(state, endpoint, nowMs);
-  change(endpoint, { isKnown: true, reportedAtMs: askedAtMs, lapsedRuns: [] });
-  poolOf(state, endpoint.pool).notReported.delete(instanceOf(endpointId));
+  change(endpoint, { hasReported: true, reportedAtMs: askedAtMs, expiredRuns: [] });
+  poolOf(state, endpoint.pool).unreportedInstances.delete(instanceIdOf(endpointId));
 };
--- a/packages/core/src/batch/endpoints/run-end.ts
+++ b/packages/core/src/batch/endpoints/run-end.ts
@@ -42,8 +42,8 @@
 export const soleForMs = ({ soleHolderUntilMs }: BatchState, nowMs: number): number | undefined =>
   soleHolderUntilMs === Infinity ? undefined : Math.round(soleHolderUntilMs - nowMs);
 
-const silentMs = ({ isKnown, reportedAtMs }: EndpointState, nowMs: number): number | string =>
-  isKnown ? Math.round(nowMs - reportedAtMs) : 'never';
+const silentMs = ({ hasReported, reportedAtMs }: EndpointState, nowMs: number): number | string =>
+  hasReported ? Math.round(nowMs - reportedAtMs) : 'never';
 
 /** A task with its step. */
 export type FoundTask = { readonly step: StepRun; readonly task: Task };
--- a/packages/core/src/batch/endpoints/runs.ts
+++ b/packages/core/src/batch/endpoints/runs.ts
@@ -127,11 +127,11 @@
     phase,
     startedAtMs: nowMs,
     confirmedAtMs: phase === 'running' ? nowMs : Infinity,
-    begunByMs: phase === 'running' ? nowMs : Infinity,
+    startedByMs: phase === 'running' ? nowMs : Infinity,
     isListed: false,
     stopAnsweredAtMs: Infinity,
     percent: 0,
-    figure: 0,
+    loadFigure: 0,
     pacePercent: 100,
     pacedAtMs: 0,
     progressAtMs: nowMs,
@@ -142,8 +142,8 @@
   chargeRun(state, step, 1);
   changeTaskCounts(step, endpoint, 1);
   endpoint.runs.set(task.key, newRun);
-  if (step.waiting.length === 0) poolOf(state, job.job.pool).open.delete(step);
-  if (phase === 'running') job.hasBegun = true;
+  if (step.waiting.length === 0) poolOf(state, job.job.pool).openSteps.delete(step);
+  if (phase === 'running') job.hasStarted = true;
   if (job.phase === 'pending') job.phase = 'running';
   return newRun;
 };
--- a/packages/core/src/batch/endpoints/sound-endpoints.ts
+++ b/packages/core/src/batch/endpoints/sound-endpoints.ts
@@ -1,7 +1,7 @@
 /** Determines which endpoints take new work, and whether an endpoint may hold a task of a step. */
 import type { InstanceId, PoolName } from '../../shared/ids.js';
 import { isSuspected } from '../domains/outage.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import type { StepSpec } from '../model/job.js';
 import { fitsIn } from './runs.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
@@ -25,11 +25,11 @@
  * @returns True if its capacity counts as available to the pool.
  */
 export const isSound = (state: BatchState, endpoint: EndpointState, nowMs: number): boolean =>
-  endpoint.isKnown &&
+  endpoint.hasReported &&
   isKnownToSuccessor(endpoint, state) &&
   !endpoint.isDraining &&
-  !endpoint.isClosing &&
-  !state.evacuated.has(endpoint.dataCentre) &&
+  !endpoint.isCordoned &&
+  !state.evacuatedDataCentres.has(endpoint.dataCentre) &&
   !isSuspected(state, endpoint) &&
   endpoint.withheldUntilMs <= nowMs;
 
@@ -90,9 +90,9 @@
   instanceId: InstanceId,
   spec: StepSpec,
 ): boolean => {
-  const endpoint = state.lives.get(instanceId);
+  const endpoint = state.currentIncarnations.get(instanceId);
   const hasFormerIncarnation = Array.from(state.goneEndpoints.keys()).some(
-    (endpointId) => instanceOf(endpointId) === instanceId,
+    (endpointId) => instanceIdOf(endpointId) === instanceId,
   );
   if (!endpoint || hasFormerIncarnation) return true;
   return (
--- a/packages/core/src/batch/endpoints/watch-runs.ts
+++ b/packages/core/src/batch/endpoints/watch-runs.ts
@@ -40,7 +40,7 @@
   if (stalled.length === 0) return;
   stalled.forEach((run) => {
     const { task } = run;
-    task.avoid = endpoint.endpointId;
+    task.avoidedEndpoint = endpoint.endpointId;
     stopRun(state, endpoint, run, `has stood still at ${run.percent} %`);
   });
   if (endpoint.withheldUntilMs <= nowMs) {
@@ -72,7 +72,7 @@
     const { endpointId, leaseEndsAtMs: atMs } = endpoint;
     lapsed.push({ endpointId, endedAtMs: atMs });
     const evidence: RunEvidence = { cause: 'lease-over', atMs, detail: 'not-extended' };
-    change(endpoint, { lapsedRuns: [...endpoint.lapsedRuns, ...runs] });
+    change(endpoint, { expiredRuns: [...endpoint.expiredRuns, ...runs] });
     runs.forEach((run) => loseRun(state, { endpoint, run, evidence, nowMs }));
   });
   return lapsed;
@@ -91,7 +91,7 @@
     (other) =>
       other.hostId === hostId &&
       other.endpointId !== endpointId &&
-      other.isKnown &&
+      other.hasReported &&
       other.seenAtMs > reportedAtMs,
   );
 
@@ -103,6 +103,6 @@
  */
 export const findSucceededEndpoints = (state: BatchState): readonly EndpointId[] =>
   Array.from(state.endpoints.values())
-    .filter(({ runs, lapsedRuns }) => lapsedRuns.length > 0 && runs.size === 0)
+    .filter(({ runs, expiredRuns }) => expiredRuns.length > 0 && runs.size === 0)
     .filter((endpoint) => hasSuccessor(state, endpoint))
     .map(({ endpointId }) => endpointId);
--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -15,7 +15,7 @@
 import { isSound } from '../endpoints/sound-endpoints.js';
 import { planUpkeep } from '../maintenance/upkeep.js';
 import { createUpkeepWave } from '../maintenance/upkeep-progress.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { createBatchState, poolOf, type EndpointState } from '../model/state.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createHostInventory, takeHostList } from '../pools/host-inventory.js';
@@ -59,7 +59,7 @@
     dataCentre,
     labels: [],
     capacity: CAPACITY,
-    instanceId: pool === SPARE ? null : instanceOf(brand(`e-${dataCentre}-${index}`)),
+    instanceId: pool === SPARE ? null : instanceIdOf(brand(`e-${dataCentre}-${index}`)),
   }));
 
 /** Builds a pool and a spare pool with hosts in two data centres, of which the north one is evacuated. */
@@ -71,11 +71,11 @@
   nowMs = 5000,
 } = {}) => {
   const state = createBatchState(1);
-  state.evacuated = new Set([NORTH]);
+  state.evacuatedDataCentres = new Set([NORTH]);
   const used = [...hostsIn(NORTH, POOL, inNorth), ...hostsIn(SOUTH, POOL, inSouth)];
   used.forEach(({ hostId, dataCentre, instanceId }) => {
     const endpoint = seeEndpoint(state, sightingOn(String(instanceId), dataCentre, hostId), 0);
-    endpoint.isKnown = true;
+    endpoint.hasReported = true;
   });
   const spare = [...hostsIn(NORTH, SPARE, spareNorth), ...hostsIn(SOUTH, SPARE, spareSouth)];
   const world: PoolWorld = {
@@ -99,7 +99,7 @@
     expect(new Set(usableEndpoints().map(({ dataCentre }) => dataCentre))).toEqual(
       new Set([SOUTH]),
     );
-    state.evacuated = new Set();
+    state.evacuatedDataCentres = new Set();
     expect(usableEndpoints()).toHaveLength(6);
   });
 
@@ -129,7 +129,7 @@
     const [need] = needsOfPools(world);
     expect(need).toMatchObject({ roomCpu: 3 * CAPACITY.cpuMillis, comingCpu: 0 });
     expect(need?.hosts.map(({ dataCentre }) => dataCentre)).toEqual([SOUTH, SOUTH, SOUTH]);
-    state.endpoints.forEach((endpoint) => Object.assign(endpoint, { isKnown: false }));
+    state.endpoints.forEach((endpoint) => Object.assign(endpoint, { hasReported: false }));
     expect(needsOfPools(world)[0]).toMatchObject({ comingCpu: 3 * CAPACITY.cpuMillis });
   });
 
--- a/packages/core/src/batch/evacuation/evacuated-runs.ts
+++ b/packages/core/src/batch/evacuation/evacuated-runs.ts
@@ -61,14 +61,14 @@
  * @returns The data centres; empty if an endpoint elsewhere could run the step, or if no endpoint could.
  */
 export const evacuationsAwaitedBy = (
-  { endpoints, evacuated }: BatchState,
+  { endpoints, evacuatedDataCentres }: BatchState,
   step: StepRun,
 ): readonly DataCentreId[] => {
-  if (evacuated.size === 0 || step.waiting.length === 0) return [];
+  if (evacuatedDataCentres.size === 0 || step.waiting.length === 0) return [];
   const capableEndpoints = Array.from(endpoints.values()).filter((endpoint) =>
     couldRun(endpoint, step),
   );
   const dataCentres = new Set(capableEndpoints.map(({ dataCentre }) => dataCentre));
-  const canRunElsewhere = Array.from(dataCentres).some((dataCentre) => !evacuated.has(dataCentre));
+  const canRunElsewhere = Array.from(dataCentres).some((dataCentre) => !evacuatedDataCentres.has(dataCentre));
   return canRunElsewhere ? [] : Array.from(dataCentres);
 };
--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -6,7 +6,7 @@
 import { takeAccounts } from '../accounts/quota.js';
 import { NO_LIMIT } from '../model/capacity.js';
 import type { BatchJob, StepSpec } from '../model/job.js';
-import { PLAIN_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/plain-step.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 import { answer, FIRST, POOL, see, submitJob } from '../testing/batch-state.fixtures.js';
 import { createAdmissionControl, type SubmittedJob } from './admission-control.js';
@@ -45,7 +45,7 @@
     queue: brand('q'),
     pool: POOL,
     spec: '',
-    steps: [{ ...PLAIN_STEP, estimateMs: 1000, ...step }],
+    steps: [{ ...DEFAULT_STEP, estimateMs: 1000, ...step }],
     repeats: 0,
     firstDueAtMs: 0,
     intervalMs: 0,
@@ -86,7 +86,7 @@
     const state = stateWithBacklog(40);
     expect(refusalIn(state)).toBeDefined();
     const pool = state.pools.get(POOL);
-    Object.assign(pool ?? {}, { outlook: { comingCpu: 80_000, freeCpu: 0, reclaimedCpu: 0 } });
+    Object.assign(pool ?? {}, { forecast: { comingCpu: 80_000, freeCpu: 0, reclaimedCpu: 0 } });
     expect(refusalIn(state)).toBeUndefined();
   });
 
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -44,7 +44,7 @@
 const MILLIS = 1000;
 
 /** The rank of a job that is retried too late to meet its objective: it takes no capacity from jobs that still can. */
-const LAST_SHARE: JobShare = { isOwed: false, virtualStart: Infinity };
+const LAST_SHARE: JobShare = { isWithinShare: false, virtualStart: Infinity };
 
 /** A job that a client submits, with the policy of its queue. */
 export type SubmittedJob = { readonly job: BatchJob; readonly policy: QueuePolicy };
@@ -127,7 +127,7 @@
   policy: QueuePolicy,
 ): boolean => {
   if (isPastUse) return share === LAST_SHARE;
-  if (isOwed !== share.isOwed) return isOwed;
+  if (isOwed !== share.isWithinShare) return isOwed;
   return isOwed ? priority <= policy.priority : virtualStart <= share.virtualStart;
 };
 
@@ -198,7 +198,7 @@
   ): JobOutlook | undefined => {
     const load = loadOf(job.pool, nowMs);
     if (!load) return undefined;
-    const { outlook, demand } = poolOf(state, job.pool);
+    const { forecast, demand } = poolOf(state, job.pool);
     const taskCpu = Math.max(0, ...job.steps.map(({ cpuMillis }) => cpuMillis));
     const hostCpu = Math.max(0, ...load.roomsCpu);
     // The usable share of a host like those of the pool; a pool without hosts is assumed to use all cores that it gets.
@@ -210,11 +210,11 @@
       ),
       roomCores: sum(load.roomsCpu.map((capacityCpu) => usableCores(capacityCpu, taskCpu))),
       coming: [
-        { cores: coresOf(outlook.comingCpu), inMs: MOVING_HOST_MS },
-        { cores: coresOf(outlook.freeCpu), inMs: FREE_HOST_MS },
-        { cores: share.isOwed ? coresOf(outlook.reclaimedCpu) : 0, inMs: RECLAIMED_HOST_MS },
+        { cores: coresOf(forecast.comingCpu), inMs: MOVING_HOST_MS },
+        { cores: coresOf(forecast.freeCpu), inMs: FREE_HOST_MS },
+        { cores: share.isWithinShare ? coresOf(forecast.reclaimedCpu) : 0, inMs: RECLAIMED_HOST_MS },
       ],
-      overtakenByCores: share.isOwed ? 0 : demand.owedRates(nowMs).slowCores,
+      overtakenByCores: share.isWithinShare ? 0 : demand.owedRates(nowMs).slowCores,
       ownCoreMs: jobWork.coreMs,
       chainMs: jobWork.chainMs,
     };
@@ -224,11 +224,11 @@
   const lateOutlookOf = (
     outlook: JobOutlook,
     pool: PoolName,
-    { isOwed }: JobShare,
+    { isWithinShare }: JobShare,
     nowMs: number,
   ): JobOutlook => {
     const { demand } = poolOf(state, pool);
-    const { fastCores, slowCores } = isOwed ? demand.owedRates(nowMs) : demand.rates(nowMs);
+    const { fastCores, slowCores } = isWithinShare ? demand.owedRates(nowMs) : demand.rates(nowMs);
     return { ...outlook, overtakenByCores: Math.max(fastCores, slowCores) };
   };
 
@@ -268,7 +268,7 @@
       jobId: job.jobId,
       queue: job.queue,
       account,
-      isOwed: share.isOwed,
+      isOwed: share.isWithinShare,
       atMs: nowMs,
       forecast,
       beforeCoreMs: workBeforeOf(lateOutlook, forecast),
@@ -305,9 +305,9 @@
     judge,
     admit: ({ job, policy }, nowMs) => {
       if (pending.has(job.jobId)) return;
-      const { isOwed, virtualStart } = peekShare(state, job.owner?.account, nowMs);
+      const { isWithinShare, virtualStart } = peekShare(state, job.owner?.account, nowMs);
       const { coreMs } = jobWorkOf(state, job);
-      const work = { isOwed, isPastUse: false, priority: policy.priority, virtualStart, coreMs };
+      const work = { isOwed: isWithinShare, isPastUse: false, priority: policy.priority, virtualStart, coreMs };
       pending.set(job.jobId, { pool: job.pool, work });
       loads.get(job.pool)?.waiting.push(work);
     },
--- a/packages/core/src/batch/jobs/create-job.ts
+++ b/packages/core/src/batch/jobs/create-job.ts
@@ -7,7 +7,7 @@
   type TaskKey,
 } from '../model/job.js';
 import { kindOf } from './step-times.js';
-import { OWED, type JobShare } from '../model/share.js';
+import { WITHIN_SHARE, type JobShare } from '../model/share.js';
 import {
   createStepAdvice,
   type JobState,
@@ -25,8 +25,8 @@
   isLocated: false,
   lastEnd: null,
   checkpoint: '',
-  avoid: null,
-  awaySinceMs: 0,
+  avoidedEndpoint: null,
+  unavailableSinceMs: 0,
   crashes: [],
   trial: null,
 });
@@ -100,7 +100,7 @@
   nowMs,
   todayMs,
   isInherited = false,
-  share = OWED,
+  share = WITHIN_SHARE,
   firstAttemptAtMs = Infinity,
 }: TakeInOptions): JobState => ({
   job,
@@ -109,15 +109,15 @@
   reason: `queue=${job.queue} pool=${job.pool}: waits for room`,
   occurrences: new Map(),
   nextOccurrence: 0,
-  sinceMs: Math.min(
+  submittedAtMs: Math.min(
     firstAttemptAtMs,
     nowMs - Math.max(0, Math.min(todayMs - job.acceptedAtMs, MAX_TRUSTED_AGE_MS)),
   ),
   share,
   isInherited,
-  hasBegun: false,
-  blameRevision: 0,
-  writtenBlameRevision: 0,
+  hasStarted: false,
+  crashRecordRevision: 0,
+  writtenCrashRecordRevision: 0,
 });
 
 /** The wall clocks of entries differ and jump, so the age of an accepted job counts only up to this limit. */
--- a/packages/core/src/batch/jobs/jobs.ts
+++ b/packages/core/src/batch/jobs/jobs.ts
@@ -2,7 +2,7 @@
 import type { JobId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { maySee, type Caller } from '../model/accounts.js';
-import type { BatchJob, BatchPhase, TaskName } from '../model/job.js';
+import type { BatchJob, BatchPhase, TaskKeyParts } from '../model/job.js';
 import {
   addOpenStep,
   isFinal,
@@ -28,7 +28,7 @@
  * @param state - The state, changed in place.
  * @param occurrence - The occurrence.
  */
-export const openSteps = (state: BatchState, occurrence: OccurrenceState): void => {
+export const openReadySteps = (state: BatchState, occurrence: OccurrenceState): void => {
   occurrence.steps.forEach((step) => {
     if (step.isOpen || isStepDone(step)) return;
     if (!step.spec.after.every((number) => isStepDone(occurrence.steps[number]))) return;
@@ -66,11 +66,11 @@
       job.occurrences.get(number) ?? addOccurrence(job, number, nowMs - (todayMs - dueAtMs));
     const coreMs = occurrence.steps.reduce((sum, step) => sum + expectStepWork(state, step), 0);
     const { demand } = poolOf(state, pool);
-    if (!job.isInherited) demand.recordArrival(coreMs, nowMs, job.share.isOwed);
-    openSteps(state, occurrence);
+    if (!job.isInherited) demand.recordArrival(coreMs, nowMs, job.share.isWithinShare);
+    openReadySteps(state, occurrence);
   }
-  if (job.nextOccurrence >= occurrenceCount(job.job)) state.timed.delete(job);
-  else state.timed.add(job);
+  if (job.nextOccurrence >= occurrenceCount(job.job)) state.recurringJobs.delete(job);
+  else state.recurringJobs.add(job);
 };
 
 /**
@@ -101,7 +101,7 @@
  */
 export const findTask = (
   state: BatchState,
-  { jobId, occurrence, step, index }: TaskName,
+  { jobId, occurrence, step, index }: TaskKeyParts,
 ): { readonly step: StepRun; readonly task: Task } | undefined => {
   const found = state.jobs.get(jobId)?.occurrences.get(occurrence)?.steps[step];
   const task = found?.tasks[index];
@@ -119,7 +119,7 @@
  */
 export const findReportedTask = (
   state: BatchState,
-  name: TaskName,
+  name: TaskKeyParts,
 ): { readonly step: StepRun; readonly task: Task } | undefined => {
   const job = state.jobs.get(name.jobId);
   const isOccurrenceMissing = job !== undefined && !job.occurrences.has(name.occurrence);
@@ -146,10 +146,10 @@
 ): void => {
   if (isFinal(job.phase)) return;
   change(job, { phase, reason });
-  state.timed.delete(job);
+  state.recurringJobs.delete(job);
   state.suspectJobs.delete(job);
-  const { open } = poolOf(state, job.job.pool);
-  job.occurrences.forEach(({ steps }) => steps.forEach((step) => open.delete(step)));
+  const { openSteps } = poolOf(state, job.job.pool);
+  job.occurrences.forEach(({ steps }) => steps.forEach((step) => openSteps.delete(step)));
   state.endpoints.forEach((endpoint) => {
     endpoint.runs.forEach((run) => {
       if (run.step.job === job) stopRun(state, endpoint, run, reason);
@@ -202,12 +202,12 @@
     isOccurrenceDone(occurrence) &&
     job.nextOccurrence >= occurrenceCount(job.job) &&
     Array.from(job.occurrences.values()).every(isOccurrenceDone);
-  if (step.waiting.length === 0) pool.open.delete(step);
+  if (step.waiting.length === 0) pool.openSteps.delete(step);
   if (isJobDone) endJob(state, job, 'completed', 'all tasks are done');
   else {
     state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
     // An occurrence that an earlier control holder started early, because its clock was ahead, continues only when it
     // is due by the clock of this one.
-    if (occurrence.number < job.nextOccurrence) openSteps(state, occurrence);
+    if (occurrence.number < job.nextOccurrence) openReadySteps(state, occurrence);
   }
 };
--- a/packages/core/src/batch/jobs/progress.ts
+++ b/packages/core/src/batch/jobs/progress.ts
@@ -134,8 +134,8 @@
 ): void => {
   const lastRun = Math.max(task.lastRun, ...crashes.map(({ run }) => run));
   change(task, { crashes, lastRun });
-  const blameRevision = job.blameRevision + crashes.length;
-  change(job, { blameRevision, writtenBlameRevision: blameRevision });
+  const crashRecordRevision = job.crashRecordRevision + crashes.length;
+  change(job, { crashRecordRevision, writtenCrashRecordRevision: crashRecordRevision });
   state.suspectJobs.add(job);
 };
 
@@ -198,9 +198,9 @@
       const step = occurrence.steps[Number(stepNumber)];
       if (step && !isFinal(restored.phase)) restoreStep(state, step, progressOfStep);
     });
-    if (Object.keys(steps).length > 0) restored.hasBegun = true;
+    if (Object.keys(steps).length > 0) restored.hasStarted = true;
   });
-  if (restored.hasBegun && restored.phase === 'pending') restored.phase = 'running';
+  if (restored.hasStarted && restored.phase === 'pending') restored.phase = 'running';
   const steps = Array.from(restored.occurrences.values()).flatMap((one) => one.steps);
   const exhausted = steps
     .filter(({ spec }) => !spec.isLasting)
--- a/packages/core/src/batch/jobs/waiting.ts
+++ b/packages/core/src/batch/jobs/waiting.ts
@@ -9,8 +9,8 @@
  */
 export const countWaiting = (state: BatchState): ReadonlyMap<string, number> => {
   const counts = new Map<string, number>();
-  state.jobs.forEach(({ job, hasBegun, phase }) => {
-    if (hasBegun || isFinal(phase)) return;
+  state.jobs.forEach(({ job, hasStarted, phase }) => {
+    if (hasStarted || isFinal(phase)) return;
     counts.set(job.queue, (counts.get(job.queue) ?? 0) + 1);
   });
   return counts;
--- a/packages/core/src/batch/maintenance/early-moves.ts
+++ b/packages/core/src/batch/maintenance/early-moves.ts
@@ -43,7 +43,7 @@
     nowMs,
     mayMove: ({ key }) => !wave.moved.has(key),
     // On a host with pending maintenance the task would have to move again.
-    mayTake: ({ isAwaited }) => !isAwaited,
+    mayTake: ({ hasMaintenanceAhead }) => !hasMaintenanceAhead,
   });
   if (!moved) return false;
   wave.moved.add(moved.key);
--- a/packages/core/src/batch/maintenance/upkeep-rules.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.test.ts
@@ -21,7 +21,7 @@
     ]);
     expect(hosts()[1]?.reason).toBe('1 hosts are down, which is the maximum');
     expect(hosts()[3]?.reason).toBe('as many hosts as allowed are ahead of it');
-    expect(endpoints.map(({ isClosing }) => isClosing)).toEqual([true, true, true, false, false]);
+    expect(endpoints.map(({ isCordoned }) => isCordoned)).toEqual([true, true, true, false, false]);
   });
 
   it('takes work again if it had already been down under an earlier leader', () => {
@@ -29,10 +29,10 @@
     const { plan, hosts, endpoints, wave, relist } = waveOver(1, 1, LATE_MS);
     plan(0);
     applyUpkeepAnswer(wave, brand<HostId>('h-0'), 'done', 100);
-    expect(endpoints[0]?.isClosing).toBe(true);
+    expect(endpoints[0]?.isCordoned).toBe(true);
     relist(2500);
     plan(2600);
-    expect([hosts()[0]?.phase, endpoints[0]?.isClosing]).toEqual(['done', false]);
+    expect([hosts()[0]?.phase, endpoints[0]?.isCordoned]).toEqual(['done', false]);
   });
 
   it('stays in use while it is busy and there is time, and empty hosts go down meanwhile', () => {
@@ -58,7 +58,7 @@
 
   it('waits until its endpoint has reported its tasks to this leader', () => {
     const { plan, hosts, endpoints } = waveOver(1, 1, LATE_MS);
-    Object.assign(endpoints[0] as EndpointState, { isKnown: false });
+    Object.assign(endpoints[0] as EndpointState, { hasReported: false });
     expect(plan(0)).toEqual([]);
     expect(hosts()[0]?.reason).toBe('its endpoint has not answered yet');
   });
@@ -78,7 +78,7 @@
     expect(plan(0)).toEqual(['h-0']);
     expect(hosts()[1]).toMatchObject({ phase: 'waiting' });
     expect(hosts()[1]?.reason).toContain('1 of 2 tasks are not at work, 1 would go');
-    expect(endpoints[1]?.isClosing).toBe(false);
+    expect(endpoints[1]?.isCordoned).toBe(false);
   });
 
   it('has a task moved away if it runs more tasks of a step than the disruption budget', () => {
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -143,7 +143,7 @@
 const waitForFirstAnswer: Rule = ({ hostId, endpoint }, { world }) => {
   const instanceId = world.inventory.hosts.get(hostId)?.instanceId ?? null;
   // It is not known what an endpoint runs until it has answered this leader.
-  const isUnknown = instanceId !== null && !endpoint?.isKnown;
+  const isUnknown = instanceId !== null && !endpoint?.hasReported;
   return isUnknown ? drain('its endpoint has not answered yet') : undefined;
 };
 
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/upkeep.ts
@@ -40,7 +40,7 @@
   hostId: HostId,
 ): EndpointState | undefined => {
   const instanceId = hosts.get(hostId)?.instanceId;
-  return instanceId ? state.lives.get(instanceId) : undefined;
+  return instanceId ? state.currentIncarnations.get(instanceId) : undefined;
 };
 
 const rackOfHost = ({ inventory: { hosts } }: UpkeepWorld, hostId: HostId): string =>
@@ -53,7 +53,7 @@
 const markDone = (world: UpkeepWorld, hostId: HostId, host: UpkeepHost): void => {
   const endpoint = endpointOf(world, hostId);
   change(host, { phase: 'done', sinceMs: world.inventory.listedAtMs });
-  if (endpoint) change(endpoint, { isClosing: false });
+  if (endpoint) change(endpoint, { isCordoned: false });
 };
 
 /** Advances the phases of hosts by the host list and the elapsed time. */
@@ -104,7 +104,7 @@
     .flatMap(({ hosts }) => Array.from(hosts.keys()))
     .forEach((hostId) => {
       const endpoint = endpointOf(world, hostId);
-      if (endpoint) change(endpoint, { isAwaited: waves.some(isPendingIn(hostId)) });
+      if (endpoint) change(endpoint, { hasMaintenanceAhead: waves.some(isPendingIn(hostId)) });
     });
 
 const ORDERED_PHASES: ReadonlySet<UpkeepHost['phase']> = new Set(['asked', 'down']);
@@ -131,7 +131,7 @@
 const candidateOf = (world: UpkeepWorld, hostId: HostId, host: UpkeepHost): Candidate => {
   const endpoint = endpointOf(world, hostId);
   const dataCentre = world.inventory.hosts.get(hostId)?.dataCentre;
-  const isEvacuated = dataCentre !== undefined && world.state.evacuated.has(dataCentre);
+  const isEvacuated = dataCentre !== undefined && world.state.evacuatedDataCentres.has(dataCentre);
   const lasting = endpoint ? lastingSteps(endpoint) : new Set<StepRun>();
   return { hostId, host, endpoint, isEvacuated, lasting, rack: rackOfHost(world, hostId) };
 };
@@ -187,13 +187,13 @@
   const sinceMs = host.phase === 'waiting' ? round.nowMs : host.sinceMs;
   change(round, { closingCount: round.closingCount + 1 });
   change(host, { phase: 'closing', sinceMs });
-  if (endpoint) change(endpoint, { isClosing: true });
+  if (endpoint) change(endpoint, { isCordoned: true });
 };
 
 /** Reopens a host that may not go down now. Keeping it empty would waste capacity that other tasks may need. */
 const stopDraining = ({ host, endpoint }: Candidate): void => {
   if (host.phase === 'closing') change(host, { phase: 'waiting' });
-  if (endpoint) change(endpoint, { isClosing: false });
+  if (endpoint) change(endpoint, { isCordoned: false });
 };
 
 const orderDown = ({ world, wave, ordered, nowMs }: UpkeepRound, candidate: Candidate): void => {
--- a/packages/core/src/batch/model/capacity.ts
+++ b/packages/core/src/batch/model/capacity.ts
@@ -21,4 +21,4 @@
  *
  * @returns The amount.
  */
-export const noUsage = (): Usage => ({ cpuMillis: 0, memoryMb: 0, accelerators: 0 });
+export const createZeroUsage = (): Usage => ({ cpuMillis: 0, memoryMb: 0, accelerators: 0 });
--- a/packages/core/src/batch/model/domain.ts
+++ b/packages/core/src/batch/model/domain.ts
@@ -17,7 +17,7 @@
   /** When the suspicion began. */
   readonly sinceMs: number;
   /** How many endpoints were in the domain at that time. */
-  readonly endpoints: number;
+  readonly endpointCount: number;
   /** The endpoints that have not answered since then. */
-  readonly awaited: Set<EndpointId>;
+  readonly unansweringEndpoints: Set<EndpointId>;
 };
--- a/packages/core/src/batch/model/endpoint-life.ts
+++ b/packages/core/src/batch/model/endpoint-life.ts
@@ -25,7 +25,7 @@
  * @param startedAtMs - The wall-clock time of its start, by its host's clock, in milliseconds since 1970.
  * @returns The id of the incarnation.
  */
-export const lifeOf = (instanceId: string, startedAtMs: number): EndpointId =>
+export const endpointIdOf = (instanceId: string, startedAtMs: number): EndpointId =>
   brand<EndpointId>(`${instanceId}${SEPARATOR}${startedAtMs.toString(RADIX)}`);
 
 /**
@@ -34,7 +34,7 @@
  * @param endpointId - The id of an incarnation.
  * @returns The platform's id.
  */
-export const instanceOf = (endpointId: EndpointId): InstanceId => {
+export const instanceIdOf = (endpointId: EndpointId): InstanceId => {
   const separatorAt = endpointId.lastIndexOf(SEPARATOR);
   return brand<InstanceId>(separatorAt < 0 ? endpointId : endpointId.slice(0, separatorAt));
 };
@@ -45,7 +45,7 @@
  * @param endpointId - The id of the incarnation.
  * @returns The time in milliseconds since 1970; undefined if the platform does not report it.
  */
-export const bornAtMs = (endpointId: EndpointId): number | undefined => {
+export const incarnationStartMs = (endpointId: EndpointId): number | undefined => {
   const start = endpointId.lastIndexOf(SEPARATOR);
   const atMs = start < 0 ? 0 : parseInt(endpointId.slice(start + 1), RADIX);
   return atMs > 0 ? atMs : undefined;
@@ -60,13 +60,13 @@
  * @param answer - The answer.
  * @returns The answer, or an error with the reason `other-life`.
  */
-export const requireLife = <Answer>(
+export const requireSameIncarnation = <Answer>(
   endpointId: EndpointId,
   answeringStartMs: number | undefined,
   answer: Answer,
 ): Result<Answer, OrderError> => {
   const answeringId =
-    answeringStartMs === undefined ? endpointId : lifeOf(instanceOf(endpointId), answeringStartMs);
+    answeringStartMs === undefined ? endpointId : endpointIdOf(instanceIdOf(endpointId), answeringStartMs);
   if (answeringId === endpointId) return Ok(answer);
   return Err({ verdict: 'mayHaveRun', reason: 'other-life', detail: `${answeringId} answers` });
 };
--- a/packages/core/src/batch/model/endpoint-state.ts
+++ b/packages/core/src/batch/model/endpoint-state.ts
@@ -23,7 +23,7 @@
   /** When the endpoint confirmed the run; infinite before that. */
   confirmedAtMs: number;
   /** The time by which the run had certainly started; infinite while that is not known. */
-  begunByMs: number;
+  startedByMs: number;
   /** This incarnation of the endpoint has listed the run, so the run did not start in a later incarnation. */
   isListed: boolean;
   /** When an order to stop the run was answered; infinite before that. */
@@ -31,7 +31,7 @@
   /** The progress that the endpoint reported last, in percent. */
   percent: number;
   /** For a serving task its tail latency in milliseconds; for any other task the number of cores it uses. */
-  figure: number;
+  loadFigure: number;
   /** The percentage of its full pace that the run is allowed; 100 unless it was paced. */
   pacePercent: number;
   /** When `pacePercent` was last changed. */
@@ -61,11 +61,11 @@
    * Runs that were given up when the lease of the endpoint ended. They are kept until the endpoint answers or is found
    * gone; in the latter case the endpoint had crashed while it ran them.
    */
-  lapsedRuns: readonly RunState[];
+  expiredRuns: readonly RunState[];
   /** The steps of further runs that the endpoint listed last. It was ordered to stop these runs. */
-  strays: readonly StepRun[];
+  unexpectedSteps: readonly StepRun[];
   /** The endpoint has answered under this holder's fencing token, so all of its runs are known. */
-  isKnown: boolean;
+  hasReported: boolean;
   isDraining: boolean;
   /** The endpoint has announced that it will shut down, so its end is not a failure. */
   hasAnnouncedEnd: boolean;
@@ -75,9 +75,9 @@
   /** Until this time the endpoint is slow, because its data centre was taken back into service. */
   coldUntilMs: number;
   /** The endpoint gets no new work, so that its host can be maintained or moved to another pool. */
-  isClosing: boolean;
+  isCordoned: boolean;
   /** Its host has upcoming maintenance, so a long-running task that starts here would have to move again. */
-  isAwaited: boolean;
+  hasMaintenanceAhead: boolean;
   /** The time after which no run that it was ordered to start can still be running. */
   leaseEndsAtMs: number;
   idleSinceMs: number;
@@ -111,9 +111,9 @@
   /** When the evidence held. */
   readonly atMs: number;
   /** The crash to record for each run that was on the endpoint; null until the cause of its end was evaluated. */
-  verdicts: ReadonlyMap<RunState, EndpointCrash> | null;
+  crashesByRun: ReadonlyMap<RunState, EndpointCrash> | null;
   /** A later incarnation has answered, so every run that it did not list has ended. */
-  isFollowed: boolean;
+  hasSuccessorAnswered: boolean;
 };
 
 /** A recent crash of an endpoint; an end that was ordered or announced is no crash. */
@@ -130,11 +130,11 @@
   /** The jobs of which tasks have failed here since a task was last completed here. */
   readonly failedJobs: Set<JobId>;
   /** How often in a row the endpoint was withheld from new work. */
-  strikes: number;
+  withholdCount: number;
 };
 
 /** An order to start a run that was not answered and may still be carried out. */
-export type OpenStart = {
+export type UnansweredStart = {
   readonly task: TaskKey;
   readonly run: number;
   /** The time until which the order may still be carried out. */
--- a/packages/core/src/batch/model/job-state.ts
+++ b/packages/core/src/batch/model/job-state.ts
@@ -25,9 +25,9 @@
   /** The checkpoint from which the task can be resumed; '' to start from the beginning. */
   checkpoint: string;
   /** The endpoint of the last failure, which the next run avoids if possible; null if there is none. */
-  avoid: EndpointId | null;
+  avoidedEndpoint: EndpointId | null;
   /** For a long-running task: since when it has not been at work; 0 while it is at work. */
-  awaySinceMs: number;
+  unavailableSinceMs: number;
   /** Crashes of endpoints that held the task, the first one first. An end that was ordered or announced is no crash. */
   crashes: readonly EndpointCrash[];
   /** The start that is announced in the job's row, for a task that endpoints crashed under; null if there is none. */
@@ -70,9 +70,9 @@
   /** The endpoints that may not run the step. */
   readonly refused: Set<EndpointId>;
   /** A question is open. */
-  isAsking: boolean;
+  isQuestionOpen: boolean;
   /** No question is asked before this time; set after a question that was not answered. */
-  notBeforeMs: number;
+  nextQuestionAtMs: number;
 };
 
 /**
@@ -83,8 +83,8 @@
 export const createStepAdvice = (): StepAdvice => ({
   tickets: new Map(),
   refused: new Set(),
-  isAsking: false,
-  notBeforeMs: 0,
+  isQuestionOpen: false,
+  nextQuestionAtMs: 0,
 });
 
 /** A step of one occurrence of a job. */
@@ -131,15 +131,15 @@
   readonly occurrences: Map<number, OccurrenceState>;
   nextOccurrence: number;
   /** When the client first tried to submit the job, as far as known, on the monotonic clock. */
-  readonly sinceMs: number;
+  readonly submittedAtMs: number;
   /** The position of the job among the jobs of all accounts. */
   readonly share: JobShare;
   /** The job was accepted under an earlier holder, so a task may be running on an endpoint that has not answered yet. */
   readonly isInherited: boolean;
   /** A task of the job is known to have started. An order to start one is not enough to know that. */
-  hasBegun: boolean;
+  hasStarted: boolean;
   /** Incremented with each change of the crashes and announced starts that the job's row contains. */
-  blameRevision: number;
+  crashRecordRevision: number;
   /** The `blameRevision` that the job's row was last written with. */
-  writtenBlameRevision: number;
+  writtenCrashRecordRevision: number;
 };
--- a/packages/core/src/batch/model/job.ts
+++ b/packages/core/src/batch/model/job.ts
@@ -100,7 +100,7 @@
   `${jobId}.${occurrence}.${step}.${index}` as TaskKey;
 
 /** The parts of a task's key. */
-export type TaskName = {
+export type TaskKeyParts = {
   readonly jobId: JobId;
   readonly occurrence: number;
   readonly step: number;
@@ -113,7 +113,7 @@
  * @param key - The key, as an endpoint reports it.
  * @returns Its parts; undefined if the text is not a key.
  */
-export const parseTaskKey = (key: string): TaskName | undefined => {
+export const parseTaskKey = (key: string): TaskKeyParts | undefined => {
   const parts = key.split('.');
   const [jobId, ...numbers] = parts;
   if (parts.length !== 4 || !jobId) return undefined;
@@ -131,8 +131,8 @@
 };
 
 /** The largest numbers of tasks and steps in a job that is accepted. Each of them takes memory until the job ends. */
-export const MOST_TASKS_PER_JOB = 20_000;
-export const MOST_STEPS_PER_JOB = 256;
+export const MAX_TASKS_PER_JOB = 20_000;
+export const MAX_STEPS_PER_JOB = 256;
 
 /** Describes what is wrong with a step; undefined if nothing is. The text follows the step's number in a sentence. */
 const findStepFault = (
@@ -141,7 +141,7 @@
   steps: readonly StepSpec[],
 ): string | undefined => {
   if (!Number.isInteger(step.taskCount) || step.taskCount < 1) return 'has no tasks';
-  if (step.taskCount > MOST_TASKS_PER_JOB) return `has more than ${MOST_TASKS_PER_JOB} tasks`;
+  if (step.taskCount > MAX_TASKS_PER_JOB) return `has more than ${MAX_TASKS_PER_JOB} tasks`;
   const sizes = [step.cpuMillis, step.memoryMb, step.accelerators, step.estimateMs];
   if (sizes.some((size) => !Number.isFinite(size) || size < 0)) return 'asks for a size below 0';
   if (step.after.some((one) => !Number.isInteger(one) || one < 0 || one >= steps.length)) {
@@ -169,16 +169,16 @@
  * @param job - The job.
  * @returns A message that describes the first fault; undefined if the job is valid.
  */
-export const findJobFault = ({ steps, repeats, intervalMs }: BatchJob): string | undefined => {
+export const validateJob = ({ steps, repeats, intervalMs }: BatchJob): string | undefined => {
   if (steps.length === 0) return 'a job needs at least one step';
-  if (steps.length > MOST_STEPS_PER_JOB) return `a job has at most ${MOST_STEPS_PER_JOB} steps`;
+  if (steps.length > MAX_STEPS_PER_JOB) return `a job has at most ${MAX_STEPS_PER_JOB} steps`;
   const faults = steps.flatMap((step, number) => {
     const fault = findStepFault(step, number, steps);
     return fault === undefined ? [] : [`step ${number} ${fault}`];
   });
   if (faults.length > 0) return faults[0];
   const tasks = steps.reduce((sum, { taskCount }) => sum + taskCount, 0);
-  if (tasks > MOST_TASKS_PER_JOB) return `a job has at most ${MOST_TASKS_PER_JOB} tasks`;
+  if (tasks > MAX_TASKS_PER_JOB) return `a job has at most ${MAX_TASKS_PER_JOB} tasks`;
   if (hasCycle(steps)) return 'the steps wait for each other';
   if (!Number.isInteger(repeats) || repeats < 0) return 'repeats is not a whole number';
   if (repeats > 1 && !(intervalMs > 0)) return 'a job that repeats needs an interval';
--- a/packages/core/src/batch/model/order-ways.ts
+++ b/packages/core/src/batch/model/order-ways.ts
@@ -10,4 +10,4 @@
  * - `fair-first`: steps that can finish within their objective first, and among them the job whose account is furthest
  *   behind its weight.
  */
-export type OrderWay = 'due-first' | 'owed-first' | 'owed-then-fair' | 'fair-first';
+export type QueueOrder = 'due-first' | 'owed-first' | 'owed-then-fair' | 'fair-first';
--- a/packages/core/src/batch/model/plain-step.ts
+++ b/packages/core/src/batch/model/plain-step.ts
@@ -2,7 +2,7 @@
 import type { StepSpec } from './job.js';
 
 /** A step of one task that needs one core and little memory and has no other requirement. */
-export const PLAIN_STEP: StepSpec = {
+export const DEFAULT_STEP: StepSpec = {
   taskCount: 1,
   cpuMillis: 1000,
   memoryMb: 100,
--- a/packages/core/src/batch/model/share.ts
+++ b/packages/core/src/batch/model/share.ts
@@ -8,18 +8,18 @@
   /** How many jobs within its share the account may submit now. */
   jobsLeft: number;
   /** When `jobsLeft` was last updated. */
-  settledAtMs: number;
+  updatedAtMs: number;
   /**
    * When all jobs submitted so far would be done if the account were served at exactly its weight, in seconds on the
    * monotonic clock; see `JobShare`.
    */
-  virtualEnd: number;
+  virtualFinish: number;
 };
 
 /** The position of a job among the jobs of all accounts. */
 export type JobShare = {
   /** The job is within its account's share. */
-  readonly isOwed: boolean;
+  readonly isWithinShare: boolean;
   /**
    * The start time of weighted fair queueing, in seconds: when the earlier jobs of the same account would be done. Of two jobs,
    * the one with the lower value belongs to the account that is further behind.
@@ -28,4 +28,4 @@
 };
 
 /** The share of a job without an account, or of one accepted under an earlier holder: both count as owed. */
-export const OWED: JobShare = { isOwed: true, virtualStart: 0 };
+export const WITHIN_SHARE: JobShare = { isWithinShare: true, virtualStart: 0 };
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -13,7 +13,7 @@
   PoolName,
 } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import type { EndpointState, GoneEndpoint, OpenStart, RecentCrash } from './endpoint-state.js';
+import type { EndpointState, GoneEndpoint, UnansweredStart, RecentCrash } from './endpoint-state.js';
 import type { BatchPhase, TaskKey } from './job.js';
 import type { JobState, StepRun } from './job-state.js';
 import { createDemand, type Demand } from '../pools/demand.js';
@@ -21,7 +21,7 @@
 import type { AccountLimits } from './accounts.js';
 import type { Usage } from './capacity.js';
 import type { Domain, SuspectedDomain } from './domain.js';
-import type { OrderWay } from './order-ways.js';
+import type { QueueOrder } from './order-ways.js';
 import type { PlacementPolicy } from './placement-policy.js';
 import type { AccountShare } from './share.js';
 import { createRunTimes, type RunTimes } from '../jobs/run-times.js';
@@ -42,12 +42,12 @@
   /** The first steps in order when the whole backlog was last ranked. */
   shortlist: readonly StepRun[];
   /** The steps opened since then. */
-  opened: StepRun[];
+  openedSteps: StepRun[];
   rankedAtMs: number;
 };
 
 /** The CPU that a pool can gain, by the list of hosts, in thousandths of a core. */
-export type PoolOutlook = {
+export type PoolForecast = {
   /** The CPU of hosts that are being moved to the pool. */
   readonly comingCpu: number;
   /** The CPU of free hosts in other pools and in the spare pool. */
@@ -60,16 +60,16 @@
 export type PoolState = {
   readonly name: PoolName;
   /** The steps whose tasks may start. */
-  readonly open: Set<StepRun>;
+  readonly openSteps: Set<StepRun>;
   readonly ranking: PoolRanking;
   readonly demand: Demand;
-  outlook: PoolOutlook;
+  forecast: PoolForecast;
   /** The work of the tasks completed so far, in core-milliseconds. */
   doneCoreMs: number;
   /** The endpoints that may run inherited tasks and of which no incarnation has answered yet. */
-  readonly notReported: Set<InstanceId>;
+  readonly unreportedInstances: Set<InstanceId>;
   /** A host of the pool was down when this holder first read the list of hosts: see `inherited-losses.ts`. */
-  hasLossBefore: boolean;
+  hadHostDownAtTakeover: boolean;
 };
 
 /** An action that the runtime has to perform. */
@@ -123,7 +123,7 @@
   /** The monotonic time of the event that is being applied. */
   clockMs: number;
   /** The wall-clock time minus the monotonic time. */
-  todayAheadMs: number;
+  wallClockOffsetMs: number;
   /**
    * Until this time no other entry can have become the holder. Afterwards another holder may have extended leases on
    * endpoints and received reports of ended runs, so this holder concludes nothing from reports that it has not received.
@@ -138,7 +138,7 @@
   /** The list of hosts has not been read yet, so any host may have an endpoint that is in no list. */
   isHostListAwaited: boolean;
   /** The data centres that an operator has ordered to be evacuated. Their endpoints get no new work. */
-  evacuated: ReadonlySet<DataCentreId>;
+  evacuatedDataCentres: ReadonlySet<DataCentreId>;
   readonly jobs: Map<JobId, JobState>;
   readonly pools: Map<PoolName, PoolState>;
   readonly endpoints: Map<EndpointId, EndpointState>;
@@ -147,11 +147,11 @@
   /** The domains suspected to have failed as a whole. Endpoints in them that have not answered since get no new work. */
   readonly suspectedDomains: Map<DomainId, SuspectedDomain>;
   /** The current incarnation of each endpoint, as far as known. */
-  readonly lives: Map<InstanceId, EndpointState>;
+  readonly currentIncarnations: Map<InstanceId, EndpointState>;
   /** The endpoints that are gone and whose runs are not given up yet. */
   readonly goneEndpoints: Map<EndpointId, GoneEndpoint>;
   /** The unanswered start orders by the endpoint that they were sent to. */
-  readonly openStarts: Map<InstanceId, readonly OpenStart[]>;
+  readonly unansweredStarts: Map<InstanceId, readonly UnansweredStart[]>;
   /** The longest lease that one order may grant to the runs on an endpoint. */
   longestLeaseMs: number;
   recentCrashes: readonly RecentCrash[];
@@ -164,7 +164,7 @@
   readonly runTimes: RunTimes;
   readonly peaks: DemandPeaks;
   /** The jobs with occurrences that are still to come. */
-  readonly timed: Set<JobState>;
+  readonly recurringJobs: Set<JobState>;
   /** The jobs that have not ended and have tasks under which endpoints crashed or may have crashed. */
   readonly suspectJobs: Set<JobState>;
   /** The limits of the accounts in the newest configuration. */
@@ -187,9 +187,9 @@
    * Endpoints that take only jobs within their account's share, because their hosts are needed by other pools for such
    * jobs.
    */
-  reclaimed: ReadonlySet<EndpointId>;
+  reclaimedEndpoints: ReadonlySet<EndpointId>;
   /** The order of the queue. */
-  orderWay: OrderWay;
+  queueOrder: QueueOrder;
   /** How tasks of short steps are placed. */
   placementPolicy: PlacementPolicy;
 };
@@ -203,21 +203,21 @@
 export const createBatchState = (fence: number): BatchState => ({
   fence,
   clockMs: 0,
-  todayAheadMs: 0,
+  wallClockOffsetMs: 0,
   soleHolderUntilMs: Infinity,
   takenOverAtMs: Infinity,
   inheritedLeasesEndAtMs: 0,
   formerOrdersEndAtMs: 0,
   isHostListAwaited: false,
-  evacuated: new Set(),
+  evacuatedDataCentres: new Set(),
   jobs: new Map(),
   pools: new Map(),
   endpoints: new Map(),
   domains: new Map(),
   suspectedDomains: new Map(),
-  lives: new Map(),
+  currentIncarnations: new Map(),
   goneEndpoints: new Map(),
-  openStarts: new Map(),
+  unansweredStarts: new Map(),
   longestLeaseMs: DEFAULT_LONGEST_LEASE_MS,
   recentCrashes: [],
   effects: [],
@@ -225,7 +225,7 @@
   startsLeft: Infinity,
   runTimes: createRunTimes(),
   peaks: createDemandPeaks(),
-  timed: new Set(),
+  recurringJobs: new Set(),
   suspectJobs: new Set(),
   accounts: new Map(),
   formerAccounts: new Map(),
@@ -234,8 +234,8 @@
   unreportedAtMs: -Infinity,
   shares: new Map(),
   firstAttempts: new Map(),
-  reclaimed: new Set(),
-  orderWay: 'owed-then-fair',
+  reclaimedEndpoints: new Set(),
+  queueOrder: 'owed-then-fair',
   placementPolicy: 'fullest',
 });
 
@@ -262,13 +262,13 @@
   if (known) return known;
   const created: PoolState = {
     name,
-    open: new Set(),
-    ranking: { shortlist: [], opened: [], rankedAtMs: -Infinity },
+    openSteps: new Set(),
+    ranking: { shortlist: [], openedSteps: [], rankedAtMs: -Infinity },
     demand: createDemand(),
-    outlook: { comingCpu: 0, freeCpu: 0, reclaimedCpu: 0 },
+    forecast: { comingCpu: 0, freeCpu: 0, reclaimedCpu: 0 },
     doneCoreMs: 0,
-    notReported: new Set(),
-    hasLossBefore: false,
+    unreportedInstances: new Set(),
+    hadHostDownAtTakeover: false,
   };
   state.pools.set(name, created);
   return created;
@@ -281,11 +281,11 @@
  * @param step - The step.
  */
 export const addOpenStep = (state: BatchState, step: StepRun): void => {
-  const { open, ranking } = poolOf(state, step.job.job.pool);
-  open.add(step);
-  ranking.opened.push(step);
+  const { openSteps, ranking } = poolOf(state, step.job.job.pool);
+  openSteps.add(step);
+  ranking.openedSteps.push(step);
   // A pool without endpoints is never ranked, which would let this list grow without bound.
-  if (ranking.opened.length > MAX_OPENED) change(ranking, { opened: [], rankedAtMs: -Infinity });
+  if (ranking.openedSteps.length > MAX_OPENED) change(ranking, { openedSteps: [], rankedAtMs: -Infinity });
 };
 
 /**
--- a/packages/core/src/batch/placement/advice.ts
+++ b/packages/core/src/batch/placement/advice.ts
@@ -77,7 +77,7 @@
   nowMs: number,
 ): void => {
   const { advice, job, occurrence, number } = step;
-  if (advice === null || advice.isAsking || nowMs < advice.notBeforeMs) return;
+  if (advice === null || advice.isQuestionOpen || nowMs < advice.nextQuestionAtMs) return;
   const unknown = candidates.filter(
     ({ endpointId }) =>
       !advice.refused.has(endpointId) &&
@@ -86,7 +86,7 @@
   if (unknown.length === 0) return;
   const wanted = Math.max(MIN_ASKED, SPARE_FACTOR * neededEndpoints(step, candidates));
   const asked = unknown.slice(0, Math.min(MAX_ASKED, wanted));
-  advice.isAsking = true;
+  advice.isQuestionOpen = true;
   state.effects.push({
     kind: 'advise',
     jobId: job.job.jobId,
@@ -124,10 +124,10 @@
   const step = state.jobs.get(jobId)?.occurrences.get(occurrence)?.steps[number];
   if (!step?.advice) return;
   const { advice } = step;
-  advice.isAsking = false;
+  advice.isQuestionOpen = false;
   step.retryAtMs = 0;
   if (!answer) {
-    advice.notBeforeMs = nowMs + ASK_AGAIN_MS;
+    advice.nextQuestionAtMs = nowMs + ASK_AGAIN_MS;
     return;
   }
   const validUntilMs = nowMs + Math.max(0, answer.validMs - TICKET_MARGIN_MS);
--- a/packages/core/src/batch/placement/candidates.test.ts
+++ b/packages/core/src/batch/placement/candidates.test.ts
@@ -18,7 +18,7 @@
   rack: fc.constantFrom('', 'rack-0', 'rack-1', 'rack-2'),
   dataCentre: fc.constantFrom('', 'dc-0', 'dc-1'),
   usedMillis: fc.integer({ min: 0, max: 8 }).map((cores) => cores * 1000),
-  isAwaited: fc.boolean(),
+  hasMaintenanceAhead: fc.boolean(),
 });
 
 const STEP = fc.record({
@@ -40,9 +40,9 @@
       // Guards against a score that a placement changes and that is not computed again.
       const state = createBatchState(2);
       change(state, { placementPolicy });
-      const endpoints = endpointSpecs.map(({ rack, dataCentre, usedMillis, isAwaited }, number) => {
+      const endpoints = endpointSpecs.map(({ rack, dataCentre, usedMillis, hasMaintenanceAhead }, number) => {
         const endpoint = seeAt(state, { number, dataCentre, rack });
-        change(endpoint, { isAwaited });
+        change(endpoint, { hasMaintenanceAhead });
         change(endpoint.used, { cpuMillis: usedMillis });
         return endpoint;
       });
@@ -53,7 +53,7 @@
       const candidates = createCandidates(endpoints, view, table);
       step.tasks.forEach((task, index) => {
         const failedEndpoint = endpoints[failedAt[index] ?? -1];
-        change(task, { avoid: failedEndpoint?.endpointId ?? null });
+        change(task, { avoidedEndpoint: failedEndpoint?.endpointId ?? null });
         const expected = chooseBestEndpoint(endpoints, { ...view, task }, table.scores);
         const chosen = candidates.choose(task);
         expect(chosen?.endpointId).toBe(expected?.endpointId);
--- a/packages/core/src/batch/placement/candidates.ts
+++ b/packages/core/src/batch/placement/candidates.ts
@@ -106,7 +106,7 @@
 
   return {
     choose: (task) =>
-      task.avoid === null
+      task.avoidedEndpoint === null
         ? endpoints[findBestIndex()]
         : chooseBestEndpoint(endpoints, { ...view, task }, scores),
     recordPlacement: (endpoint) => {
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -10,7 +10,7 @@
 } from '../../shared/ids.js';
 import { dropUnseenReports, expectReports, seeEndpoint } from '../endpoints/endpoints.js';
 import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { taskKey, type StepSpec } from '../model/job.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 import {
@@ -56,7 +56,7 @@
   see(state, SILENT);
   expectReports(
     state,
-    [FIRST, SECOND, SILENT].map((one) => ({ instanceId: instanceOf(one), pool: POOL })),
+    [FIRST, SECOND, SILENT].map((one) => ({ instanceId: instanceIdOf(one), pool: POOL })),
   );
   submitJob(state, INHERITED, { step, isInherited: true });
   return state;
@@ -118,7 +118,7 @@
 
   it('blocks all inherited tasks while it is in no list of endpoints', () => {
     const state = takenOver({ requiredLabel: 'fast' });
-    expectReports(state, [{ instanceId: instanceOf(brand('i-0000000009')), pool: POOL }]);
+    expectReports(state, [{ instanceId: instanceIdOf(brand('i-0000000009')), pool: POOL }]);
     [FIRST, SECOND].forEach((endpointId) => report(state, endpointId, 10));
     scheduleWritten(state, 20);
     expect(isAnyStarted(state)).toBe(false);
@@ -183,7 +183,7 @@
     Object.assign(state, { soleHolderUntilMs: soleUntilMs });
     const expected = [{ instanceId: UNSEEN, hostId: HOST }];
     dropUnseenReports(state, expected, new Map([[HOST, { instanceId }]]), 50);
-    return state.pools.get(POOL)?.notReported.has(UNSEEN) === true;
+    return state.pools.get(POOL)?.unreportedInstances.has(UNSEEN) === true;
   };
 
   it('is waited for while its host still has it', () => {
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -30,14 +30,14 @@
  */
 export const awaitsReports = (
   state: BatchState,
-  { notReported }: PoolState,
+  { unreportedInstances }: PoolState,
   { job, spec }: StepRun,
   nowMs: number,
 ): boolean => {
   if (!job.isInherited) return false;
   if (nowMs >= state.inheritedLeasesEndAtMs && isSoleHolder(state, nowMs)) return false;
   const mayRunOn = (instanceId: InstanceId): boolean => mayHaveBegun(state, instanceId, spec);
-  return state.isHostListAwaited || Array.from(notReported).some(mayRunOn);
+  return state.isHostListAwaited || Array.from(unreportedInstances).some(mayRunOn);
 };
 
 /**
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -4,7 +4,7 @@
  * Within each of these tiers, steps of equal priority are ordered by the end of their objective, so that no step waits
  * for ever. The `OrderWay` decides where the shares of client accounts come in.
  */
-import type { OrderWay } from '../model/order-ways.js';
+import type { QueueOrder } from '../model/order-ways.js';
 import { goesWithOwed } from '../accounts/shares.js';
 import type { BatchState, JobState, StepRun } from '../model/state.js';
 import { expectStepTime } from '../jobs/step-times.js';
@@ -66,7 +66,7 @@
  * tried to submit a job that runs once.
  */
 const objectiveStartMs = ({ job, occurrence }: StepRun): number =>
-  job.job.repeats > 0 ? occurrence.dueAtMs : job.sinceMs;
+  job.job.repeats > 0 ? occurrence.dueAtMs : job.submittedAtMs;
 
 /**
  * Computes the objective of a job: the duration within which it should finish.
@@ -96,7 +96,7 @@
 export const isTooLate = (state: BatchState, job: JobState, nowMs: number): boolean => {
   const step = job.occurrences.get(0)?.steps[0];
   if (!step || job.job.repeats > 0) return false;
-  return nowMs > job.sinceMs + LATE_SUCCESS_FACTOR * objectiveMsOf(state, step);
+  return nowMs > job.submittedAtMs + LATE_SUCCESS_FACTOR * objectiveMsOf(state, step);
 };
 
 /**
@@ -110,7 +110,7 @@
 export const isWithinObjective = (state: BatchState, job: JobState, nowMs: number): boolean => {
   const step = job.occurrences.get(0)?.steps[0];
   if (!step || job.job.repeats > 0) return true;
-  return nowMs <= job.sinceMs + objectiveMsOf(state, step);
+  return nowMs <= job.submittedAtMs + objectiveMsOf(state, step);
 };
 
 /**
@@ -156,7 +156,7 @@
 const URGENCY_KEYS: readonly SortKey[] = [tierOf, priorityOf, dueOf];
 
 /** The sort keys of each queue order; the first key in which two ranks differ decides. */
-const SORT_KEYS: Readonly<Record<OrderWay, readonly SortKey[]>> = {
+const SORT_KEYS: Readonly<Record<QueueOrder, readonly SortKey[]>> = {
   'due-first': URGENCY_KEYS,
   'owed-first': [claimOf, ...URGENCY_KEYS],
   'owed-then-fair': [claimOf, tierOf, virtualStartBeyondShare, ...URGENCY_KEYS],
@@ -180,7 +180,7 @@
   };
 
 /** The comparison of ranks for each queue order. */
-export const compareRanks: Readonly<Record<OrderWay, Comparison>> = {
+export const compareRanks: Readonly<Record<QueueOrder, Comparison>> = {
   'due-first': compareBy(SORT_KEYS['due-first']),
   'owed-first': compareBy(SORT_KEYS['owed-first']),
   'owed-then-fair': compareBy(SORT_KEYS['owed-then-fair']),
--- a/packages/core/src/batch/placement/ranking.ts
+++ b/packages/core/src/batch/placement/ranking.ts
@@ -42,7 +42,7 @@
 ): readonly StepRun[] =>
   steps
     .map((step): Rank => rankStep(state, step, nowMs))
-    .sort(compareRanks[state.orderWay])
+    .sort(compareRanks[state.queueOrder])
     .map(({ step }) => step);
 
 /** Selects the first steps in order, with a limited number of steps that wait for the quota of the same account. */
@@ -75,7 +75,7 @@
  */
 export const listRankedSteps = (
   state: BatchState,
-  { ranking, open }: PoolState,
+  { ranking, openSteps }: PoolState,
   nowMs: number,
   mayBegin: (step: StepRun) => boolean,
 ): readonly StepRun[] => {
@@ -85,16 +85,16 @@
       Array.from(steps).filter((step) => isLive(step) && mayBegin(step)),
       nowMs,
     );
-  if (open.size <= MAX_RANKED) {
-    change(ranking, { shortlist: [], opened: [], rankedAtMs: -Infinity });
-    return rank(open);
+  if (openSteps.size <= MAX_RANKED) {
+    change(ranking, { shortlist: [], openedSteps: [], rankedAtMs: -Infinity });
+    return rank(openSteps);
   }
-  const everyMs = Math.max(RANK_EVERY_MS, RANK_EVERY_MS_PER_STEP * open.size);
+  const everyMs = Math.max(RANK_EVERY_MS, RANK_EVERY_MS_PER_STEP * openSteps.size);
   if (nowMs - ranking.rankedAtMs >= everyMs) {
-    const shortlist = shortlistOf(state, rank(open));
-    change(ranking, { shortlist, opened: [], rankedAtMs: nowMs });
+    const shortlist = shortlistOf(state, rank(openSteps));
+    change(ranking, { shortlist, openedSteps: [], rankedAtMs: nowMs });
     return shortlist;
   }
-  const known = new Set([...ranking.shortlist, ...ranking.opened]);
-  return rank(Array.from(known).filter((step) => open.has(step)));
+  const known = new Set([...ranking.shortlist, ...ranking.openedSteps]);
+  return rank(Array.from(known).filter((step) => openSteps.has(step)));
 };
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -244,9 +244,9 @@
   { state, nowMs }: PoolPass,
   endpoints: readonly EndpointState[],
 ) =>
-  state.reclaimed.size === 0 || goesWithOwed(step.job, nowMs)
+  state.reclaimedEndpoints.size === 0 || goesWithOwed(step.job, nowMs)
     ? endpoints
-    : endpoints.filter(({ endpointId }) => !state.reclaimed.has(endpointId));
+    : endpoints.filter(({ endpointId }) => !state.reclaimedEndpoints.has(endpointId));
 
 /** Places the tasks that may share an endpoint with other jobs. */
 const placeShared = (pass: PoolPass, steps: readonly StepRun[]): void => {
@@ -308,7 +308,7 @@
  */
 export const schedulePool = (state: BatchState, name: PoolName, nowMs: number): void => {
   const pool = poolOf(state, name);
-  if (pool.open.size === 0) return;
+  if (pool.openSteps.size === 0) return;
   const endpoints = usableEndpoints(state, name, nowMs);
   if (endpoints.length === 0) return;
   const hasSuspects = state.suspectJobs.size > 0;
@@ -321,7 +321,7 @@
   const mayBegin = (step: StepRun): boolean =>
     !awaitsReports(state, pool, step, nowMs) || startableTasks(state, pool, step, nowMs).length > 0;
   const isolated = hasSuspects
-    ? placeIsolated(pass, liveSuspects(pass, pool, Array.from(pool.open).filter(mayBegin)))
+    ? placeIsolated(pass, liveSuspects(pass, pool, Array.from(pool.openSteps).filter(mayBegin)))
     : NONE_ISOLATED;
   const shared =
     isolated.size === 0
--- a/packages/core/src/batch/placement/scores.test.ts
+++ b/packages/core/src/batch/placement/scores.test.ts
@@ -67,7 +67,7 @@
         .get(jobIdOf(1))
         ?.occurrences.get(0)
         ?.steps[0]?.tasks.forEach((task) =>
-          change(task, { avoid: endpoints[0]?.endpointId ?? null }),
+          change(task, { avoidedEndpoint: endpoints[0]?.endpointId ?? null }),
         );
       schedulePool(state, POOL, 20);
       expect(endpoints.map(({ runs }) => runs.size)).toEqual([0, 2]);
--- a/packages/core/src/batch/placement/scores.ts
+++ b/packages/core/src/batch/placement/scores.ts
@@ -35,11 +35,11 @@
   Number(spec.nearRack !== '' && labels.includes(spec.nearRack));
 
 const failedThere: PlacementScore['compute'] = ({ endpointId }, { task }) =>
-  Number(task.avoid === endpointId);
+  Number(task.avoidedEndpoint === endpointId);
 
 /** A long-running task that starts on a host with upcoming maintenance would have to move again. */
-const wouldMoveAgain: PlacementScore['compute'] = ({ isAwaited }, { step: { spec } }) =>
-  Number(spec.isLasting && isAwaited);
+const wouldMoveAgain: PlacementScore['compute'] = ({ hasMaintenanceAhead }, { step: { spec } }) =>
+  Number(spec.isLasting && hasMaintenanceAhead);
 
 const tasksInRack: PlacementScore['compute'] = ({ domains }, { step: { perDomain } }) =>
   perDomain.get(rackCountKey(domains)) ?? 0;
--- a/packages/core/src/batch/placement/sharing.ts
+++ b/packages/core/src/batch/placement/sharing.ts
@@ -42,7 +42,7 @@
   if (gapFillers.length === 0) return;
   const targetRatios = runs
     .filter(isServing)
-    .map(({ figure, step }) => figure / step.spec.targetMs);
+    .map(({ loadFigure, step }) => loadFigure / step.spec.targetMs);
   const worstRatio = Math.max(0, ...targetRatios);
   gapFillers.forEach((run) => {
     if (nowMs - run.pacedAtMs < PACE_EVERY_MS) return;
--- a/packages/core/src/batch/pools/hosts.ts
+++ b/packages/core/src/batch/pools/hosts.ts
@@ -1,6 +1,6 @@
 /** Hosts in the platform's list, and which of them can go down without violating a step's disruption budget. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { mayHold, usableEndpoints } from '../endpoints/sound-endpoints.js';
 import { stopRun } from '../endpoints/runs.js';
 import type {
@@ -63,7 +63,7 @@
     const { hostId, seenAtMs, endpointId, pool } = endpoint;
     const host = hostId === null ? undefined : hosts.get(hostId);
     if (!host || seenAtMs >= requestedAtMs) return [];
-    if (host.instanceId === instanceOf(endpointId)) return [];
+    if (host.instanceId === instanceIdOf(endpointId)) return [];
     // The cause is taken from the host's listed state and pool and not from the orders of this lease holder, because
     // the host may be carrying out an order of a previous holder.
     const isHostOrdered = ORDERED_STATES.has(host.state) || host.pool !== pool;
@@ -209,7 +209,7 @@
     (other) => other !== endpoint && mayHold(other, step) && mayTake(other),
   );
   if (candidates.length <= step.waiting.length) return undefined;
-  run.task.avoid = endpoint.endpointId;
+  run.task.avoidedEndpoint = endpoint.endpointId;
   stopRun(state, endpoint, run, 'moved off a host that is to go down');
   return run.task;
 };
--- a/packages/core/src/batch/pools/pool-domains.test.ts
+++ b/packages/core/src/batch/pools/pool-domains.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type EndpointId, type HostId, type PoolName } from '../../shared/ids.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
 import { createBatchState, poolOf, type BatchState } from '../model/state.js';
 import { seeEndpoint } from '../endpoints/endpoints.js';
@@ -27,14 +27,14 @@
       dataCentre: brand(dataCentre),
       labels: rack === '-' ? ['ssd'] : [`rack-${rack}`, 'ssd'],
       capacity: CAPACITY,
-      instanceId: pool === SPARE ? null : instanceOf(endpointId),
+      instanceId: pool === SPARE ? null : instanceIdOf(endpointId),
     };
     hosts.set(host.hostId, host);
     if (pool === SPARE) return;
     const { hostId, capacity, labels } = host;
     const seen = { endpointId, hostId, capacity, labels, address: '', isDraining: false };
     const at = { pool: host.pool, dataCentre: host.dataCentre };
-    seeEndpoint(state, { ...seen, ...at }, 0).isKnown = true;
+    seeEndpoint(state, { ...seen, ...at }, 0).hasReported = true;
   });
   const pools = [
     { name: POOL, isSpare: false },
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -47,7 +47,7 @@
     .flatMap(({ name }) =>
       Array.from(world.hosts.values()).filter(
         (host) =>
-          host.pool === name && isFree(world, host) && !world.state.evacuated.has(host.dataCentre),
+          host.pool === name && isFree(world, host) && !world.state.evacuatedDataCentres.has(host.dataCentre),
       ),
     );
 
@@ -72,7 +72,7 @@
 ): readonly HostView[] => {
   const idle = need.empty.filter(
     ({ endpointId, idleSinceMs }) =>
-      world.state.reclaimed.has(endpointId) || world.nowMs - idleSinceMs >= policy.releaseAfterMs,
+      world.state.reclaimedEndpoints.has(endpointId) || world.nowMs - idleSinceMs >= policy.releaseAfterMs,
   );
   return chooseSurplusHosts(need, freeHostsOn(world, idle), policy, rank);
 };
@@ -299,9 +299,9 @@
       .filter(({ pool }) => pool !== name)
       .reduce((sum, { capacity }) => sum + capacity.cpuMillis, 0);
     const reclaimedCpu = Array.from(state.endpoints.values())
-      .filter(({ endpointId, pool }) => pool !== name && state.reclaimed.has(endpointId))
+      .filter(({ endpointId, pool }) => pool !== name && state.reclaimedEndpoints.has(endpointId))
       .reduce((sum, { capacity }) => sum + capacity.cpuMillis, 0);
-    change(poolOf(state, name), { outlook: { comingCpu, freeCpu, reclaimedCpu } });
+    change(poolOf(state, name), { forecast: { comingCpu, freeCpu, reclaimedCpu } });
   });
 };
 
@@ -321,7 +321,7 @@
   policy: PoolPolicy,
 ): readonly EndpointState[] => {
   const order = ({ endpointId, used }: EndpointState): number =>
-    state.reclaimed.has(endpointId) ? -1 : used.cpuMillis;
+    state.reclaimedEndpoints.has(endpointId) ? -1 : used.cpuMillis;
   return need.endpoints
     .filter((endpoint) => endpoint.hostId !== null && runsOnlyReclaimableWork(endpoint, nowMs))
     .sort((left, right) => order(left) - order(right))
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -136,24 +136,24 @@
   peakCores: number,
 ): PoolNeed => {
   const poolHosts = Array.from(hosts.values()).filter(
-    (host) => host.pool === name && host.state !== 'down' && !state.evacuated.has(host.dataCentre),
+    (host) => host.pool === name && host.state !== 'down' && !state.evacuatedDataCentres.has(host.dataCentre),
   );
   const emptyEvacuated = Array.from(state.endpoints.values()).filter(
-    ({ pool: endpointPool, dataCentre, runs, isKnown, isClosing }) =>
+    ({ pool: endpointPool, dataCentre, runs, hasReported, isCordoned }) =>
       endpointPool === name &&
-      state.evacuated.has(dataCentre) &&
-      isKnown &&
-      !isClosing &&
+      state.evacuatedDataCentres.has(dataCentre) &&
+      hasReported &&
+      !isCordoned &&
       runs.size === 0,
   );
   const endpoints = Array.from(state.endpoints.values()).filter(
     (endpoint) => endpoint.pool === name && isSound(state, endpoint, nowMs),
   );
   const joiningHosts = poolHosts.filter(
-    ({ instanceId }) => !instanceId || !state.lives.get(instanceId)?.isKnown,
+    ({ instanceId }) => !instanceId || !state.currentIncarnations.get(instanceId)?.hasReported,
   );
   const pool = poolOf(state, name);
-  const waiting = Array.from(pool.open);
+  const waiting = Array.from(pool.openSteps);
   const running = endpoints.flatMap(({ runs }) => Array.from(runs.values(), ({ step }) => step));
   const roomCpu = sum(endpoints.map(({ capacity }) => capacity.cpuMillis));
   const comingCpu = sum(joiningHosts.map(({ capacity }) => capacity.cpuMillis));
--- a/packages/core/src/batch/pools/pool-peaks.test.ts
+++ b/packages/core/src/batch/pools/pool-peaks.test.ts
@@ -8,7 +8,7 @@
   type PoolName,
   brand,
 } from '../../shared/ids.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { seeEndpoint } from '../endpoints/endpoints.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
 import type { HostView } from './hosts.js';
@@ -48,13 +48,13 @@
       labels: [],
       capacity,
     };
-    seeEndpoint(state, { ...seen, isDraining: false }, nowMs).isKnown = true;
-    hosts.set(hostId, { ...host, state: 'up', instanceId: instanceOf(endpointId) });
+    seeEndpoint(state, { ...seen, isDraining: false }, nowMs).hasReported = true;
+    hosts.set(hostId, { ...host, state: 'up', instanceId: instanceIdOf(endpointId) });
   };
 
   const move = (hostId: HostId, pool: PoolName, nowMs: number): void => {
     const host = hosts.get(hostId) as HostView;
-    const endpoint = host.instanceId && state.lives.get(host.instanceId);
+    const endpoint = host.instanceId && state.currentIncarnations.get(host.instanceId);
     if (endpoint)
       removeEndpoint(state, endpoint.endpointId, { detail: 'host-ordered', atMs: nowMs, nowMs });
     hosts.set(hostId, { ...host, pool, state: 'moving', instanceId: null });
--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -12,7 +12,7 @@
 import type { JobOwner } from '../model/accounts.js';
 import { taskKey, type BatchJob, type QueuePolicy, type StepSpec } from '../model/job.js';
 import { takeInJob } from '../jobs/jobs.js';
-import { PLAIN_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/plain-step.js';
 import { applyReport, type EndpointReport } from '../endpoints/reports.js';
 import { createBatchState, type BatchState, type Task } from '../model/state.js';
 
@@ -34,7 +34,7 @@
   queue: brand('q'),
   pool: POOL,
   spec: '',
-  steps: [PLAIN_STEP],
+  steps: [DEFAULT_STEP],
   repeats: 0,
   firstDueAtMs: 0,
   intervalMs: 0,
@@ -68,7 +68,7 @@
     job: {
       ...job,
       jobId,
-      steps: [{ ...PLAIN_STEP, ...step }],
+      steps: [{ ...DEFAULT_STEP, ...step }],
       acceptedAtMs: nowMs,
       ...(owner ? { owner } : {}),
     },
@@ -134,7 +134,7 @@
  * @param state - The state, changed in place.
  */
 export const writeRows = (state: BatchState): void =>
-  state.jobs.forEach((one) => change(one, { writtenBlameRevision: one.blameRevision }));
+  state.jobs.forEach((one) => change(one, { writtenCrashRecordRevision: one.crashRecordRevision }));
 
 /**
  * Runs two scheduling passes over the pool, each after the rows have been written. Tasks whose starts must be written
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -17,9 +17,9 @@
 import { noteFirstAttempts } from '../jobs/first-attempts.js';
 import { takeInJob } from '../jobs/jobs.js';
 import { NO_LIMIT } from '../model/capacity.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import type { BatchJob, QueuePolicy, TaskKey } from '../model/job.js';
-import { PLAIN_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/plain-step.js';
 import {
   createBatchState,
   takeEffects,
@@ -142,7 +142,7 @@
       { endpointId, pool, hostId, address: '', dataCentre, labels, capacity, isDraining: false },
       nowMs,
     );
-    hosts.set(hostId, { ...host, state: 'up', instanceId: instanceOf(endpointId) });
+    hosts.set(hostId, { ...host, state: 'up', instanceId: instanceIdOf(endpointId) });
   };
 
   const add = (pool: PoolName, count: number): void => {
@@ -165,7 +165,7 @@
 
   const move = (hostId: HostId, pool: PoolName, nowMs: number): void => {
     const host = hosts.get(hostId) as HostView;
-    const endpoint = host.instanceId && state.lives.get(host.instanceId);
+    const endpoint = host.instanceId && state.currentIncarnations.get(host.instanceId);
     const gone = { detail: 'host-ordered', atMs: nowMs, nowMs } as const;
     if (endpoint) removeEndpoint(state, endpoint.endpointId, gone);
     hosts.set(hostId, { ...host, pool, state: 'moving', instanceId: null });
@@ -177,7 +177,7 @@
     planAndStartMoves: (nowMs: number): void => {
       const world = { state, hosts, pools: views, busyHosts: new Set<HostId>(), nowMs };
       observePeaks(world);
-      change(state, { reclaimed: planReclaims(world) });
+      change(state, { reclaimedEndpoints: planReclaims(world) });
       noteOutlooks(world);
       planMoves(world).forEach(({ hostId, toPool }) => move(hostId, toPool, nowMs));
     },
@@ -213,7 +213,7 @@
     const { client, jobId } = job;
     const { taskCpu, runMs } = poolByName.get(client.pool) as PlayedPool;
     const step = {
-      ...PLAIN_STEP,
+      ...DEFAULT_STEP,
       taskCount: TASKS_PER_STEP,
       cpuMillis: taskCpu,
       estimateMs: runMs,
--- a/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
+++ b/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
@@ -7,12 +7,12 @@
   type PoolName,
   brand,
 } from '../../shared/ids.js';
-import { instanceOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-life.js';
 import { seeEndpoint } from '../endpoints/endpoints.js';
 import { createHostInventory, takeHostList } from '../pools/host-inventory.js';
 import type { StepSpec } from '../model/job.js';
 import { takeInJob } from '../jobs/jobs.js';
-import { PLAIN_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/plain-step.js';
 import { addRun } from '../endpoints/runs.js';
 import { createBatchState, type EndpointState, type StepRun, type Task } from '../model/state.js';
 import {
@@ -61,7 +61,7 @@
       labels: [],
     };
     const endpoint = seeEndpoint(state, { ...sighting, ...place, isDraining: false }, 0);
-    endpoint.isKnown = true;
+    endpoint.hasReported = true;
     return endpoint;
   });
   const views = endpoints.map(({ endpointId, hostId }, index) => ({
@@ -71,7 +71,7 @@
     dataCentre: brand<DataCentreId>(''),
     labels: rackOf(index) === '' ? [] : [rackOf(index)],
     capacity: CAPACITY,
-    instanceId: instanceOf(endpointId),
+    instanceId: instanceIdOf(endpointId),
   }));
   const inventory = createHostInventory();
   takeHostList(inventory, views, 0);
@@ -85,7 +85,7 @@
     const job = { jobId, queue: brand<never>('q'), pool: POOL, spec: '', repeats: 0 };
     const times = { firstDueAtMs: 0, intervalMs: 0, acceptedAtMs: 0 };
     const policy = { priority: 0, maxAttempts: 3, stretch: 2, targetLatencyMs: 600 };
-    const steps = [{ ...PLAIN_STEP, taskCount: places.length, ...changes }];
+    const steps = [{ ...DEFAULT_STEP, taskCount: places.length, ...changes }];
     takeInJob(state, { job: { ...job, ...times, steps }, policy, nowMs: 0, todayMs: 0 });
     const step = state.jobs.get(jobId)?.occurrences.get(0)?.steps[0] as StepRun;
     places.forEach((place, index) => {
--- a/packages/daemon/src/batch/control/load-note.ts
+++ b/packages/daemon/src/batch/control/load-note.ts
@@ -27,15 +27,15 @@
   log,
 }: LoadNoteOptions): void => {
   const pools = Array.from(state.pools.values());
-  const steps = pools.flatMap(({ open }) => Array.from(open));
+  const steps = pools.flatMap(({ openSteps }) => Array.from(openSteps));
   const waitingTasks = steps.reduce((sum, { waiting }) => sum + waiting.length, 0);
   if (waitingTasks === 0) return;
   log.info('control-load', {
     jobs: state.jobs.size,
     openSteps: steps.length,
     waitingTasks,
-    oldestMs: Math.round(Math.max(...steps.map(({ job }) => nowMs() - job.sinceMs))),
-    notReported: pools.reduce((sum, { notReported }) => sum + notReported.size, 0),
+    oldestMs: Math.round(Math.max(...steps.map(({ job }) => nowMs() - job.submittedAtMs))),
+    notReported: pools.reduce((sum, { unreportedInstances }) => sum + unreportedInstances.size, 0),
     soleForMs: Math.round(soleForMs()),
     window: window.size(),
     underWay: window.underWay(),
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -12,7 +12,7 @@
   createOrderWindow,
   createScheduleCycle,
   expectReports,
-  instanceOf,
+  instanceIdOf,
   isWithinObjective,
   noteFirstAttempts,
   paceGapFillers,
@@ -311,13 +311,13 @@
   };
 
   const cycle = (): void => {
-    state.evacuated = startGate.evacuated();
+    state.evacuatedDataCentres = startGate.evacuated();
     if (isStopped || !isReady || !holds()) {
       perform();
       return;
     }
     state.clockMs = nowMs();
-    state.todayAheadMs = todayMs() - nowMs();
+    state.wallClockOffsetMs = todayMs() - nowMs();
     state.soleHolderUntilMs = soleHolderUntilMs();
     takeAccounts(state, configuration()?.accounts.byName ?? state.accounts);
     schedulePools(mayStart() ? window.left() : 0, nowMs());
@@ -352,7 +352,7 @@
     state.soleHolderUntilMs = soleHolderUntilMs();
     saver.lookAtTable();
     evacuations.look();
-    state.timed.forEach((job) => beginDue(state, job, nowMs(), todayMs()));
+    state.recurringJobs.forEach((job) => beginDue(state, job, nowMs(), todayMs()));
     watchRuns(state, nowMs()).forEach(noteLapsed);
     paceGapFillers(state, nowMs());
     admission.followUp(nowMs());
@@ -400,7 +400,7 @@
     jobRows.restore([early, late]);
     expectReports(
       state,
-      endpoints.seen.map(({ endpointId, pool }) => ({ instanceId: instanceOf(endpointId), pool })),
+      endpoints.seen.map(({ endpointId, pool }) => ({ instanceId: instanceIdOf(endpointId), pool })),
     );
     roster.take(endpoints);
     isReady = true;
--- a/packages/daemon/src/batch/endpoints/answer-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/answer-orders.test.ts
@@ -266,7 +266,7 @@
       await advance(680);
       const [known] = world.state.endpoints.values();
       if (!known) throw new Error('there is no endpoint');
-      known.isClosing = true;
+      known.isCordoned = true;
       world.plan('stop', stop);
       world.plan('list', ...lists);
       world.stopOne(0);
@@ -364,7 +364,7 @@
       await advance(100);
       // What is given up there could only be begun on the other one.
       const [known] = world.state.endpoints.values();
-      if (known) known.isClosing = true;
+      if (known) known.isCordoned = true;
       world.cut(0, 11_000, false);
       world.succeed([200, 15_000]);
       await advance(12_000);
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -208,7 +208,7 @@
   };
 
   const waitMs = (): number => {
-    if (isSuspect() || acknowledgement.written() < taken || !endpoint()?.isKnown) return 0;
+    if (isSuspect() || acknowledgement.written() < taken || !endpoint()?.hasReported) return 0;
     const runs = Array.from(endpoint()?.runs.values() ?? []);
     if (runs.some(({ phase }) => phase === 'stopping')) return 0;
     // Until a lasting task is seen at work, no other of its step may be taken away.
@@ -281,7 +281,7 @@
     const known = endpoint();
     return (
       known !== undefined &&
-      (known.runs.size > 0 || !known.isKnown || isSuspect() || acknowledgement.written() < taken)
+      (known.runs.size > 0 || !known.hasReported || isSuspect() || acknowledgement.written() < taken)
     );
   };
 
--- a/packages/daemon/src/batch/endpoints/endpoint-roster.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-roster.ts
@@ -2,7 +2,7 @@
 import {
   barOpenStarts,
   findSucceededEndpoints,
-  instanceOf,
+  instanceIdOf,
   isCrash,
   removeEndpoint,
   seeEndpoint,
@@ -90,12 +90,12 @@
   const lateUntilMs = new Map<InstanceId, number>();
   /** An order by the clock of the life before names a time that is far ahead here: it is kept for as long as any. */
   const firstLeaseMs = (endpointId: EndpointId): number =>
-    hadLives.has(instanceOf(endpointId))
+    hadLives.has(instanceIdOf(endpointId))
       ? Math.max(inheritedLeasesMs, state.longestLeaseMs * LEASE_SLACK + LEASE_MARGIN_MS)
       : inheritedLeasesMs;
 
   const noteLate = (endpointId: EndpointId): void => {
-    const instanceId = instanceOf(endpointId);
+    const instanceId = instanceIdOf(endpointId);
     const untilMs = links.get(endpointId)?.lateUntilMs() ?? 0;
     const latestMs = Math.max(untilMs, lateUntilMs.get(instanceId) ?? 0);
     if (latestMs > nowMs()) lateUntilMs.set(instanceId, latestMs);
@@ -107,7 +107,7 @@
    * or keep what runs there for longer than is counted.
    */
   const withholdFromLate = (endpoint: EndpointState): void => {
-    const untilMs = lateUntilMs.get(instanceOf(endpoint.endpointId)) ?? 0;
+    const untilMs = lateUntilMs.get(instanceIdOf(endpoint.endpointId)) ?? 0;
     if (untilMs <= nowMs()) return;
     const leaseEndsAtMs = untilMs + state.longestLeaseMs * LEASE_SLACK;
     change(endpoint, {
@@ -127,7 +127,7 @@
       reason: REASONS[reason],
       toldBy,
       knownForMs: Math.round(nowMs() - endpoint.seenAtMs),
-      heardAgoMs: endpoint.isKnown ? Math.round(nowMs() - endpoint.reportedAtMs) : 'never',
+      heardAgoMs: endpoint.hasReported ? Math.round(nowMs() - endpoint.reportedAtMs) : 'never',
       lastEnd: links.get(endpointId)?.takenNumber(),
       isCrash: isCrash({ endpoint, detail: reason }),
       ageMs: Math.round(nowMs() - atMs),
@@ -156,7 +156,7 @@
       const { endpointId, address, pool, dataCentre } = sighting;
       if (goneForGood.has(endpointId)) return;
       const isNew = !state.endpoints.has(endpointId);
-      const lifeBefore = state.lives.get(instanceOf(endpointId))?.endpointId;
+      const lifeBefore = state.currentIncarnations.get(instanceIdOf(endpointId))?.endpointId;
       if (isNew && lifeBefore) {
         drop(lifeBefore, { reason: 'restarted', atMs: nowMs(), toldBy: 'endpoint-list' });
       }
@@ -164,7 +164,7 @@
       if (!isNew) return;
       endpoint.leaseEndsAtMs = nowMs() + firstLeaseMs(endpointId);
       withholdFromLate(endpoint);
-      hadLives.add(instanceOf(endpointId));
+      hadLives.add(instanceIdOf(endpointId));
       const link = createEndpointLink({ endpointId, address, dataCentre }, context);
       links.set(endpointId, link);
       barOpenStarts(state, endpoint, nowMs());
@@ -187,8 +187,8 @@
   };
 
   /** What its end says of its tasks shows once its host is listed or has another endpoint. */
-  const isAwaited = ({ lapsedRuns, reportedAtMs }: EndpointState): boolean =>
-    lapsedRuns.length > 0 && nowMs() - reportedAtMs < AWAIT_END_MS;
+  const isAwaited = ({ expiredRuns, reportedAtMs }: EndpointState): boolean =>
+    expiredRuns.length > 0 && nowMs() - reportedAtMs < AWAIT_END_MS;
 
   /** Endpoints that are no longer listed go once nothing can be running there. */
   const dropUnlisted = (askedAtMs: number): void => {
@@ -197,7 +197,7 @@
       .filter(({ endpointId, pool, runs }) => {
         // One that was never heard may run what an earlier holder began: its lease decides.
         const hasNotReported =
-          state.pools.get(pool)?.notReported.has(instanceOf(endpointId)) ?? false;
+          state.pools.get(pool)?.unreportedInstances.has(instanceIdOf(endpointId)) ?? false;
         return !listed.has(endpointId) && runs.size === 0 && !hasNotReported;
       })
       .forEach(({ endpointId }) => {
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -115,7 +115,7 @@
 
   const endpointOn = (hostId: HostId): EndpointState | undefined => {
     const instanceId = roster.inventory().hosts.get(hostId)?.instanceId;
-    return instanceId ? state.lives.get(instanceId) : undefined;
+    return instanceId ? state.currentIncarnations.get(instanceId) : undefined;
   };
 
   const isBusy = (): boolean =>
@@ -157,13 +157,13 @@
     movedAtMs.set(hostId, nowMs());
     const endpoint = endpointOn(hostId);
     // Nothing may be placed there between the order and its effect, which may come late.
-    if (endpoint) endpoint.isClosing = true;
+    if (endpoint) endpoint.isCordoned = true;
     const { outcome, detail } = await platform.hosts.move(orderer, { hostId, toPool });
     metrics.count(`host_move_${outcome}`);
     log.info('host-moved', { host: hostId, fromPool, toPool, outcome, detail, reason });
     if (outcome === 'unknown') unsettled.set(hostId, { hostId, fromPool, toPool, reason });
     else unsettled.delete(hostId);
-    if (endpoint && (outcome === 'busy' || outcome === 'refused')) endpoint.isClosing = false;
+    if (endpoint && (outcome === 'busy' || outcome === 'refused')) endpoint.isCordoned = false;
   };
 
   /** Hosts of waves that are not through: a move would only delay them. */
@@ -204,7 +204,7 @@
     notePools();
     const pools = poolWorld();
     const needs = needsOfPools(pools);
-    change(state, { reclaimed: planReclaims(pools, DEFAULT_POOL_POLICY, needs) });
+    change(state, { reclaimedEndpoints: planReclaims(pools, DEFAULT_POOL_POLICY, needs) });
     noteOutlooks(pools, DEFAULT_POOL_POLICY, needs);
     const planned = planMoves(pools, DEFAULT_POOL_POLICY, needs);
     // An order without an answer is repeated: it may be carried out late, whatever is decided now.
--- a/packages/daemon/src/batch/hosts/host-roster.ts
+++ b/packages/daemon/src/batch/hosts/host-roster.ts
@@ -116,7 +116,7 @@
     const isFirst = inventory.listedAtMs === -Infinity;
     noteChanges(takeHostList(inventory, list, askedAtMs), isFirst);
     list.forEach(({ hostId, instanceId }) => {
-      const endpoint = instanceId && state.lives.get(instanceId);
+      const endpoint = instanceId && state.currentIncarnations.get(instanceId);
       if (endpoint) endpoint.hostId = hostId;
     });
     if (state.isHostListAwaited) expectEndpoints(list);
--- a/packages/daemon/src/batch/jobs/changed-jobs.ts
+++ b/packages/daemon/src/batch/jobs/changed-jobs.ts
@@ -108,14 +108,14 @@
       return jobs.map((job) => ({
         job,
         wasFinal: isFinal(job.phase),
-        crashes: job.blameRevision,
+        crashes: job.crashRecordRevision,
       }));
     },
     putBack: (sent) => sent.forEach(({ job }) => changed.add(job.job.jobId)),
     settleCommitted: (sent, version) =>
       sent.forEach(({ job, wasFinal, crashes }) => {
         const known = versionsOf(job.job.jobId);
-        change(job, { writtenBlameRevision: Math.max(job.writtenBlameRevision, crashes) });
+        change(job, { writtenCrashRecordRevision: Math.max(job.writtenCrashRecordRevision, crashes) });
         change(known, wasFinal ? { job: version, progress: 0 } : { progress: version });
         if (wasFinal) onSaved(job);
       }),
--- a/packages/daemon/src/batch/jobs/intake.ts
+++ b/packages/daemon/src/batch/jobs/intake.ts
@@ -6,7 +6,7 @@
 import {
   CANCELLED_REASON,
   chooseRetryAfterS,
-  findJobFault,
+  validateJob,
   findQuotaFault,
   isFinal,
   maySee,
@@ -141,7 +141,7 @@
 
   const submit: Intake['submit'] = async (queue, job, deadlineMs = DEFAULT_DEADLINE_MS) => {
     const startedAtMs = nowMs();
-    const fault = findJobFault(job);
+    const fault = validateJob(job);
     if (fault !== undefined) return refuse('notRun', 'malformed-request', fault);
     const quotaFault = findQuotaFault(job.steps, job.owner);
     if (quotaFault !== undefined) return refuse('notRun', 'beyond-quota', quotaFault);
--- a/packages/daemon/src/batch/operators/account-views.ts
+++ b/packages/daemon/src/batch/operators/account-views.ts
@@ -4,7 +4,7 @@
   isFinal,
   isWithinQuota,
   limitsOf,
-  noUsage,
+  createZeroUsage,
   type AdmissionControl,
   type BatchState,
   type Capacity,
@@ -50,7 +50,7 @@
   const limits = limitsOf(state, account);
   const count = step.spec.isGang ? step.spec.taskCount : 1;
   if (limits && !isWithinQuota(state, step, count)) {
-    const running = roomText(state.usage.get(account) ?? noUsage());
+    const running = roomText(state.usage.get(account) ?? createZeroUsage());
     return `quota: account=${account} has ${running} running and may have ${limitText(limits.maximum)}`;
   }
   if (goesWithOwed(step.job, nowMs)) return 'room';
@@ -106,8 +106,8 @@
       account: name,
       weight: limits?.weight ?? 0,
       jobs,
-      running: roomText(state.usage.get(name) ?? noUsage()),
-      maximum: limitText(limits?.maximum ?? noUsage()),
+      running: roomText(state.usage.get(name) ?? createZeroUsage()),
+      maximum: limitText(limits?.maximum ?? createZeroUsage()),
       refused: admission.ofAccounts.get(name)?.refused ?? 0,
       late: admission.ofAccounts.get(name)?.late ?? 0,
       waitingTasks: quota + share + room,
--- a/packages/daemon/src/batch/operators/domain-views.ts
+++ b/packages/daemon/src/batch/operators/domain-views.ts
@@ -69,8 +69,8 @@
 const suspicionOf = ({ state, nowMs }: DomainSight, domainId: DomainId): string => {
   const suspected = state.suspectedDomains.get(domainId);
   if (!suspected) return '';
-  const { awaited, endpoints, sinceMs } = suspected;
-  return `suspected for ${Math.round(nowMs - sinceMs)} ms: ${awaited.size} of ${endpoints} endpoints have not answered since`;
+  const { unansweringEndpoints, endpointCount, sinceMs } = suspected;
+  return `suspected for ${Math.round(nowMs - sinceMs)} ms: ${unansweringEndpoints.size} of ${endpointCount} endpoints have not answered since`;
 };
 
 /**
--- a/packages/daemon/src/batch/operators/operators.test.ts
+++ b/packages/daemon/src/batch/operators/operators.test.ts
@@ -1,5 +1,5 @@
 /** What operators are told of hosts and waves by a holder that cannot read the list of hosts. */
-import { PLAIN_STEP, type BatchJobRow } from '@valvelatch/core/batch';
+import { DEFAULT_STEP, type BatchJobRow } from '@valvelatch/core/batch';
 import { brand, type DataCentreId, type JobId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
@@ -213,7 +213,7 @@
           queue: brand('q-alpha'),
           pool: brand('alpha'),
           spec: '',
-          steps: [{ ...PLAIN_STEP, ...step }],
+          steps: [{ ...DEFAULT_STEP, ...step }],
           repeats: 0,
           firstDueAtMs: 0,
           intervalMs: 0,
--- a/packages/daemon/src/batch/operators/operators.ts
+++ b/packages/daemon/src/batch/operators/operators.ts
@@ -32,7 +32,7 @@
 
 const endpointOn = (term: Term, hostId: HostId): EndpointState | undefined => {
   const instanceId = term.fleet.inventory().hosts.get(hostId)?.instanceId;
-  return instanceId ? term.state.lives.get(instanceId) : undefined;
+  return instanceId ? term.state.currentIncarnations.get(instanceId) : undefined;
 };
 
 const domainSight = ({ state, fleet }: Term): DomainSight => ({
@@ -53,8 +53,8 @@
   }
   const endpoint = endpointOn(term, hostId);
   if (!endpoint) return 'no endpoint lives on it';
-  if (!endpoint.isKnown) return 'its endpoint has not answered this holder yet';
-  if (term.state.evacuated.has(endpoint.dataCentre)) {
+  if (!endpoint.hasReported) return 'its endpoint has not answered this holder yet';
+  if (term.state.evacuatedDataCentres.has(endpoint.dataCentre)) {
     return `data centre ${endpoint.dataCentre} is evacuated, ${endpoint.runs.size} tasks run on it`;
   }
   if (endpoint.isDraining) return 'its endpoint leaves or is not listed any more';
@@ -69,12 +69,12 @@
 
 const views: Readonly<Record<string, View>> = {
   pools: (term) =>
-    Array.from(term.state.pools.values(), ({ name, open }) => {
+    Array.from(term.state.pools.values(), ({ name, openSteps }) => {
       const hosts = Array.from(term.fleet.inventory().hosts.values()).filter(
         ({ pool }) => pool === name,
       );
       const inUse = hosts.filter(({ hostId }) => (endpointOn(term, hostId)?.runs.size ?? 0) > 0);
-      return { pool: name, hosts: hosts.length, inUse: inUse.length, waitingSteps: open.size };
+      return { pool: name, hosts: hosts.length, inUse: inUse.length, waitingSteps: openSteps.size };
     }),
   hosts: (term) =>
     Array.from(term.fleet.inventory().hosts.values(), (host) => ({
@@ -237,7 +237,7 @@
     kind: 'ok',
     value: {
       revision: version,
-      evacuatedDataCentres: term.state.evacuated.size,
+      evacuatedDataCentres: term.state.evacuatedDataCentres.size,
       entries: [
         {
           entryId: term.self,
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -8,7 +8,7 @@
   createEndpointModel,
   createLinkDelay,
   createOrderWindow,
-  instanceOf,
+  instanceIdOf,
   findTask,
   isFinal,
   parseTaskKey,
@@ -17,7 +17,7 @@
   takeEffects,
   takeInJob,
   watchRuns,
-  PLAIN_STEP,
+  DEFAULT_STEP,
   type BatchJob,
   type BatchState,
   type EndKind,
@@ -264,7 +264,7 @@
     lastEndpoint += 1;
     const capacity = { cpuMillis: room * 1000, memoryMb: 64_000, accelerators: 0 };
     const model = createEndpointModel({
-      instanceId: instanceOf(endpointId),
+      instanceId: instanceIdOf(endpointId),
       hostId: brand(`h-${index}`),
       pool: POOL,
       capacity,
@@ -389,10 +389,10 @@
   const writeLater = (jobId: JobId): void => {
     const job = state.jobs.get(jobId);
     if (!job) return;
-    const { blameRevision } = job;
+    const { crashRecordRevision } = job;
     setTimeout(
       () =>
-        change(job, { writtenBlameRevision: Math.max(job.writtenBlameRevision, blameRevision) }),
+        change(job, { writtenCrashRecordRevision: Math.max(job.writtenCrashRecordRevision, crashRecordRevision) }),
       saveMs,
     );
   };
@@ -448,7 +448,7 @@
       queue: brand('q'),
       pool: POOL,
       spec: '',
-      steps: steps.map((step) => ({ ...PLAIN_STEP, ...step })),
+      steps: steps.map((step) => ({ ...DEFAULT_STEP, ...step })),
       repeats: 0,
       firstDueAtMs: 0,
       intervalMs: 0,
@@ -517,7 +517,7 @@
   };
 
   const timer = setInterval(() => {
-    state.timed.forEach((job) => beginDue(state, job, nowMs(), Date.now()));
+    state.recurringJobs.forEach((job) => beginDue(state, job, nowMs(), Date.now()));
     watchRuns(state, nowMs());
     cycle();
   }, TICK_MS);
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -8,13 +8,13 @@
   createEndpointModel,
   createLinkDelay,
   createOrderWindow,
-  instanceOf,
+  instanceIdOf,
   createScheduleCycle,
   parseTaskKey,
   takeEffects,
   takeInJob,
   watchRuns,
-  PLAIN_STEP,
+  DEFAULT_STEP,
   type BatchState,
   type EndpointModel,
   type EndReport,
@@ -138,7 +138,7 @@
 };
 
 const stepOf = (taskCount: number, isLasting: boolean): StepSpec => ({
-  ...PLAIN_STEP,
+  ...DEFAULT_STEP,
   taskCount,
   isLasting,
 });
@@ -218,7 +218,7 @@
   const nameOf = (task: TaskKey, run: number): string => `${task}/${run}`;
 
   const model = createEndpointModel({
-    instanceId: instanceOf(ENDPOINT),
+    instanceId: instanceIdOf(ENDPOINT),
     hostId: brand('h-1'),
     pool: brand(POOL),
     capacity: { cpuMillis: 4000, memoryMb: 4000, accelerators: 0 },
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -5,7 +5,7 @@
 import {
   indexQueues,
   NO_LIMIT,
-  PLAIN_STEP,
+  DEFAULT_STEP,
   TABLE_AWAY_MS,
   type BatchJob,
   type BatchJobRow,
@@ -258,7 +258,7 @@
     ];
     const sums = new Map<AccountName, number>();
     endpointsKnown
-      .flatMap(({ runs, strays }) => [...Array.from(runs.values(), ({ step }) => step), ...strays])
+      .flatMap(({ runs, unexpectedSteps }) => [...Array.from(runs.values(), ({ step }) => step), ...unexpectedSteps])
       .forEach((step) => {
         const account = step.job.job.owner?.account;
         if (account) sums.set(account, (sums.get(account) ?? 0) + step.spec.cpuMillis);
@@ -496,7 +496,7 @@
         queue: brand(queueOf(pool, needsAdvice)),
         pool: brand(pool),
         spec: 'x'.repeat(specBytes),
-        steps: steps.map((step) => ({ ...PLAIN_STEP, ...step })),
+        steps: steps.map((step) => ({ ...DEFAULT_STEP, ...step })),
         repeats: 0,
         firstDueAtMs: 0,
         intervalMs: 0,
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -1,7 +1,7 @@
 /** The platform as one entry of a simulated fleet meets it: with cuts, losses and late effects. */
 import {
-  instanceOf,
-  requireLife,
+  instanceIdOf,
+  requireSameIncarnation,
   type BatchConfiguration,
   type EndpointModel,
   type EndpointReport,
@@ -404,18 +404,18 @@
           return answer.map((value) => ({ bornAtMs: one.bornAtMs, value }));
         };
         const patienceMs = order.waitMs + timeoutMs;
-        const answer = await toEndpoint(instanceOf(endpointId), order, ask, patienceMs);
-        return answer.andThen(({ bornAtMs, value }) => requireLife(endpointId, bornAtMs, value));
+        const answer = await toEndpoint(instanceIdOf(endpointId), order, ask, patienceMs);
+        return answer.andThen(({ bornAtMs, value }) => requireSameIncarnation(endpointId, bornAtMs, value));
       },
       start: ({ endpointId }, order, timeoutMs) => {
-        const instanceId = instanceOf(endpointId);
+        const instanceId = instanceIdOf(endpointId);
         const { task, run } = order;
         world.startsSent.push({ instanceId, task, run, atMs: performance.now() });
         return toEndpoint(instanceId, order, (one) => one.start(order), timeoutMs);
       },
       stop: ({ endpointId }, order, timeoutMs) =>
         toEndpoint(
-          instanceOf(endpointId),
+          instanceIdOf(endpointId),
           order,
           (one) => {
             checkStop(one, order.task);
@@ -473,7 +473,7 @@
         await sleep(ADVICE_MS);
         if (random() < faults.lostAnswers) return Err({ kind: 'unknown', detail: 'no answer' });
         const good = asked
-          .filter((endpointId) => mayRunAdvised(instanceOf(endpointId)))
+          .filter((endpointId) => mayRunAdvised(instanceIdOf(endpointId)))
           .map((endpointId) => [endpointId, TICKET] as const);
         return Ok({ good, validMs: 3000 });
       },
--- a/packages/daemon/src/batch/testing/sim-world.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-world.fixtures.ts
@@ -15,7 +15,7 @@
   type ModelTask,
   type QueuePolicy,
   type TaskKey,
-  type TaskName,
+  type TaskKeyParts,
   type UpkeepOrder,
 } from '@valvelatch/core/batch';
 import type { LeaseRow } from '@valvelatch/core/leases/lease';
@@ -385,7 +385,7 @@
   };
 
   /** How many tasks of a task's step are at work on an endpoint. */
-  const atWorkOn = ({ runs }: EndpointModel, { jobId, step }: TaskName): number =>
+  const atWorkOn = ({ runs }: EndpointModel, { jobId, step }: TaskKeyParts): number =>
     Array.from(runs.values()).filter(({ task, startedAtMs, needs, isStopping }) => {
       const one = parseTaskKey(task);
       const isOfStep = one?.jobId === jobId && one.step === step;
@@ -393,7 +393,7 @@
     }).length;
 
   /** Tasks of a lasting step that are at work on no endpoint. */
-  const awayOf = (name: TaskName): number => {
+  const awayOf = (name: TaskKeyParts): number => {
     const step = jobs.get(name.jobId)?.job.steps[name.step];
     const atWork = Array.from(endpoints.values())
       .filter((one) => one.isUp())
@@ -401,11 +401,11 @@
     return (step?.taskCount ?? 0) - atWork;
   };
 
-  const mayMissOf = (name: TaskName): number =>
+  const mayMissOf = (name: TaskKeyParts): number =>
     jobs.get(name.jobId)?.job.steps[name.step]?.mayMiss ?? 0;
 
   /** A job that has ended, or that its client cancels, keeps no budget. */
-  const isServed = ({ jobId }: TaskName): boolean => {
+  const isServed = ({ jobId }: TaskKeyParts): boolean => {
     const row = table.read(`job/${jobId}`).value as BatchJobRow | null;
     return row?.kind === 'live' && !cancelled.has(jobId);
   };
--- a/packages/daemon/src/observe/bounded-output.test.ts
+++ b/packages/daemon/src/observe/bounded-output.test.ts
@@ -1,7 +1,7 @@
 /** What is left of the log where its reader does not keep up. */
 import {
   createBatchState,
-  lifeOf,
+  endpointIdOf,
   noteRunEnd,
   seeEndpoint,
   takeEffects,
@@ -130,7 +130,7 @@
       const endpoint = seeEndpoint(
         state,
         {
-          endpointId: lifeOf('i-0123456789', 1_800_000_000_000),
+          endpointId: endpointIdOf('i-0123456789', 1_800_000_000_000),
           pool: brand('alpha'),
           hostId: null,
           address: '',
