--- a/packages/bench/src/backlog/backlog.ts
+++ b/packages/bench/src/backlog/backlog.ts
@@ -5,7 +5,7 @@
   createBatchState,
   DEFAULT_STEP,
   schedulePool,
-  seeEndpoint,
+  upsertEndpoint,
   takeAccounts,
   takeEffects,
   takeInJob,
@@ -39,7 +39,7 @@
   takeAccounts(state, new Map(names.map((name) => [name, { weight: 4, maximum: MAXIMUM }])));
   for (let index = 0; index < ENDPOINTS; index += 1) {
     const endpointId = brand<EndpointId>(`i-${index}`);
-    seeEndpoint(
+    upsertEndpoint(
       state,
       {
         endpointId,
@@ -57,7 +57,7 @@
       running: [],
       ended: [],
       hasMoreEnds: false,
-      askedAtMs: 1,
+      requestedAtMs: 1,
       nowMs: 2,
     });
   }
--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -2,9 +2,9 @@
 import {
   createBatchState,
   DEFAULT_STEP,
-  seeEndpoint,
+  upsertEndpoint,
   takeInJob,
-  usableEndpoints,
+  schedulableEndpoints,
   type BatchState,
   type StepRun,
   type StepSpec,
@@ -34,7 +34,7 @@
   const state = createBatchState(2);
   Array.from({ length: HOSTS }).forEach((_, index) => {
     const rack = Math.floor(index / HOSTS_PER_RACK);
-    const endpoint = seeEndpoint(
+    const endpoint = upsertEndpoint(
       state,
       {
         endpointId: brand(`i-${index}`),
@@ -77,7 +77,7 @@
 /** The time of one choice in the mean over a step's tasks, in microseconds. */
 const chooseUs = (state: BatchState, number: number, spec: Partial<StepSpec>): number => {
   const step = stepOf(state, number, spec);
-  const endpoints = usableEndpoints(state, poolName(0), 1);
+  const endpoints = schedulableEndpoints(state, poolName(0), 1);
   const beganAtMs = performance.now();
   const table = scoresFor(state, endpoints, step);
   const candidates = createCandidates(endpoints, { state, step, nowMs: 1 }, table);
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -14,8 +14,8 @@
   type Submission,
 } from '../testing/batch-state.fixtures.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
-import { expectReports } from '../endpoints/endpoints.js';
-import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
+import { addPendingReports } from '../endpoints/endpoints.js';
+import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { taskKey, type StepSpec } from '../model/job.js';
 import { cancelJob } from '../jobs/jobs.js';
 import { applyStartOutcome } from '../endpoints/order-answers.js';
@@ -48,7 +48,7 @@
   const state = createBatchState(2);
   [FIRST, SECOND].forEach((endpointId) => {
     see(state, endpointId);
-    answer(state, { endpointId, askedAtMs: 5, nowMs: 10 });
+    answer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
   });
   return state;
 };
@@ -103,7 +103,7 @@
     expect(runsOf(state, JOBS[1])).toBe(0);
     removeEndpoint(state, FIRST, { detail: 'host-taken', atMs: 40, nowMs: 40 });
     removeEndpoint(state, SECOND, { detail: 'host-taken', atMs: 40, nowMs: 40 });
-    settleGoneEndpoints(state, 40);
+    giveUpRunsOfGoneEndpoints(state, 40);
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 
@@ -177,7 +177,7 @@
   const stateAfterTakeover = (step: Partial<StepSpec>): BatchState => {
     const state = stateWithTwoEndpoints();
     see(state, THIRD);
-    expectReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
+    addPendingReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
     state.inheritedLeasesEndAtMs = 9000;
     submit(state, JOBS[0], { step, owner: ownerOf(NORTH, 10_000), isInherited: true });
     submit(state, JOBS[1], { step: { taskCount: 10 }, owner: ownerOf(NORTH, 10_000) });
@@ -210,7 +210,7 @@
 
   it('no longer count once all endpoints have reported', () => {
     const state = stateAfterTakeover({ taskCount: 4 });
-    answer(state, { endpointId: THIRD, askedAtMs: 30, nowMs: 40 });
+    answer(state, { endpointId: THIRD, requestedAtMs: 30, nowMs: 40 });
     reckonUnreported(state, 50);
     expect(state.unreportedUsage.size).toBe(0);
   });
@@ -226,9 +226,9 @@
       percent: 1,
       figure: 0,
     };
-    answer(state, { running: [listed], askedAtMs: 30, nowMs: 40 });
+    answer(state, { running: [listed], requestedAtMs: 30, nowMs: 40 });
     expect(state.usage.get(NORTH)).toMatchObject({ cpuMillis: 1000 });
-    answer(state, { askedAtMs: 50, nowMs: 60 });
+    answer(state, { requestedAtMs: 50, nowMs: 60 });
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 });
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-play.fixtures.ts
@@ -9,7 +9,7 @@
 import type { QueueOrder } from '../model/order-ways.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
 import { takeAccounts } from './quota.js';
-import type { EndReport } from '../endpoints/reports.js';
+import type { EndedRunReport } from '../endpoints/reports.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, takeEffects } from '../model/state.js';
 
@@ -68,7 +68,7 @@
   const ends: {
     readonly endpointId: EndpointId;
     readonly atMs: number;
-    readonly end: EndReport;
+    readonly end: EndedRunReport;
   }[] = [];
   let jobs = 0;
 
@@ -116,7 +116,7 @@
     });
     ids.forEach((endpointId) => {
       const due = ends.filter((entry) => entry.endpointId === endpointId && entry.atMs === nowMs);
-      answer(state, { endpointId, ended: due.map(({ end }) => end), askedAtMs: 0, nowMs });
+      answer(state, { endpointId, ended: due.map(({ end }) => end), requestedAtMs: 0, nowMs });
     });
     countCompleted(nowMs);
     schedulePool(state, POOL, nowMs);
--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -6,7 +6,7 @@
 import { change } from '../../shared/change.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { rackOf } from '../endpoints/endpoints.js';
-import type { NoteFields } from '../endpoints/run-end.js';
+import type { LogFields } from '../endpoints/run-end.js';
 import type {
   BatchState,
   EndpointCrash,
@@ -280,7 +280,7 @@
   { crashes }: Pick<Task, 'crashes'>,
   endpoint: EndpointState,
   todayMs: number,
-): NoteFields => {
+): LogFields => {
   const last = crashes.at(-1);
   if (!last) return {};
   return {
--- a/packages/core/src/batch/crashes/isolation.test.ts
+++ b/packages/core/src/batch/crashes/isolation.test.ts
@@ -15,8 +15,8 @@
 } from '../testing/batch-state.fixtures.js';
 import { giveUpReason } from './endpoint-crashes.js';
 import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
-import { expectReports } from '../endpoints/endpoints.js';
-import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
+import { addPendingReports } from '../endpoints/endpoints.js';
+import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { taskKey, type StepSpec } from '../model/job.js';
 import { cancelJob } from '../jobs/jobs.js';
 import { progressOf, restoreJob } from '../jobs/progress.js';
@@ -53,7 +53,7 @@
     percent: 100,
     figure: 0,
   }));
-  answer(state, { endpointId, running, askedAtMs: nowMs - 1, nowMs });
+  answer(state, { endpointId, running, requestedAtMs: nowMs - 1, nowMs });
 };
 
 /** Has endpoints report all of their runs as done. */
@@ -71,12 +71,12 @@
       kind: 'done' as const,
       checkpoint: '',
     }));
-    answer(state, { endpointId, ended, askedAtMs: nowMs - 1, nowMs });
+    answer(state, { endpointId, ended, requestedAtMs: nowMs - 1, nowMs });
   });
 
 const crash = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
   removeEndpoint(state, endpointId, { detail: 'host-list', atMs: nowMs - 10, nowMs });
-  settleGoneEndpoints(state, nowMs);
+  giveUpRunsOfGoneEndpoints(state, nowMs);
 };
 
 /** Creates a state in which the first of three endpoints has crashed while it ran the tasks of a job. */
@@ -169,7 +169,7 @@
     it('has no crash counted while an endpoint that may run it has not answered', () => {
       const state = takeOver();
       state.inheritedLeasesEndAtMs = 9000;
-      expectReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
+      addPendingReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
       scheduleWritten(state, 2020);
       expect(tasksOf(state, SUSPECT)[0]?.crashes).toHaveLength(1);
     });
@@ -328,7 +328,7 @@
     const running = [
       { task: taskKey(OTHER, 0, 0, 0), run: 1001, checkpoint: '', percent: 5, figure: 0 },
     ];
-    answer(state, { endpointId: FIRST, running, askedAtMs: 500, nowMs: 510 });
+    answer(state, { endpointId: FIRST, running, requestedAtMs: 500, nowMs: 510 });
     crash(state, FIRST, 1000);
     expect(isSuspectedOf(state, OTHER)).toBe(false);
   });
--- a/packages/core/src/batch/domains/outage.test.ts
+++ b/packages/core/src/batch/domains/outage.test.ts
@@ -4,7 +4,7 @@
 import { brand, type DomainId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
-import { isSound } from '../endpoints/sound-endpoints.js';
+import { isSchedulable } from '../endpoints/sound-endpoints.js';
 import {
   createBatchState,
   takeEffects,
@@ -43,7 +43,7 @@
   );
 
 const areUsable = (state: BatchState, endpoints: readonly EndpointState[]): readonly boolean[] =>
-  endpoints.map((endpoint) => isSound(state, endpoint, 200));
+  endpoints.map((endpoint) => isSchedulable(state, endpoint, 200));
 
 describe('a rack', () => {
   it('is suspected once a third of its endpoints have left a request unanswered', () => {
@@ -76,7 +76,7 @@
     const { state, endpoints } = createFleet({ racks: 2, hostsPerRack: 4 });
     endpoints.slice(0, 4).forEach((endpoint) => {
       leaveUnanswered(state, [endpoint]);
-      answer(state, { endpointId: endpoint.endpointId, askedAtMs: 110, nowMs: 120 });
+      answer(state, { endpointId: endpoint.endpointId, requestedAtMs: 110, nowMs: 120 });
     });
     expect(suspectedIn(state)).toEqual([]);
   });
--- a/packages/core/src/batch/domains/spread.test.ts
+++ b/packages/core/src/batch/domains/spread.test.ts
@@ -3,7 +3,7 @@
 
 import { brand, type DomainId, type JobId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
+import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { createBatchState, type BatchState, type StepRun } from '../model/state.js';
 import type { StepSpec } from '../model/job.js';
 import { schedulePool } from '../placement/schedule.js';
@@ -70,7 +70,7 @@
     endpoints.slice(0, 4).forEach(({ endpointId }) => {
       removeEndpoint(state, endpointId, { detail: 'host-ordered', atMs: 30, nowMs: 30 });
     });
-    settleGoneEndpoints(state, 40);
+    giveUpRunsOfGoneEndpoints(state, 40);
     schedulePool(state, POOL, 50);
     expect(Array.from(countBy(state, 'rack')).sort()).toEqual([2, 3, 3]);
     expect(state.domains.size).toBe(5);
@@ -104,7 +104,7 @@
     const state = createBatchState(2);
     ['dc-0', 'dc-1'].forEach((dataCentre, number) => {
       const { endpointId } = seeAt(state, { number, dataCentre, rack: 'rack-0' });
-      answer(state, { endpointId, askedAtMs: 5, nowMs: 10 });
+      answer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
     });
     submit(state, { taskCount: 2 });
     expect(countBy(state, 'rack')).toEqual([1, 1]);
--- a/packages/core/src/batch/endpoints/answer-times.ts
+++ b/packages/core/src/batch/endpoints/answer-times.ts
@@ -51,18 +51,18 @@
 const clamp = (ms: number, maxMs: number): number => Math.min(maxMs, Math.max(MIN_TIMEOUT_MS, ms));
 
 /** Whether the last call to an endpoint was left without a response. */
-export type CallState = { isMissing: boolean };
+export type EndpointCallState = { hasMissedResponse: boolean };
 
 /** Response times over all endpoints, which reflect this entry's own link and processor. */
-export type LinkDelay = {
-  readonly note: (endpoint: CallState, tookMs: number) => void;
+export type SharedDelayEstimator = {
+  readonly recordResponse: (endpoint: EndpointCallState, tookMs: number) => void;
   /** Records that no response arrived within `waitedMs`. */
-  readonly noteMiss: (endpoint: CallState, waitedMs: number) => void;
-  readonly forget: (endpoint: CallState) => void;
+  readonly recordMiss: (endpoint: EndpointCallState, waitedMs: number) => void;
+  readonly remove: (endpoint: EndpointCallState) => void;
   /** True if so many endpoints miss responses that this entry's link or processor must be the cause. */
-  readonly isAtFault: () => boolean;
+  readonly isLocalFault: () => boolean;
   /** The timeout that results from the responses of all endpoints; 0 before the first response. */
-  readonly limitMs: () => number;
+  readonly timeoutMs: () => number;
   /** The smoothed mean response time of all endpoints; 0 before the first response. */
   readonly meanMs: () => number;
 };
@@ -74,44 +74,44 @@
  *
  * @returns The estimator.
  */
-export const createLinkDelay = (): LinkDelay => {
-  const endpoints = new Set<CallState>();
+export const createSharedDelayEstimator = (): SharedDelayEstimator => {
+  const endpoints = new Set<EndpointCallState>();
   let missingCount = 0;
   let smoothed: Smoothed | undefined;
 
-  const setMissing = (endpoint: CallState, isMissing: boolean): void => {
+  const setMissing = (endpoint: EndpointCallState, hasMissedResponse: boolean): void => {
     endpoints.add(endpoint);
-    if (endpoint.isMissing !== isMissing) missingCount += isMissing ? 1 : -1;
-    change(endpoint, { isMissing });
+    if (endpoint.hasMissedResponse !== hasMissedResponse) missingCount += hasMissedResponse ? 1 : -1;
+    change(endpoint, { hasMissedResponse });
   };
 
-  const isAtFault = (): boolean => missingCount > endpoints.size * LOCAL_FAULT_SHARE;
+  const isLocalFault = (): boolean => missingCount > endpoints.size * LOCAL_FAULT_SHARE;
 
   return {
-    note: (endpoint, tookMs) => {
+    recordResponse: (endpoint, tookMs) => {
       setMissing(endpoint, false);
       smoothed = smooth(smoothed, tookMs);
     },
-    noteMiss: (endpoint, waitedMs) => {
+    recordMiss: (endpoint, waitedMs) => {
       setMissing(endpoint, true);
-      if (isAtFault())
+      if (isLocalFault())
         smoothed = smooth(smoothed, Math.min(MAX_LINK_TIMEOUT_MS, waitedMs * BACKOFF_FACTOR));
     },
-    forget: (endpoint) => {
-      if (endpoints.delete(endpoint) && endpoint.isMissing) missingCount -= 1;
+    remove: (endpoint) => {
+      if (endpoints.delete(endpoint) && endpoint.hasMissedResponse) missingCount -= 1;
     },
-    isAtFault,
-    limitMs: () => (smoothed ? Math.min(MAX_LINK_TIMEOUT_MS, timeoutOf(smoothed)) : 0),
+    isLocalFault,
+    timeoutMs: () => (smoothed ? Math.min(MAX_LINK_TIMEOUT_MS, timeoutOf(smoothed)) : 0),
     meanMs: () => smoothed?.meanMs ?? 0,
   };
 };
 
 /** Response times of one endpoint. */
-export type AnswerTimes = {
+export type EndpointDelayEstimator = {
   /** Records how long a response took. */
-  readonly note: (tookMs: number) => void;
+  readonly recordResponse: (tookMs: number) => void;
   /** Records that no response arrived within `waitedMs`. */
-  readonly noteMiss: (waitedMs: number) => void;
+  readonly recordMiss: (waitedMs: number) => void;
   /** How long to wait for the next response. */
   readonly timeoutMs: () => number;
   /** Removes the endpoint from the shared estimator, as it is not called any more. */
@@ -124,26 +124,26 @@
  * @param link - The estimator that all endpoints share.
  * @returns The estimator; before the first response, its timeout is the maximum for an endpoint.
  */
-export const createAnswerTimes = (link: LinkDelay = createLinkDelay()): AnswerTimes => {
-  const callState: CallState = { isMissing: false };
+export const createEndpointDelayEstimator = (link: SharedDelayEstimator = createSharedDelayEstimator()): EndpointDelayEstimator => {
+  const callState: EndpointCallState = { hasMissedResponse: false };
   let smoothed: Smoothed | undefined;
   let backoffFactor = 1;
   return {
-    note: (tookMs) => {
+    recordResponse: (tookMs) => {
       smoothed = smooth(smoothed, tookMs);
       backoffFactor = 1;
-      link.note(callState, tookMs);
+      link.recordResponse(callState, tookMs);
     },
-    noteMiss: (waitedMs) => {
+    recordMiss: (waitedMs) => {
       backoffFactor *= BACKOFF_FACTOR;
-      link.noteMiss(callState, waitedMs);
+      link.recordMiss(callState, waitedMs);
     },
     timeoutMs: () => {
       const endpointTimeoutMs = smoothed
         ? clamp(timeoutOf(smoothed) * backoffFactor, MAX_ENDPOINT_TIMEOUT_MS)
         : MAX_ENDPOINT_TIMEOUT_MS;
-      return clamp(Math.max(endpointTimeoutMs, link.limitMs()), MAX_LINK_TIMEOUT_MS);
+      return clamp(Math.max(endpointTimeoutMs, link.timeoutMs()), MAX_LINK_TIMEOUT_MS);
     },
-    close: () => link.forget(callState),
+    close: () => link.remove(callState),
   };
 };
--- a/packages/core/src/batch/endpoints/endpoint-model.ts
+++ b/packages/core/src/batch/endpoints/endpoint-model.ts
@@ -14,11 +14,11 @@
   StartOrder,
   StopOrder,
 } from '../model/orders.js';
-import type { EndKind, EndpointReport, EndReport, RunningReport } from './reports.js';
+import type { RunEndKind, EndpointReport, EndedRunReport, RunningReport } from './reports.js';
 import type { Capacity } from '../model/state.js';
 
 /** Properties of a task in the simulation. */
-export type ModelTask = {
+export type SimulatedTask = {
   readonly cpuMillis: number;
   readonly memoryMb: number;
   readonly runMs: number;
@@ -35,7 +35,7 @@
 type SimulatedRun = {
   readonly task: TaskKey;
   readonly run: number;
-  readonly needs: ModelTask;
+  readonly needs: SimulatedTask;
   readonly startedAtMs: number;
   isStopping: boolean;
   timer: NodeJS.Timeout | undefined;
@@ -43,26 +43,26 @@
 
 /** Receives all events of simulated endpoints, to check invariants. */
 export type EndpointObserver = {
-  readonly onStart: (endpoint: EndpointModel, task: TaskKey, run: number) => void;
+  readonly onStart: (endpoint: SimulatedEndpoint, task: TaskKey, run: number) => void;
   readonly onEnd: (
-    endpoint: EndpointModel,
+    endpoint: SimulatedEndpoint,
     task: TaskKey,
     run: number,
-    kind: EndKind | 'died',
+    kind: RunEndKind | 'died',
   ) => void;
-  readonly onAcknowledged: (end: EndReport) => void;
+  readonly onAcknowledged: (end: EndedRunReport) => void;
   /** Called when a task crashes the endpoint; the creator of the endpoint then calls `die`. */
-  readonly onCrash?: (endpoint: EndpointModel, task: TaskKey) => void;
-  readonly needsOf: (task: TaskKey) => ModelTask;
+  readonly onCrash?: (endpoint: SimulatedEndpoint, task: TaskKey) => void;
+  readonly taskOf: (task: TaskKey) => SimulatedTask;
 };
 
-export type EndpointModel = {
+export type SimulatedEndpoint = {
   readonly instanceId: InstanceId;
   readonly hostId: HostId;
   readonly pool: PoolName;
   readonly capacity: Capacity;
   /** When this incarnation started, in wall-clock time. */
-  readonly bornAtMs: number;
+  readonly startedAtMs: number;
   /** The id of this incarnation. */
   readonly endpointId: EndpointId;
   readonly isUp: () => boolean;
@@ -75,9 +75,9 @@
   readonly start: (order: StartOrder) => Result<EndpointClock, OrderError>;
   readonly stop: (order: StopOrder) => Result<EndpointClock, OrderError>;
   /** Kills all runs; nothing is reported afterwards. */
-  readonly die: () => void;
+  readonly crash: () => void;
   /** `hangs`: tasks make no progress. `fails`: tasks that start from now on fail. */
-  mood: 'sound' | 'hangs' | 'fails';
+  faultMode: 'sound' | 'hangs' | 'fails';
 };
 
 const STOP_DURATION_MS = 300;
@@ -88,7 +88,7 @@
 const refuse = (reason: OrderError['reason']): Err<OrderError> =>
   Err({ verdict: 'notRun', reason, detail: `the endpoint said ${reason}` });
 
-export type EndpointModelOptions = {
+export type SimulatedEndpointOptions = {
   readonly instanceId: InstanceId;
   readonly hostId: HostId;
   readonly pool: PoolName;
@@ -108,7 +108,7 @@
  * @param options - Its ids, capacity and clock.
  * @returns The endpoint.
  */
-export const createEndpointModel = ({
+export const createSimulatedEndpoint = ({
   instanceId,
   hostId,
   pool,
@@ -117,12 +117,12 @@
   observer,
   endsPerAnswer = DEFAULT_ENDS_PER_RESPONSE,
   longestLeaseMs = DEFAULT_MAX_LEASE_MS,
-}: EndpointModelOptions): EndpointModel => {
+}: SimulatedEndpointOptions): SimulatedEndpoint => {
   const clockStartedAtMs = performance.now();
   const bornAtMs = Math.floor(Date.now());
   const runs = new Map<TaskKey, SimulatedRun>();
   const highestEndedRun = new Map<TaskKey, number>();
-  let unacknowledgedEnds: EndReport[] = [];
+  let unacknowledgedEnds: EndedRunReport[] = [];
   let lastEndNumber = 0;
   let fence = 0;
   let leaseEndsAtMs = 0;
@@ -132,7 +132,7 @@
 
   const clockMs = (): number => 1000 + (performance.now() - clockStartedAtMs) * clockRate;
 
-  const finish = (run: SimulatedRun, kind: EndKind): void => {
+  const finish = (run: SimulatedRun, kind: RunEndKind): void => {
     if (!isUp || runs.get(run.task) !== run) return;
     clearTimeout(run.timer);
     runs.delete(run.task);
@@ -186,18 +186,18 @@
 
   const progressOf = ({ startedAtMs, needs, isStopping }: SimulatedRun): number => {
     const ranMs = performance.now() - startedAtMs;
-    if (self.mood === 'hangs' || isStopping) return 0;
+    if (self.faultMode === 'hangs' || isStopping) return 0;
     const totalMs = needs.isLasting ? (needs.startMs ?? DEFAULT_START_MS) : needs.runMs;
     return Math.min(needs.isLasting ? 100 : 99, Math.floor((ranMs / totalMs) * 100));
   };
 
-  const start: EndpointModel['start'] = ({ task, run, keepUntilMs, fence: orderFence, ticket }) => {
+  const start: SimulatedEndpoint['start'] = ({ task, run, keepUntilMs, fence: orderFence, ticket }) => {
     if (!acceptFence(orderFence)) return refuse('fence');
     if (keepUntilMs <= clockMs()) return refuse('late');
     extendLease(keepUntilMs);
     if (runs.get(task)?.run === run) return Ok({ clockMs: clockMs() });
     if (run <= (highestEndedRun.get(task) ?? 0) || runs.has(task)) return refuse('old');
-    const needs = observer.needsOf(task);
+    const needs = observer.taskOf(task);
     if (needs.ticket !== undefined && needs.ticket !== ticket) return refuse('ticket');
     const used = usedCapacity();
     if (
@@ -220,14 +220,14 @@
       newRun.timer = setTimeout(() => observer.onCrash?.(self, task), needs.crashesAfterMs);
       return Ok({ clockMs: clockMs() });
     }
-    const fails = needs.fails || self.mood === 'fails';
-    if (self.mood !== 'hangs' && (!needs.isLasting || fails)) {
+    const fails = needs.fails || self.faultMode === 'fails';
+    if (self.faultMode !== 'hangs' && (!needs.isLasting || fails)) {
       newRun.timer = setTimeout(() => finish(newRun, fails ? 'failed' : 'done'), needs.runMs);
     }
     return Ok({ clockMs: clockMs() });
   };
 
-  const stop: EndpointModel['stop'] = ({ task, run, fence: orderFence }) => {
+  const stop: SimulatedEndpoint['stop'] = ({ task, run, fence: orderFence }) => {
     if (!acceptFence(orderFence)) return refuse('fence');
     const existingRun = runs.get(task);
     if (existingRun && existingRun.run <= run && !existingRun.isStopping) {
@@ -239,7 +239,7 @@
     return Ok({ clockMs: clockMs() });
   };
 
-  const list: EndpointModel['list'] = async ({
+  const list: SimulatedEndpoint['list'] = async ({
     fence: orderFence,
     acknowledged,
     keepUntilMs,
@@ -274,19 +274,19 @@
     return Ok({ clockMs: clockMs(), running, ended, hasMoreEnds });
   };
 
-  const self: EndpointModel = {
+  const self: SimulatedEndpoint = {
     instanceId,
     hostId,
     pool,
     capacity,
-    bornAtMs,
+    startedAtMs: bornAtMs,
     endpointId: endpointIdOf(instanceId, bornAtMs),
     isUp: () => isUp,
     runs,
     list,
     start,
     stop,
-    die: () => {
+    crash: () => {
       isUp = false;
       clearTimeout(leaseTimer);
       runs.forEach((run) => {
@@ -295,7 +295,7 @@
       });
       runs.clear();
     },
-    mood: 'sound',
+    faultMode: 'sound',
   };
   return self;
 };
--- a/packages/core/src/batch/endpoints/endpoints.ts
+++ b/packages/core/src/batch/endpoints/endpoints.ts
@@ -11,7 +11,7 @@
 } from '../model/state.js';
 
 /** An endpoint as it describes itself. */
-export type EndpointSighting = {
+export type EndpointDescription = {
   readonly endpointId: EndpointId;
   readonly pool: PoolName;
   readonly hostId: HostId | null;
@@ -32,9 +32,9 @@
  * @param nowMs - The current time.
  * @returns The endpoint's state.
  */
-export const seeEndpoint = (
+export const upsertEndpoint = (
   state: BatchState,
-  sighting: EndpointSighting,
+  sighting: EndpointDescription,
   nowMs: number,
 ): EndpointState => {
   const existing = state.endpoints.get(sighting.endpointId);
@@ -95,7 +95,7 @@
  * @param state - The holder's batch state, modified in place.
  * @param endpoints - The endpoints with their pools, including those without an address.
  */
-export const expectReports = (
+export const addPendingReports = (
   state: BatchState,
   endpoints: readonly { readonly instanceId: InstanceId; readonly pool: PoolName }[],
 ): void => {
@@ -123,7 +123,7 @@
  * @param hosts - The hosts in a later list.
  * @param nowMs - The current time.
  */
-export const dropUnseenReports = (
+export const dropUnlistedPendingReports = (
   state: BatchState,
   expected: readonly HostedEndpoint[],
   hosts: ReadonlyMap<HostId, { readonly instanceId: InstanceId | null }>,
--- a/packages/core/src/batch/endpoints/feed-scope.ts
+++ b/packages/core/src/batch/endpoints/feed-scope.ts
@@ -5,7 +5,7 @@
  */
 
 /** How the rows of a table are written. */
-export type RowsUse =
+export type TableWritePattern =
   /** Few rows that are overwritten repeatedly; only their current values matter. */
   | 'state'
   /** A growing number of rows, each written a few times; all rows would cost more than the missed changes. */
@@ -14,16 +14,16 @@
 /** What a request asks for: the changes since the last response, or all current rows. */
 export type FeedScope = 'changes' | 'whole';
 
-export type FeedPast = {
-  readonly use: RowsUse;
+export type FeedHistory = {
+  readonly writePattern: TableWritePattern;
   /** False before the first response, and once the changes since the last one are no longer available. */
   readonly hasPosition: boolean;
   /** True if the last request got no response, so that it is unknown for how long nothing was read. */
-  readonly hasFailed: boolean;
+  readonly hasLastRequestFailed: boolean;
   /** Size of the last response. */
-  readonly answerBytes: number;
+  readonly lastResponseBytes: number;
   /** Size of one copy of all rows, as they were last read. */
-  readonly stateBytes: number;
+  readonly allRowsBytes: number;
 };
 
 /**
@@ -40,14 +40,14 @@
  * @returns The scope of the next request.
  */
 export const nextFeedScope = ({
-  use,
+  writePattern,
   hasPosition,
-  hasFailed,
-  answerBytes,
-  stateBytes,
-}: FeedPast): FeedScope => {
+  hasLastRequestFailed,
+  lastResponseBytes,
+  allRowsBytes,
+}: FeedHistory): FeedScope => {
   if (!hasPosition) return 'whole';
-  if (use === 'log') return 'changes';
-  const isBehind = answerBytes > MAX_COPIES_PER_RESPONSE * stateBytes;
-  return hasFailed || isBehind ? 'whole' : 'changes';
+  if (writePattern === 'log') return 'changes';
+  const isBehind = lastResponseBytes > MAX_COPIES_PER_RESPONSE * allRowsBytes;
+  return hasLastRequestFailed || isBehind ? 'whole' : 'changes';
 };
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.test.ts
@@ -14,15 +14,15 @@
   scheduleWritten,
 } from '../testing/batch-state.fixtures.js';
 import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
-import { barOpenStarts } from './followed-runs.js';
-import { removeEndpoint, settleGoneEndpoints } from './gone-endpoints.js';
+import { blockUnansweredStarts } from './followed-runs.js';
+import { removeEndpoint, giveUpRunsOfGoneEndpoints } from './gone-endpoints.js';
 import { cancelJob } from '../jobs/jobs.js';
-import { closeStart, LATEST_ORDER_MS, openStart } from './open-starts.js';
-import { applyStartOutcome, applyStopAnswer } from './order-answers.js';
-import type { EndKind } from './reports.js';
+import { recordStartsAnswered, MAX_ORDER_DELAY_MS, recordStartSent } from './open-starts.js';
+import { applyStartOutcome, applyStopResponse } from './order-answers.js';
+import type { RunEndKind } from './reports.js';
 import { endpointsOf } from '../placement/schedule.js';
 import { takeEffects, type BatchEffect, type BatchState, type GoneCause } from '../model/state.js';
-import { watchRuns } from './watch-runs.js';
+import { handleStalledAndLapsedRuns } from './watch-runs.js';
 
 const FIRST_INCARNATION = endpointIdOf('i-0000000001', 1_700_000_000_000);
 const NEXT_INCARNATION = endpointIdOf('i-0000000001', 1_700_000_000_900);
@@ -32,20 +32,20 @@
 const ORDERED_RUN = { task: TASK, run: FIRST_RUN };
 
 const runningReport = { ...ORDERED_RUN, checkpoint: '', percent: 10, figure: 0 };
-const endOf = (kind: EndKind) => ({ ...ORDERED_RUN, number: 1, kind, checkpoint: '' });
+const endOf = (kind: RunEndKind) => ({ ...ORDERED_RUN, number: 1, kind, checkpoint: '' });
 
 describe('a run on an endpoint that restarts under the same id', () => {
   let state: BatchState;
   let effects: BatchEffect[];
 
   const runCycle = (nowMs: number): void => {
-    settleGoneEndpoints(state, nowMs);
+    giveUpRunsOfGoneEndpoints(state, nowMs);
     scheduleWritten(state, nowMs);
     effects.push(...takeEffects(state));
   };
 
   const respond = (endpointId: EndpointId, nowMs: number, lists: object = {}): void =>
-    answer(state, { endpointId, askedAtMs: nowMs - 2, nowMs, ...lists });
+    answer(state, { endpointId, requestedAtMs: nowMs - 2, nowMs, ...lists });
 
   const stopOrdersAt = (endpointId: EndpointId) =>
     effects.filter((one) => one.kind === 'stop' && one.endpointId === endpointId);
@@ -58,7 +58,7 @@
   const registerNextIncarnation = (): void => {
     see(state, NEXT_INCARNATION, RESPONSE_AT_MS - 10);
     const next = state.endpoints.get(NEXT_INCARNATION);
-    if (next) barOpenStarts(state, next, RESPONSE_AT_MS - 10);
+    if (next) blockUnansweredStarts(state, next, RESPONSE_AT_MS - 10);
   };
 
   /** The task is ordered to start on the first incarnation; a second endpoint could run it as well. */
@@ -68,14 +68,14 @@
     see(state, FIRST_INCARNATION);
     respond(FIRST_INCARNATION, 10);
     runCycle(SENT_AT_MS);
-    openStart(state, FIRST_INCARNATION, ORDERED_RUN, SENT_AT_MS);
+    recordStartSent(state, FIRST_INCARNATION, ORDERED_RUN, SENT_AT_MS);
     see(state, SECOND);
     respond(SECOND, 30);
     expect(endpointsOf(state, taskOf(state))).toEqual([FIRST_INCARNATION]);
   });
 
   const answerStart = (): void => {
-    closeStart(state, FIRST_INCARNATION, ORDERED_RUN);
+    recordStartsAnswered(state, FIRST_INCARNATION, ORDERED_RUN);
     applyStartOutcome(state, FIRST_INCARNATION, {
       ...ORDERED_RUN,
       outcome: 'started',
@@ -161,9 +161,9 @@
       'is not started elsewhere while the order may reach the next incarnation (%s)',
       (detail) => {
         loseEndpoint(detail);
-        runCycle(SENT_AT_MS + LATEST_ORDER_MS - 1);
+        runCycle(SENT_AT_MS + MAX_ORDER_DELAY_MS - 1);
         expect(endpointsOf(state, taskOf(state))).toEqual([]);
-        runCycle(SENT_AT_MS + LATEST_ORDER_MS + 1);
+        runCycle(SENT_AT_MS + MAX_ORDER_DELAY_MS + 1);
         expect(endpointsOf(state, taskOf(state))).toEqual([SECOND]);
       },
     );
@@ -183,7 +183,7 @@
       runCycle(RESPONSE_AT_MS);
       expect(stopOrdersAt(NEXT_INCARNATION)).toMatchObject([ORDERED_RUN]);
       expect(endpointsOf(state, taskOf(state))).toEqual([NEXT_INCARNATION]);
-      applyStopAnswer(state, NEXT_INCARNATION, TASK, FIRST_RUN, RESPONSE_AT_MS + 10);
+      applyStopResponse(state, NEXT_INCARNATION, TASK, FIRST_RUN, RESPONSE_AT_MS + 10);
       respond(NEXT_INCARNATION, RESPONSE_AT_MS + 20);
       runCycle(RESPONSE_AT_MS + 20);
       expect(taskOf(state).lastRun).toBe(FIRST_RUN + 1);
@@ -196,7 +196,7 @@
         outcome: 'unknown',
         nowMs: SENT_AT_MS + 50,
       });
-      applyStopAnswer(state, FIRST_INCARNATION, TASK, FIRST_RUN, SENT_AT_MS + 60);
+      applyStopResponse(state, FIRST_INCARNATION, TASK, FIRST_RUN, SENT_AT_MS + 60);
       respond(FIRST_INCARNATION, SENT_AT_MS + 80);
       runCycle(SENT_AT_MS + 80);
       expect(taskOf(state).lastRun).toBe(FIRST_RUN + 1);
@@ -209,8 +209,8 @@
     it('is not given up at the end of the lease of a silent endpoint, which may have restarted unnoticed', () => {
       const endpoint = state.endpoints.get(FIRST_INCARNATION);
       Object.assign(endpoint ?? {}, { leaseEndsAtMs: 7000 });
-      expect(watchRuns(state, 7100)).toEqual([]);
-      expect(watchRuns(state, SENT_AT_MS + LATEST_ORDER_MS + 1)).toHaveLength(1);
+      expect(handleStalledAndLapsedRuns(state, 7100)).toEqual([]);
+      expect(handleStalledAndLapsedRuns(state, SENT_AT_MS + MAX_ORDER_DELAY_MS + 1)).toHaveLength(1);
     });
   });
 
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -8,7 +8,7 @@
 import { judgeCrash, recordCrash } from '../crashes/endpoint-crashes.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { giveUpIfDue } from '../jobs/give-up.js';
-import { isStartOpen, openStartsAt, type StartedRun } from './open-starts.js';
+import { isStartInTransit, unansweredStartsAt, type RunKey } from './open-starts.js';
 import { moveRun, stopRun } from './runs.js';
 import {
   isFinal,
@@ -30,14 +30,14 @@
 /** Allows for an endpoint clock that is 2 % slow and for the time that a response is in transit. */
 const LEASE_MARGIN_FACTOR = 1.05;
 
-const startedRunOf = ({ task, run }: RunState): StartedRun => ({ task: task.key, run });
+const startedRunOf = ({ task, run }: RunState): RunKey => ({ task: task.key, run });
 
 const isStartUnanswered = (
   state: BatchState,
   { endpointId }: EndpointState,
   run: RunState,
   nowMs: number,
-): boolean => isStartOpen(state, endpointId, startedRunOf(run), nowMs);
+): boolean => isStartInTransit(state, endpointId, startedRunOf(run), nowMs);
 
 /**
  * A start order contains the end of the lease by the clock of the incarnation that it was meant for. A later
@@ -59,7 +59,7 @@
  * @returns True while an order to start the run may still be executed, or while the lease that a later incarnation
  *   may have granted to the run can last.
  */
-export const mayRunInLaterLife = (
+export const mayRunInUnreportedIncarnation = (
   state: BatchState,
   endpoint: EndpointState,
   run: RunState,
@@ -81,7 +81,7 @@
  * @param nowMs - The current time.
  * @returns True until the next incarnation has reported, or until the order can have no effect any more.
  */
-export const mayBeFollowed = (
+export const mayRunInNextIncarnation = (
   state: BatchState,
   { endpoint, detail, atMs, hasSuccessorAnswered }: GoneEndpoint,
   run: RunState,
@@ -91,12 +91,12 @@
   if (isStartUnanswered(state, endpoint, run, nowMs)) return true;
   const isKnownToBeOver =
     hasSuccessorAnswered || (CAUSES_WITH_NONE_RUNNING.has(detail) && atMs > run.confirmedAtMs);
-  return !isKnownToBeOver && mayRunInLaterLife(state, endpoint, run, nowMs);
+  return !isKnownToBeOver && mayRunInUnreportedIncarnation(state, endpoint, run, nowMs);
 };
 
 /** The runs that an endpoint listed in its first response. */
 type FirstReport = {
-  readonly listed: readonly StartedRun[];
+  readonly listed: readonly RunKey[];
   readonly nowMs: number;
 };
 
@@ -164,7 +164,7 @@
  * @param next - The incarnation that responded.
  * @param report - All runs that it lists, running or ended.
  */
-export const followRuns = (
+export const applyFirstReport = (
   state: BatchState,
   next: EndpointState,
   { listed, nowMs }: FirstReport,
@@ -193,14 +193,14 @@
  * @param next - The new incarnation.
  * @param nowMs - The current time.
  */
-export const barOpenStarts = (state: BatchState, next: EndpointState, nowMs: number): void => {
+export const blockUnansweredStarts = (state: BatchState, next: EndpointState, nowMs: number): void => {
   const instanceId = instanceIdOf(next.endpointId);
   const heldTasks = new Set(
     Array.from(state.goneEndpoints.values())
       .filter(({ endpoint }) => instanceIdOf(endpoint.endpointId) === instanceId)
       .flatMap(({ endpoint }) => Array.from(endpoint.runs.keys())),
   );
-  openStartsAt(state, instanceId, nowMs)
+  unansweredStartsAt(state, instanceId, nowMs)
     .filter(({ task }) => !heldTasks.has(task))
     .forEach(({ task, run }) =>
       state.effects.push({
--- a/packages/core/src/batch/endpoints/gone-endpoints.test.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.test.ts
@@ -12,8 +12,8 @@
   scheduleWritten,
 } from '../testing/batch-state.fixtures.js';
 import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
-import { expectReports } from './endpoints.js';
-import { removeEndpoint, settleGoneEndpoints } from './gone-endpoints.js';
+import { addPendingReports } from './endpoints.js';
+import { removeEndpoint, giveUpRunsOfGoneEndpoints } from './gone-endpoints.js';
 import { endpointsOf } from '../placement/schedule.js';
 import { takeEffects, type BatchState } from '../model/state.js';
 import type { EndpointId } from '../../shared/ids.js';
@@ -28,13 +28,13 @@
 };
 
 const respond = (state: BatchState, endpointId: EndpointId, nowMs: number): void =>
-  answer(state, { endpointId, askedAtMs: nowMs - 1, nowMs });
+  answer(state, { endpointId, requestedAtMs: nowMs - 1, nowMs });
 
 const loseEndpoint = (state: BatchState, endpointId: EndpointId, nowMs: number): void =>
   removeEndpoint(state, endpointId, { detail: 'host-list', atMs: nowMs - 50, nowMs });
 
 const runCycle = (state: BatchState, nowMs: number): void => {
-  settleGoneEndpoints(state, nowMs);
+  giveUpRunsOfGoneEndpoints(state, nowMs);
   scheduleWritten(state, nowMs);
 };
 
@@ -83,7 +83,7 @@
       loseEndpoint(state, FIRST, SOLE_HOLDER_UNTIL_MS + 100);
       state.soleHolderUntilMs = SOLE_HOLDER_UNTIL_MS + 6000;
       takeEffects(state);
-      settleGoneEndpoints(state, SOLE_HOLDER_UNTIL_MS + 3100);
+      giveUpRunsOfGoneEndpoints(state, SOLE_HOLDER_UNTIL_MS + 3100);
       expect(takeEffects(state)).toMatchObject([
         { kind: 'save', isUrgent: false },
         {
@@ -99,7 +99,7 @@
       const state = stateWith({ isInherited: true });
       Object.assign(state, { inheritedLeasesEndAtMs: 9000, soleHolderUntilMs: Infinity });
       [life, SECOND].forEach((endpointId) => see(state, endpointId));
-      expectReports(state, [
+      addPendingReports(state, [
         { instanceId: instanceIdOf(life), pool: POOL },
         { instanceId: instanceIdOf(SECOND), pool: POOL },
       ]);
@@ -117,7 +117,7 @@
       const state = stateWith({ isInherited: true });
       see(state, FIRST);
       see(state, SECOND);
-      expectReports(state, [
+      addPendingReports(state, [
         { instanceId: instanceIdOf(FIRST), pool: POOL },
         { instanceId: instanceIdOf(SECOND), pool: POOL },
       ]);
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -15,11 +15,11 @@
 import { leaveDomains } from '../domains/domains.js';
 import { forgetSuspect } from '../domains/outage.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
-import { mayBeFollowed } from './followed-runs.js';
+import { mayRunInNextIncarnation } from './followed-runs.js';
 import { giveUpIfDue } from '../jobs/give-up.js';
-import { loseRun } from './lost-runs.js';
+import { endRunWithoutReport } from './lost-runs.js';
 import { chargeStrays } from '../accounts/quota.js';
-import { noteRunEnd, type NoteFields, type RunEvidence } from './run-end.js';
+import { recordRunEnd, type LogFields, type RunEvidence } from './run-end.js';
 import {
   isFinal,
   isSoleHolder,
@@ -30,7 +30,7 @@
 } from '../model/state.js';
 
 /** The evidence that an endpoint is gone, when it held, and the current time. */
-export type EndpointEnd = Pick<GoneEndpoint, 'detail' | 'atMs'> & { readonly nowMs: number };
+export type GoneEvidence = Pick<GoneEndpoint, 'detail' | 'atMs'> & { readonly nowMs: number };
 
 /**
  * Marks an endpoint as gone. It gets no new tasks and its capacity no longer counts. Tasks that ran there, and
@@ -43,7 +43,7 @@
 export const removeEndpoint = (
   state: BatchState,
   endpointId: EndpointId,
-  { detail, atMs, nowMs }: EndpointEnd,
+  { detail, atMs, nowMs }: GoneEvidence,
 ): void => {
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint) return;
@@ -75,7 +75,7 @@
   { endpoint, crashesByRun }: GoneEndpoint,
   runs: readonly RunState[],
   nowMs: number,
-): ReadonlyMap<RunState, NoteFields> => {
+): ReadonlyMap<RunState, LogFields> => {
   const judged = runs.flatMap((run) => {
     const isLive = run.task.phase !== 'done' && !isFinal(run.step.job.phase);
     const crash = isLive ? crashesByRun?.get(run) : undefined;
@@ -91,20 +91,20 @@
   state: BatchState,
   { endpoint, detail, atMs }: GoneEndpoint,
   run: RunState,
-  fields: NoteFields | undefined,
+  fields: LogFields | undefined,
   nowMs: number,
 ): void => {
   const { task, step } = run;
-  noteRunEnd(state, {
+  recordRunEnd(state, {
     endpoint,
     task: task.key,
     run: run.run,
-    found: { task, step },
+    taskWithStep: { task, step },
     startedAtMs: undefined,
     evidence: { cause: 'endpoint-gone', atMs, detail },
     nowMs,
     fields,
-    settle: () => giveUpIfDue(state, run),
+    updateTask: () => giveUpIfDue(state, run),
   });
 };
 
@@ -122,14 +122,14 @@
   const { endpoint, detail, atMs } = gone;
   const evidence: RunEvidence = { cause: 'endpoint-gone', atMs, detail };
   const endedRuns = Array.from(endpoint.runs.values()).filter(
-    (run) => !mayBeFollowed(state, gone, run, nowMs),
+    (run) => !mayRunInNextIncarnation(state, gone, run, nowMs),
   );
   const lapsed = endpoint.expiredRuns;
   const fieldsOf = countCrashes(state, gone, [...endedRuns, ...lapsed], nowMs);
   endedRuns.forEach((run) => {
     const fields = fieldsOf.get(run);
-    const afterwards = (): void => giveUpIfDue(state, run);
-    loseRun(state, { endpoint, run, evidence, nowMs, fields, afterwards });
+    const onRequeued = (): void => giveUpIfDue(state, run);
+    endRunWithoutReport(state, { endpoint, run, evidence, nowMs, fields, onRequeued });
   });
   lapsed.forEach((run) => logLapsedRunEnd(state, gone, run, fieldsOf.get(run), nowMs));
   change(endpoint, { expiredRuns: [] });
@@ -143,7 +143,7 @@
  * @param state - The holder's batch state, modified in place.
  * @param nowMs - The current time.
  */
-export const settleGoneEndpoints = (state: BatchState, nowMs: number): void => {
+export const giveUpRunsOfGoneEndpoints = (state: BatchState, nowMs: number): void => {
   if (state.goneEndpoints.size === 0 || !isSoleHolder(state, nowMs)) return;
   const gone = Array.from(state.goneEndpoints.values());
   const unjudged = gone.filter(({ crashesByRun }) => crashesByRun === null);
--- a/packages/core/src/batch/endpoints/health.ts
+++ b/packages/core/src/batch/endpoints/health.ts
@@ -45,7 +45,7 @@
  * @param endpoint - The endpoint.
  * @param jobId - The task's job.
  */
-export const noteFailure = (state: BatchState, endpoint: EndpointState, jobId: JobId): void => {
+export const recordTaskFailure = (state: BatchState, endpoint: EndpointState, jobId: JobId): void => {
   const { failedJobs } = endpoint.health;
   failedJobs.add(jobId);
   if (failedJobs.size < FAILED_JOBS_TO_WITHHOLD) return;
@@ -62,7 +62,7 @@
  *
  * @param endpoint - The endpoint, modified in place.
  */
-export const noteDone = (endpoint: EndpointState): void => {
+export const recordTaskSuccess = (endpoint: EndpointState): void => {
   const { health } = endpoint;
   health.failedJobs.clear();
   health.withholdCount = 0;
--- a/packages/core/src/batch/endpoints/lost-runs.ts
+++ b/packages/core/src/batch/endpoints/lost-runs.ts
@@ -3,9 +3,9 @@
 import type { BatchState } from '../model/state.js';
 
 /** Options for a run that ended without a report. */
-export type LoseRunOptions = Omit<DropRunOptions, 'settle'> & {
+export type EndRunWithoutReportOptions = Omit<DropRunOptions, 'updateTask'> & {
   /** Called once the task has been put back into the queue. */
-  readonly afterwards?: () => void;
+  readonly onRequeued?: () => void;
 };
 
 /**
@@ -14,15 +14,15 @@
  * @param state - The holder's batch state, modified in place.
  * @param options - The run and the evidence that it has ended.
  */
-export const loseRun = (
+export const endRunWithoutReport = (
   state: BatchState,
-  { endpoint, run, evidence, nowMs, fields, afterwards }: LoseRunOptions,
+  { endpoint, run, evidence, nowMs, fields, onRequeued }: EndRunWithoutReportOptions,
 ): void => {
   const { task, step } = run;
-  const settle = (): void => {
+  const updateTask = (): void => {
     if (step.spec.isLasting && task.unavailableSinceMs === 0) task.unavailableSinceMs = nowMs;
     requeue(state, step, task);
-    afterwards?.();
+    onRequeued?.();
   };
-  dropRun(state, { endpoint, run, evidence, nowMs, fields, settle });
+  dropRun(state, { endpoint, run, evidence, nowMs, fields, updateTask });
 };
--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/open-starts.ts
@@ -8,10 +8,10 @@
 import type { BatchState, UnansweredStart } from '../model/state.js';
 
 /** The longest time for which a platform may delay an order. */
-export const LATEST_ORDER_MS = 12_000;
+export const MAX_ORDER_DELAY_MS = 12_000;
 
 /** The run that an order is to start. */
-export type StartedRun = Pick<UnansweredStart, 'task' | 'run'>;
+export type RunKey = Pick<UnansweredStart, 'task' | 'run'>;
 
 const setOpenStarts = (
   state: BatchState,
@@ -23,8 +23,8 @@
 };
 
 const isSameRun =
-  ({ task, run }: StartedRun) =>
-  (one: StartedRun): boolean =>
+  ({ task, run }: RunKey) =>
+  (one: RunKey): boolean =>
     one.task === task && one.run === run;
 
 /**
@@ -35,7 +35,7 @@
  * @param nowMs - The current time.
  * @returns The orders.
  */
-export const openStartsAt = (
+export const unansweredStartsAt = (
   state: BatchState,
   instanceId: InstanceId,
   nowMs: number,
@@ -55,16 +55,16 @@
  * @param started - The run.
  * @param nowMs - The current time.
  */
-export const openStart = (
+export const recordStartSent = (
   state: BatchState,
   endpointId: EndpointId,
-  started: StartedRun,
+  started: RunKey,
   nowMs: number,
 ): void => {
   const instanceId = instanceIdOf(endpointId);
-  const others = openStartsAt(state, instanceId, nowMs).filter((one) => !isSameRun(started)(one));
+  const others = unansweredStartsAt(state, instanceId, nowMs).filter((one) => !isSameRun(started)(one));
   const { task, run } = started;
-  setOpenStarts(state, instanceId, [...others, { task, run, untilMs: nowMs + LATEST_ORDER_MS }]);
+  setOpenStarts(state, instanceId, [...others, { task, run, untilMs: nowMs + MAX_ORDER_DELAY_MS }]);
 };
 
 /**
@@ -74,10 +74,10 @@
  * @param endpointId - The endpoint that they were sent to.
  * @param started - The run.
  */
-export const closeStart = (
+export const recordStartsAnswered = (
   state: BatchState,
   endpointId: EndpointId,
-  started: StartedRun,
+  started: RunKey,
 ): void => {
   const instanceId = instanceIdOf(endpointId);
   const open = state.unansweredStarts.get(instanceId) ?? [];
@@ -97,9 +97,9 @@
  * @param nowMs - The current time.
  * @returns True while an unanswered order may be in transit.
  */
-export const isStartOpen = (
+export const isStartInTransit = (
   state: BatchState,
   endpointId: EndpointId,
-  started: StartedRun,
+  started: RunKey,
   nowMs: number,
-): boolean => openStartsAt(state, instanceIdOf(endpointId), nowMs).some(isSameRun(started));
+): boolean => unansweredStartsAt(state, instanceIdOf(endpointId), nowMs).some(isSameRun(started));
--- a/packages/core/src/batch/endpoints/order-answers.ts
+++ b/packages/core/src/batch/endpoints/order-answers.ts
@@ -10,7 +10,7 @@
 export type StartOutcome = 'started' | 'rejected' | 'unknown';
 
 /** The response to a start order. */
-export type StartAnswer = {
+export type StartResponse = {
   readonly task: TaskKey;
   readonly run: number;
   /** `unknown` if there was no response. */
@@ -27,7 +27,7 @@
 const recordLateStart = (
   { goneEndpoints }: BatchState,
   endpointId: EndpointId,
-  { task, run, outcome, nowMs }: StartAnswer,
+  { task, run, outcome, nowMs }: StartResponse,
 ): void => {
   const known = goneEndpoints.get(endpointId)?.endpoint.runs.get(task);
   if (known?.run === run && outcome === 'started') change(known, { confirmedAtMs: nowMs });
@@ -43,7 +43,7 @@
 export const applyStartOutcome = (
   state: BatchState,
   endpointId: EndpointId,
-  answer: StartAnswer,
+  answer: StartResponse,
 ): void => {
   const { task, run, outcome, reason = '', nowMs } = answer;
   recordLateStart(state, endpointId, answer);
@@ -58,8 +58,8 @@
   }
   if (outcome === 'rejected') {
     const evidence: RunEvidence = { cause: 'start-refused', atMs: nowMs, detail: reason };
-    const settle = (): void => requeue(state, known.step, known.task);
-    dropRun(state, { endpoint, run: known, evidence, nowMs, settle });
+    const updateTask = (): void => requeue(state, known.step, known.task);
+    dropRun(state, { endpoint, run: known, evidence, nowMs, updateTask });
   }
   if (outcome === 'unknown') {
     known.phase = 'unsure';
@@ -78,7 +78,7 @@
  * @param run - The run.
  * @param nowMs - The current time.
  */
-export const applyStopAnswer = (
+export const applyStopResponse = (
   state: BatchState,
   endpointId: EndpointId,
   task: TaskKey,
--- a/packages/core/src/batch/endpoints/order-window.test.ts
+++ b/packages/core/src/batch/endpoints/order-window.test.ts
@@ -12,7 +12,7 @@
     responsesPerMs: number,
     nowMs: number,
   ) => {
-    const sent = window.left();
+    const sent = window.available();
     for (let one = 0; one < sent; one += 1) window.begin();
     for (let one = 0; one < sent; one += 1)
       window.end((one + 1) / responsesPerMs, nowMs + (one + 1) / responsesPerMs);
@@ -56,6 +56,6 @@
     const window = createOrderWindow(2);
     window.begin();
     window.begin();
-    expect(window.left()).toBe(0);
+    expect(window.available()).toBe(0);
   });
 });
--- a/packages/core/src/batch/endpoints/order-window.ts
+++ b/packages/core/src/batch/endpoints/order-window.ts
@@ -30,7 +30,7 @@
 /** A limit on the number of start orders in flight. */
 export type OrderWindow = {
   /** How many more orders may be sent now. */
-  readonly left: () => number;
+  readonly available: () => number;
   readonly begin: () => void;
   /**
    * Records that an order is no longer in flight, because it was answered or has timed out.
@@ -43,9 +43,9 @@
    * Records that an order is no longer in flight, without a conclusion about the link: its endpoint is gone while
    * others respond.
    */
-  readonly drop: () => void;
+  readonly cancel: () => void;
   readonly size: () => number;
-  readonly underWay: () => number;
+  readonly inFlight: () => number;
 };
 
 /**
@@ -78,7 +78,7 @@
   };
 
   return {
-    left: () => Math.max(0, Math.floor(size) - inFlight),
+    available: () => Math.max(0, Math.floor(size) - inFlight),
     begin: () => {
       inFlight += 1;
     },
@@ -87,10 +87,10 @@
       else shrink(tookMs, nowMs);
       inFlight -= 1;
     },
-    drop: () => {
+    cancel: () => {
       inFlight -= 1;
     },
     size: () => Math.floor(size),
-    underWay: () => inFlight,
+    inFlight: () => inFlight,
   };
 };
--- a/packages/core/src/batch/endpoints/relay-choice.ts
+++ b/packages/core/src/batch/endpoints/relay-choice.ts
@@ -9,7 +9,7 @@
   readonly entryId: EntryId;
   readonly dataCentre: DataCentreId;
   /** Its capacity relative to the other entries. */
-  readonly strength: number;
+  readonly relativeCapacity: number;
   /** True if it is connected, was heard from recently, and has not failed recently. */
   readonly isUsable: boolean;
 };
@@ -35,7 +35,7 @@
   const byCentre = new Map<string, RelayCandidate[]>();
   [...candidates]
     .filter(({ isUsable }) => isUsable)
-    .sort((left, right) => right.strength - left.strength)
+    .sort((left, right) => right.relativeCapacity - left.relativeCapacity)
     .forEach((candidate) => {
       const chosen = byCentre.get(candidate.dataCentre) ?? [];
       if (chosen.length < maxPerDataCentre) chosen.push(candidate);
@@ -57,45 +57,45 @@
     endpointId: EndpointId,
     relays: readonly RelayCandidate[],
   ) => EntryId | undefined;
-  readonly forget: (endpointId: EndpointId) => void;
+  readonly unassign: (endpointId: EndpointId) => void;
 };
 
 /**
  * Creates an empty assignment.
  *
- * @returns The assignment. A new endpoint is assigned to the relay with the fewest endpoints relative to its strength.
+ * @returns The assignment. A new endpoint is assigned to the relay with the fewest endpoints relative to its capacity.
  */
 export const createRelayAssignment = (): RelayAssignment => {
   const relayByEndpoint = new Map<EndpointId, EntryId>();
   const counts = new Map<EntryId, number>();
 
-  const forget = (endpointId: EndpointId): void => {
+  const unassign = (endpointId: EndpointId): void => {
     const relay = relayByEndpoint.get(endpointId);
     if (relay === undefined) return;
     relayByEndpoint.delete(endpointId);
     counts.set(relay, (counts.get(relay) ?? 1) - 1);
   };
 
-  const loadOf = ({ entryId, strength }: RelayCandidate): number =>
-    ((counts.get(entryId) ?? 0) + 1) / Math.max(strength, Number.MIN_VALUE);
+  const loadOf = ({ entryId, relativeCapacity }: RelayCandidate): number =>
+    ((counts.get(entryId) ?? 0) + 1) / Math.max(relativeCapacity, Number.MIN_VALUE);
 
   return {
     relayOf: (endpointId, relays) => {
       const known = relayByEndpoint.get(endpointId);
       if (known !== undefined && relays.some(({ entryId }) => entryId === known)) return known;
-      forget(endpointId);
+      unassign(endpointId);
       const [best] = [...relays].sort((left, right) => loadOf(left) - loadOf(right));
       if (!best) return undefined;
       relayByEndpoint.set(endpointId, best.entryId);
       counts.set(best.entryId, (counts.get(best.entryId) ?? 0) + 1);
       return best.entryId;
     },
-    forget,
+    unassign,
   };
 };
 
 /** How much the holder's own link has transferred so far, and its capacity. */
-export type LinkUse = {
+export type LinkUsage = {
   readonly sentBytes: number;
   readonly receivedBytes: number;
   /** Capacity in each direction. */
@@ -116,9 +116,9 @@
  *
  * @returns A function that takes the link use and the current time and returns the decision.
  */
-export const createRelayDecision = (): ((use: LinkUse, nowMs: number) => boolean) => {
+export const createRelayDecision = (): ((use: LinkUsage, nowMs: number) => boolean) => {
   let isNeeded = false;
-  let previous: { readonly use: LinkUse; readonly atMs: number } | undefined;
+  let previous: { readonly use: LinkUsage; readonly atMs: number } | undefined;
   return (use, nowMs) => {
     if (isNeeded) return true;
     if (!previous) previous = { use, atMs: nowMs };
--- a/packages/core/src/batch/endpoints/reports.test.ts
+++ b/packages/core/src/batch/endpoints/reports.test.ts
@@ -12,7 +12,7 @@
   taskOf,
 } from '../testing/batch-state.fixtures.js';
 import type { EndpointId } from '../../shared/ids.js';
-import type { EndReport, RunningReport } from './reports.js';
+import type { EndedRunReport, RunningReport } from './reports.js';
 import type { BatchState } from '../model/state.js';
 
 const stateWith = (...endpointIds: EndpointId[]): BatchState => {
@@ -21,7 +21,7 @@
   return state;
 };
 
-const failed = (number: number, run: number): EndReport => ({
+const failed = (number: number, run: number): EndedRunReport => ({
   number,
   task: TASK,
   run,
@@ -37,8 +37,8 @@
   figure: 0,
 });
 
-const report = (state: BatchState, endpointId: EndpointId, ended: readonly EndReport[]): void =>
-  answer(state, { endpointId, ended, askedAtMs: 1, nowMs: 2 });
+const report = (state: BatchState, endpointId: EndpointId, ended: readonly EndedRunReport[]): void =>
+  answer(state, { endpointId, ended, requestedAtMs: 1, nowMs: 2 });
 
 describe('reports of endpoints', () => {
   it('count each failed run, in whatever order endpoints list them', () => {
@@ -61,8 +61,8 @@
   describe('that list a run neither as running nor as ended', () => {
     const phaseAfter = (hasMoreEnds: boolean): string => {
       const state = stateWith(FIRST);
-      answer(state, { running: [running(1001)], askedAtMs: 1, nowMs: 2 });
-      answer(state, { hasMoreEnds, askedAtMs: 10, nowMs: 12 });
+      answer(state, { running: [running(1001)], requestedAtMs: 1, nowMs: 2 });
+      answer(state, { hasMoreEnds, requestedAtMs: 10, nowMs: 12 });
       return taskOf(state).phase;
     };
 
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -3,13 +3,13 @@
 import { change } from '../../shared/change.js';
 import { noteAnswered } from '../domains/outage.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
-import { followRuns } from './followed-runs.js';
+import { applyFirstReport } from './followed-runs.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
 import { endJob, findReportedTask, markDone } from '../jobs/jobs.js';
 import { chargeStrays } from '../accounts/quota.js';
 import { learnRunTime } from '../jobs/run-times.js';
-import { noteRunEnd, type RunEvidence } from './run-end.js';
-import { loseRun } from './lost-runs.js';
+import { recordRunEnd, type RunEvidence } from './run-end.js';
+import { endRunWithoutReport } from './lost-runs.js';
 import { addRun, dropRun, requeue } from './runs.js';
 import {
   isFinal,
@@ -20,11 +20,11 @@
   type StepRun,
   type Task,
 } from '../model/state.js';
-import { noteDone, noteFailure } from './health.js';
+import { recordTaskSuccess, recordTaskFailure } from './health.js';
 import { closeTrial } from '../crashes/trials.js';
 
 /** How a run ended, as reported by the endpoint. */
-export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
+export type RunEndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
 
 /** An active run as listed by an endpoint. */
 export type RunningReport = {
@@ -38,23 +38,23 @@
 };
 
 /** An ended run as listed by an endpoint. It is listed in each response until it is acknowledged. */
-export type EndReport = {
+export type EndedRunReport = {
   /** Sequence number, which increases by one with each ended run of an incarnation. */
   readonly number: number;
   readonly task: TaskKey;
   readonly run: number;
-  readonly kind: EndKind;
+  readonly kind: RunEndKind;
   readonly checkpoint: string;
 };
 
 /** A list response of an endpoint. */
 export type EndpointReport = {
   readonly running: readonly RunningReport[];
-  readonly ended: readonly EndReport[];
+  readonly ended: readonly EndedRunReport[];
   /** True if not all ended runs fit into the response: a run that is missing from it may have ended. */
   readonly hasMoreEnds: boolean;
   /** When the list request was sent. Runs that were started later may be missing from the response. */
-  readonly askedAtMs: number;
+  readonly requestedAtMs: number;
   readonly nowMs: number;
 };
 
@@ -63,7 +63,7 @@
   context: {
     readonly step: StepRun;
     readonly task: Task;
-    readonly end: EndReport;
+    readonly end: EndedRunReport;
     readonly endpoint: EndpointState;
     readonly ranMs: number;
   },
@@ -78,7 +78,7 @@
   const { step, task, end, endpoint } = context;
   if (task.failedRuns.includes(end.run)) return;
   change(task, { avoidedEndpoint: endpoint.endpointId });
-  noteFailure(state, endpoint, step.job.job.jobId);
+  recordTaskFailure(state, endpoint, step.job.job.jobId);
   if (step.spec.isLasting) {
     returnToQueue(state, context);
     return;
@@ -95,7 +95,7 @@
 };
 
 const handleDone: EndHandler = (state, { step, task, endpoint, ranMs }) => {
-  noteDone(endpoint);
+  recordTaskSuccess(endpoint);
   if (step.spec.isLasting) {
     requeue(state, step, task);
     return;
@@ -105,7 +105,7 @@
   else markDone(state, step, task);
 };
 
-const endHandlers: Readonly<Record<EndKind, EndHandler>> = {
+const endHandlers: Readonly<Record<RunEndKind, EndHandler>> = {
   done: handleDone,
   failed: handleFailure,
   stopped: returnToQueue,
@@ -114,39 +114,39 @@
   alone: returnToQueue,
 };
 
-type ReportTimes = Pick<EndpointReport, 'askedAtMs' | 'nowMs'>;
+type ReportTimes = Pick<EndpointReport, 'requestedAtMs' | 'nowMs'>;
 
 const applyEnd = (
   state: BatchState,
   endpoint: EndpointState,
-  end: EndReport,
-  { askedAtMs, nowMs }: ReportTimes,
+  end: EndedRunReport,
+  { requestedAtMs, nowMs }: ReportTimes,
 ): void => {
   const { task, run, kind } = end;
   const known = endpoint.runs.get(task);
   const name = parseTaskKey(task);
-  const found = name && findReportedTask(state, name);
-  const evidence: RunEvidence = { cause: 'reported', atMs: askedAtMs, detail: kind };
-  if (found) change(found.step.job, { hasStarted: true });
+  const taskWithStep = name && findReportedTask(state, name);
+  const evidence: RunEvidence = { cause: 'reported', atMs: requestedAtMs, detail: kind };
+  if (taskWithStep) change(taskWithStep.step.job, { hasStarted: true });
   const settleWithRunTime = (ranMs: number): void => {
-    if (!found || isFinal(found.step.job.phase)) return;
-    endHandlers[kind](state, { ...found, end, endpoint, ranMs });
+    if (!taskWithStep || isFinal(taskWithStep.step.job.phase)) return;
+    endHandlers[kind](state, { ...taskWithStep, end, endpoint, ranMs });
   };
   if (known?.run === run) {
-    const settle = (): void => settleWithRunTime(nowMs - known.startedAtMs);
-    dropRun(state, { endpoint, run: known, evidence, nowMs, settle });
+    const updateTask = (): void => settleWithRunTime(nowMs - known.startedAtMs);
+    dropRun(state, { endpoint, run: known, evidence, nowMs, updateTask });
     return;
   }
-  const settle = (): void => settleWithRunTime(0);
+  const updateTask = (): void => settleWithRunTime(0);
   const startedAtMs = undefined;
-  noteRunEnd(state, { endpoint, task, run, found, startedAtMs, evidence, nowMs, settle });
+  recordRunEnd(state, { endpoint, task, run, taskWithStep, startedAtMs, evidence, nowMs, updateTask });
 };
 
 const updateRun = (
   { formerOrdersEndAtMs }: BatchState,
   run: RunState,
   report: RunningReport,
-  { askedAtMs, nowMs }: ReportTimes,
+  { requestedAtMs, nowMs }: ReportTimes,
 ): void => {
   const { task, step, phase, percent, progressAtMs, confirmedAtMs, startedByMs } = run;
   change(step.job, { hasStarted: true });
@@ -159,7 +159,7 @@
     percent: report.percent,
     loadFigure: report.figure,
   });
-  if (askedAtMs >= formerOrdersEndAtMs) task.isLocated = true;
+  if (requestedAtMs >= formerOrdersEndAtMs) task.isLocated = true;
   if (report.checkpoint !== '') task.checkpoint = report.checkpoint;
   if (step.spec.isLasting && report.percent >= 100) task.unavailableSinceMs = 0;
 };
@@ -208,15 +208,15 @@
   state: BatchState,
   endpoint: EndpointState,
   listed: ReadonlySet<TaskKey>,
-  { askedAtMs, nowMs }: ReportTimes,
+  { requestedAtMs, nowMs }: ReportTimes,
 ): void =>
   endpoint.runs.forEach((run) => {
-    const wasConfirmed = run.confirmedAtMs < askedAtMs;
-    const mustBeListed = wasConfirmed || run.stopAnsweredAtMs < askedAtMs;
+    const wasConfirmed = run.confirmedAtMs < requestedAtMs;
+    const mustBeListed = wasConfirmed || run.stopAnsweredAtMs < requestedAtMs;
     if (!mustBeListed || listed.has(run.task.key)) return;
     const detail = wasConfirmed ? 'confirmed-before' : 'stop-answered';
-    const evidence: RunEvidence = { cause: 'not-listed', atMs: askedAtMs, detail };
-    loseRun(state, { endpoint, run, evidence, nowMs });
+    const evidence: RunEvidence = { cause: 'not-listed', atMs: requestedAtMs, detail };
+    endRunWithoutReport(state, { endpoint, run, evidence, nowMs });
   });
 
 /**
@@ -230,13 +230,13 @@
 export const applyReport = (
   state: BatchState,
   endpointId: EndpointId,
-  { running, ended, hasMoreEnds, askedAtMs, nowMs }: EndpointReport,
+  { running, ended, hasMoreEnds, requestedAtMs, nowMs }: EndpointReport,
 ): void => {
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint) return;
-  const times: ReportTimes = { askedAtMs, nowMs };
+  const times: ReportTimes = { requestedAtMs, nowMs };
   if (!endpoint.hasReported && !hasMoreEnds) {
-    followRuns(state, endpoint, { listed: [...running, ...ended], nowMs });
+    applyFirstReport(state, endpoint, { listed: [...running, ...ended], nowMs });
   }
   ended.forEach((end) => applyEnd(state, endpoint, end, times));
   const listed = new Set<TaskKey>();
@@ -253,6 +253,6 @@
   chargeStrays(state, endpoint, strays);
   if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
   noteAnswered(state, endpoint, nowMs);
-  change(endpoint, { hasReported: true, reportedAtMs: askedAtMs, expiredRuns: [] });
+  change(endpoint, { hasReported: true, reportedAtMs: requestedAtMs, expiredRuns: [] });
   poolOf(state, endpoint.pool).unreportedInstances.delete(instanceIdOf(endpointId));
 };
--- a/packages/core/src/batch/endpoints/run-end.ts
+++ b/packages/core/src/batch/endpoints/run-end.ts
@@ -30,7 +30,7 @@
 };
 
 /** The fields of a log line. */
-export type NoteFields = Record<string, string | number | boolean | undefined>;
+export type LogFields = Record<string, string | number | boolean | undefined>;
 
 /**
  * Returns for how long no other entry can be the holder.
@@ -39,44 +39,44 @@
  * @param nowMs - The current time.
  * @returns The remaining time in whole milliseconds, negative once it is over; undefined if it is unlimited.
  */
-export const soleForMs = ({ soleHolderUntilMs }: BatchState, nowMs: number): number | undefined =>
+export const remainingSoleHolderMs = ({ soleHolderUntilMs }: BatchState, nowMs: number): number | undefined =>
   soleHolderUntilMs === Infinity ? undefined : Math.round(soleHolderUntilMs - nowMs);
 
 const silentMs = ({ hasReported, reportedAtMs }: EndpointState, nowMs: number): number | string =>
   hasReported ? Math.round(nowMs - reportedAtMs) : 'never';
 
 /** A task with its step. */
-export type FoundTask = { readonly step: StepRun; readonly task: Task };
+export type TaskWithStep = { readonly step: StepRun; readonly task: Task };
 
 type NextForTask = 'done' | 'again' | 'job-over' | 'none';
 
-const nextForTask = (found: FoundTask | undefined): NextForTask => {
+const nextForTask = (found: TaskWithStep | undefined): NextForTask => {
   if (!found) return 'none';
   if (found.task.phase === 'done') return 'done';
   if (isFinal(found.step.job.phase)) return 'job-over';
   return found.task.phase === 'waiting' ? 'again' : 'none';
 };
 
-const recordLastEnd = ({ task }: FoundTask, run: number, countedAtMs: number): void => {
+const recordLastEnd = ({ task }: TaskWithStep, run: number, countedAtMs: number): void => {
   if (run < (task.lastEnd?.run ?? 0)) return;
   change(task, { lastEnd: { run, countedAtMs } });
 };
 
 /** Options for a run that has ended. */
-export type RunEnd = {
+export type RunEndOptions = {
   readonly endpoint: EndpointState;
   readonly task: TaskKey;
   readonly run: number;
   /** The task of the run; undefined if it is not known, or not known any more. */
-  readonly found: FoundTask | undefined;
+  readonly taskWithStep: TaskWithStep | undefined;
   /** When the holder recorded the run; undefined if the run is not in the holder's state. */
   readonly startedAtMs: number | undefined;
   readonly evidence: RunEvidence;
   readonly nowMs: number;
   /** Additional fields of the log line. */
-  readonly fields?: NoteFields | undefined;
+  readonly fields?: LogFields | undefined;
   /** Updates the task and its job. */
-  readonly settle: () => void;
+  readonly updateTask: () => void;
 };
 
 /**
@@ -85,12 +85,12 @@
  * @param state - The holder's batch state, modified in place.
  * @param end - The run, the evidence, and the update of the task and its job.
  */
-export const noteRunEnd = (
+export const recordRunEnd = (
   state: BatchState,
-  { endpoint, task, run, found, startedAtMs, evidence, nowMs, fields: extraFields, settle }: RunEnd,
+  { endpoint, task, run, taskWithStep, startedAtMs, evidence, nowMs, fields: extraFields, updateTask }: RunEndOptions,
 ): void => {
   const isKnown = startedAtMs !== undefined;
-  const fields: NoteFields = {
+  const fields: LogFields = {
     task,
     run,
     endpoint: endpoint.endpointId,
@@ -98,7 +98,7 @@
     detail: evidence.detail,
     ageMs: Math.round(nowMs - evidence.atMs),
     silentMs: silentMs(endpoint, nowMs),
-    soleForMs: soleForMs(state, nowMs),
+    soleForMs: remainingSoleHolderMs(state, nowMs),
     ranMs: isKnown ? Math.round(nowMs - startedAtMs) : undefined,
     isKnown: isKnown ? undefined : false,
     ...extraFields,
@@ -107,13 +107,13 @@
   // The line is logged before the effects of the update, so that log readers see the cause first. Its `next` field is
   // set after the update, when the task's new phase is known.
   state.effects.push({ kind: 'note', event: 'run-ended', fields });
-  if (found) recordLastEnd(found, run, nowMs);
-  settle();
-  change(fields, { next: nextForTask(found) });
+  if (taskWithStep) recordLastEnd(taskWithStep, run, nowMs);
+  updateTask();
+  change(fields, { next: nextForTask(taskWithStep) });
 };
 
 /** Options for a task that is being started. */
-export type TaskStart = {
+export type TaskStartOptions = {
   readonly endpoint: EndpointState;
   /** The task, before this start is applied to it. */
   readonly task: Task;
@@ -127,9 +127,9 @@
  * @param state - The holder's batch state, modified in place.
  * @param start - The start.
  */
-export const noteStartAgain = (
+export const logTaskRestart = (
   state: BatchState,
-  { endpoint, task, run, nowMs }: TaskStart,
+  { endpoint, task, run, nowMs }: TaskStartOptions,
 ): void => {
   const { lastRun, lastEnd } = task;
   const runBefore = Math.max(lastRun, lastEnd?.run ?? 0);
--- a/packages/core/src/batch/endpoints/runs.ts
+++ b/packages/core/src/batch/endpoints/runs.ts
@@ -3,7 +3,7 @@
 import type { StepSpec } from '../model/job.js';
 import { chargeRun } from '../accounts/quota.js';
 import { dataCentreCountKey, rackCountKey } from '../domains/domains.js';
-import { noteRunEnd, type NoteFields, type RunEvidence } from './run-end.js';
+import { recordRunEnd, type LogFields, type RunEvidence } from './run-end.js';
 import {
   addOpenStep,
   poolOf,
@@ -95,7 +95,7 @@
  * @param step - The step, modified in place.
  * @param task - The task.
  */
-export const leaveWaiting = (step: StepRun, task: Task): void =>
+export const removeFromWaiting = (step: StepRun, task: Task): void =>
   change(step, { waiting: step.waiting.filter((index) => index !== task.index) });
 
 /** Options for a run that is started, or that an endpoint lists. */
@@ -136,7 +136,7 @@
     pacedAtMs: 0,
     progressAtMs: nowMs,
   };
-  if (task.phase === 'waiting') leaveWaiting(step, task);
+  if (task.phase === 'waiting') removeFromWaiting(step, task);
   change(task, { phase: 'placed', lastRun: Math.max(task.lastRun, run) });
   changeUsed(endpoint, step.spec, 1);
   chargeRun(state, step, 1);
@@ -178,9 +178,9 @@
   readonly evidence: RunEvidence;
   readonly nowMs: number;
   /** Additional fields of the log line. */
-  readonly fields?: NoteFields | undefined;
+  readonly fields?: LogFields | undefined;
   /** Updates the task and its job. */
-  readonly settle: () => void;
+  readonly updateTask: () => void;
 };
 
 /**
@@ -192,7 +192,7 @@
  */
 export const dropRun = (
   state: BatchState,
-  { endpoint, run, evidence, nowMs, fields, settle }: DropRunOptions,
+  { endpoint, run, evidence, nowMs, fields, updateTask }: DropRunOptions,
 ): void => {
   const { task, step, startedAtMs } = run;
   if (!endpoint.runs.delete(task.key)) return;
@@ -200,16 +200,16 @@
   chargeRun(state, step, -1);
   changeTaskCounts(step, endpoint, -1);
   if (endpoint.runs.size === 0) change(endpoint, { idleSinceMs: nowMs });
-  noteRunEnd(state, {
+  recordRunEnd(state, {
     endpoint,
     task: task.key,
     run: run.run,
-    found: { step, task },
+    taskWithStep: { step, task },
     startedAtMs,
     evidence,
     nowMs,
     fields,
-    settle,
+    updateTask,
   });
 };
 
--- a/packages/core/src/batch/endpoints/sound-endpoints.ts
+++ b/packages/core/src/batch/endpoints/sound-endpoints.ts
@@ -24,7 +24,7 @@
  * @param nowMs - The current time.
  * @returns True if its capacity counts as available to the pool.
  */
-export const isSound = (state: BatchState, endpoint: EndpointState, nowMs: number): boolean =>
+export const isSchedulable = (state: BatchState, endpoint: EndpointState, nowMs: number): boolean =>
   endpoint.hasReported &&
   isKnownToSuccessor(endpoint, state) &&
   !endpoint.isDraining &&
@@ -41,13 +41,13 @@
  * @param nowMs - The current time.
  * @returns The endpoints.
  */
-export const usableEndpoints = (
+export const schedulableEndpoints = (
   state: BatchState,
   pool: PoolName,
   nowMs: number,
 ): readonly EndpointState[] =>
   Array.from(state.endpoints.values()).filter(
-    (endpoint) => endpoint.pool === pool && isSound(state, endpoint, nowMs),
+    (endpoint) => endpoint.pool === pool && isSchedulable(state, endpoint, nowMs),
   );
 
 /**
@@ -67,7 +67,7 @@
  * @param step - The step.
  * @returns True if it has the label and the free capacity, and holds fewer tasks of the step than it may.
  */
-export const mayHold = (endpoint: EndpointState, { spec, perEndpoint }: StepRun): boolean =>
+export const canHoldTask = (endpoint: EndpointState, { spec, perEndpoint }: StepRun): boolean =>
   hasLabel(endpoint, spec.requiredLabel) &&
   fitsIn(endpoint, spec) &&
   (spec.mostPerEndpoint === 0 ||
@@ -85,7 +85,7 @@
  * @param spec - The step.
  * @returns False if the endpoint lacks the label, or lacks the capacity even when it is empty.
  */
-export const mayHaveBegun = (
+export const mayRunInheritedTask = (
   state: BatchState,
   instanceId: InstanceId,
   spec: StepSpec,
--- a/packages/core/src/batch/endpoints/watch-runs.ts
+++ b/packages/core/src/batch/endpoints/watch-runs.ts
@@ -1,9 +1,9 @@
 /** Detects runs without progress, and endpoints whose lease has certainly ended. */
 import { change } from '../../shared/change.js';
 import type { EndpointId } from '../../shared/ids.js';
-import { mayRunInLaterLife } from './followed-runs.js';
+import { mayRunInUnreportedIncarnation } from './followed-runs.js';
 import { withholdEndpoint } from './health.js';
-import { loseRun } from './lost-runs.js';
+import { endRunWithoutReport } from './lost-runs.js';
 import type { RunEvidence } from './run-end.js';
 import { stopRun } from './runs.js';
 import {
@@ -59,21 +59,21 @@
  * @param nowMs - The current time.
  * @returns The endpoints whose leases have ended.
  */
-export const watchRuns = (state: BatchState, nowMs: number): readonly LapsedEndpoint[] => {
+export const handleStalledAndLapsedRuns = (state: BatchState, nowMs: number): readonly LapsedEndpoint[] => {
   const lapsed: LapsedEndpoint[] = [];
   state.endpoints.forEach((endpoint) => {
     if (endpoint.runs.size === 0) return;
     stopStalledRuns(state, endpoint, nowMs);
     if (nowMs < endpoint.leaseEndsAtMs || !isSoleHolder(state, nowMs)) return;
     const runs = Array.from(endpoint.runs.values()).filter(
-      (run) => !mayRunInLaterLife(state, endpoint, run, nowMs),
+      (run) => !mayRunInUnreportedIncarnation(state, endpoint, run, nowMs),
     );
     if (runs.length === 0) return;
     const { endpointId, leaseEndsAtMs: atMs } = endpoint;
     lapsed.push({ endpointId, endedAtMs: atMs });
     const evidence: RunEvidence = { cause: 'lease-over', atMs, detail: 'not-extended' };
     change(endpoint, { expiredRuns: [...endpoint.expiredRuns, ...runs] });
-    runs.forEach((run) => loseRun(state, { endpoint, run, evidence, nowMs }));
+    runs.forEach((run) => endRunWithoutReport(state, { endpoint, run, evidence, nowMs }));
   });
   return lapsed;
 };
@@ -101,7 +101,7 @@
  * @param state - The holder's batch state.
  * @returns The endpoints. No runs are known to be there any more.
  */
-export const findSucceededEndpoints = (state: BatchState): readonly EndpointId[] =>
+export const findEndpointsWithSuccessor = (state: BatchState): readonly EndpointId[] =>
   Array.from(state.endpoints.values())
     .filter(({ runs, expiredRuns }) => expiredRuns.length > 0 && runs.size === 0)
     .filter((endpoint) => hasSuccessor(state, endpoint))
--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -11,8 +11,8 @@
   type HostId,
   type PoolName,
 } from '../../shared/ids.js';
-import { seeEndpoint, type EndpointSighting } from '../endpoints/endpoints.js';
-import { isSound } from '../endpoints/sound-endpoints.js';
+import { upsertEndpoint, type EndpointDescription } from '../endpoints/endpoints.js';
+import { isSchedulable } from '../endpoints/sound-endpoints.js';
 import { planUpkeep } from '../maintenance/upkeep.js';
 import { createUpkeepWave } from '../maintenance/upkeep-progress.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
@@ -40,7 +40,7 @@
   name: string,
   dataCentre: DataCentreId,
   hostId: HostId | null = null,
-): EndpointSighting => ({
+): EndpointDescription => ({
   endpointId: brand<EndpointId>(name),
   pool: POOL,
   hostId,
@@ -74,7 +74,7 @@
   state.evacuatedDataCentres = new Set([NORTH]);
   const used = [...hostsIn(NORTH, POOL, inNorth), ...hostsIn(SOUTH, POOL, inSouth)];
   used.forEach(({ hostId, dataCentre, instanceId }) => {
-    const endpoint = seeEndpoint(state, sightingOn(String(instanceId), dataCentre, hostId), 0);
+    const endpoint = upsertEndpoint(state, sightingOn(String(instanceId), dataCentre, hostId), 0);
     endpoint.hasReported = true;
   });
   const spare = [...hostsIn(NORTH, SPARE, spareNorth), ...hostsIn(SOUTH, SPARE, spareSouth)];
@@ -95,7 +95,7 @@
   it('takes no new work until the evacuation has ended', () => {
     const { state } = createWorld();
     const usableEndpoints = (): readonly EndpointState[] =>
-      Array.from(state.endpoints.values()).filter((one) => isSound(state, one, 5000));
+      Array.from(state.endpoints.values()).filter((one) => isSchedulable(state, one, 5000));
     expect(new Set(usableEndpoints().map(({ dataCentre }) => dataCentre))).toEqual(
       new Set([SOUTH]),
     );
@@ -106,10 +106,10 @@
   describe('whose data centre has been returned to service', () => {
     const endpointOfTask = (coldLeftMs: number, nowMs: number): EndpointId | undefined => {
       const state = stateWithJob();
-      seeEndpoint(state, { ...sightingOn(FIRST, NORTH), coldLeftMs }, 0);
-      seeEndpoint(state, sightingOn(SECOND, SOUTH), 0);
+      upsertEndpoint(state, { ...sightingOn(FIRST, NORTH), coldLeftMs }, 0);
+      upsertEndpoint(state, sightingOn(SECOND, SOUTH), 0);
       [FIRST, SECOND].forEach((endpointId) =>
-        answer(state, { endpointId, askedAtMs: nowMs, nowMs }),
+        answer(state, { endpointId, requestedAtMs: nowMs, nowMs }),
       );
       schedulePool(state, POOL, nowMs);
       return Array.from(state.endpoints.values()).find(({ runs }) => runs.has(TASK))?.endpointId;
--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -28,7 +28,7 @@
   );
   state.takenOverAtMs = 0;
   see(state, FIRST);
-  answer(state, { askedAtMs: 5, nowMs: 10 });
+  answer(state, { requestedAtMs: 5, nowMs: 10 });
   Array.from({ length: jobs }, (_, index) =>
     submitJob(state, jobIdOf(index), {
       step: { estimateMs: 1000 },
--- a/packages/core/src/batch/jobs/early-occurrence.test.ts
+++ b/packages/core/src/batch/jobs/early-occurrence.test.ts
@@ -32,7 +32,7 @@
     see(state, FIRST);
     const task = taskKey(REPEATED_JOB, 0, 0, 0);
     const ended = [{ number: 1, task, run: 1001, kind: 'done', checkpoint: '' } as const];
-    answer(state, { ended, askedAtMs: 1, nowMs: 2 });
+    answer(state, { ended, requestedAtMs: 1, nowMs: 2 });
     createScheduleCycle(state)(10, 100);
     const starts = state.effects.filter(({ kind }) => kind === 'start');
     expect(starts).toEqual([]);
--- a/packages/core/src/batch/jobs/first-attempts.test.ts
+++ b/packages/core/src/batch/jobs/first-attempts.test.ts
@@ -24,7 +24,7 @@
 const startedAfterOutage = (refusedAgoMs: number): readonly number[] => {
   const state = createBatchState(2);
   see(state, FIRST);
-  answer(state, { askedAtMs: NOW_MS - 10, nowMs: NOW_MS - 5 });
+  answer(state, { requestedAtMs: NOW_MS - 10, nowMs: NOW_MS - 5 });
   const numbers = Array.from({ length: 12 }, (_, index) => index);
   const retried = numbers.slice(0, 10);
   noteFirstAttempts(
--- a/packages/core/src/batch/jobs/jobs.ts
+++ b/packages/core/src/batch/jobs/jobs.ts
@@ -16,7 +16,7 @@
 import { addOccurrence, createJobState, type TakeInOptions } from './create-job.js';
 import { takeFirstAttempt } from './first-attempts.js';
 import { takeShare } from '../accounts/shares.js';
-import { stopRun, leaveWaiting } from '../endpoints/runs.js';
+import { stopRun, removeFromWaiting } from '../endpoints/runs.js';
 import { expectStepWork } from './step-times.js';
 
 const isStepDone = (step: StepRun | undefined): boolean =>
@@ -191,7 +191,7 @@
  */
 export const markDone = (state: BatchState, step: StepRun, task: Task): void => {
   if (task.phase === 'done') return;
-  if (task.phase === 'waiting') leaveWaiting(step, task);
+  if (task.phase === 'waiting') removeFromWaiting(step, task);
   change(task, { phase: 'done', checkpoint: '' });
   change(step, { doneCount: step.doneCount + 1 });
   const { job, occurrence } = step;
--- a/packages/core/src/batch/jobs/pool-load.ts
+++ b/packages/core/src/batch/jobs/pool-load.ts
@@ -2,7 +2,7 @@
 import type { PoolName } from '../../shared/ids.js';
 import { goesWithOwed } from '../accounts/shares.js';
 import { reservedCpu } from '../endpoints/runs.js';
-import { isSound } from '../endpoints/sound-endpoints.js';
+import { isSchedulable } from '../endpoints/sound-endpoints.js';
 import { isFinal, type BatchState, type EndpointState, type JobState } from '../model/state.js';
 import { isTooLate } from '../placement/order.js';
 import { expectStepWork } from './step-times.js';
@@ -73,7 +73,7 @@
   });
   const healthyEndpoints = new Map<PoolName, EndpointState[]>();
   state.endpoints.forEach((endpoint) => {
-    if (!isSound(state, endpoint, nowMs)) return;
+    if (!isSchedulable(state, endpoint, nowMs)) return;
     healthyEndpoints.set(endpoint.pool, [...(healthyEndpoints.get(endpoint.pool) ?? []), endpoint]);
     queuedWorkOf(endpoint.pool);
   });
--- a/packages/core/src/batch/jobs/waiting.test.ts
+++ b/packages/core/src/batch/jobs/waiting.test.ts
@@ -22,7 +22,7 @@
   const stateAfterOrder = (): BatchState => {
     const state = stateWithJob();
     see(state, FIRST);
-    answer(state, { askedAtMs: 8, nowMs: 10 });
+    answer(state, { requestedAtMs: 8, nowMs: 10 });
     schedulePool(state, POOL, 20);
     return state;
   };
@@ -46,7 +46,7 @@
     const ended = [{ ...START, number: 1, kind: 'stopped' as const, checkpoint: '' }];
     [{ running }, { ended }].forEach((lists) => {
       const state = stateAfterOrder();
-      answer(state, { ...lists, askedAtMs: 28, nowMs: 30 });
+      answer(state, { ...lists, requestedAtMs: 28, nowMs: 30 });
       expect(waitingJobsIn(state)).toBe(0);
     });
   });
--- a/packages/core/src/batch/placement/best-endpoint.ts
+++ b/packages/core/src/batch/placement/best-endpoint.ts
@@ -1,5 +1,5 @@
 /** Chooses the endpoint for a task. */
-import { mayHold } from '../endpoints/sound-endpoints.js';
+import { canHoldTask } from '../endpoints/sound-endpoints.js';
 import type { EndpointState } from '../model/state.js';
 import { computeTotalScore, type PlacementScore, type PlacementView } from './scores.js';
 
@@ -19,7 +19,7 @@
   let best: EndpointState | undefined;
   let bestScore = -Infinity;
   endpoints.forEach((endpoint) => {
-    if (!mayHold(endpoint, view.step)) return;
+    if (!canHoldTask(endpoint, view.step)) return;
     const score = computeTotalScore(endpoint, view, scores);
     if (score <= bestScore) return;
     best = endpoint;
--- a/packages/core/src/batch/placement/candidates.ts
+++ b/packages/core/src/batch/placement/candidates.ts
@@ -3,7 +3,7 @@
  * placement changes are scored again. Scoring all of them for each task took 0.1 ms with 900 endpoints.
  */
 import { dataCentreCountKey, rackCountKey } from '../domains/domains.js';
-import { mayHold } from '../endpoints/sound-endpoints.js';
+import { canHoldTask } from '../endpoints/sound-endpoints.js';
 import type { DomainId } from '../../shared/ids.js';
 import type { EndpointState, Task } from '../model/state.js';
 import { chooseBestEndpoint } from './best-endpoint.js';
@@ -62,7 +62,7 @@
   const sharedView: PlacementView = { ...view, task: anyTask };
 
   const computeScore = (endpoint: EndpointState): number => {
-    if (!mayHold(endpoint, step)) return -Infinity;
+    if (!canHoldTask(endpoint, step)) return -Infinity;
     let sum = 0;
     for (let index = 0; index < sharedScores.length; index += 1) {
       const { weight, compute } = sharedScores[index] as (typeof sharedScores)[number];
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -8,8 +8,8 @@
   type InstanceId,
   type JobId,
 } from '../../shared/ids.js';
-import { dropUnseenReports, expectReports, seeEndpoint } from '../endpoints/endpoints.js';
-import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
+import { dropUnlistedPendingReports, addPendingReports, upsertEndpoint } from '../endpoints/endpoints.js';
+import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { taskKey, type StepSpec } from '../model/job.js';
 import { createBatchState, type BatchState } from '../model/state.js';
@@ -38,7 +38,7 @@
     formerOrdersEndAtMs: FORMER_ORDERS_END_MS,
   });
   [FIRST, SECOND].forEach((endpointId) => {
-    seeEndpoint(
+    upsertEndpoint(
       state,
       {
         endpointId,
@@ -54,7 +54,7 @@
     );
   });
   see(state, SILENT);
-  expectReports(
+  addPendingReports(
     state,
     [FIRST, SECOND, SILENT].map((one) => ({ instanceId: instanceIdOf(one), pool: POOL })),
   );
@@ -80,13 +80,13 @@
       percent: 100,
       figure: 0,
     })),
-    askedAtMs: atMs,
+    requestedAtMs: atMs,
     nowMs: atMs + 1,
   });
 
 const lose = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
   removeEndpoint(state, endpointId, { detail: 'host-ordered', atMs: nowMs, nowMs });
-  settleGoneEndpoints(state, nowMs);
+  giveUpRunsOfGoneEndpoints(state, nowMs);
 };
 
 const runningOn = (state: BatchState, endpointId: EndpointId): readonly string[] =>
@@ -118,7 +118,7 @@
 
   it('blocks all inherited tasks while it is in no list of endpoints', () => {
     const state = takenOver({ requiredLabel: 'fast' });
-    expectReports(state, [{ instanceId: instanceIdOf(brand('i-0000000009')), pool: POOL }]);
+    addPendingReports(state, [{ instanceId: instanceIdOf(brand('i-0000000009')), pool: POOL }]);
     [FIRST, SECOND].forEach((endpointId) => report(state, endpointId, 10));
     scheduleWritten(state, 20);
     expect(isAnyStarted(state)).toBe(false);
@@ -178,11 +178,11 @@
     { soleUntilMs = Infinity, isSeen = false } = {},
   ): boolean => {
     const state = takenOver();
-    expectReports(state, [{ instanceId: UNSEEN, pool: POOL }]);
+    addPendingReports(state, [{ instanceId: UNSEEN, pool: POOL }]);
     if (isSeen) see(state, brand(UNSEEN));
     Object.assign(state, { soleHolderUntilMs: soleUntilMs });
     const expected = [{ instanceId: UNSEEN, hostId: HOST }];
-    dropUnseenReports(state, expected, new Map([[HOST, { instanceId }]]), 50);
+    dropUnlistedPendingReports(state, expected, new Map([[HOST, { instanceId }]]), 50);
     return state.pools.get(POOL)?.unreportedInstances.has(UNSEEN) === true;
   };
 
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -6,7 +6,7 @@
 import { isFirstStartOfInherited } from '../crashes/inherited-losses.js';
 import { waitingSuspects } from '../crashes/isolation.js';
 import { announcedRunOf, announceTrials, isWritten } from '../crashes/trials.js';
-import { mayHaveBegun } from '../endpoints/sound-endpoints.js';
+import { mayRunInheritedTask } from '../endpoints/sound-endpoints.js';
 import {
   isSoleHolder,
   type BatchState,
@@ -36,7 +36,7 @@
 ): boolean => {
   if (!job.isInherited) return false;
   if (nowMs >= state.inheritedLeasesEndAtMs && isSoleHolder(state, nowMs)) return false;
-  const mayRunOn = (instanceId: InstanceId): boolean => mayHaveBegun(state, instanceId, spec);
+  const mayRunOn = (instanceId: InstanceId): boolean => mayRunInheritedTask(state, instanceId, spec);
   return state.isHostListAwaited || Array.from(unreportedInstances).some(mayRunOn);
 };
 
--- a/packages/core/src/batch/placement/ranking.test.ts
+++ b/packages/core/src/batch/placement/ranking.test.ts
@@ -28,7 +28,7 @@
     ]),
   );
   see(state, FIRST);
-  answer(state, { askedAtMs: 5, nowMs: 10 });
+  answer(state, { requestedAtMs: 5, nowMs: 10 });
   Array.from({ length: BACKLOG }, (_, index) =>
     submitJob(state, jobIdOf(index), { owner: { account: HEAVY, maximum: heavyMaximum } }),
   );
@@ -56,7 +56,7 @@
     kind: 'done' as const,
     checkpoint: '',
   };
-  answer(state, { ended: [end], askedAtMs: nowMs - 1, nowMs });
+  answer(state, { ended: [end], requestedAtMs: nowMs - 1, nowMs });
 };
 
 describe('passes over a pool with 5,000 waiting steps', () => {
--- a/packages/core/src/batch/placement/schedule-cycle.ts
+++ b/packages/core/src/batch/placement/schedule-cycle.ts
@@ -4,7 +4,7 @@
  */
 import { change } from '../../shared/change.js';
 import { endOldSuspicions } from '../domains/outage.js';
-import { settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
+import { giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { reckonUnreported } from '../accounts/quota.js';
 import { schedulePool } from './schedule.js';
 import type { BatchState } from '../model/state.js';
@@ -22,7 +22,7 @@
   return (startsLeft, nowMs) => {
     change(state, { startsLeft });
     endOldSuspicions(state, nowMs);
-    settleGoneEndpoints(state, nowMs);
+    giveUpRunsOfGoneEndpoints(state, nowMs);
     reckonUnreported(state, nowMs);
     const names = Array.from(state.pools.keys());
     firstPool = (firstPool + 1) % Math.max(1, names.length);
--- a/packages/core/src/batch/placement/schedule.test.ts
+++ b/packages/core/src/batch/placement/schedule.test.ts
@@ -29,7 +29,7 @@
   const state = createBatchState(2);
   [FIRST, SECOND].forEach((endpointId) => {
     see(state, endpointId);
-    answer(state, { endpointId, askedAtMs: 5, nowMs: 10 });
+    answer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
   });
   submit(state, 1, { step: { taskCount: 16 } });
   schedulePool(state, POOL, 20);
@@ -46,7 +46,7 @@
     kind: 'done' as const,
     checkpoint: '',
   }));
-  answer(state, { ended, askedAtMs: nowMs - 1, nowMs });
+  answer(state, { ended, requestedAtMs: nowMs - 1, nowMs });
 };
 
 describe('room that becomes free just after the first step in order could not be placed', () => {
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -8,7 +8,7 @@
 import { admittedEndpoints, ticketOf, requestAdvice } from './advice.js';
 import { giveUpIfDue } from '../jobs/give-up.js';
 import { sortByRank, listRankedSteps } from './ranking.js';
-import { noteStartAgain } from '../endpoints/run-end.js';
+import { logTaskRestart } from '../endpoints/run-end.js';
 import { hasLossBefore } from '../crashes/inherited-losses.js';
 import { announcedRunOf, announceTrials, countLostTrials } from '../crashes/trials.js';
 import { announceInheritedStarts, awaitsReports, startableTasks } from './inherited-tasks.js';
@@ -17,7 +17,7 @@
 import { findGangPlaces } from './gang-places.js';
 import { createCandidates } from './candidates.js';
 import { scoresFor } from './scores.js';
-import { mayHold, usableEndpoints } from '../endpoints/sound-endpoints.js';
+import { canHoldTask, schedulableEndpoints } from '../endpoints/sound-endpoints.js';
 import { addRun, nextRunNumber } from '../endpoints/runs.js';
 import {
   couldBegin,
@@ -61,7 +61,7 @@
   task: Task,
   { endpoint, run, reason }: Start,
 ): void => {
-  noteStartAgain(state, { endpoint, task, run, nowMs });
+  logTaskRestart(state, { endpoint, task, run, nowMs });
   addRun(state, { endpoint, step, task, run, phase: 'starting', nowMs });
   change(state, { startsLeft: state.startsLeft - 1 });
   state.effects.push({
@@ -123,7 +123,7 @@
   endpoints: readonly EndpointState[],
 ): void => {
   if (step.advice === null) return;
-  const withRoom = endpoints.filter((endpoint) => mayHold(endpoint, step));
+  const withRoom = endpoints.filter((endpoint) => canHoldTask(endpoint, step));
   requestAdvice(state, step, withRoom, nowMs);
 };
 
@@ -309,7 +309,7 @@
 export const schedulePool = (state: BatchState, name: PoolName, nowMs: number): void => {
   const pool = poolOf(state, name);
   if (pool.openSteps.size === 0) return;
-  const endpoints = usableEndpoints(state, name, nowMs);
+  const endpoints = schedulableEndpoints(state, name, nowMs);
   if (endpoints.length === 0) return;
   const hasSuspects = state.suspectJobs.size > 0;
   const pass: PoolPass = {
--- a/packages/core/src/batch/pools/hosts.ts
+++ b/packages/core/src/batch/pools/hosts.ts
@@ -1,7 +1,7 @@
 /** Hosts in the platform's list, and which of them can go down without violating a step's disruption budget. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
-import { mayHold, usableEndpoints } from '../endpoints/sound-endpoints.js';
+import { canHoldTask, schedulableEndpoints } from '../endpoints/sound-endpoints.js';
 import { stopRun } from '../endpoints/runs.js';
 import type {
   BatchState,
@@ -205,8 +205,8 @@
     (one) => one.step === step && isReady(one) && mayMove(one.task),
   );
   if (!run) return undefined;
-  const candidates = usableEndpoints(state, endpoint.pool, nowMs).filter(
-    (other) => other !== endpoint && mayHold(other, step) && mayTake(other),
+  const candidates = schedulableEndpoints(state, endpoint.pool, nowMs).filter(
+    (other) => other !== endpoint && canHoldTask(other, step) && mayTake(other),
   );
   if (candidates.length <= step.waiting.length) return undefined;
   run.task.avoidedEndpoint = endpoint.endpointId;
--- a/packages/core/src/batch/pools/pool-domains.test.ts
+++ b/packages/core/src/batch/pools/pool-domains.test.ts
@@ -5,7 +5,7 @@
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
 import { createBatchState, poolOf, type BatchState } from '../model/state.js';
-import { seeEndpoint } from '../endpoints/endpoints.js';
+import { upsertEndpoint } from '../endpoints/endpoints.js';
 import type { HostView } from './hosts.js';
 import { planMoves } from './pool-moves.js';
 import { DEFAULT_POOL_POLICY, type PoolWorld } from './pool-needs.js';
@@ -34,7 +34,7 @@
     const { hostId, capacity, labels } = host;
     const seen = { endpointId, hostId, capacity, labels, address: '', isDraining: false };
     const at = { pool: host.pool, dataCentre: host.dataCentre };
-    seeEndpoint(state, { ...seen, ...at }, 0).hasReported = true;
+    upsertEndpoint(state, { ...seen, ...at }, 0).hasReported = true;
   });
   const pools = [
     { name: POOL, isSpare: false },
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -5,7 +5,7 @@
 import { expectPeak, observeDemand } from './demand-peaks.js';
 import type { HostView, PoolView } from './hosts.js';
 import { reservedCpu } from '../endpoints/runs.js';
-import { isSound } from '../endpoints/sound-endpoints.js';
+import { isSchedulable } from '../endpoints/sound-endpoints.js';
 import { poolOf, type BatchState, type EndpointState, type StepRun } from '../model/state.js';
 
 /** The input from which pool moves are planned. */
@@ -147,7 +147,7 @@
       runs.size === 0,
   );
   const endpoints = Array.from(state.endpoints.values()).filter(
-    (endpoint) => endpoint.pool === name && isSound(state, endpoint, nowMs),
+    (endpoint) => endpoint.pool === name && isSchedulable(state, endpoint, nowMs),
   );
   const joiningHosts = poolHosts.filter(
     ({ instanceId }) => !instanceId || !state.currentIncarnations.get(instanceId)?.hasReported,
--- a/packages/core/src/batch/pools/pool-peaks.test.ts
+++ b/packages/core/src/batch/pools/pool-peaks.test.ts
@@ -9,7 +9,7 @@
   brand,
 } from '../../shared/ids.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
-import { seeEndpoint } from '../endpoints/endpoints.js';
+import { upsertEndpoint } from '../endpoints/endpoints.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
 import type { HostView } from './hosts.js';
 import { planMoves } from './pool-moves.js';
@@ -48,7 +48,7 @@
       labels: [],
       capacity,
     };
-    seeEndpoint(state, { ...seen, isDraining: false }, nowMs).hasReported = true;
+    upsertEndpoint(state, { ...seen, isDraining: false }, nowMs).hasReported = true;
     hosts.set(hostId, { ...host, state: 'up', instanceId: instanceIdOf(endpointId) });
   };
 
--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -8,7 +8,7 @@
   type PoolName,
   brand,
 } from '../../shared/ids.js';
-import { seeEndpoint } from '../endpoints/endpoints.js';
+import { upsertEndpoint } from '../endpoints/endpoints.js';
 import type { JobOwner } from '../model/accounts.js';
 import { taskKey, type BatchJob, type QueuePolicy, type StepSpec } from '../model/job.js';
 import { takeInJob } from '../jobs/jobs.js';
@@ -112,7 +112,7 @@
  * @param nowMs - The time at which it is first seen.
  */
 export const see = (state: BatchState, endpointId: EndpointId, nowMs = 0): void => {
-  seeEndpoint(
+  upsertEndpoint(
     state,
     {
       endpointId,
@@ -151,7 +151,7 @@
 };
 
 /** A report of an endpoint. Omitted lists are empty, and the endpoint is FIRST by default. */
-export type Answer = Pick<EndpointReport, 'askedAtMs' | 'nowMs'> &
+export type Answer = Pick<EndpointReport, 'requestedAtMs' | 'nowMs'> &
   Partial<EndpointReport> & { readonly endpointId?: EndpointId };
 
 /**
@@ -162,5 +162,5 @@
  */
 export const answer = (
   state: BatchState,
-  { endpointId = FIRST, running = [], ended = [], hasMoreEnds = false, askedAtMs, nowMs }: Answer,
-): void => applyReport(state, endpointId, { running, ended, hasMoreEnds, askedAtMs, nowMs });
+  { endpointId = FIRST, running = [], ended = [], hasMoreEnds = false, requestedAtMs, nowMs }: Answer,
+): void => applyReport(state, endpointId, { running, ended, hasMoreEnds, requestedAtMs, nowMs });
--- a/packages/core/src/batch/testing/domains.fixtures.ts
+++ b/packages/core/src/batch/testing/domains.fixtures.ts
@@ -1,6 +1,6 @@
 /** Fleets spread over racks and data centres, for unit tests. */
 import { brand, type DataCentreId, type EndpointId, type PoolName } from '../../shared/ids.js';
-import { seeEndpoint } from '../endpoints/endpoints.js';
+import { upsertEndpoint } from '../endpoints/endpoints.js';
 import type { BatchState, EndpointState } from '../model/state.js';
 import { answer, POOL } from './batch-state.fixtures.js';
 
@@ -36,7 +36,7 @@
   state: BatchState,
   { number, dataCentre, rack, pool = POOL }: RackedEndpoint,
 ): EndpointState =>
-  seeEndpoint(
+  upsertEndpoint(
     state,
     {
       endpointId: brand<EndpointId>(`i-${String(number).padStart(10, '0')}`),
@@ -70,6 +70,6 @@
       rack: hasRacks ? `rack-${rack}` : '',
       pool,
     });
-    answer(state, { endpointId: endpoint.endpointId, askedAtMs: 5, nowMs: 10 });
+    answer(state, { endpointId: endpoint.endpointId, requestedAtMs: 5, nowMs: 10 });
     return endpoint;
   });
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -10,9 +10,9 @@
 } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { takeAccounts } from '../accounts/quota.js';
-import { seeEndpoint } from '../endpoints/endpoints.js';
+import { upsertEndpoint } from '../endpoints/endpoints.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
-import { applyReport, type EndReport } from '../endpoints/reports.js';
+import { applyReport, type EndedRunReport } from '../endpoints/reports.js';
 import { createAdmissionControl, type AdmissionControl } from '../jobs/admission-control.js';
 import { noteFirstAttempts } from '../jobs/first-attempts.js';
 import { takeInJob } from '../jobs/jobs.js';
@@ -137,7 +137,7 @@
     lives += 1;
     const endpointId = brand<EndpointId>(`i-${lives}`);
     const { hostId, pool, capacity, dataCentre, labels } = host;
-    seeEndpoint(
+    upsertEndpoint(
       state,
       { endpointId, pool, hostId, address: '', dataCentre, labels, capacity, isDraining: false },
       nowMs,
@@ -206,7 +206,7 @@
   const played = new Map<JobId, PlayedJob>();
   const retries: { readonly job: PlayedJob; readonly atMs: number }[] = [];
   const workedCoreMs = new Map<PoolName, number>();
-  const ends = new Map<EndpointId, { readonly atMs: number; readonly end: EndReport }[]>();
+  const ends = new Map<EndpointId, { readonly atMs: number; readonly end: EndedRunReport }[]>();
   let ended = 0;
 
   const submitAttempt = (job: PlayedJob, nowMs: number): void => {
@@ -282,7 +282,7 @@
         endpointId,
         list.filter(({ atMs }) => atMs > nowMs),
       );
-    const rest = { running: [], hasMoreEnds: false, askedAtMs: 0, nowMs };
+    const rest = { running: [], hasMoreEnds: false, requestedAtMs: 0, nowMs };
     applyReport(state, endpointId, { ...rest, ended: over.map(({ end }) => end) });
   };
 
--- a/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
+++ b/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
@@ -8,7 +8,7 @@
   brand,
 } from '../../shared/ids.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
-import { seeEndpoint } from '../endpoints/endpoints.js';
+import { upsertEndpoint } from '../endpoints/endpoints.js';
 import { createHostInventory, takeHostList } from '../pools/host-inventory.js';
 import type { StepSpec } from '../model/job.js';
 import { takeInJob } from '../jobs/jobs.js';
@@ -60,7 +60,7 @@
       dataCentre: brand<DataCentreId>(''),
       labels: [],
     };
-    const endpoint = seeEndpoint(state, { ...sighting, ...place, isDraining: false }, 0);
+    const endpoint = upsertEndpoint(state, { ...sighting, ...place, isDraining: false }, 0);
     endpoint.hasReported = true;
     return endpoint;
   });
--- a/packages/daemon/src/batch/batch-faults.test.ts
+++ b/packages/daemon/src/batch/batch-faults.test.ts
@@ -82,8 +82,8 @@
         crash: () => endpoint && fleet.crash(endpoint.instanceId),
         hang: () => {
           if (!endpoint) return;
-          endpoint.mood = 'hangs';
-          setTimeout(() => Object.assign(endpoint, { mood: 'sound' }), forMs);
+          endpoint.faultMode = 'hangs';
+          setTimeout(() => Object.assign(endpoint, { faultMode: 'sound' }), forMs);
         },
         tableDown: () => {
           Object.assign(fleet.faults, { isTableDown: true });
--- a/packages/daemon/src/batch/control/load-note.ts
+++ b/packages/daemon/src/batch/control/load-note.ts
@@ -1,12 +1,12 @@
 /** What control carries: the figures by which an operator sees what holds starts back. */
-import type { BatchState, LinkDelay, OrderWindow } from '@valvelatch/core/batch';
+import type { BatchState, SharedDelayEstimator, OrderWindow } from '@valvelatch/core/batch';
 
 import type { Log } from '../../observe/log.js';
 
 export type LoadNoteOptions = {
   readonly state: BatchState;
   readonly window: OrderWindow;
-  readonly linkDelay: LinkDelay;
+  readonly linkDelay: SharedDelayEstimator;
   /** For how long it is sure that no other entry holds control. */
   readonly soleForMs: () => number;
   readonly nowMs: () => number;
@@ -38,8 +38,8 @@
     notReported: pools.reduce((sum, { unreportedInstances }) => sum + unreportedInstances.size, 0),
     soleForMs: Math.round(soleForMs()),
     window: window.size(),
-    underWay: window.underWay(),
+    underWay: window.inFlight(),
     answerMs: Math.round(linkDelay.meanMs()),
-    timeoutMs: Math.round(linkDelay.limitMs()),
+    timeoutMs: Math.round(linkDelay.timeoutMs()),
   });
 };
--- a/packages/daemon/src/batch/control/replaced-holder.test.ts
+++ b/packages/daemon/src/batch/control/replaced-holder.test.ts
@@ -18,7 +18,7 @@
  */
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import type { EndpointModel } from '@valvelatch/core/batch';
+import type { SimulatedEndpoint } from '@valvelatch/core/batch';
 import type { JobId } from '@valvelatch/core/shared/ids';
 
 import type { SimEntry, SimFleet } from '../testing/sim-fleet.fixtures.js';
@@ -41,10 +41,10 @@
   readonly job: JobId;
   readonly first: SimEntry;
   /** Where the task runs: on the side of the other entries. */
-  readonly far: EndpointModel;
+  readonly far: SimulatedEndpoint;
 };
 
-const endpointOf = (fleet: SimFleet, jobId: JobId): EndpointModel => {
+const endpointOf = (fleet: SimFleet, jobId: JobId): SimulatedEndpoint => {
   const found = Array.from(fleet.endpoints.values()).find(({ runs }) =>
     Array.from(runs.keys()).some((key) => key.startsWith(jobId)),
   );
@@ -53,7 +53,7 @@
 };
 
 /** Cuts an entry off with one endpoint of each pool; all else is on the side of the others. */
-const cutOff = (fleet: SimFleet, entry: SimEntry, far: EndpointModel): void => {
+const cutOff = (fleet: SimFleet, entry: SimEntry, far: SimulatedEndpoint): void => {
   Object.assign(entry, { isCutFromTable: true, isCutFromHosts: true, isSilent: true });
   fleet.endpoints.forEach(({ instanceId, pool }) => {
     const isFar = pool !== far.pool || instanceId === far.instanceId;
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -8,18 +8,18 @@
   countWaiting,
   createAdmissionControl,
   createBatchState,
-  createLinkDelay,
+  createSharedDelayEstimator,
   createOrderWindow,
   createScheduleCycle,
-  expectReports,
+  addPendingReports,
   instanceIdOf,
   isWithinObjective,
   noteFirstAttempts,
   paceGapFillers,
-  soleForMs,
+  remainingSoleHolderMs,
   takeAccounts,
   takeEffects,
-  watchRuns,
+  handleStalledAndLapsedRuns,
   type AdmissionControl,
   type BatchEffect,
   type BatchJob,
@@ -162,7 +162,7 @@
   const schedulePools = createScheduleCycle(state);
   const inheritedLeasesMs = endpointLeaseMs * LEASE_SLACK + LEASE_MARGIN_MS + holdersBeforeMs;
   const window = createOrderWindow();
-  const linkDelay = createLinkDelay();
+  const linkDelay = createSharedDelayEstimator();
   let guard: RowCheck = { key: batchKey.guard, version: -1 };
   let isStopped = false;
   let isReady = false;
@@ -320,7 +320,7 @@
     state.wallClockOffsetMs = todayMs() - nowMs();
     state.soleHolderUntilMs = soleHolderUntilMs();
     takeAccounts(state, configuration()?.accounts.byName ?? state.accounts);
-    schedulePools(mayStart() ? window.left() : 0, nowMs());
+    schedulePools(mayStart() ? window.available() : 0, nowMs());
     perform();
   };
 
@@ -344,7 +344,7 @@
     log.warn('endpoint-lease-ended', {
       endpoint: endpointId,
       ageMs: Math.round(nowMs() - endedAtMs),
-      soleForMs: soleForMs(state, nowMs()),
+      soleForMs: remainingSoleHolderMs(state, nowMs()),
     });
 
   const tick = async (): Promise<void> => {
@@ -353,7 +353,7 @@
     saver.lookAtTable();
     evacuations.look();
     state.recurringJobs.forEach((job) => beginDue(state, job, nowMs(), todayMs()));
-    watchRuns(state, nowMs()).forEach(noteLapsed);
+    handleStalledAndLapsedRuns(state, nowMs()).forEach(noteLapsed);
     paceGapFillers(state, nowMs());
     admission.followUp(nowMs());
     cycle();
@@ -398,7 +398,7 @@
     if (isStopped || !early || !late || !endpoints) return;
     state.clockMs = nowMs();
     jobRows.restore([early, late]);
-    expectReports(
+    addPendingReports(
       state,
       endpoints.seen.map(({ endpointId, pool }) => ({ instanceId: instanceIdOf(endpointId), pool })),
     );
--- a/packages/daemon/src/batch/endpoints/acknowledgement.test.ts
+++ b/packages/daemon/src/batch/endpoints/acknowledgement.test.ts
@@ -1,5 +1,5 @@
 /** Acknowledgements that reach the next life of an endpoint, which would forget ends that nobody has read. */
-import { LATEST_ORDER_MS } from '@valvelatch/core/batch';
+import { MAX_ORDER_DELAY_MS } from '@valvelatch/core/batch';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import { createAcknowledgement } from './acknowledgement.js';
@@ -50,8 +50,8 @@
     expect(acknowledgement.lateUntilMs()).toBe(0);
     clock.ms = 100;
     acknowledgement.noteAnswer(0);
-    expect(acknowledgement.lateUntilMs()).toBe(LATEST_ORDER_MS);
-    clock.ms = LATEST_ORDER_MS;
+    expect(acknowledgement.lateUntilMs()).toBe(MAX_ORDER_DELAY_MS);
+    clock.ms = MAX_ORDER_DELAY_MS;
     expect(acknowledgement.lateUntilMs()).toBe(0);
   });
 
--- a/packages/daemon/src/batch/endpoints/acknowledgement.ts
+++ b/packages/daemon/src/batch/endpoints/acknowledgement.ts
@@ -4,7 +4,7 @@
  * only while the life that it is meant for was heard a moment ago, and no more once that life has answered it.
  */
 
-import { LATEST_ORDER_MS } from '@valvelatch/core/batch';
+import { MAX_ORDER_DELAY_MS } from '@valvelatch/core/batch';
 
 /** Beyond the pause between two questions: no endpoint is up again, given work and done with it in this time. */
 const FRESH_MS = 500;
@@ -70,8 +70,8 @@
       if (sent > 0) missedAtMs = nowMs();
     },
     lateUntilMs: () => {
-      const areLate = nowMs() < outlivedAtMs + LATEST_ORDER_MS;
-      return areLate ? sentAtMs + LATEST_ORDER_MS : 0;
+      const areLate = nowMs() < outlivedAtMs + MAX_ORDER_DELAY_MS;
+      return areLate ? sentAtMs + MAX_ORDER_DELAY_MS : 0;
     },
   };
 };
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -3,7 +3,7 @@
  * ended, and keeps the lease of what runs there.
  */
 import {
-  createAnswerTimes,
+  createEndpointDelayEstimator,
   applyReport,
   isSuspected,
   noteAnswered,
@@ -95,7 +95,7 @@
   let misses = 0;
   /** The answer that the clock is to be read from, while one is awaited. */
   let clockAnswer: Promise<boolean> | undefined;
-  const answerTimes = createAnswerTimes(context.linkDelay);
+  const answerTimes = createEndpointDelayEstimator(context.linkDelay);
 
   const isResponsive = (): boolean => misses < MISSES_TO_WITHHOLD;
 
@@ -108,7 +108,7 @@
 
   /** Where so many endpoints miss that the cause is this entry's own link, nothing shows about their domains. */
   const noteSilence = (): void => {
-    if (context.linkDelay.isAtFault()) return;
+    if (context.linkDelay.isLocalFault()) return;
     noteUnanswered(state, endpointId, nowMs());
     if (isSuspect()) context.poke();
   };
@@ -153,10 +153,10 @@
     const answer = await send(answerTimes.timeoutMs());
     const tookMs = nowMs() - sentAtMs;
     if (answer.isErr() && answer.error.reason === 'no-answer') {
-      answerTimes.noteMiss(tookMs);
+      answerTimes.recordMiss(tookMs);
       noteSilence();
     } else if (answer.isOk()) {
-      answerTimes.note(tookMs);
+      answerTimes.recordResponse(tookMs);
       noteVoice();
     }
     return answer;
@@ -232,7 +232,7 @@
 
   /** Asks once. An endpoint that does not answer is asked without keeping what runs there. */
   const ask = async (patienceMs: number): Promise<boolean> => {
-    const askedAtMs = nowMs();
+    const requestedAtMs = nowMs();
     const keepUntilMs = isResponsive() && !isSuspect() ? keepUntil() : undefined;
     const acknowledged = acknowledgement.toSend(gatherForMs(context.linkDelay.meanMs()));
     const order = {
@@ -245,30 +245,30 @@
     const answer = await orders.list(target, order, timeoutMs);
     metrics.count('endpoint_looks');
     if (isClosed) return false;
-    const overMs = nowMs() - askedAtMs - order.waitMs;
+    const overMs = nowMs() - requestedAtMs - order.waitMs;
     if (answer.isErr()) {
       if (answer.error.reason === 'no-answer') {
-        answerTimes.noteMiss(Math.max(0, overMs));
+        answerTimes.recordMiss(Math.max(0, overMs));
         noteSilence();
       }
       noteMiss(answer.error, acknowledged);
       return false;
     }
     // One that came sooner did not wait for its time: how long it was under way is not known.
-    if (overMs >= 0) answerTimes.note(overMs);
+    if (overMs >= 0) answerTimes.recordResponse(overMs);
     if (!isResponsive()) log.info('endpoint-answers', { endpoint: endpointId });
     misses = 0;
     acknowledgement.noteAnswer(acknowledged);
     clock.note(answer.value);
     // Answers on different connections may pass each other, and so may the questions.
-    if (askedAtMs < (endpoint()?.reportedAtMs ?? 0) || answer.value.clockMs < reportClockMs) {
+    if (requestedAtMs < (endpoint()?.reportedAtMs ?? 0) || answer.value.clockMs < reportClockMs) {
       return true;
     }
     reportClockMs = answer.value.clockMs;
     const { running, ended, hasMoreEnds } = answer.value;
     const fresh = ended.filter(({ number }) => number > taken);
     state.clockMs = nowMs();
-    const report = { running, ended: fresh, hasMoreEnds, askedAtMs, nowMs: nowMs() };
+    const report = { running, ended: fresh, hasMoreEnds, requestedAtMs, nowMs: nowMs() };
     applyReport(state, endpointId, report);
     // Only what was applied may be acknowledged.
     taken = Math.max(taken, ...fresh.map(({ number }) => number));
--- a/packages/daemon/src/batch/endpoints/endpoint-roster.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-roster.ts
@@ -1,12 +1,12 @@
 /** The endpoints that a term knows: seen, followed, and dropped once nothing can run there. */
 import {
-  barOpenStarts,
-  findSucceededEndpoints,
+  blockUnansweredStarts,
+  findEndpointsWithSuccessor,
   instanceIdOf,
   isCrash,
   removeEndpoint,
-  seeEndpoint,
-  soleForMs,
+  upsertEndpoint,
+  remainingSoleHolderMs,
   type BatchState,
   type EndpointState,
   type GoneCause,
@@ -131,7 +131,7 @@
       lastEnd: links.get(endpointId)?.takenNumber(),
       isCrash: isCrash({ endpoint, detail: reason }),
       ageMs: Math.round(nowMs() - atMs),
-      soleForMs: soleForMs(state, nowMs()),
+      soleForMs: remainingSoleHolderMs(state, nowMs()),
     });
     if (isCrash({ endpoint, detail: reason })) linkContext.metrics.count('endpoint_crashes');
     noteLate(endpointId);
@@ -160,14 +160,14 @@
       if (isNew && lifeBefore) {
         drop(lifeBefore, { reason: 'restarted', atMs: nowMs(), toldBy: 'endpoint-list' });
       }
-      const endpoint = seeEndpoint(state, sighting, nowMs());
+      const endpoint = upsertEndpoint(state, sighting, nowMs());
       if (!isNew) return;
       endpoint.leaseEndsAtMs = nowMs() + firstLeaseMs(endpointId);
       withholdFromLate(endpoint);
       hadLives.add(instanceIdOf(endpointId));
       const link = createEndpointLink({ endpointId, address, dataCentre }, context);
       links.set(endpointId, link);
-      barOpenStarts(state, endpoint, nowMs());
+      blockUnansweredStarts(state, endpoint, nowMs());
       const withheldMs = Math.max(0, Math.round(endpoint.withheldUntilMs - nowMs())) || undefined;
       log.info('endpoint-seen', { endpoint: endpointId, pool, dataCentre, lifeBefore, withheldMs });
       link.watch();
@@ -181,7 +181,7 @@
   };
 
   const dropSucceeded = (): void => {
-    findSucceededEndpoints(state).forEach((endpointId) =>
+    findEndpointsWithSuccessor(state).forEach((endpointId) =>
       drop(endpointId, { reason: 'succeeded', atMs: nowMs() }),
     );
   };
--- a/packages/daemon/src/batch/endpoints/link-context.ts
+++ b/packages/daemon/src/batch/endpoints/link-context.ts
@@ -1,5 +1,5 @@
 /** What the links of a term share. */
-import type { BatchState, LinkDelay, OrderWindow } from '@valvelatch/core/batch';
+import type { BatchState, SharedDelayEstimator, OrderWindow } from '@valvelatch/core/batch';
 import type { DataCentreId, EndpointId } from '@valvelatch/core/shared/ids';
 
 import type { Log } from '../../observe/log.js';
@@ -11,7 +11,7 @@
   readonly state: BatchState;
   readonly orders: EndpointOrders;
   /** What delays the answers of all endpoints alike. */
-  readonly linkDelay: LinkDelay;
+  readonly linkDelay: SharedDelayEstimator;
   /** Starts under way at all endpoints. */
   readonly window: OrderWindow;
   readonly endpointLeaseMs: number;
--- a/packages/daemon/src/batch/endpoints/run-ends.test.ts
+++ b/packages/daemon/src/batch/endpoints/run-ends.test.ts
@@ -1,5 +1,5 @@
 /** What the log of a holder tells of runs that stop being known, and of tasks that it starts again. */
-import type { EndpointModel } from '@valvelatch/core/batch';
+import type { SimulatedEndpoint } from '@valvelatch/core/batch';
 import type { InstanceId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
@@ -16,7 +16,7 @@
 const nameOf = ({ task, run }: Fields): string => `${task}/${run}`;
 
 /** The endpoint with the most runs. */
-const busiest = (fleet: SimFleet): EndpointModel => {
+const busiest = (fleet: SimFleet): SimulatedEndpoint => {
   const [first] = Array.from(fleet.endpoints.values()).sort(
     (one, other) => other.runs.size - one.runs.size,
   );
--- a/packages/daemon/src/batch/endpoints/start-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.test.ts
@@ -1,11 +1,11 @@
 /** When an order to start may leave. */
 import {
   createBatchState,
-  createLinkDelay,
+  createSharedDelayEstimator,
   createOrderWindow,
   DEFAULT_STEP,
   schedulePool,
-  seeEndpoint,
+  upsertEndpoint,
   takeEffects,
   takeInJob,
   applyReport,
@@ -53,7 +53,7 @@
     address: '',
     dataCentre: DATA_CENTRE,
   };
-  seeEndpoint(state, { ...sighting, labels: [], capacity, isDraining: false }, 0);
+  upsertEndpoint(state, { ...sighting, labels: [], capacity, isDraining: false }, 0);
   takeInJob(state, {
     job: {
       jobId: brand<JobId>('00000000000000aa'),
@@ -71,7 +71,7 @@
     todayMs: 0,
   });
   const empty = { running: [], ended: [], hasMoreEnds: false };
-  applyReport(state, ENDPOINT, { ...empty, askedAtMs: heardAtMs, nowMs: heardAtMs });
+  applyReport(state, ENDPOINT, { ...empty, requestedAtMs: heardAtMs, nowMs: heardAtMs });
   schedulePool(state, POOL, heardAtMs);
   const [start] = takeEffects(state) as readonly Extract<BatchEffect, { kind: 'start' }>[];
   if (!start) throw new Error('nothing was placed');
@@ -89,7 +89,7 @@
             : Ok({ clockMs: 1 });
         },
       } as never,
-      linkDelay: createLinkDelay(),
+      linkDelay: createSharedDelayEstimator(),
       window: createOrderWindow(),
       endpointLeaseMs: 8000,
       log: { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} },
--- a/packages/daemon/src/batch/endpoints/start-orders.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.ts
@@ -1,11 +1,11 @@
 /** Orders to start a run at one endpoint: sent, sent again, and what becomes of them. */
 import {
   applyStartOutcome,
-  closeStart,
+  recordStartsAnswered,
   removeTicket,
   isSoleHolder,
   isSuspected,
-  openStart,
+  recordStartSent,
   type BatchEffect,
   type EndpointClock,
   type OrderError,
@@ -95,7 +95,7 @@
     const answer = await send((timeoutMs) => orders.start(target, order, timeoutMs));
     const tookMs = nowMs() - sentAtMs;
     const isLost = answer.isErr() && answer.error.reason === 'no-answer';
-    if (isLost && !context.linkDelay.isAtFault()) context.window.drop();
+    if (isLost && !context.linkDelay.isLocalFault()) context.window.cancel();
     else context.window.end(tookMs, nowMs());
     metrics.time('order_start', tookMs * 1000);
     return answer;
@@ -108,7 +108,7 @@
   const sendStart = async (order: StartOrder): Promise<SentStart> => {
     let isFirstLost = false;
     for (let attempt = 1; ; attempt += 1) {
-      openStart(state, endpointId, order, nowMs());
+      recordStartSent(state, endpointId, order, nowMs());
       const answer = await sendCounted(order);
       if (answer.isOk()) {
         noteClock(answer.value);
@@ -149,7 +149,7 @@
     if (error?.reason === 'ticket') removeTicket(state, task, endpointId);
     const reason = error?.reason;
     applyStartOutcome(state, endpointId, { task, run, outcome, reason, nowMs: nowMs() });
-    if (!isOpen) closeStart(state, endpointId, order);
+    if (!isOpen) recordStartsAnswered(state, endpointId, order);
     if (outcome !== 'started') {
       context.poke();
       return;
--- a/packages/daemon/src/batch/endpoints/stop-orders.ts
+++ b/packages/daemon/src/batch/endpoints/stop-orders.ts
@@ -1,5 +1,5 @@
 /** Orders to stop a run at one endpoint, sent until one is answered. */
-import { applyStopAnswer, type BatchEffect, type OrderError } from '@valvelatch/core/batch';
+import { applyStopResponse, type BatchEffect, type OrderError } from '@valvelatch/core/batch';
 import type { Result } from 'ts-results-es';
 
 import { sleep } from '../../shared/sleep.js';
@@ -58,7 +58,7 @@
       const order = { task, run, fence: state.fence };
       const answer = await send((timeoutMs) => orders.stop(target, order, timeoutMs));
       if (answer.isOk()) {
-        applyStopAnswer(state, endpointId, task, run, nowMs());
+        applyStopResponse(state, endpointId, task, run, nowMs());
         await onStopped(effect);
         return;
       }
--- a/packages/daemon/src/batch/hosts/host-roster.ts
+++ b/packages/daemon/src/batch/hosts/host-roster.ts
@@ -1,8 +1,8 @@
 /** The hosts that a term knows, by the platform's list. */
 import {
   createHostInventory,
-  dropUnseenReports,
-  expectReports,
+  dropUnlistedPendingReports,
+  addPendingReports,
   noteLossesBefore,
   findDeadEndpoints,
   takeHostList,
@@ -107,7 +107,7 @@
       instanceId === null ? [] : [{ instanceId, hostId, pool }],
     );
     expected = living;
-    expectReports(state, living);
+    addPendingReports(state, living);
     noteLossesBefore(state, list);
     change(state, { isHostListAwaited: false });
   };
@@ -120,7 +120,7 @@
       if (endpoint) endpoint.hostId = hostId;
     });
     if (state.isHostListAwaited) expectEndpoints(list);
-    dropUnseenReports(state, expected, inventory.hosts, nowMs());
+    dropUnlistedPendingReports(state, expected, inventory.hosts, nowMs());
     findDeadEndpoints(state, inventory.hosts, askedAtMs).forEach(({ endpointId, cause }) =>
       dropEndpoint(endpointId, { reason: cause, atMs: askedAtMs }),
     );
--- a/packages/daemon/src/batch/operators/data-centre-views.ts
+++ b/packages/daemon/src/batch/operators/data-centre-views.ts
@@ -2,7 +2,7 @@
 import {
   evacuationsAwaitedBy,
   isFinal,
-  isSound,
+  isSchedulable,
   runsInDataCentre,
   type BatchState,
   type StepRun,
@@ -17,7 +17,7 @@
 
 const freeCoresOutside = (state: BatchState, dataCentre: DataCentreId, nowMs: number): number =>
   Array.from(state.endpoints.values())
-    .filter((one) => one.dataCentre !== dataCentre && isSound(state, one, nowMs))
+    .filter((one) => one.dataCentre !== dataCentre && isSchedulable(state, one, nowMs))
     .reduce((sum, { capacity, used }) => sum + capacity.cpuMillis - used.cpuMillis, 0) / MILLIS;
 
 const knownDataCentres = (term: Term): readonly DataCentreId[] =>
--- a/packages/daemon/src/batch/ports.ts
+++ b/packages/daemon/src/batch/ports.ts
@@ -8,12 +8,12 @@
   BatchConfiguration,
   EndpointClock,
   EndpointReport,
-  EndpointSighting,
+  EndpointDescription,
   EvacuationReading,
   FeedScope,
   HostOrderOutcome,
   HostView,
-  LinkUse,
+  LinkUsage,
   ListOrder,
   OrderError,
   PaceOrder,
@@ -86,7 +86,7 @@
 
 /** Endpoints as they come, change and go. */
 export type EndpointNews = {
-  readonly seen: readonly EndpointSighting[];
+  readonly seen: readonly EndpointDescription[];
   readonly gone: readonly EndpointId[];
 };
 
@@ -191,7 +191,7 @@
   readonly hosts: HostPort;
   readonly advice: AdvicePort;
   /** What this entry's calls have put on its link. */
-  readonly linkUse: () => LinkUse;
+  readonly linkUse: () => LinkUsage;
   /** Tells what the mesh between entries puts on it. */
   readonly noteMeshFrame: (direction: 'sent' | 'received', bytes: number) => void;
   readonly bounds: () => PlatformBounds;
--- a/packages/daemon/src/batch/relays/order-message.ts
+++ b/packages/daemon/src/batch/relays/order-message.ts
@@ -1,6 +1,6 @@
 /** Orders as entries pass them on, and their answers: rows without field names, one message each. */
 import type {
-  EndKind,
+  RunEndKind,
   EndpointClock,
   EndpointReport,
   ListOrder,
@@ -115,7 +115,7 @@
 /** The relay does not have the text of the job. */
 export const SPEC_MISSING = 'spec-missing';
 
-const SHORT: Readonly<Record<EndKind, number>> = {
+const SHORT: Readonly<Record<RunEndKind, number>> = {
   done: 0,
   failed: 1,
   stopped: 2,
@@ -123,7 +123,7 @@
   broken: 4,
   alone: 5,
 };
-const KINDS = Object.keys(SHORT) as readonly EndKind[];
+const KINDS = Object.keys(SHORT) as readonly RunEndKind[];
 
 /**
  * Encodes an answer.
--- a/packages/daemon/src/batch/relays/relayed-orders.ts
+++ b/packages/daemon/src/batch/relays/relayed-orders.ts
@@ -8,7 +8,7 @@
   createRelayDecision,
   parseTaskKey,
   selectRelays,
-  type LinkUse,
+  type LinkUsage,
   type OrderError,
   type RelayCandidate,
 } from '@valvelatch/core/batch';
@@ -46,7 +46,7 @@
 export type RelayedOrdersOptions = {
   readonly orders: EndpointOrders;
   readonly peers: () => Pick<Peers, 'ask' | 'keepLink' | 'members' | 'silentForMs'> | undefined;
-  readonly linkUse: () => LinkUse;
+  readonly linkUse: () => LinkUsage;
   /** False: all orders go directly, however busy the link is. */
   readonly isAllowed: boolean;
   readonly log: Log;
@@ -87,7 +87,7 @@
     return (known?.members() ?? []).map(({ entryId, dataCentre, strength }) => ({
       entryId,
       dataCentre,
-      strength,
+      relativeCapacity: strength,
       isUsable:
         (known?.silentForMs(entryId) ?? Infinity) < RELAY_SILENT_MS &&
         nowMs() >= (failedUntilMs.get(entryId) ?? 0),
@@ -197,7 +197,7 @@
     },
     pace: orders.pace,
     forget: (target) => {
-      assignment.forget(target.endpointId);
+      assignment.unassign(target.endpointId);
       directUntilMs.delete(target.endpointId);
       orders.forget(target);
     },
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -5,8 +5,8 @@
 import {
   beginDue,
   createBatchState,
-  createEndpointModel,
-  createLinkDelay,
+  createSimulatedEndpoint,
+  createSharedDelayEstimator,
   createOrderWindow,
   instanceIdOf,
   findTask,
@@ -16,14 +16,14 @@
   stopRun,
   takeEffects,
   takeInJob,
-  watchRuns,
+  handleStalledAndLapsedRuns,
   DEFAULT_STEP,
   type BatchJob,
   type BatchState,
-  type EndKind,
-  type EndReport,
-  type EndpointModel,
-  type EndpointSighting,
+  type RunEndKind,
+  type EndedRunReport,
+  type SimulatedEndpoint,
+  type EndpointDescription,
   type JobState,
   type OrderError,
   type StepSpec,
@@ -106,7 +106,7 @@
   readonly mostEnds?: number;
   readonly fates?: Partial<Fates>;
   /** What the endpoints went through before this holder meets them. */
-  readonly before?: (endpoints: readonly EndpointModel[]) => void;
+  readonly before?: (endpoints: readonly SimulatedEndpoint[]) => void;
   readonly meetsAfterMs?: number;
   /** True if another holder takes part: it acknowledges ends, and this one's fence may be refused. */
   readonly hasSuccessor?: boolean;
@@ -140,10 +140,10 @@
   };
 };
 
-const numberOf = ({ number }: EndReport): number => number;
+const numberOf = ({ number }: EndedRunReport): number => number;
 
 type SimEndpoint = {
-  readonly model: EndpointModel;
+  readonly model: SimulatedEndpoint;
   readonly lease: ReturnType<typeof createLeaseMirror>;
   /** The numbers of the ends that the holder was told of. */
   readonly told: Set<number>;
@@ -225,14 +225,14 @@
       });
   };
 
-  const observeEnd = (on: EndpointId, task: TaskKey, run: number, kind: EndKind | 'died'): void => {
+  const observeEnd = (on: EndpointId, task: TaskKey, run: number, kind: RunEndKind | 'died'): void => {
     if (kind !== 'done') return;
     const atMs = nowMs();
     const followedBy = undefined;
     doneEnds.push({ endpointId: on, task, run, atMs, followedBy, isAcknowledged: false });
   };
 
-  const isApplied = ({ task, run, kind }: EndReport): boolean => {
+  const isApplied = ({ task, run, kind }: EndedRunReport): boolean => {
     const found = taskOf(task);
     if (!found) return false;
     if (isFinal(found.step.job.phase)) return true;
@@ -240,7 +240,7 @@
     return kind === 'failed' ? found.task.failedRuns.includes(run) : true;
   };
 
-  const observeAcknowledged = (on: EndpointId, end: EndReport): void => {
+  const observeAcknowledged = (on: EndpointId, end: EndedRunReport): void => {
     const { number, task, run, kind } = end;
     const endpoint = endpoints.get(on);
     if (!endpoint) return;
@@ -258,19 +258,19 @@
     if (ended.followedBy !== undefined) breaks(`run ${ended.followedBy} had begun after ${named}`);
   };
 
-  const addEndpoint = (room: number): EndpointSighting => {
+  const addEndpoint = (room: number): EndpointDescription => {
     const endpointId = brand<EndpointId>(`i-${lastEndpoint}`);
     const index = lastEndpoint;
     lastEndpoint += 1;
     const capacity = { cpuMillis: room * 1000, memoryMb: 64_000, accelerators: 0 };
-    const model = createEndpointModel({
+    const model = createSimulatedEndpoint({
       instanceId: instanceIdOf(endpointId),
       hostId: brand(`h-${index}`),
       pool: POOL,
       capacity,
       clockRate,
       observer: {
-        needsOf: (key) => {
+        taskOf: (key) => {
           const name = parseTaskKey(key);
           return {
             cpuMillis: 1000,
@@ -422,7 +422,7 @@
     linkContext: {
       state,
       orders,
-      linkDelay: createLinkDelay(),
+      linkDelay: createSharedDelayEstimator(),
       window: createOrderWindow(),
       endpointLeaseMs: ENDPOINT_LEASE_MS,
       log: SILENT_LOG,
@@ -475,7 +475,7 @@
     const living = Array.from(endpoints.values()).filter(({ model }) => model.isUp());
     const struck = living[pick % Math.max(1, living.length)];
     if (!struck) return;
-    struck.model.die();
+    struck.model.crash();
     setTimeout(() => {
       if (isStopped) return;
       struck.isReplaced = true;
@@ -518,7 +518,7 @@
 
   const timer = setInterval(() => {
     state.recurringJobs.forEach((job) => beginDue(state, job, nowMs(), Date.now()));
-    watchRuns(state, nowMs());
+    handleStalledAndLapsedRuns(state, nowMs());
     cycle();
   }, TICK_MS);
 
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -5,19 +5,19 @@
  */
 import {
   createBatchState,
-  createEndpointModel,
-  createLinkDelay,
+  createSimulatedEndpoint,
+  createSharedDelayEstimator,
   createOrderWindow,
   instanceIdOf,
   createScheduleCycle,
   parseTaskKey,
   takeEffects,
   takeInJob,
-  watchRuns,
+  handleStalledAndLapsedRuns,
   DEFAULT_STEP,
   type BatchState,
-  type EndpointModel,
-  type EndReport,
+  type SimulatedEndpoint,
+  type EndedRunReport,
   type ListOrder,
   type OrderError,
   type StartOrder,
@@ -115,7 +115,7 @@
 
 export type LeasedEndpoint = {
   readonly state: BatchState;
-  readonly model: EndpointModel;
+  readonly model: SimulatedEndpoint;
   /** What did not hold, with its time. */
   readonly broken: readonly string[];
   /** Every order that was sent, carried out or not. */
@@ -217,14 +217,14 @@
 
   const nameOf = (task: TaskKey, run: number): string => `${task}/${run}`;
 
-  const model = createEndpointModel({
+  const model = createSimulatedEndpoint({
     instanceId: instanceIdOf(ENDPOINT),
     hostId: brand('h-1'),
     pool: brand(POOL),
     capacity: { cpuMillis: 4000, memoryMb: 4000, accelerators: 0 },
     clockRate,
     observer: {
-      needsOf: (task) => {
+      taskOf: (task) => {
         const taskMs = runMsOf.get(parseTaskKey(task)?.jobId ?? brand('')) ?? 0;
         const isLasting = taskMs === Infinity;
         return { cpuMillis: 1000, memoryMb: 100, runMs: taskMs, isLasting, fails: false };
@@ -242,7 +242,7 @@
           breaks(`the lease counted here is wrong by ${lateMs} ms`);
         }
       },
-      onAcknowledged: ({ task, run, kind }: EndReport) => {
+      onAcknowledged: ({ task, run, kind }: EndedRunReport) => {
         const name = nameOf(task, run);
         const endedAtMs = doneAtMs.get(name) ?? 0;
         const hasLapsed = [...lapsedAtMs, leaseEndsAtMs()].some(
@@ -363,7 +363,7 @@
   const cycle = (): void => {
     if (isIn('freeze') || isClosed) return;
     state.clockMs = nowMs();
-    if (holds()) schedulePools(window.left(), nowMs());
+    if (holds()) schedulePools(window.available(), nowMs());
     perform();
   };
 
@@ -403,7 +403,7 @@
     linkContext: {
       state,
       orders,
-      linkDelay: createLinkDelay(),
+      linkDelay: createSharedDelayEstimator(),
       window,
       endpointLeaseMs: ENDPOINT_LEASE_MS,
       log: SILENT_LOG,
@@ -433,7 +433,7 @@
   const giveUp = (): void => {
     const runs = Array.from(state.endpoints.get(ENDPOINT)?.runs.values() ?? []);
     const names = runs.map(({ task, run }) => nameOf(task.key, run));
-    if (watchRuns(state, nowMs()).length === 0) return;
+    if (handleStalledAndLapsedRuns(state, nowMs()).length === 0) return;
     gaveUpAtMs.push(nowMs());
     names.forEach((name) => givenUp.add(name));
     const leftMs = leaseEndsAtMs() - nowMs();
@@ -523,7 +523,7 @@
       isClosed = true;
       timers.forEach((timer) => clearInterval(timer));
       roster.close();
-      model.die();
+      model.crash();
     },
   };
 };
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -11,7 +11,7 @@
   type BatchJobRow,
   type Capacity,
   type ClientAccount,
-  type EndpointModel,
+  type SimulatedEndpoint,
   type HostView,
   type PlacementPolicy,
   type QueueIndex,
@@ -141,7 +141,7 @@
 
 export type SimFleet = {
   readonly entries: SimEntry[];
-  readonly endpoints: Map<InstanceId, EndpointModel>;
+  readonly endpoints: Map<InstanceId, SimulatedEndpoint>;
   readonly hosts: Map<HostId, HostView>;
   readonly broken: string[];
   readonly startsSent: readonly SentStart[];
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -3,9 +3,9 @@
   instanceIdOf,
   requireSameIncarnation,
   type BatchConfiguration,
-  type EndpointModel,
+  type SimulatedEndpoint,
   type EndpointReport,
-  type EndpointSighting,
+  type EndpointDescription,
   type HostView,
   type OrderError,
   type UpkeepOrder,
@@ -229,7 +229,7 @@
     order: unknown,
     isGivenUp: () => boolean,
     call: (
-      endpoint: EndpointModel,
+      endpoint: SimulatedEndpoint,
     ) => Promise<Result<Value, OrderError>> | Result<Value, OrderError>,
     timeoutMs: number,
   ): Promise<Result<Value, OrderError>> => {
@@ -288,7 +288,7 @@
     instanceId: InstanceId,
     order: unknown,
     call: (
-      endpoint: EndpointModel,
+      endpoint: SimulatedEndpoint,
     ) => Promise<Result<Value, OrderError>> | Result<Value, OrderError>,
     timeoutMs: number,
   ): Promise<Result<Value, OrderError>> => {
@@ -321,7 +321,7 @@
     };
   };
 
-  const placeOf = ({ hostId }: EndpointModel): Pick<EndpointSighting, 'dataCentre' | 'labels'> => {
+  const placeOf = ({ hostId }: SimulatedEndpoint): Pick<EndpointDescription, 'dataCentre' | 'labels'> => {
     const host = hosts.get(hostId);
     return {
       dataCentre: host?.dataCentre ?? brand<DataCentreId>(''),
@@ -398,10 +398,10 @@
     endpoints: endpointFeed,
     orders: {
       list: async ({ endpointId }, order, timeoutMs) => {
-        const ask = async (one: EndpointModel) => {
+        const ask = async (one: SimulatedEndpoint) => {
           noteAsked(one);
           const answer = await one.list(order);
-          return answer.map((value) => ({ bornAtMs: one.bornAtMs, value }));
+          return answer.map((value) => ({ bornAtMs: one.startedAtMs, value }));
         };
         const patienceMs = order.waitMs + timeoutMs;
         const answer = await toEndpoint(instanceIdOf(endpointId), order, ask, patienceMs);
--- a/packages/daemon/src/batch/testing/sim-world.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-world.fixtures.ts
@@ -3,16 +3,16 @@
  * always hold is checked at the endpoints and hosts while it happens.
  */
 import {
-  createEndpointModel,
+  createSimulatedEndpoint,
   parseTaskKey,
   type BatchJob,
   type BatchJobRow,
   type Capacity,
-  type EndReport,
-  type EndpointModel,
+  type EndedRunReport,
+  type SimulatedEndpoint,
   type EndpointObserver,
   type HostView,
-  type ModelTask,
+  type SimulatedTask,
   type QueuePolicy,
   type TaskKey,
   type TaskKeyParts,
@@ -156,7 +156,7 @@
 }: SimWorldOptions) => {
   const table = createTableModel();
   const changes: { readonly key: string; readonly value: unknown; readonly version: number }[] = [];
-  const endpoints = new Map<InstanceId, EndpointModel>();
+  const endpoints = new Map<InstanceId, SimulatedEndpoint>();
   const hosts = new Map<HostId, HostView>();
   const jobs = new Map<JobId, Submitted>();
   const done = new Set<TaskKey>();
@@ -197,7 +197,7 @@
   /** For how long the process that holds control has run. */
   const holderAge = { ms: (): number => Infinity };
   const unlisted = new Set<InstanceId>();
-  const isListed = (one: EndpointModel): boolean => one.isUp() && !unlisted.has(one.instanceId);
+  const isListed = (one: SimulatedEndpoint): boolean => one.isUp() && !unlisted.has(one.instanceId);
   const cancelled = new Set<string>();
   const waveStatus = new Map<number, string>();
   const waves = new Map<number, UpkeepOrder>();
@@ -205,9 +205,9 @@
   let restarts = 0;
   /** When the order was sent that is being carried out late. */
   const lateOrder = { sentAtMs: Infinity };
-  const livesSinceMs = new Map<EndpointModel, number>();
+  const livesSinceMs = new Map<SimulatedEndpoint, number>();
   /** When each life was first asked what runs there. */
-  const askedSinceMs = new Map<EndpointModel, number>();
+  const askedSinceMs = new Map<SimulatedEndpoint, number>();
   /** Runs that were begun by orders to the life before, by endpoint and task. */
   const strays = new Set<string>();
 
@@ -215,7 +215,7 @@
     broken.push(`${Math.round(performance.now())} ms: ${text}`);
   };
 
-  const needsOf = (key: TaskKey): ModelTask => {
+  const taskOf = (key: TaskKey): SimulatedTask => {
     const name = parseTaskKey(key);
     const submitted = name && jobs.get(name.jobId);
     const step = submitted?.job.steps[name?.step ?? 0];
@@ -233,7 +233,7 @@
 
   /** A task that takes its endpoints down may not go on doing so. */
   const checkCrashes = (key: TaskKey): void => {
-    if (needsOf(key).crashesAfterMs === undefined) return;
+    if (taskOf(key).crashesAfterMs === undefined) return;
     if ((crashes.get(key) ?? 0) < FREE_CRASHES || holderAge.ms() < CONTACT_MS) return;
     const starts = (startsSince.get(key) ?? 0) + 1;
     startsSince.set(key, starts);
@@ -267,9 +267,9 @@
         Array.from(runs.keys()).filter((key) => !strays.has(`${endpointId} ${key}`)),
       )
       .filter((key) => accountOf(key) === account)
-      .reduce((sum, key) => sum + needsOf(key).cpuMillis, 0);
+      .reduce((sum, key) => sum + taskOf(key).cpuMillis, 0);
     const isIncluded = Array.from(endpoints.values()).some(({ runs }) => runs.has(task));
-    const before = running - (isIncluded ? needsOf(task).cpuMillis : 0);
+    const before = running - (isIncluded ? taskOf(task).cpuMillis : 0);
     if (before > most * (1 + QUOTA_EXCESS)) {
       breaks(`${task} began beside ${before} of ${account}, which may have ${most}`);
     }
@@ -279,7 +279,7 @@
    * Nothing begins in an evacuated data centre after the bound. An order that is carried out late counts by the time
    * at which it was sent. While the table is away for all no operator is acknowledged, and starts go on.
    */
-  const checkEvacuation = ({ hostId }: EndpointModel, task: TaskKey): void => {
+  const checkEvacuation = ({ hostId }: SimulatedEndpoint, task: TaskKey): void => {
     const dataCentre = hosts.get(hostId)?.dataCentre;
     if (dataCentre === undefined || isTableDown) return;
     const nowMs = performance.now();
@@ -317,12 +317,12 @@
    * An order to the life before that is carried out before this one was asked and told to bar it: nobody can keep
    * it from beginning what has ended, or what runs elsewhere.
    */
-  const isStray = (endpoint: EndpointModel): boolean =>
+  const isStray = (endpoint: SimulatedEndpoint): boolean =>
     lateOrder.sentAtMs < (livesSinceMs.get(endpoint) ?? 0) &&
     performance.now() - (askedSinceMs.get(endpoint) ?? Infinity) < BARRED_WITHIN_MS;
 
   const observer: EndpointObserver = {
-    needsOf,
+    taskOf,
     onStart: (endpoint, task, run) => {
       checkEvacuation(endpoint, task);
       if (isStray(endpoint)) {
@@ -350,9 +350,9 @@
       if (kind === 'failed') failedEnds.set(task, (failedEnds.get(task) ?? 0) + 1);
       if (kind === 'done') done.add(task);
     },
-    onAcknowledged: ({ task, kind }: EndReport) => {
+    onAcknowledged: ({ task, kind }: EndedRunReport) => {
       if (kind === 'done') noted.add(task);
-      if (kind === 'failed' && !needsOf(task).isLasting) {
+      if (kind === 'failed' && !taskOf(task).isLasting) {
         failures.set(task, (failures.get(task) ?? 0) + 1);
       }
     },
@@ -371,7 +371,7 @@
   };
 
   const liveOn = (host: HostView, instanceId = newId()): void => {
-    const endpoint = createEndpointModel({
+    const endpoint = createSimulatedEndpoint({
       instanceId,
       hostId: host.hostId,
       pool: host.pool,
@@ -385,7 +385,7 @@
   };
 
   /** How many tasks of a task's step are at work on an endpoint. */
-  const atWorkOn = ({ runs }: EndpointModel, { jobId, step }: TaskKeyParts): number =>
+  const atWorkOn = ({ runs }: SimulatedEndpoint, { jobId, step }: TaskKeyParts): number =>
     Array.from(runs.values()).filter(({ task, startedAtMs, needs, isStopping }) => {
       const one = parseTaskKey(task);
       const isOfStep = one?.jobId === jobId && one.step === step;
@@ -411,7 +411,7 @@
   };
 
   /** Checks that a task which is ordered to stop may be missed. */
-  const checkStop = (endpoint: EndpointModel, key: TaskKey): void => {
+  const checkStop = (endpoint: SimulatedEndpoint, key: TaskKey): void => {
     const name = parseTaskKey(key);
     // A late order is nobody's to prevent.
     if (!name || !endpoint.runs.has(key) || lateOrder.sentAtMs < Infinity) return;
@@ -460,7 +460,7 @@
   /** The host's life ends; another begins after a time, unless its pool is switched off. */
   const relive = (host: HostView, afterMs: number): void => {
     const formerId = host.instanceId;
-    if (formerId) endpoints.get(formerId)?.die();
+    if (formerId) endpoints.get(formerId)?.crash();
     hosts.set(host.hostId, { ...host, instanceId: null });
     setTimeout(() => {
       const now = hosts.get(host.hostId);
@@ -535,7 +535,7 @@
     unlisted,
     operator,
     lateOrder,
-    noteAsked: (endpoint: EndpointModel): void => {
+    noteAsked: (endpoint: SimulatedEndpoint): void => {
       if (!askedSinceMs.has(endpoint)) askedSinceMs.set(endpoint, performance.now());
     },
     isListed,
--- a/packages/daemon/src/observe/bounded-output.test.ts
+++ b/packages/daemon/src/observe/bounded-output.test.ts
@@ -2,8 +2,8 @@
 import {
   createBatchState,
   endpointIdOf,
-  noteRunEnd,
-  seeEndpoint,
+  recordRunEnd,
+  upsertEndpoint,
   takeEffects,
 } from '@valvelatch/core/batch';
 import { brand } from '@valvelatch/core/shared/ids';
@@ -127,7 +127,7 @@
     const fieldsOfEnd = (index: number) => {
       const state = createBatchState(999);
       Object.assign(state, { soleHolderUntilMs: 0 });
-      const endpoint = seeEndpoint(
+      const endpoint = upsertEndpoint(
         state,
         {
           endpointId: endpointIdOf('i-0123456789', 1_800_000_000_000),
@@ -141,15 +141,15 @@
         },
         0,
       );
-      noteRunEnd(state, {
+      recordRunEnd(state, {
         endpoint,
         task: brand(`0123456789abcdef.0.1.${index}`),
         run: 999_001,
-        found: undefined,
+        taskWithStep: undefined,
         startedAtMs: 0,
         evidence: { cause: 'endpoint-gone', atMs: 89_000, detail: 'host-list' },
         nowMs: 99_000,
-        settle: () => undefined,
+        updateTask: () => undefined,
       });
       return takeEffects(state).flatMap((one) => (one.kind === 'note' ? [one.fields] : []));
     };
--- a/packages/stand-ins/src/users-platform/executor-service.ts
+++ b/packages/stand-ins/src/users-platform/executor-service.ts
@@ -1,8 +1,8 @@
 /** A stand-in for one executor of the users' platform, over the model of an endpoint. */
 import {
-  createEndpointModel,
-  type EndpointModel,
-  type EndpointModelOptions,
+  createSimulatedEndpoint,
+  type SimulatedEndpoint,
+  type SimulatedEndpointOptions,
   type OrderError,
   type TaskKey,
 } from '@valvelatch/core/batch';
@@ -11,7 +11,7 @@
 
 /** A running executor. */
 export type StandInExecutor = {
-  readonly model: EndpointModel;
+  readonly model: SimulatedEndpoint;
   readonly address: string;
   readonly close: () => Promise<void>;
 };
@@ -44,8 +44,8 @@
  * @param options - The names, the room and the clock of its endpoint.
  * @returns The executor.
  */
-export const startExecutor = async (options: EndpointModelOptions): Promise<StandInExecutor> => {
-  const model = createEndpointModel(options);
+export const startExecutor = async (options: SimulatedEndpointOptions): Promise<StandInExecutor> => {
+  const model = createSimulatedEndpoint(options);
   const server = fastify();
 
   server.addHook('onRequest', async ({ headers }, reply) => {
@@ -68,7 +68,7 @@
     const answer = await model.list({ fence, acknowledged: lastSeen, waitMs, ...keep });
     const wire = answer.map(({ clockMs, running, ended }) => ({
       clockMs,
-      born: model.bornAtMs,
+      born: model.startedAtMs,
       running: running.map((one) => [one.task, one.run, one.checkpoint, one.percent, one.figure]),
       ended: ended.map((one) => [one.number, one.task, one.run, one.kind, one.checkpoint]),
     }));
@@ -80,7 +80,7 @@
     model,
     address: url.replace('http://', ''),
     close: async () => {
-      model.die();
+      model.crash();
       server.server.closeAllConnections();
       await server.close();
     },
--- a/packages/stand-ins/src/users-platform/users-platform.ts
+++ b/packages/stand-ins/src/users-platform/users-platform.ts
@@ -5,8 +5,8 @@
 import {
   parseTaskKey,
   type EndpointObserver,
-  type EndReport,
-  type ModelTask,
+  type EndedRunReport,
+  type SimulatedTask,
   type TaskKey,
 } from '@valvelatch/core/batch';
 import type { InstanceId, HostId, PoolName } from '@valvelatch/core/shared/ids';
@@ -43,7 +43,7 @@
   /** Where machines stand, by turns. */
   readonly zones?: readonly string[];
   /** What the tasks of a job need, by the text in its spec's place; the same for all by default. */
-  readonly needs?: ModelTask;
+  readonly needs?: SimulatedTask;
 };
 
 export type UsersPlatform = {
@@ -63,7 +63,7 @@
   readonly close: () => Promise<void>;
 };
 
-const DEFAULT_NEEDS: ModelTask = {
+const DEFAULT_NEEDS: SimulatedTask = {
   cpuMillis: 1000,
   memoryMb: 100,
   runMs: 150,
@@ -77,11 +77,11 @@
   executors: () => readonly StandInExecutor[],
   broken: string[],
   begun: Set<string>,
-  needs: ModelTask,
+  needs: SimulatedTask,
 ): EndpointObserver => {
   const noted = new Set<TaskKey>();
   return {
-    needsOf: () => needs,
+    taskOf: () => needs,
     onStart: (endpoint, task, run) => {
       const others = executors().filter(
         ({ model }) => model !== endpoint && model.isUp() && model.runs.has(task),
@@ -93,7 +93,7 @@
       else broken.push(`${task} is no task`);
     },
     onEnd: () => undefined,
-    onAcknowledged: ({ task, kind }: EndReport) => {
+    onAcknowledged: ({ task, kind }: EndedRunReport) => {
       if (kind === 'done') noted.add(task);
     },
   };
@@ -154,7 +154,7 @@
       machine,
       capacity: { cpu: CAPACITY.cpuMillis, memMb: CAPACITY.memoryMb },
       labels: ['a', 'r1-1'],
-      born: model.bornAtMs,
+      born: model.startedAtMs,
       seq: Math.round(performance.now()),
     });
 
