--- a/packages/core/src/batch/crashes/inherited-losses.ts
+++ b/packages/core/src/batch/crashes/inherited-losses.ts
@@ -4,7 +4,7 @@
  * So in such a pool, the new leader records the first start of each inherited task in its job's row before ordering it.
  * If this leader is lost as well, together with the next endpoint, its successor counts that start as a crash.
  */
-import type { HostView } from '../pools/hosts.js';
+import type { ListedHost } from '../pools/hosts.js';
 import { incarnationStartMs } from '../model/endpoint-life.js';
 import {
   poolOf,
@@ -28,7 +28,7 @@
  * @param state - The scheduler's state, changed in place.
  * @param hosts - The host list.
  */
-export const noteLossesBefore = (state: BatchState, hosts: readonly HostView[]): void =>
+export const noteLossesBefore = (state: BatchState, hosts: readonly ListedHost[]): void =>
   hosts
     .filter((host) => host.state === 'down')
     .forEach(({ pool }) => {
--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -18,10 +18,10 @@
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { createBatchState, poolOf, type EndpointState } from '../model/state.js';
 import { schedulePool } from '../placement/schedule.js';
-import { createHostInventory, takeHostList } from '../pools/host-inventory.js';
-import type { HostView } from '../pools/hosts.js';
+import { createHostInventory, applyHostList } from '../pools/host-inventory.js';
+import type { ListedHost } from '../pools/hosts.js';
 import { planMoves } from '../pools/pool-moves.js';
-import { DEFAULT_POOL_POLICY, needsOfPools, type PoolWorld } from '../pools/pool-needs.js';
+import { DEFAULT_POOL_POLICY, computePoolNeeds, type PoolPlanInput } from '../pools/pool-needs.js';
 import {
   answer,
   FIRST,
@@ -51,7 +51,7 @@
   isDraining: false,
 });
 
-const hostsIn = (dataCentre: DataCentreId, pool: PoolName, count: number): readonly HostView[] =>
+const hostsIn = (dataCentre: DataCentreId, pool: PoolName, count: number): readonly ListedHost[] =>
   Array.from({ length: count }, (_, index) => ({
     hostId: brand<HostId>(`${pool}-${dataCentre}-${index}`),
     pool,
@@ -78,7 +78,7 @@
     endpoint.hasReported = true;
   });
   const spare = [...hostsIn(NORTH, SPARE, spareNorth), ...hostsIn(SOUTH, SPARE, spareSouth)];
-  const world: PoolWorld = {
+  const world: PoolPlanInput = {
     state,
     hosts: new Map([...used, ...spare].map((host) => [host.hostId, host])),
     pools: [
@@ -126,11 +126,11 @@
 describe('hosts in an evacuated data centre', () => {
   it('count neither as present or joining capacity nor towards the minimum number of hosts of a pool', () => {
     const { world, state } = createWorld();
-    const [need] = needsOfPools(world);
-    expect(need).toMatchObject({ roomCpu: 3 * CAPACITY.cpuMillis, comingCpu: 0 });
+    const [need] = computePoolNeeds(world);
+    expect(need).toMatchObject({ capacityCpu: 3 * CAPACITY.cpuMillis, joiningCpu: 0 });
     expect(need?.hosts.map(({ dataCentre }) => dataCentre)).toEqual([SOUTH, SOUTH, SOUTH]);
     state.endpoints.forEach((endpoint) => Object.assign(endpoint, { hasReported: false }));
-    expect(needsOfPools(world)[0]).toMatchObject({ comingCpu: 3 * CAPACITY.cpuMillis });
+    expect(computePoolNeeds(world)[0]).toMatchObject({ joiningCpu: 3 * CAPACITY.cpuMillis });
   });
 
   it('are not moved from the spare pool, while hosts elsewhere are moved in the same pass', () => {
@@ -165,7 +165,7 @@
   const orderedHosts = (isShort: boolean) => {
     const { state, used } = createWorld();
     const inventory = createHostInventory();
-    takeHostList(inventory, used, 0);
+    applyHostList(inventory, used, 0);
     // The hosts in the evacuated data centre come last in the order of the wave.
     const hosts = Array.from(used, ({ hostId }) => hostId).reverse();
     const wave = createUpkeepWave({ waveNumber: 1, hosts, withinMs: 300_000, maximum: 2 }, [], 0);
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -214,7 +214,7 @@
         { cores: coresOf(forecast.freeCpu), inMs: FREE_HOST_MS },
         { cores: share.isWithinShare ? coresOf(forecast.reclaimedCpu) : 0, inMs: RECLAIMED_HOST_MS },
       ],
-      overtakenByCores: share.isWithinShare ? 0 : demand.owedRates(nowMs).slowCores,
+      overtakenByCores: share.isWithinShare ? 0 : demand.withinShareRates(nowMs).slowCores,
       ownCoreMs: jobWork.coreMs,
       chainMs: jobWork.chainMs,
     };
@@ -228,7 +228,7 @@
     nowMs: number,
   ): JobOutlook => {
     const { demand } = poolOf(state, pool);
-    const { fastCores, slowCores } = isWithinShare ? demand.owedRates(nowMs) : demand.rates(nowMs);
+    const { fastCores, slowCores } = isWithinShare ? demand.withinShareRates(nowMs) : demand.rates(nowMs);
     return { ...outlook, overtakenByCores: Math.max(fastCores, slowCores) };
   };
 
--- a/packages/core/src/batch/jobs/lookup-queue.ts
+++ b/packages/core/src/batch/jobs/lookup-queue.ts
@@ -2,7 +2,7 @@
 import type { PoolName } from '../../shared/ids.js';
 import { indexAccounts, type AccountIndex, type ClientAccount } from '../model/accounts.js';
 import type { QueueName, QueuePolicy } from '../model/job.js';
-import type { PoolView } from '../pools/hosts.js';
+import type { DeclaredPool } from '../pools/hosts.js';
 
 /** A queue as the configuration declares it. */
 export type QueueView = {
@@ -21,7 +21,7 @@
 export type BatchConfiguration = {
   readonly version: number;
   readonly queues: readonly QueueView[];
-  readonly pools: readonly PoolView[];
+  readonly pools: readonly DeclaredPool[];
   readonly accounts: readonly ClientAccount[];
 };
 
--- a/packages/core/src/batch/maintenance/early-moves.ts
+++ b/packages/core/src/batch/maintenance/early-moves.ts
@@ -4,7 +4,7 @@
  * elsewhere immediately.
  */
 import { change } from '../../shared/change.js';
-import { countAtWork, countAway, isQuiet, moveOneAway } from '../pools/hosts.js';
+import { countReady, countUnavailable, runsOnlyLongRunningTasks, moveOneTask } from '../pools/hosts.js';
 import type { EndpointState, StepRun } from '../model/state.js';
 import type { Candidate, UpkeepRound } from './upkeep-rules.js';
 import { latestBeginMs, type WavePlan } from './wave-plan.js';
@@ -24,7 +24,7 @@
  * it would use that many places of the budget at once, which may never be free.
  */
 const isWorthMoving = (endpoint: EndpointState, step: StepRun, { tightSteps }: WavePlan): boolean =>
-  countAtWork(endpoint, step) > 1 || (tightSteps.has(step) && !isQuiet(endpoint));
+  countReady(endpoint, step) > 1 || (tightSteps.has(step) && !runsOnlyLongRunningTasks(endpoint));
 
 const tryMoveTask = (
   candidate: Candidate,
@@ -35,15 +35,15 @@
   const { world, wave, plan, claimed, nowMs } = round;
   const { state } = world;
   if (!isWorthMoving(endpoint, step, plan)) return false;
-  const away = countAway(state, step, endpoint) + (claimed.get(step) ?? 0);
-  if (away > maxOthersUnavailable(candidate, round, step)) return false;
-  const moved = moveOneAway(state, endpoint, {
+  const unavailable = countUnavailable(state, step, endpoint) + (claimed.get(step) ?? 0);
+  if (unavailable > maxOthersUnavailable(candidate, round, step)) return false;
+  const moved = moveOneTask(state, endpoint, {
     step,
-    away,
+    unavailable,
     nowMs,
     mayMove: ({ key }) => !wave.moved.has(key),
     // On a host with pending maintenance the task would have to move again.
-    mayTake: ({ hasMaintenanceAhead }) => !hasMaintenanceAhead,
+    mayReceive: ({ hasMaintenanceAhead }) => !hasMaintenanceAhead,
   });
   if (!moved) return false;
   wave.moved.add(moved.key);
--- a/packages/core/src/batch/maintenance/upkeep-progress.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.test.ts
@@ -3,8 +3,8 @@
 import { describe, expect, it } from 'vitest';
 
 import { type DataCentreId, type HostId, brand } from '../../shared/ids.js';
-import { createHostInventory, presenceOf, takeHostList } from '../pools/host-inventory.js';
-import type { HostView } from '../pools/hosts.js';
+import { createHostInventory, hostPresence, applyHostList } from '../pools/host-inventory.js';
+import type { ListedHost } from '../pools/hosts.js';
 import { createBatchState } from '../model/state.js';
 import { planUpkeep } from './upkeep.js';
 import {
@@ -20,7 +20,7 @@
 
 const hostIdOf = (index: number): HostId => brand(`h-${index}`);
 
-const viewOf = (hostId: HostId, state: HostView['state']): HostView => ({
+const viewOf = (hostId: HostId, state: ListedHost['state']): ListedHost => ({
   hostId,
   pool: brand('alpha'),
   state,
@@ -34,15 +34,15 @@
   const listed = [viewOf(hostIdOf(0), 'up'), viewOf(hostIdOf(1), 'up')];
 
   it('reports a host as unknown before the first read of the list', () => {
-    expect(presenceOf(createHostInventory(), hostIdOf(0), GONE_AFTER_MS)).toBe('unknown');
+    expect(hostPresence(createHostInventory(), hostIdOf(0), GONE_AFTER_MS)).toBe('unknown');
   });
 
   it('reports a host as gone only after reads have omitted it for long enough', () => {
     const inventory = createHostInventory();
-    takeHostList(inventory, listed, 0);
+    applyHostList(inventory, listed, 0);
     const seen = [5000, 5400, 8200, 8400].map((atMs) => {
-      takeHostList(inventory, listed.slice(1), atMs);
-      return presenceOf(inventory, hostIdOf(0), GONE_AFTER_MS);
+      applyHostList(inventory, listed.slice(1), atMs);
+      return hostPresence(inventory, hostIdOf(0), GONE_AFTER_MS);
     });
     // The list was not read between 0 and 5,000, so no read shows that the host was missing in that time.
     expect(seen).toEqual(['missing', 'missing', 'missing', 'gone']);
@@ -50,17 +50,17 @@
 
   it('restarts the timeout when a host is listed again', () => {
     const inventory = createHostInventory();
-    takeHostList(inventory, listed.slice(1), 0);
-    takeHostList(inventory, listed, 3000);
-    takeHostList(inventory, listed.slice(1), 3400);
-    expect(presenceOf(inventory, hostIdOf(0), GONE_AFTER_MS)).toBe('missing');
+    applyHostList(inventory, listed.slice(1), 0);
+    applyHostList(inventory, listed, 3000);
+    applyHostList(inventory, listed.slice(1), 3400);
+    expect(hostPresence(inventory, hostIdOf(0), GONE_AFTER_MS)).toBe('missing');
   });
 
   it('ignores a read that is older than the last one', () => {
     const inventory = createHostInventory();
-    takeHostList(inventory, listed, 1000);
-    expect(takeHostList(inventory, [], 900)).toEqual({ added: [], missing: [] });
-    expect(presenceOf(inventory, hostIdOf(0), GONE_AFTER_MS)).toBe('listed');
+    applyHostList(inventory, listed, 1000);
+    expect(applyHostList(inventory, [], 900)).toEqual({ added: [], missing: [] });
+    expect(hostPresence(inventory, hostIdOf(0), GONE_AFTER_MS)).toBe('listed');
   });
 });
 
@@ -104,7 +104,7 @@
             const list = hostIds
               .filter((hostId) => isThere(hostId) && hostId !== hostIdOf(leftOut))
               .map((hostId) => viewOf(hostId, isDown(hostId, nowMs) ? 'maintenance' : 'up'));
-            if (!isListLost) takeHostList(inventory, list, nowMs);
+            if (!isListLost) applyHostList(inventory, list, nowMs);
             planUpkeep({ ...hostSight, state, isShort: false }, [wave], nowMs).forEach(
               ({ hostId }) => {
                 const isDone = outcome === 'done' || (outcome === 'unknown' && isCarriedOut);
--- a/packages/core/src/batch/maintenance/upkeep-progress.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.ts
@@ -2,7 +2,7 @@
 import type { HostId } from '../../shared/ids.js';
 import type { TaskKey } from '../model/job.js';
 import type { StepRun } from '../model/job-state.js';
-import { presenceOf, type HostInventory, type HostPresence } from '../pools/host-inventory.js';
+import { hostPresence, type HostInventory, type HostPresence } from '../pools/host-inventory.js';
 
 /** A maintenance wave as the platform requested it. */
 export type UpkeepOrder = {
@@ -137,7 +137,7 @@
  * @returns Its presence; `gone` only after the host has been missing for longer than maintenance can explain.
  */
 export const presenceInWave = ({ inventory, downMs }: HostSight, hostId: HostId): HostPresence =>
-  presenceOf(inventory, hostId, downMs + GONE_MARGIN_MS);
+  hostPresence(inventory, hostId, downMs + GONE_MARGIN_MS);
 
 /**
  * Tells whether a host may be down for its wave, in which case it counts against the wave's maximum.
@@ -158,7 +158,7 @@
   if (phase === 'down' || phase === 'asked') return true;
   // The refusal of a repeated order says nothing about the first order, which may have been carried out. Only a read of
   // the host list after the first order's downtime does.
-  if (phase !== 'done' && inventory.listedAtMs < unansweredAtMs + downMs) return true;
+  if (phase !== 'done' && inventory.lastRequestedAtMs < unansweredAtMs + downMs) return true;
   const listed = inventory.hosts.get(hostId);
   return listed ? listed.state === 'maintenance' : phase !== 'done';
 };
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -3,7 +3,7 @@
  * first rule that applies decides; a host to which none applies is ordered down.
  */
 import type { HostId } from '../../shared/ids.js';
-import { findBudgetObstacle, isQuiet, type BudgetObstacle } from '../pools/hosts.js';
+import { findBudgetViolation, runsOnlyLongRunningTasks, type BudgetViolation } from '../pools/hosts.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
 import type { HostSight, UpkeepHost, UpkeepWave } from './upkeep-progress.js';
 import { DRAIN_PATIENCE_MS, latestBeginMs, type WavePlan } from './wave-plan.js';
@@ -58,7 +58,7 @@
   | {
       readonly kind: 'spread';
       readonly endpoint: EndpointState;
-      readonly obstacle: BudgetObstacle;
+      readonly obstacle: BudgetViolation;
       readonly reason: string;
     }
   | { readonly kind: 'order-down'; readonly reason: '' };
@@ -77,7 +77,7 @@
   const { endpoint, isEvacuated } = candidate;
   if (nowMs >= latestBeginMs(plan, candidate)) return undefined;
   if (world.isShort && !isEvacuated) return keepOpen('capacity is short, and there is time left');
-  const isAtWork = endpoint !== undefined && !isQuiet(endpoint);
+  const isAtWork = endpoint !== undefined && !runsOnlyLongRunningTasks(endpoint);
   return isAtWork ? keepOpen('it is running tasks, and there is time left') : undefined;
 };
 
@@ -113,7 +113,7 @@
  * Tells whether a host has more tasks of a step than its disruption budget, so that it could never go down with all
  * of them.
  */
-const exceedsBudgetAlone = ({ runs }: EndpointState, { step }: BudgetObstacle): boolean => {
+const exceedsBudgetAlone = ({ runs }: EndpointState, { step }: BudgetViolation): boolean => {
   const staying = Array.from(runs.values()).filter(
     (run) => run.step === step && run.phase !== 'stopping',
   );
@@ -122,7 +122,7 @@
 
 const keepWithinBudgets: Rule = ({ endpoint }, { world }) => {
   if (!endpoint) return undefined;
-  const obstacle = findBudgetObstacle(world.state, endpoint);
+  const obstacle = findBudgetViolation(world.state, endpoint);
   if (!obstacle) return undefined;
   const { reason } = obstacle;
   if (!exceedsBudgetAlone(endpoint, obstacle)) return keepOpen(reason);
@@ -131,7 +131,7 @@
 
 /** Hosts that each stay within a step's disruption budget could exceed it together. */
 const keepWithinCombinedBudgets: Rule = ({ endpoint }, { world, claimed }) => {
-  const obstacle = endpoint && findBudgetObstacle(world.state, endpoint, claimed);
+  const obstacle = endpoint && findBudgetViolation(world.state, endpoint, claimed);
   return obstacle && keepOpen(`job ${obstacle.step.job.job.jobId} has another host draining first`);
 };
 
@@ -148,7 +148,7 @@
 };
 
 const waitForShortTasks: Rule = ({ host, endpoint }, { nowMs }) => {
-  if (!endpoint || isQuiet(endpoint)) return undefined;
+  if (!endpoint || runsOnlyLongRunningTasks(endpoint)) return undefined;
   const drainingSinceMs = host.phase === 'waiting' ? nowMs : host.sinceMs;
   if (nowMs - drainingSinceMs > DRAIN_PATIENCE_MS) return undefined;
   return drain(`${endpoint.runs.size} tasks must end first`);
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/upkeep.ts
@@ -9,7 +9,7 @@
 import { change } from '../../shared/change.js';
 import type { HostPresence } from '../pools/host-inventory.js';
 import { rackOf } from '../endpoints/endpoints.js';
-import { countAtWork, lastingSteps, moveOneAway } from '../pools/hosts.js';
+import { countReady, budgetedLongRunningSteps, moveOneTask } from '../pools/hosts.js';
 import type { EndpointState, StepRun } from '../model/state.js';
 import { sortCandidates } from './candidate-order.js';
 import { moveTasksEarly } from './early-moves.js';
@@ -52,19 +52,19 @@
  */
 const markDone = (world: UpkeepWorld, hostId: HostId, host: UpkeepHost): void => {
   const endpoint = endpointOf(world, hostId);
-  change(host, { phase: 'done', sinceMs: world.inventory.listedAtMs });
+  change(host, { phase: 'done', sinceMs: world.inventory.lastRequestedAtMs });
   if (endpoint) change(endpoint, { isCordoned: false });
 };
 
 /** Advances the phases of hosts by the host list and the elapsed time. */
 const advancePhases = (world: UpkeepWorld, wave: UpkeepWave, nowMs: number): void => {
   const {
-    inventory: { hosts, listedAtMs },
+    inventory: { hosts, lastRequestedAtMs },
     downMs,
   } = world;
   wave.hosts.forEach((host, hostId) => {
     const isUp = hosts.get(hostId)?.state === 'up';
-    if (host.phase === 'down' && isUp && listedAtMs - host.sinceMs > downMs) {
+    if (host.phase === 'down' && isUp && lastRequestedAtMs - host.sinceMs > downMs) {
       markDone(world, hostId, host);
     }
     if (host.phase === 'refused' && nowMs - host.sinceMs > RETRY_REFUSED_MS) {
@@ -132,7 +132,7 @@
   const endpoint = endpointOf(world, hostId);
   const dataCentre = world.inventory.hosts.get(hostId)?.dataCentre;
   const isEvacuated = dataCentre !== undefined && world.state.evacuatedDataCentres.has(dataCentre);
-  const lasting = endpoint ? lastingSteps(endpoint) : new Set<StepRun>();
+  const lasting = endpoint ? budgetedLongRunningSteps(endpoint) : new Set<StepRun>();
   return { hostId, host, endpoint, isEvacuated, lasting, rack: rackOfHost(world, hostId) };
 };
 
@@ -207,7 +207,7 @@
 const moveOrReserveTasks = (round: UpkeepRound, candidate: Candidate): void => {
   moveTasksEarly(candidate, round);
   candidate.lasting.forEach((step) => {
-    const staying = countAtWork(candidate.endpoint, step);
+    const staying = countReady(candidate.endpoint, step);
     round.claimed.set(step, (round.claimed.get(step) ?? 0) + staying);
   });
 };
@@ -221,7 +221,7 @@
   startDraining(round, candidate);
   if (decision.kind === 'spread') {
     const { obstacle, endpoint } = decision;
-    moveOneAway(round.world.state, endpoint, { ...obstacle, nowMs: round.nowMs });
+    moveOneTask(round.world.state, endpoint, { ...obstacle, nowMs: round.nowMs });
     return;
   }
   if (decision.kind === 'order-down') orderDown(round, candidate);
--- a/packages/core/src/batch/maintenance/wave-plan.test.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.test.ts
@@ -1,7 +1,7 @@
 /** Tests of the latest start times of the hosts of a wave, and of the forecast of late hosts. */
 import { describe, expect, it } from 'vitest';
 
-import { lastingSteps } from '../pools/hosts.js';
+import { budgetedLongRunningSteps } from '../pools/hosts.js';
 import type { EndpointState } from '../model/state.js';
 import { waveOver } from '../testing/upkeep-wave.fixtures.js';
 import { latestBeginMs, planWave, type PlannedHost } from './wave-plan.js';
@@ -14,7 +14,7 @@
   const places = Array.from({ length: tasks }, (_, index) => index);
   if (tasks > 0) runOn('served', { isLasting: true, mayMiss }, places);
   const hosts = endpoints.map((endpoint: EndpointState): PlannedHost => ({
-    lasting: lastingSteps(endpoint),
+    lasting: budgetedLongRunningSteps(endpoint),
   }));
   return { plan: planWave(wave, hosts, DOWN_MS, nowMs), hosts };
 };
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -17,7 +17,7 @@
 import type { BatchPhase, TaskKey } from './job.js';
 import type { JobState, StepRun } from './job-state.js';
 import { createDemand, type Demand } from '../pools/demand.js';
-import { createDemandPeaks, type DemandPeaks } from '../pools/demand-peaks.js';
+import { createDemandPeakHistory, type DemandPeakHistory } from '../pools/demand-peaks.js';
 import type { AccountLimits } from './accounts.js';
 import type { Usage } from './capacity.js';
 import type { Domain, SuspectedDomain } from './domain.js';
@@ -162,7 +162,7 @@
   /** How many more start orders may be sent now. The capacity of the holder's network link limits them. */
   startsLeft: number;
   readonly runTimes: RunTimes;
-  readonly peaks: DemandPeaks;
+  readonly peaks: DemandPeakHistory;
   /** The jobs with occurrences that are still to come. */
   readonly recurringJobs: Set<JobState>;
   /** The jobs that have not ended and have tasks under which endpoints crashed or may have crashed. */
@@ -224,7 +224,7 @@
   roomRevision: 0,
   startsLeft: Infinity,
   runTimes: createRunTimes(),
-  peaks: createDemandPeaks(),
+  peaks: createDemandPeakHistory(),
   recurringJobs: new Set(),
   suspectJobs: new Set(),
   accounts: new Map(),
--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -3,8 +3,8 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type PoolName } from '../../shared/ids.js';
-import { createDemandPeaks, expectPeak, observeDemand, type DemandPeaks } from './demand-peaks.js';
-import { learnedOf, restoreLearned } from './learned.js';
+import { createDemandPeakHistory, predictPeakCores, observeDemand, type DemandPeakHistory } from './demand-peaks.js';
+import { toLearnedRow, restoreLearnedRow } from './learned.js';
 import { createBatchState } from '../model/state.js';
 
 const POOLS = ['a', 'b', 'c', 'd'].map((name) => brand<PoolName>(name));
@@ -21,7 +21,7 @@
 
 /** Feeds the rotation's demand to a peak history, from time 0 up to a time. */
 const simulateDemand = (
-  peaks: DemandPeaks,
+  peaks: DemandPeakHistory,
   { periodMs, peakMs, cores, pools }: DemandRotation,
   untilMs: number,
 ) => {
@@ -29,7 +29,7 @@
     const turn = Math.floor(nowMs / periodMs) % pools;
     const isHigh = nowMs % periodMs < peakMs;
     POOLS.forEach((pool, index) => {
-      const demand = { cores: isHigh && index === turn ? cores : 2, leastCores: MIN_PEAK_CORES };
+      const demand = { cores: isHigh && index === turn ? cores : 2, minPeakCores: MIN_PEAK_CORES };
       observeDemand(peaks, pool, demand, nowMs);
     });
   }
@@ -42,14 +42,14 @@
   it('predicts the next peak at its time, in the pool that is next, at its previous height', () => {
     // Without a prediction, a pool got its first additional hosts 2 to 3 s after a peak began, and three in five of
     // the jobs submitted in the first 2 s were late.
-    const peaks = simulateDemand(createDemandPeaks(), rotation, 38_000);
-    expect(expectPeak(peaks, POOLS, 38_000)).toEqual(new Map([['a', 200]]));
-    expect(expectPeak(peaks, POOLS, 34_000)).toEqual(new Map());
+    const peaks = simulateDemand(createDemandPeakHistory(), rotation, 38_000);
+    expect(predictPeakCores(peaks, POOLS, 38_000)).toEqual(new Map([['a', 200]]));
+    expect(predictPeakCores(peaks, POOLS, 34_000)).toEqual(new Map());
   });
 
   it('splits the predicted cores between the pools that have not peaked yet', () => {
-    const peaks = simulateDemand(createDemandPeaks(), rotation, 18_000);
-    expect(expectPeak(peaks, POOLS, 18_000)).toEqual(
+    const peaks = simulateDemand(createDemandPeakHistory(), rotation, 18_000);
+    expect(predictPeakCores(peaks, POOLS, 18_000)).toEqual(
       new Map([
         ['c', 100],
         ['d', 100],
@@ -58,24 +58,24 @@
   });
 
   it('predicts nothing once an expected peak has failed to begin', () => {
-    const peaks = simulateDemand(createDemandPeaks(), rotation, 38_000);
-    expect(expectPeak(peaks, POOLS, 43_000)).toEqual(new Map());
+    const peaks = simulateDemand(createDemandPeakHistory(), rotation, 38_000);
+    expect(predictPeakCores(peaks, POOLS, 43_000)).toEqual(new Map());
   });
 
   it('does not count a single large job as a peak', () => {
-    const peaks = simulateDemand(createDemandPeaks(), rotation, 18_000);
-    const demand = { cores: 70, leastCores: MIN_PEAK_CORES };
+    const peaks = simulateDemand(createDemandPeakHistory(), rotation, 18_000);
+    const demand = { cores: 70, minPeakCores: MIN_PEAK_CORES };
     expect(observeDemand(peaks, POOLS[3] as PoolName, demand, 18_000)).toBe(false);
   });
 
   it('predicts nothing while the intervals between peaks are irregular', () => {
-    const peaks = createDemandPeaks();
+    const peaks = createDemandPeakHistory();
     [0, 5000, 30_000].forEach((atMs, index) => {
-      const demand = { cores: 200, leastCores: MIN_PEAK_CORES };
+      const demand = { cores: 200, minPeakCores: MIN_PEAK_CORES };
       observeDemand(peaks, POOLS[index] as PoolName, demand, atMs);
     });
     for (let nowMs = 30_000; nowMs < 70_000; nowMs += SAMPLE_INTERVAL_MS) {
-      expect(expectPeak(peaks, POOLS, nowMs).size).toBe(0);
+      expect(predictPeakCores(peaks, POOLS, nowMs).size).toBe(0);
     }
   });
 
@@ -90,9 +90,9 @@
         }),
         (randomRotation) => {
           const endMs = randomRotation.periodMs * (randomRotation.pools + 1) - 1000;
-          const peaks = simulateDemand(createDemandPeaks(), randomRotation, endMs);
+          const peaks = simulateDemand(createDemandPeakHistory(), randomRotation, endMs);
           const next = Array.from(
-            expectPeak(peaks, POOLS.slice(0, randomRotation.pools), endMs).keys(),
+            predictPeakCores(peaks, POOLS.slice(0, randomRotation.pools), endMs).keys(),
           );
           expect(next).toEqual([POOLS[(randomRotation.pools + 1) % randomRotation.pools]]);
         },
@@ -107,10 +107,10 @@
     const first = createBatchState(1);
     simulateDemand(first.peaks, rotation, 38_000);
     first.runTimes.byKind.set('q/image', { meanMs: 1234.4, ends: 9 });
-    const row = JSON.parse(JSON.stringify(learnedOf(first, 38_000, 1_000_000)));
+    const row = JSON.parse(JSON.stringify(toLearnedRow(first, 38_000, 1_000_000)));
     const next = createBatchState(2);
-    restoreLearned(next, row, 500, 1_000_500);
-    expect(expectPeak(next.peaks, POOLS, 500)).toEqual(new Map([['a', 200]]));
+    restoreLearnedRow(next, row, 500, 1_000_500);
+    expect(predictPeakCores(next.peaks, POOLS, 500)).toEqual(new Map([['a', 200]]));
     expect(next.runTimes.byKind.get('q/image')).toEqual({ meanMs: 1234, ends: 9 });
   });
 
@@ -118,8 +118,8 @@
     const first = createBatchState(1);
     simulateDemand(first.peaks, rotation, 32_000);
     const next = createBatchState(2);
-    restoreLearned(next, learnedOf(first, 32_000, 0), 32_000, 0);
-    const demand = { cores: 200, leastCores: MIN_PEAK_CORES };
+    restoreLearnedRow(next, toLearnedRow(first, 32_000, 0), 32_000, 0);
+    const demand = { cores: 200, minPeakCores: MIN_PEAK_CORES };
     expect(observeDemand(next.peaks, POOLS[3] as PoolName, demand, 32_250)).toBe(false);
   });
 });
--- a/packages/core/src/batch/pools/demand-peaks.ts
+++ b/packages/core/src/batch/pools/demand-peaks.ts
@@ -9,13 +9,13 @@
 export type PeakOnset = { readonly pool: PoolName; readonly atMs: number };
 
 /** The history of observed demand peaks. */
-export type DemandPeaks = {
+export type DemandPeakHistory = {
   /** The latest onsets, oldest first. */
   onsets: readonly PeakOnset[];
   /** The highest demand that each pool has had during a peak, in cores. */
-  readonly heights: Map<PoolName, number>;
+  readonly peakCores: Map<PoolName, number>;
   /** When each pool's demand was last at peak level. */
-  readonly high: Map<PoolName, number>;
+  readonly lastAtPeakMs: Map<PoolName, number>;
 };
 
 /** A peak has ended once the pool's demand has been below peak level for this time. */
@@ -41,10 +41,10 @@
  *
  * @returns The history.
  */
-export const createDemandPeaks = (): DemandPeaks => ({
+export const createDemandPeakHistory = (): DemandPeakHistory => ({
   onsets: [],
-  heights: new Map(),
-  high: new Map(),
+  peakCores: new Map(),
+  lastAtPeakMs: new Map(),
 });
 
 /**
@@ -57,21 +57,21 @@
  * @returns True if a peak has just begun.
  */
 export const observeDemand = (
-  peaks: DemandPeaks,
+  peaks: DemandPeakHistory,
   pool: PoolName,
-  { cores, leastCores }: { readonly cores: number; readonly leastCores: number },
+  { cores, minPeakCores }: { readonly cores: number; readonly minPeakCores: number },
   nowMs: number,
 ): boolean => {
-  const { heights, high } = peaks;
-  const seenAtMs = high.get(pool) ?? -Infinity;
+  const { peakCores, lastAtPeakMs } = peaks;
+  const seenAtMs = lastAtPeakMs.get(pool) ?? -Infinity;
   const wasHigh = nowMs - seenAtMs < PEAK_ENDS_AFTER_MS;
-  const highestCores = Math.max(0, ...heights.values());
-  if (cores < Math.max(leastCores, MIN_PEAK_SHARE * highestCores)) {
-    if (!wasHigh) high.delete(pool);
+  const highestCores = Math.max(0, ...peakCores.values());
+  if (cores < Math.max(minPeakCores, MIN_PEAK_SHARE * highestCores)) {
+    if (!wasHigh) lastAtPeakMs.delete(pool);
     return false;
   }
-  high.set(pool, nowMs);
-  heights.set(pool, Math.max(heights.get(pool) ?? 0, cores));
+  lastAtPeakMs.set(pool, nowMs);
+  peakCores.set(pool, Math.max(peakCores.get(pool) ?? 0, cores));
   if (wasHigh) return false;
   Object.assign(peaks, { onsets: [...peaks.onsets, { pool, atMs: nowMs }].slice(-MAX_ONSETS) });
   return true;
@@ -110,8 +110,8 @@
  * @param nowMs - The monotonic time in milliseconds.
  * @returns The cores to hold now for each pool whose peak is due; empty if no peak is due.
  */
-export const expectPeak = (
-  { onsets, heights }: DemandPeaks,
+export const predictPeakCores = (
+  { onsets, peakCores }: DemandPeakHistory,
   pools: readonly PoolName[],
   nowMs: number,
 ): ReadonlyMap<PoolName, number> => {
@@ -125,8 +125,8 @@
     onsets,
     pools.filter((pool) => pool !== last.pool),
   );
-  const meanPeakCores = mean(Array.from(heights.values()));
+  const meanPeakCores = mean(Array.from(peakCores.values()));
   return new Map(
-    next.map((pool) => [pool, (heights.get(pool) ?? meanPeakCores) / next.length] as const),
+    next.map((pool) => [pool, (peakCores.get(pool) ?? meanPeakCores) / next.length] as const),
   );
 };
--- a/packages/core/src/batch/pools/demand.ts
+++ b/packages/core/src/batch/pools/demand.ts
@@ -30,7 +30,7 @@
   /** The rates of all work. */
   readonly rates: (nowMs: number) => DemandRates;
   /** The rates of the work within the accounts' fair shares. */
-  readonly owedRates: (nowMs: number) => DemandRates;
+  readonly withinShareRates: (nowMs: number) => DemandRates;
 };
 
 const createDecayingRates = () => {
@@ -72,7 +72,7 @@
       if (isWithinFairShare) withinFairShares.record(coreMs, nowMs);
     },
     rates: total.rates,
-    owedRates: withinFairShares.rates,
+    withinShareRates: withinFairShares.rates,
   };
 };
 
@@ -82,5 +82,5 @@
  * @param rates - The current rates.
  * @returns The forecast in cores; never less than the slow rate.
  */
-export const expectCores = ({ fastCores, slowCores }: DemandRates): number =>
+export const forecastCores = ({ fastCores, slowCores }: DemandRates): number =>
   Math.max(slowCores, fastCores + RISE_FACTOR * Math.max(0, fastCores - slowCores));
--- a/packages/core/src/batch/pools/host-inventory.ts
+++ b/packages/core/src/batch/pools/host-inventory.ts
@@ -4,7 +4,7 @@
  */
 import type { HostId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import type { HostView } from './hosts.js';
+import type { ListedHost } from './hosts.js';
 
 /**
  * What the host list tells about a host. `unknown`: the list has not been read yet. `listed`: the latest list contains
@@ -16,11 +16,11 @@
 /** The latest host list, and the hosts that recent lists have omitted. */
 export type HostInventory = {
   /** The hosts of the latest list. */
-  readonly hosts: ReadonlyMap<HostId, HostView>;
+  readonly hosts: ReadonlyMap<HostId, ListedHost>;
   /** When the first list was requested; Infinity before the first read. */
-  readonly firstListedAtMs: number;
+  readonly firstRequestedAtMs: number;
   /** When the latest list was requested; -Infinity before the first read. */
-  readonly listedAtMs: number;
+  readonly lastRequestedAtMs: number;
   /** Formerly listed hosts, with the request time of the first list that omits them. */
   readonly missingSinceMs: ReadonlyMap<HostId, number>;
 };
@@ -44,8 +44,8 @@
  */
 export const createHostInventory = (): HostInventory => ({
   hosts: new Map(),
-  firstListedAtMs: Infinity,
-  listedAtMs: -Infinity,
+  firstRequestedAtMs: Infinity,
+  lastRequestedAtMs: -Infinity,
   missingSinceMs: new Map(),
 });
 
@@ -57,13 +57,13 @@
  * @param requestedAtMs - When the list was requested; a list that was requested before the latest one is ignored.
  * @returns The hosts that were added to the list and those that are newly missing.
  */
-export const takeHostList = (
+export const applyHostList = (
   inventory: HostInventory,
-  list: readonly HostView[],
+  list: readonly ListedHost[],
   requestedAtMs: number,
 ): InventoryChange => {
-  const { hosts: before, firstListedAtMs, listedAtMs, missingSinceMs } = inventory;
-  if (requestedAtMs < listedAtMs) return { added: [], missing: [] };
+  const { hosts: before, firstRequestedAtMs, lastRequestedAtMs, missingSinceMs } = inventory;
+  if (requestedAtMs < lastRequestedAtMs) return { added: [], missing: [] };
   const hosts = new Map(list.map((host) => [host.hostId, host]));
   const missing = Array.from(before.keys()).filter((hostId) => !hosts.has(hostId));
   const stillMissing = Array.from(missingSinceMs).filter(
@@ -71,8 +71,8 @@
   );
   change(inventory, {
     hosts,
-    firstListedAtMs: Math.min(firstListedAtMs, requestedAtMs),
-    listedAtMs: requestedAtMs,
+    firstRequestedAtMs: Math.min(firstRequestedAtMs, requestedAtMs),
+    lastRequestedAtMs: requestedAtMs,
     missingSinceMs: new Map([
       ...stillMissing,
       ...missing.map((hostId) => [hostId, requestedAtMs] as const),
@@ -89,13 +89,13 @@
  * @param goneAfterMs - How long the lists must have omitted a host before it counts as gone.
  * @returns The presence of the host.
  */
-export const presenceOf = (
-  { hosts, firstListedAtMs, listedAtMs, missingSinceMs }: HostInventory,
+export const hostPresence = (
+  { hosts, firstRequestedAtMs, lastRequestedAtMs, missingSinceMs }: HostInventory,
   hostId: HostId,
   goneAfterMs: number,
 ): HostPresence => {
-  if (listedAtMs === -Infinity) return 'unknown';
+  if (lastRequestedAtMs === -Infinity) return 'unknown';
   if (hosts.has(hostId)) return 'listed';
-  const sinceMs = missingSinceMs.get(hostId) ?? firstListedAtMs;
-  return listedAtMs - sinceMs >= goneAfterMs ? 'gone' : 'missing';
+  const sinceMs = missingSinceMs.get(hostId) ?? firstRequestedAtMs;
+  return lastRequestedAtMs - sinceMs >= goneAfterMs ? 'gone' : 'missing';
 };
--- a/packages/core/src/batch/pools/hosts.ts
+++ b/packages/core/src/batch/pools/hosts.ts
@@ -14,7 +14,7 @@
 } from '../model/state.js';
 
 /** A host as it appears in the platform's list. */
-export type HostView = {
+export type ListedHost = {
   readonly hostId: HostId;
   readonly pool: PoolName;
   /** `up`: the host can be ordered to move to another pool or to go down for maintenance. */
@@ -27,7 +27,7 @@
 };
 
 /** A pool as the configuration declares it. */
-export type PoolView = {
+export type DeclaredPool = {
   readonly name: PoolName;
   /** The hosts of a spare pool are switched off. */
   readonly isSpare: boolean;
@@ -43,7 +43,7 @@
   readonly cause: Extract<GoneCause, 'host-list' | 'host-ordered' | 'host-taken'>;
 };
 
-const ORDERED_STATES: ReadonlySet<HostView['state']> = new Set(['moving', 'maintenance']);
+const ORDERED_STATES: ReadonlySet<ListedHost['state']> = new Set(['moving', 'maintenance']);
 
 /**
  * Finds endpoints that no longer exist according to the host list: their host is down, is moving or under maintenance,
@@ -56,7 +56,7 @@
  */
 export const findDeadEndpoints = (
   state: BatchState,
-  hosts: ReadonlyMap<HostId, HostView>,
+  hosts: ReadonlyMap<HostId, ListedHost>,
   requestedAtMs: number,
 ): readonly DeadEndpoint[] =>
   Array.from(state.endpoints.values()).flatMap((endpoint): readonly DeadEndpoint[] => {
@@ -95,7 +95,7 @@
  * @param endpoint - The endpoint.
  * @returns The steps whose job runs and whose `mayMiss` is above 0.
  */
-export const lastingSteps = ({ runs }: EndpointState): ReadonlySet<StepRun> =>
+export const budgetedLongRunningSteps = ({ runs }: EndpointState): ReadonlySet<StepRun> =>
   new Set(
     Array.from(runs.values(), ({ step }) => step).filter(
       ({ spec, job }) => spec.isLasting && spec.mayMiss > 0 && job.phase === 'running',
@@ -103,10 +103,10 @@
   );
 
 /** A long-running step whose disruption budget does not allow a host to go down, with the reason. */
-export type BudgetObstacle = {
+export type BudgetViolation = {
   readonly step: StepRun;
   /** How many tasks of the step are not ready anywhere, or are on other hosts that are due to go down. */
-  readonly away: number;
+  readonly unavailable: number;
   readonly reason: string;
 };
 
@@ -117,7 +117,7 @@
  * @param step - The step.
  * @returns The number of tasks according to the endpoint's latest report.
  */
-export const countAtWork = (endpoint: EndpointState | undefined, step: StepRun): number =>
+export const countReady = (endpoint: EndpointState | undefined, step: StepRun): number =>
   Array.from(endpoint?.runs.values() ?? []).filter((run) => run.step === step && isReady(run))
     .length;
 
@@ -131,8 +131,8 @@
  * @param endpoint - The endpoint that is to go down, or from which a task is to move.
  * @returns The number of unavailable tasks.
  */
-export const countAway = (state: BatchState, step: StepRun, endpoint: EndpointState): number => {
-  const readyHere = countAtWork(endpoint, step);
+export const countUnavailable = (state: BatchState, step: StepRun, endpoint: EndpointState): number => {
+  const readyHere = countReady(endpoint, step);
   return step.spec.taskCount - countReadyElsewhere(state, step, endpoint) - readyHere;
 };
 
@@ -146,20 +146,20 @@
  * @param claimed - For each step, how many of its tasks are on other hosts that are due to go down and have not yet.
  * @returns The first such step and the reason; undefined if the endpoint may go down.
  */
-export const findBudgetObstacle = (
+export const findBudgetViolation = (
   state: BatchState,
   endpoint: EndpointState,
   claimed: ReadonlyMap<StepRun, number> = NO_CLAIMS,
-): BudgetObstacle | undefined =>
-  Array.from(lastingSteps(endpoint)).flatMap((step) => {
-    const readyHere = countAtWork(endpoint, step);
-    const unavailable = countAway(state, step, endpoint);
+): BudgetViolation | undefined =>
+  Array.from(budgetedLongRunningSteps(endpoint)).flatMap((step) => {
+    const readyHere = countReady(endpoint, step);
+    const unavailable = countUnavailable(state, step, endpoint);
     const claimedByOthers = claimed.get(step) ?? 0;
     if (readyHere === 0 || unavailable + claimedByOthers + readyHere <= step.spec.mayMiss)
       return [];
     const { jobId, queue } = step.job.job;
     const reason = `queue=${queue} job=${jobId}: ${unavailable} of ${step.spec.taskCount} tasks are not at work, ${readyHere} would go, ${step.spec.mayMiss} may be missed`;
-    return [{ step, away: unavailable + claimedByOthers, reason }];
+    return [{ step, unavailable: unavailable + claimedByOthers, reason }];
   })[0];
 
 /**
@@ -168,22 +168,22 @@
  * @param endpoint - The endpoint.
  * @returns True if stopping the endpoint would interrupt no task that ends by itself.
  */
-export const isQuiet = ({ runs }: EndpointState): boolean =>
+export const runsOnlyLongRunningTasks = ({ runs }: EndpointState): boolean =>
   Array.from(runs.values()).every(({ step }) => step.spec.isLasting);
 
 /** Which task moves off an endpoint, and which endpoints may receive it. */
-export type MoveOptions = {
+export type TaskMoveOptions = {
   readonly step: StepRun;
   /**
    * How many tasks of the step are not ready, or are on hosts that are due to go down. No task moves once this has
    * reached the step's `mayMiss`.
    */
-  readonly away: number;
+  readonly unavailable: number;
   readonly nowMs: number;
   /** Whether a task may move; any task may if omitted. */
   readonly mayMove?: (task: Task) => boolean;
   /** Whether an endpoint with enough free capacity may receive the task; any may if omitted. */
-  readonly mayTake?: (endpoint: EndpointState) => boolean;
+  readonly mayReceive?: (endpoint: EndpointState) => boolean;
 };
 
 /**
@@ -195,18 +195,18 @@
  * @param options - The step, its unavailable tasks, and which task may move where.
  * @returns The task that was ordered to stop; undefined if none was.
  */
-export const moveOneAway = (
+export const moveOneTask = (
   state: BatchState,
   endpoint: EndpointState,
-  { step, away, nowMs, mayMove = () => true, mayTake = () => true }: MoveOptions,
+  { step, unavailable, nowMs, mayMove = () => true, mayReceive = () => true }: TaskMoveOptions,
 ): Task | undefined => {
-  if (away >= step.spec.mayMiss) return undefined;
+  if (unavailable >= step.spec.mayMiss) return undefined;
   const run = Array.from(endpoint.runs.values()).find(
     (one) => one.step === step && isReady(one) && mayMove(one.task),
   );
   if (!run) return undefined;
   const candidates = schedulableEndpoints(state, endpoint.pool, nowMs).filter(
-    (other) => other !== endpoint && canHoldTask(other, step) && mayTake(other),
+    (other) => other !== endpoint && canHoldTask(other, step) && mayReceive(other),
   );
   if (candidates.length <= step.waiting.length) return undefined;
   run.task.avoidedEndpoint = endpoint.endpointId;
--- a/packages/core/src/batch/pools/learned.ts
+++ b/packages/core/src/batch/pools/learned.ts
@@ -23,16 +23,16 @@
  *
  * @param state - The scheduler's state.
  * @param nowMs - The monotonic time in milliseconds.
- * @param todayMs - The wall-clock time in milliseconds.
+ * @param wallClockMs - The wall-clock time in milliseconds.
  * @returns The row.
  */
-export const learnedOf = (
+export const toLearnedRow = (
   { peaks, runTimes }: BatchState,
   nowMs: number,
-  todayMs: number,
+  wallClockMs: number,
 ): LearnedRow => ({
-  onsets: peaks.onsets.map(({ pool, atMs }) => [pool, Math.round(todayMs - (nowMs - atMs))]),
-  heights: Array.from(peaks.heights, ([pool, cores]) => [pool, Math.round(cores)]),
+  onsets: peaks.onsets.map(({ pool, atMs }) => [pool, Math.round(wallClockMs - (nowMs - atMs))]),
+  heights: Array.from(peaks.peakCores, ([pool, cores]) => [pool, Math.round(cores)]),
   runTimes: Array.from(
     runTimes.byKind,
     ([kind, { meanMs, ends }]) => [kind, Math.round(meanMs), ends] as const,
@@ -48,27 +48,27 @@
  * @param state - The scheduler's state, changed in place.
  * @param row - The saved row.
  * @param nowMs - The monotonic time in milliseconds.
- * @param todayMs - The wall-clock time in milliseconds.
+ * @param wallClockMs - The wall-clock time in milliseconds.
  */
-export const restoreLearned = (
+export const restoreLearnedRow = (
   { peaks, runTimes }: BatchState,
   { onsets, heights, runTimes: savedRunTimes }: LearnedRow,
   nowMs: number,
-  todayMs: number,
+  wallClockMs: number,
 ): void => {
   const restoredOnsets = onsets.map(([pool, atTodayMs]) => ({
     pool: pool as PoolName,
-    atMs: nowMs - (todayMs - atTodayMs),
+    atMs: nowMs - (wallClockMs - atTodayMs),
   }));
   Object.assign(peaks, {
     onsets: [...restoredOnsets.filter(({ atMs }) => atMs <= nowMs), ...peaks.onsets],
   });
   // The latest peak may still be in progress, so its continuation must not be detected as a new peak.
   const latestOnset = restoredOnsets.at(-1);
-  if (latestOnset) peaks.high.set(latestOnset.pool, nowMs);
+  if (latestOnset) peaks.lastAtPeakMs.set(latestOnset.pool, nowMs);
   heights.forEach(([pool, cores]) => {
     const name = pool as PoolName;
-    peaks.heights.set(name, Math.max(cores, peaks.heights.get(name) ?? 0));
+    peaks.peakCores.set(name, Math.max(cores, peaks.peakCores.get(name) ?? 0));
   });
   savedRunTimes
     .filter(([kind]) => !runTimes.byKind.has(kind))
--- a/packages/core/src/batch/pools/pool-domains.test.ts
+++ b/packages/core/src/batch/pools/pool-domains.test.ts
@@ -6,21 +6,21 @@
 import { JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
 import { createBatchState, poolOf, type BatchState } from '../model/state.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
-import type { HostView } from './hosts.js';
+import type { ListedHost } from './hosts.js';
 import { planMoves } from './pool-moves.js';
-import { DEFAULT_POOL_POLICY, type PoolWorld } from './pool-needs.js';
+import { DEFAULT_POOL_POLICY, type PoolPlanInput } from './pool-needs.js';
 
 const SPARE = brand<PoolName>('spare');
 const CAPACITY = { cpuMillis: 8000, memoryMb: 8000, accelerators: 0 };
 
 /** Builds a fleet from one `POOL DATA-CENTRE RACK` text per host; a rack of '-' means none. */
-const createWorld = (places: readonly string[]): PoolWorld & { readonly state: BatchState } => {
+const createWorld = (places: readonly string[]): PoolPlanInput & { readonly state: BatchState } => {
   const state = createBatchState(1);
-  const hosts = new Map<HostId, HostView>();
+  const hosts = new Map<HostId, ListedHost>();
   places.forEach((place, index) => {
     const [pool = '', dataCentre = '', rack = ''] = place.split(' ');
     const endpointId = brand<EndpointId>(`i-${index}`);
-    const host: HostView = {
+    const host: ListedHost = {
       hostId: brand<HostId>(`h-${index}`),
       pool: brand<PoolName>(pool),
       state: 'up',
@@ -44,7 +44,7 @@
 };
 
 /** Plans moves and gives the number (the index in `places`) of each moved host. */
-const movedHostNumbers = (world: PoolWorld, minHosts = 0): readonly number[] =>
+const movedHostNumbers = (world: PoolPlanInput, minHosts = 0): readonly number[] =>
   planMoves(world, { ...DEFAULT_POOL_POLICY, minHosts }).map(({ hostId }) =>
     Number(hostId.slice(2)),
   );
--- a/packages/core/src/batch/pools/pool-domains.ts
+++ b/packages/core/src/batch/pools/pool-domains.ts
@@ -5,7 +5,7 @@
 import type { DomainId } from '../../shared/ids.js';
 import { dataCentreCountKey, domainsOf, rackCountKey } from '../domains/domains.js';
 import { rackOf } from '../endpoints/endpoints.js';
-import type { HostView } from './hosts.js';
+import type { ListedHost } from './hosts.js';
 
 /** The number of hosts that a pool has in each failure domain. */
 export type DomainCounts = Map<DomainId, number>;
@@ -14,7 +14,7 @@
  * The keys under which a host is counted: its rack and its data centre. Hosts without a rack are counted as one rack
  * and not by data centre, so they are all equally suitable.
  */
-const domainKeysOf = (host: HostView): readonly DomainId[] => {
+const domainKeysOf = (host: ListedHost): readonly DomainId[] => {
   const domains = domainsOf(host.dataCentre, rackOf(host));
   const rack = rackCountKey(domains);
   return domains.rack === null ? [rack] : [rack, dataCentreCountKey(domains)];
@@ -27,7 +27,7 @@
  * @param host - The host.
  * @param delta - 1 if the host joins, -1 if it leaves.
  */
-export const countHost = (counts: DomainCounts, host: HostView, delta: 1 | -1): void =>
+export const adjustCounts = (counts: DomainCounts, host: ListedHost, delta: 1 | -1): void =>
   domainKeysOf(host).forEach((key) => counts.set(key, (counts.get(key) ?? 0) + delta));
 
 /**
@@ -36,14 +36,14 @@
  * @param hosts - The hosts.
  * @returns The counts.
  */
-export const countHosts = (hosts: readonly HostView[]): DomainCounts => {
+export const countHostsByDomain = (hosts: readonly ListedHost[]): DomainCounts => {
   const counts: DomainCounts = new Map();
-  hosts.forEach((host) => countHost(counts, host, 1));
+  hosts.forEach((host) => adjustCounts(counts, host, 1));
   return counts;
 };
 
 /** Compares two hosts by the counts of their racks, then of their data centres; below 0 if the left has the lower. */
-const compareHostCounts = (counts: DomainCounts, left: HostView, right: HostView): number => {
+const compareHostCounts = (counts: DomainCounts, left: ListedHost, right: ListedHost): number => {
   const [leftRack = 0, leftDataCentre = 0] = domainKeysOf(left).map((key) => counts.get(key) ?? 0);
   const [rightRack = 0, rightDataCentre = 0] = domainKeysOf(right).map(
     (key) => counts.get(key) ?? 0,
@@ -58,11 +58,11 @@
  * @param counts - The counts of the pool.
  * @returns The host; undefined if `hosts` is empty.
  */
-export const hostToJoin = (
-  hosts: readonly HostView[],
+export const chooseHostToJoin = (
+  hosts: readonly ListedHost[],
   counts: DomainCounts,
-): HostView | undefined =>
-  hosts.reduce<HostView | undefined>(
+): ListedHost | undefined =>
+  hosts.reduce<ListedHost | undefined>(
     (best, host) => (best && compareHostCounts(counts, host, best) >= 0 ? best : host),
     undefined,
   );
@@ -76,20 +76,20 @@
  * @param counts - The counts of the pool, changed in place.
  * @returns The hosts, in the order chosen.
  */
-export const hostsToLeave = (
-  hosts: readonly HostView[],
+export const chooseHostsToLeave = (
+  hosts: readonly ListedHost[],
   maxHosts: number,
   counts: DomainCounts,
-): readonly HostView[] => {
+): readonly ListedHost[] => {
   const remaining = new Set(hosts);
   return Array.from({ length: Math.min(maxHosts, hosts.length) }, () => {
     const [first, ...others] = remaining;
     const leaving = others.reduce(
       (best, host) => (compareHostCounts(counts, host, best) > 0 ? host : best),
-      first as HostView,
+      first as ListedHost,
     );
     remaining.delete(leaving);
-    countHost(counts, leaving, -1);
+    adjustCounts(counts, leaving, -1);
     return leaving;
   });
 };
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -5,26 +5,26 @@
 import type { EndpointId, HostId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { goesWithOwed } from '../accounts/shares.js';
-import { expectCores } from './demand.js';
-import type { HostView } from './hosts.js';
+import { forecastCores } from './demand.js';
+import type { ListedHost } from './hosts.js';
 import {
-  countHost,
-  countHosts,
-  hostsToLeave,
-  hostToJoin,
+  adjustCounts,
+  countHostsByDomain,
+  chooseHostsToLeave,
+  chooseHostToJoin,
   type DomainCounts,
 } from './pool-domains.js';
 import {
-  byClaim,
+  compareByShortfall,
   DEFAULT_POOL_POLICY,
-  isFree,
-  needsOfPools,
-  shortOf,
-  surplusHosts,
-  type ClaimRank,
+  isHostMovable,
+  computePoolNeeds,
+  shortfallCpuOf,
+  countSurplusHosts,
+  type WorkScope,
   type PoolNeed,
-  type PoolPolicy,
-  type PoolWorld,
+  type PoolMovePolicy,
+  type PoolPlanInput,
 } from './pool-needs.js';
 import { poolOf, type EndpointState } from '../model/state.js';
 
@@ -36,41 +36,41 @@
   readonly reason: string;
 };
 
-const freeHostsOn = (world: PoolWorld, endpoints: readonly EndpointState[]): readonly HostView[] =>
+const freeHostsOn = (world: PoolPlanInput, endpoints: readonly EndpointState[]): readonly ListedHost[] =>
   endpoints
     .flatMap(({ hostId }) => (hostId && world.hosts.get(hostId)) ?? [])
-    .filter((host) => isFree(world, host));
+    .filter((host) => isHostMovable(world, host));
 
-const spareHosts = (world: PoolWorld): readonly HostView[] =>
+const spareHosts = (world: PoolPlanInput): readonly ListedHost[] =>
   world.pools
     .filter(({ isSpare }) => isSpare)
     .flatMap(({ name }) =>
       Array.from(world.hosts.values()).filter(
         (host) =>
-          host.pool === name && isFree(world, host) && !world.state.evacuatedDataCentres.has(host.dataCentre),
+          host.pool === name && isHostMovable(world, host) && !world.state.evacuatedDataCentres.has(host.dataCentre),
       ),
     );
 
 /** Chooses, of the given hosts, as many as the pool has in surplus, from the domains in which it has most. */
 const chooseSurplusHosts = (
   need: PoolNeed,
-  hosts: readonly HostView[],
-  policy: PoolPolicy,
-  rank: ClaimRank = 'all',
-): readonly HostView[] =>
-  hostsToLeave(hosts, surplusHosts(need, policy, rank), countHosts(need.hosts));
+  hosts: readonly ListedHost[],
+  policy: PoolMovePolicy,
+  rank: WorkScope = 'all',
+): readonly ListedHost[] =>
+  chooseHostsToLeave(hosts, countSurplusHosts(need, policy, rank), countHostsByDomain(need.hosts));
 
 /**
  * Empty hosts that a pool can release to other pools. A reclaimed host is released without waiting for
  * `releaseAfterMs`, because it was emptied for another pool.
  */
 const releasableHosts = (
-  world: PoolWorld,
+  world: PoolPlanInput,
   need: PoolNeed,
-  policy: PoolPolicy,
-  rank: ClaimRank,
-): readonly HostView[] => {
-  const idle = need.empty.filter(
+  policy: PoolMovePolicy,
+  rank: WorkScope,
+): readonly ListedHost[] => {
+  const idle = need.emptyEndpoints.filter(
     ({ endpointId, idleSinceMs }) =>
       world.state.reclaimedEndpoints.has(endpointId) || world.nowMs - idleSinceMs >= policy.releaseAfterMs,
   );
@@ -84,9 +84,9 @@
  * Tells whether there has been demand and it is not rising. Before the first work arrives, it is unknown which pool
  * will have the next peak; while demand rises, a parked host would have to be brought back.
  */
-const isDemandSteady = ({ state, nowMs }: PoolWorld): boolean => {
+const isDemandSteady = ({ state, nowMs }: PoolPlanInput): boolean => {
   const rates = Array.from(state.pools.values(), ({ demand }) => demand.rates(nowMs));
-  const expected = rates.reduce((total, one) => total + expectCores(one), 0);
+  const expected = rates.reduce((total, one) => total + forecastCores(one), 0);
   return (
     expected > 0 && rates.every(({ fastCores, slowCores }) => fastCores <= slowCores * RISING_RATIO)
   );
@@ -94,16 +94,16 @@
 
 /** Plans the parking of surplus hosts, that is their move to the spare pool, whose hosts are switched off. */
 const planParkings = (
-  world: PoolWorld,
+  world: PoolPlanInput,
   needs: readonly PoolNeed[],
-  policy: PoolPolicy,
+  policy: PoolMovePolicy,
 ): readonly PoolMove[] => {
   const spare = world.pools.find(({ isSpare }) => isSpare);
   if (!spare || !isDemandSteady(world)) return [];
   return needs
-    .filter(({ shortCpu }) => shortCpu < 0)
+    .filter(({ shortfallCpu }) => shortfallCpu < 0)
     .flatMap((need) => {
-      const idle = need.empty.filter(
+      const idle = need.emptyEndpoints.filter(
         ({ idleSinceMs }) => world.nowMs - idleSinceMs >= policy.parkAfterMs,
       );
       return chooseSurplusHosts(need, freeHostsOn(world, idle), policy).map(({ hostId }) => ({
@@ -117,14 +117,14 @@
 
 /** Plans the parking of empty hosts in evacuated data centres. No task can start there, so demand does not matter. */
 const planEvacuatedParkings = (
-  world: PoolWorld,
+  world: PoolPlanInput,
   needs: readonly PoolNeed[],
-  { parkAfterMs }: PoolPolicy,
+  { parkAfterMs }: PoolMovePolicy,
 ): readonly PoolMove[] => {
   const spare = world.pools.find(({ isSpare }) => isSpare);
   if (!spare) return [];
-  return needs.flatMap(({ name, emptyEvacuated }) => {
-    const idle = emptyEvacuated.filter(
+  return needs.flatMap(({ name, emptyEvacuatedEndpoints }) => {
+    const idle = emptyEvacuatedEndpoints.filter(
       ({ idleSinceMs }) => world.nowMs - idleSinceMs >= parkAfterMs,
     );
     return freeHostsOn(world, idle).map(({ hostId, dataCentre }) => ({
@@ -142,8 +142,8 @@
   readonly missingCpu: number;
 };
 
-const MOVE_REASONS: Readonly<Record<ClaimRank, string>> = {
-  owed: 'counting running, waiting and forecast work',
+const MOVE_REASONS: Readonly<Record<WorkScope, string>> = {
+  'within-share': 'counting running, waiting and forecast work',
   all: 'counting work beyond fair shares',
 };
 
@@ -157,7 +157,7 @@
 };
 
 /** The available hosts of the first pool, other than the named one, that has any. The spare pool comes first. */
-const hostsOfFirstPool = (free: ReadonlySet<HostView>, name: PoolName): readonly HostView[] => {
+const hostsOfFirstPool = (free: ReadonlySet<ListedHost>, name: PoolName): readonly ListedHost[] => {
   const others = Array.from(free).filter(({ pool }) => pool !== name);
   return others.filter(({ pool }) => pool === others[0]?.pool);
 };
@@ -167,16 +167,16 @@
  * capacity is not worth a host.
  */
 const allocateHost = (
-  free: Set<HostView>,
+  free: Set<ListedHost>,
   claim: HostClaim,
-  { shortShare }: PoolPolicy,
-  rank: ClaimRank,
+  { minShortfallShare }: PoolMovePolicy,
+  rank: WorkScope,
 ): PoolMove | undefined => {
   const { name } = claim.need;
-  const host = hostToJoin(hostsOfFirstPool(free, name), claim.counts);
-  if (!host || claim.missingCpu <= shortShare * host.capacity.cpuMillis) return undefined;
+  const host = chooseHostToJoin(hostsOfFirstPool(free, name), claim.counts);
+  if (!host || claim.missingCpu <= minShortfallShare * host.capacity.cpuMillis) return undefined;
   free.delete(host);
-  countHost(claim.counts, host, 1);
+  adjustCounts(claim.counts, host, 1);
   change(claim, { missingCpu: claim.missingCpu - host.capacity.cpuMillis });
   const shortCores = Math.round(claim.shortCpu / 1000);
   return {
@@ -204,8 +204,8 @@
  * most urgent first. For the remaining work, pools get one host each in turn: if the largest claim were met first, all
  * hosts would go to the client account that submits most.
  */
-const ALLOCATION_STRATEGIES: Readonly<Record<ClaimRank, AllocationStrategy>> = {
-  owed: (claims, take) => claims.flatMap((claim) => collectMoves(() => take(claim))),
+const ALLOCATION_STRATEGIES: Readonly<Record<WorkScope, AllocationStrategy>> = {
+  'within-share': (claims, take) => claims.flatMap((claim) => collectMoves(() => take(claim))),
   all: (claims, take) => {
     const moves: PoolMove[] = [];
     for (;;) {
@@ -218,10 +218,10 @@
 
 /** Allocates hosts to the claims of one rank, in addition to the moves planned for an earlier rank. */
 const allocateHosts = (
-  world: PoolWorld,
+  world: PoolPlanInput,
   needs: readonly PoolNeed[],
-  policy: PoolPolicy,
-  { rank, earlierMoves }: { readonly rank: ClaimRank; readonly earlierMoves: readonly PoolMove[] },
+  policy: PoolMovePolicy,
+  { rank, earlierMoves }: { readonly rank: WorkScope; readonly earlierMoves: readonly PoolMove[] },
 ): Allocation => {
   const alreadyMoved = new Set(earlierMoves.map(({ hostId }) => hostId));
   const free = new Set(
@@ -235,11 +235,11 @@
       .filter(({ toPool }) => toPool === pool)
       .reduce((sum, { hostId }) => sum + (world.hosts.get(hostId)?.capacity.cpuMillis ?? 0), 0);
   const claims = needs
-    .filter((need) => shortOf(need, rank) > 0)
-    .sort(byClaim(rank))
+    .filter((need) => shortfallCpuOf(need, rank) > 0)
+    .sort(compareByShortfall(rank))
     .map((need): HostClaim => {
-      const shortCpu = shortOf(need, rank) - cpuOfEarlierMoves(need.name);
-      return { need, shortCpu, missingCpu: shortCpu, counts: countHosts(need.hosts) };
+      const shortCpu = shortfallCpuOf(need, rank) - cpuOfEarlierMoves(need.name);
+      return { need, shortCpu, missingCpu: shortCpu, counts: countHostsByDomain(need.hosts) };
     });
   const moves = ALLOCATION_STRATEGIES[rank](claims, (claim) =>
     allocateHost(free, claim, policy, rank),
@@ -257,12 +257,12 @@
  * @returns The moves.
  */
 export const planMoves = (
-  world: PoolWorld,
-  policy: PoolPolicy = DEFAULT_POOL_POLICY,
-  needs: readonly PoolNeed[] = needsOfPools(world, policy),
+  world: PoolPlanInput,
+  policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
+  needs: readonly PoolNeed[] = computePoolNeeds(world, policy),
 ): readonly PoolMove[] => {
   const fairShareMoves = allocateHosts(world, needs, policy, {
-    rank: 'owed',
+    rank: 'within-share',
     earlierMoves: [],
   }).moves;
   const otherMoves = allocateHosts(world, needs, policy, {
@@ -284,24 +284,24 @@
  * @param policy - The policy for pool moves.
  * @param needs - The needs of the pools; computed if omitted.
  */
-export const noteOutlooks = (
-  world: PoolWorld,
-  policy: PoolPolicy = DEFAULT_POOL_POLICY,
-  needs: readonly PoolNeed[] = needsOfPools(world, policy),
+export const updatePoolForecasts = (
+  world: PoolPlanInput,
+  policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
+  needs: readonly PoolNeed[] = computePoolNeeds(world, policy),
 ): void => {
   const { state } = world;
   const free = [
     ...spareHosts(world),
     ...needs.flatMap((need) => releasableHosts(world, need, policy, 'all')),
   ];
-  needs.forEach(({ name, comingCpu }) => {
+  needs.forEach(({ name, joiningCpu }) => {
     const freeCpu = free
       .filter(({ pool }) => pool !== name)
       .reduce((sum, { capacity }) => sum + capacity.cpuMillis, 0);
     const reclaimedCpu = Array.from(state.endpoints.values())
       .filter(({ endpointId, pool }) => pool !== name && state.reclaimedEndpoints.has(endpointId))
       .reduce((sum, { capacity }) => sum + capacity.cpuMillis, 0);
-    change(poolOf(state, name), { forecast: { comingCpu, freeCpu, reclaimedCpu } });
+    change(poolOf(state, name), { forecast: { comingCpu: joiningCpu, freeCpu, reclaimedCpu } });
   });
 };
 
@@ -316,16 +316,16 @@
  * used CPU, the least used first.
  */
 const reclaimableEndpoints = (
-  { state, nowMs }: PoolWorld,
+  { state, nowMs }: PoolPlanInput,
   need: PoolNeed,
-  policy: PoolPolicy,
+  policy: PoolMovePolicy,
 ): readonly EndpointState[] => {
   const order = ({ endpointId, used }: EndpointState): number =>
     state.reclaimedEndpoints.has(endpointId) ? -1 : used.cpuMillis;
   return need.endpoints
     .filter((endpoint) => endpoint.hostId !== null && runsOnlyReclaimableWork(endpoint, nowMs))
     .sort((left, right) => order(left) - order(right))
-    .slice(0, surplusHosts(need, policy, 'owed'));
+    .slice(0, countSurplusHosts(need, policy, 'within-share'));
 };
 
 /**
@@ -339,19 +339,19 @@
  * @returns The endpoints; empty if no account has a weight.
  */
 export const planReclaims = (
-  world: PoolWorld,
-  policy: PoolPolicy = DEFAULT_POOL_POLICY,
-  needs: readonly PoolNeed[] = needsOfPools(world, policy),
+  world: PoolPlanInput,
+  policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
+  needs: readonly PoolNeed[] = computePoolNeeds(world, policy),
 ): ReadonlySet<EndpointId> => {
-  if (needs.every(({ shortCpu, owedShortCpu }) => shortCpu === owedShortCpu)) return new Set();
+  if (needs.every(({ shortfallCpu, withinShareShortfallCpu }) => shortfallCpu === withinShareShortfallCpu)) return new Set();
   let { missingCpu: missing } = allocateHosts(world, needs, policy, {
-    rank: 'owed',
+    rank: 'within-share',
     earlierMoves: [],
   });
   const reclaimed = needs
     .flatMap((need) => reclaimableEndpoints(world, need, policy))
     .filter(({ capacity }) => {
-      if (missing <= policy.shortShare * capacity.cpuMillis) return false;
+      if (missing <= policy.minShortfallShare * capacity.cpuMillis) return false;
       missing -= capacity.cpuMillis;
       return true;
     });
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -1,25 +1,25 @@
 /** The capacity that each pool has, and what it needs for running, waiting and forecast work. */
 import type { HostId, PoolName } from '../../shared/ids.js';
 import { goesWithOwed } from '../accounts/shares.js';
-import { expectCores, type DemandRates } from './demand.js';
-import { expectPeak, observeDemand } from './demand-peaks.js';
-import type { HostView, PoolView } from './hosts.js';
+import { forecastCores, type DemandRates } from './demand.js';
+import { predictPeakCores, observeDemand } from './demand-peaks.js';
+import type { ListedHost, DeclaredPool } from './hosts.js';
 import { reservedCpu } from '../endpoints/runs.js';
 import { isSchedulable } from '../endpoints/sound-endpoints.js';
 import { poolOf, type BatchState, type EndpointState, type StepRun } from '../model/state.js';
 
 /** The input from which pool moves are planned. */
-export type PoolWorld = {
+export type PoolPlanInput = {
   readonly state: BatchState;
-  readonly hosts: ReadonlyMap<HostId, HostView>;
-  readonly pools: readonly PoolView[];
+  readonly hosts: ReadonlyMap<HostId, ListedHost>;
+  readonly pools: readonly DeclaredPool[];
   /** Hosts that must not be moved now, because they have an order already or are about to go down. */
   readonly busyHosts: ReadonlySet<HostId>;
   readonly nowMs: number;
 };
 
 /** The policy for pool moves. */
-export type PoolPolicy = {
+export type PoolMovePolicy = {
   /** The minimum number of hosts that a pool keeps, for the first jobs of a demand peak. */
   readonly minHosts: number;
   /** How long a host must have been empty before it is released to another pool. */
@@ -29,56 +29,56 @@
   /** The factor by which forecast demand is multiplied to get the capacity that is held for it. */
   readonly headroom: number;
   /** A pool gets another host only if it lacks more than this share of that host's capacity. */
-  readonly shortShare: number;
+  readonly minShortfallShare: number;
   /** Whether capacity is held for the next peak when peaks follow each other at regular intervals. */
-  readonly expectsPeaks: boolean;
+  readonly predictsPeaks: boolean;
 };
 
 /**
  * A host in a pool costs 0.078 per second, and work completed in time earns about 1.2 per host and second. Capacity is
  * therefore held generously where work arrives, and not held where none arrives.
  */
-export const DEFAULT_POOL_POLICY: PoolPolicy = {
+export const DEFAULT_POOL_POLICY: PoolMovePolicy = {
   minHosts: 3,
   releaseAfterMs: 300,
   parkAfterMs: 2500,
   headroom: 1.4,
-  shortShare: 0.3,
-  expectsPeaks: true,
+  minShortfallShare: 0.3,
+  predictsPeaks: true,
 };
 
 /** What a pool has and needs. Fields whose names end in `Cpu` are in thousandths of a core. */
 export type PoolNeed = {
   readonly name: PoolName;
   /** The pool's hosts that are not down and not in an evacuated data centre. */
-  readonly hosts: readonly HostView[];
+  readonly hosts: readonly ListedHost[];
   /** The capacity of the pool's first host; 1 if it has none. */
   readonly hostCpu: number;
   /** The endpoints that take new work. */
   readonly endpoints: readonly EndpointState[];
   /** Those of `endpoints` that have a host and run nothing. */
-  readonly empty: readonly EndpointState[];
+  readonly emptyEndpoints: readonly EndpointState[];
   /** Empty endpoints in evacuated data centres. They count neither as capacity nor towards the pool's minimum hosts. */
-  readonly emptyEvacuated: readonly EndpointState[];
+  readonly emptyEvacuatedEndpoints: readonly EndpointState[];
   /** The capacity of `endpoints`. */
-  readonly roomCpu: number;
+  readonly capacityCpu: number;
   /** The capacity of hosts whose endpoint has not reported yet. */
-  readonly comingCpu: number;
+  readonly joiningCpu: number;
   /** Used by running tasks on `endpoints`. */
   readonly usedCpu: number;
   /** Requested by waiting tasks. */
   readonly waitingCpu: number;
   /** Held for forecast demand, including headroom. */
-  readonly expectedCpu: number;
+  readonly forecastCpu: number;
   /**
    * The capacity that is missing for running and waiting work or for forecast demand, whichever needs more; negative
    * for a surplus.
    */
-  readonly shortCpu: number;
+  readonly shortfallCpu: number;
   /** The same for work within the accounts' fair shares only; equal to `shortCpu` if no account has a weight. */
-  readonly owedShortCpu: number;
+  readonly withinShareShortfallCpu: number;
   /** The capacity that is missing for running and waiting work, without the forecast. */
-  readonly urgentCpu: number;
+  readonly currentShortfallCpu: number;
   /** The most urgent priority among tasks that end by themselves; Infinity without any. */
   readonly priority: number;
 };
@@ -130,15 +130,15 @@
   );
 
 const needOf = (
-  { state, hosts, nowMs }: PoolWorld,
-  { name }: PoolView,
-  { headroom }: PoolPolicy,
+  { state, hosts, nowMs }: PoolPlanInput,
+  { name }: DeclaredPool,
+  { headroom }: PoolMovePolicy,
   peakCores: number,
 ): PoolNeed => {
   const poolHosts = Array.from(hosts.values()).filter(
     (host) => host.pool === name && host.state !== 'down' && !state.evacuatedDataCentres.has(host.dataCentre),
   );
-  const emptyEvacuated = Array.from(state.endpoints.values()).filter(
+  const emptyEvacuatedEndpoints = Array.from(state.endpoints.values()).filter(
     ({ pool: endpointPool, dataCentre, runs, hasReported, isCordoned }) =>
       endpointPool === name &&
       state.evacuatedDataCentres.has(dataCentre) &&
@@ -155,19 +155,19 @@
   const pool = poolOf(state, name);
   const waiting = Array.from(pool.openSteps);
   const running = endpoints.flatMap(({ runs }) => Array.from(runs.values(), ({ step }) => step));
-  const roomCpu = sum(endpoints.map(({ capacity }) => capacity.cpuMillis));
-  const comingCpu = sum(joiningHosts.map(({ capacity }) => capacity.cpuMillis));
+  const capacityCpu = sum(endpoints.map(({ capacity }) => capacity.cpuMillis));
+  const joiningCpu = sum(joiningHosts.map(({ capacity }) => capacity.cpuMillis));
   const usedCpu = sum(endpoints.map(({ used }) => used.cpuMillis));
   const waitingCpu = waitingCpuOf(waiting);
   const forecastWithHeadroom = (rates: DemandRates): number =>
-    Math.max(expectCores(rates), peakCores) * 1000 * headroom;
-  const expectedCpu = forecastWithHeadroom(pool.demand.rates(nowMs));
-  const availableCpu = roomCpu + comingCpu;
-  const { urgentCpu, shortCpu } = shortfallOf({ usedCpu, waitingCpu, expectedCpu, availableCpu });
+    Math.max(forecastCores(rates), peakCores) * 1000 * headroom;
+  const forecastCpu = forecastWithHeadroom(pool.demand.rates(nowMs));
+  const availableCpu = capacityCpu + joiningCpu;
+  const { urgentCpu: currentShortfallCpu, shortCpu: shortfallCpu } = shortfallOf({ usedCpu, waitingCpu, expectedCpu: forecastCpu, availableCpu });
   const fairShareShortfall = shortfallOf({
     usedCpu: usedCpu - cpuBeyondFairShares(endpoints, nowMs),
     waitingCpu: waitingCpuOf(waiting.filter(({ job }) => goesWithOwed(job, nowMs))),
-    expectedCpu: forecastWithHeadroom(pool.demand.owedRates(nowMs)),
+    expectedCpu: forecastWithHeadroom(pool.demand.withinShareRates(nowMs)),
     availableCpu,
   });
   return {
@@ -175,16 +175,16 @@
     hosts: poolHosts,
     hostCpu: poolHosts[0]?.capacity.cpuMillis ?? 1,
     endpoints,
-    empty: endpoints.filter(({ runs, hostId }) => runs.size === 0 && hostId !== null),
-    emptyEvacuated,
-    roomCpu,
-    comingCpu,
+    emptyEndpoints: endpoints.filter(({ runs, hostId }) => runs.size === 0 && hostId !== null),
+    emptyEvacuatedEndpoints,
+    capacityCpu,
+    joiningCpu,
     usedCpu,
     waitingCpu,
-    expectedCpu,
-    shortCpu,
-    owedShortCpu: fairShareShortfall.shortCpu,
-    urgentCpu,
+    forecastCpu,
+    shortfallCpu,
+    withinShareShortfallCpu: fairShareShortfall.shortCpu,
+    currentShortfallCpu,
     priority: mostUrgentPriority([...waiting, ...running]),
   };
 };
@@ -196,14 +196,14 @@
  * @param policy - The policy for pool moves.
  * @returns The needs.
  */
-export const needsOfPools = (
-  world: PoolWorld,
-  policy: PoolPolicy = DEFAULT_POOL_POLICY,
+export const computePoolNeeds = (
+  world: PoolPlanInput,
+  policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
 ): readonly PoolNeed[] => {
   const inUse = world.pools.filter(({ isSpare }) => !isSpare);
   const names = inUse.map(({ name }) => name);
-  const expected = policy.expectsPeaks
-    ? expectPeak(world.state.peaks, names, world.nowMs)
+  const expected = policy.predictsPeaks
+    ? predictPeakCores(world.state.peaks, names, world.nowMs)
     : new Map<PoolName, number>();
   return inUse.map((pool) => needOf(world, pool, policy, expected.get(pool.name) ?? 0));
 };
@@ -217,18 +217,18 @@
  * @returns The pools whose peak has just begun.
  */
 export const observePeaks = (
-  { state, pools, hosts, nowMs }: PoolWorld,
-  { minHosts, headroom }: PoolPolicy = DEFAULT_POOL_POLICY,
+  { state, pools, hosts, nowMs }: PoolPlanInput,
+  { minHosts, headroom }: PoolMovePolicy = DEFAULT_POOL_POLICY,
 ): readonly PoolName[] => {
   const inUse = pools.filter(({ isSpare }) => !isSpare);
   const sizes = Array.from(hosts.values(), ({ capacity }) => capacity.cpuMillis);
   const hostCores = sum(sizes) / Math.max(1, sizes.length) / 1000;
-  const leastCores = (minHosts * hostCores) / headroom;
+  const minPeakCores = (minHosts * hostCores) / headroom;
   return inUse
     .map(({ name }) => name)
     .filter((name) => {
-      const { slowCores } = poolOf(state, name).demand.owedRates(nowMs);
-      return observeDemand(state.peaks, name, { cores: slowCores, leastCores }, nowMs);
+      const { slowCores } = poolOf(state, name).demand.withinShareRates(nowMs);
+      return observeDemand(state.peaks, name, { cores: slowCores, minPeakCores }, nowMs);
     });
 };
 
@@ -240,9 +240,9 @@
  * @returns True if at least one pool does.
  */
 export const isAnyPoolShort = (
-  world: PoolWorld,
-  policy: PoolPolicy = DEFAULT_POOL_POLICY,
-): boolean => needsOfPools(world, policy).some(({ owedShortCpu }) => owedShortCpu > 0);
+  world: PoolPlanInput,
+  policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
+): boolean => computePoolNeeds(world, policy).some(({ withinShareShortfallCpu }) => withinShareShortfallCpu > 0);
 
 /**
  * Tells whether a host may be moved now.
@@ -251,11 +251,11 @@
  * @param host - The host.
  * @returns True if the host is up and is not busy.
  */
-export const isFree = ({ busyHosts }: PoolWorld, host: HostView): boolean =>
+export const isHostMovable = ({ busyHosts }: PoolPlanInput, host: ListedHost): boolean =>
   host.state === 'up' && !busyHosts.has(host.hostId);
 
-/** What a claim on hosts is for: `owed` for work within the accounts' fair shares, `all` for all work. */
-export type ClaimRank = 'owed' | 'all';
+/** What a claim on hosts is for: `within-share` for work within the accounts' fair shares, `all` for all work. */
+export type WorkScope = 'within-share' | 'all';
 
 /**
  * Gives the capacity that a pool is missing.
@@ -264,8 +264,8 @@
  * @param rank - Which work is counted.
  * @returns The shortfall in thousandths of a core; negative for a surplus.
  */
-export const shortOf = ({ shortCpu, owedShortCpu }: PoolNeed, rank: ClaimRank): number =>
-  rank === 'owed' ? owedShortCpu : shortCpu;
+export const shortfallCpuOf = ({ shortfallCpu, withinShareShortfallCpu }: PoolNeed, rank: WorkScope): number =>
+  rank === 'within-share' ? withinShareShortfallCpu : shortfallCpu;
 
 /**
  * Counts how many hosts a pool does not need. It always keeps its minimum number of hosts.
@@ -275,13 +275,13 @@
  * @param rank - Which work of the pool is counted.
  * @returns The number of hosts.
  */
-export const surplusHosts = (
+export const countSurplusHosts = (
   need: PoolNeed,
-  { minHosts }: PoolPolicy,
-  rank: ClaimRank = 'all',
+  { minHosts }: PoolMovePolicy,
+  rank: WorkScope = 'all',
 ): number => {
   const { hosts, hostCpu } = need;
-  const surplus = Math.floor(-shortOf(need, rank) / hostCpu);
+  const surplus = Math.floor(-shortfallCpuOf(need, rank) / hostCpu);
   return Math.max(0, Math.min(hosts.length - minHosts, surplus));
 };
 
@@ -291,8 +291,8 @@
  * @param rank - Which work is counted.
  * @returns The comparison, below 0 if the left pool comes first.
  */
-export const byClaim =
-  (rank: ClaimRank) =>
+export const compareByShortfall =
+  (rank: WorkScope) =>
   (left: PoolNeed, right: PoolNeed): number =>
     (left.priority === right.priority ? 0 : left.priority - right.priority) ||
-    shortOf(right, rank) - shortOf(left, rank);
+    shortfallCpuOf(right, rank) - shortfallCpuOf(left, rank);
--- a/packages/core/src/batch/pools/pool-peaks.test.ts
+++ b/packages/core/src/batch/pools/pool-peaks.test.ts
@@ -11,9 +11,9 @@
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
-import type { HostView } from './hosts.js';
+import type { ListedHost } from './hosts.js';
 import { planMoves } from './pool-moves.js';
-import { DEFAULT_POOL_POLICY, observePeaks, type PoolWorld } from './pool-needs.js';
+import { DEFAULT_POOL_POLICY, observePeaks, type PoolPlanInput } from './pool-needs.js';
 import { createBatchState, poolOf } from '../model/state.js';
 
 const POOLS = ['a', 'b', 'c', 'd'].map((name) => brand<PoolName>(name));
@@ -28,13 +28,13 @@
 const SAMPLE_AFTER_MS = 500;
 
 /** Simulates six peaks and gives, for each of the last four, the cores of the peaking pool 0.5 s after it began. */
-const capacityAtPeaks = (expectsPeaks: boolean): readonly number[] => {
+const capacityAtPeaks = (predictsPeaks: boolean): readonly number[] => {
   const state = createBatchState(1);
-  const hosts = new Map<HostId, HostView>();
+  const hosts = new Map<HostId, ListedHost>();
   const moveEndsAtMs = new Map<HostId, number>();
   let startedEndpoints = 0;
 
-  const startEndpoint = (host: HostView, nowMs: number): void => {
+  const startEndpoint = (host: ListedHost, nowMs: number): void => {
     startedEndpoints += 1;
     const endpointId = brand<EndpointId>(`i-${startedEndpoints}`);
     const capacity = { cpuMillis: HOST_CPU, memoryMb: 1, accelerators: 0 };
@@ -53,7 +53,7 @@
   };
 
   const move = (hostId: HostId, pool: PoolName, nowMs: number): void => {
-    const host = hosts.get(hostId) as HostView;
+    const host = hosts.get(hostId) as ListedHost;
     const endpoint = host.instanceId && state.currentIncarnations.get(host.instanceId);
     if (endpoint)
       removeEndpoint(state, endpoint.endpointId, { detail: 'host-ordered', atMs: nowMs, nowMs });
@@ -78,7 +78,7 @@
     Array.from(moveEndsAtMs).forEach(([hostId, atMs]) => {
       if (atMs > nowMs) return;
       moveEndsAtMs.delete(hostId);
-      startEndpoint(hosts.get(hostId) as HostView, nowMs);
+      startEndpoint(hosts.get(hostId) as ListedHost, nowMs);
     });
     if (nowMs % PERIOD_MS === SAMPLE_AFTER_MS && nowMs > 2 * PERIOD_MS) {
       const poolEndpoints = Array.from(state.endpoints.values()).filter(
@@ -87,9 +87,9 @@
       capacities.push((poolEndpoints.length * HOST_CPU) / 1000);
     }
     const pools = POOLS.map((name) => ({ name, isSpare: false }));
-    const world: PoolWorld = { state, hosts, pools, busyHosts: new Set(), nowMs };
+    const world: PoolPlanInput = { state, hosts, pools, busyHosts: new Set(), nowMs };
     observePeaks(world);
-    planMoves(world, { ...DEFAULT_POOL_POLICY, expectsPeaks }).forEach(({ hostId, toPool }) =>
+    planMoves(world, { ...DEFAULT_POOL_POLICY, predictsPeaks }).forEach(({ hostId, toPool }) =>
       move(hostId, toPool, nowMs),
     );
   }
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -27,8 +27,8 @@
   type EndpointState,
 } from '../model/state.js';
 import { schedulePool } from '../placement/schedule.js';
-import type { HostView, PoolView } from '../pools/hosts.js';
-import { noteOutlooks, planMoves, planReclaims } from '../pools/pool-moves.js';
+import type { ListedHost, DeclaredPool } from '../pools/hosts.js';
+import { updatePoolForecasts, planMoves, planReclaims } from '../pools/pool-moves.js';
 import { observePeaks } from '../pools/pool-needs.js';
 
 const TIME_STEP_MS = 20;
@@ -121,15 +121,15 @@
 
 /** Creates the hosts of a simulation, with functions that move hosts between pools. */
 const createHosts = (state: BatchState, { pools, spareHosts }: FleetPlay) => {
-  const hosts = new Map<HostId, HostView>();
+  const hosts = new Map<HostId, ListedHost>();
   const backAtMs = new Map<HostId, number>();
-  const views: readonly PoolView[] = [
+  const views: readonly DeclaredPool[] = [
     ...pools.map(({ name }) => ({ name, isSpare: false })),
     { name: SPARE, isSpare: true },
   ];
   let lives = 0;
 
-  const bringUp = (host: HostView, nowMs: number): void => {
+  const bringUp = (host: ListedHost, nowMs: number): void => {
     if (host.pool === SPARE) {
       hosts.set(host.hostId, { ...host, state: 'up', instanceId: null });
       return;
@@ -160,11 +160,11 @@
     Array.from(backAtMs).forEach(([hostId, atMs]) => {
       if (atMs > nowMs) return;
       backAtMs.delete(hostId);
-      bringUp(hosts.get(hostId) as HostView, nowMs);
+      bringUp(hosts.get(hostId) as ListedHost, nowMs);
     });
 
   const move = (hostId: HostId, pool: PoolName, nowMs: number): void => {
-    const host = hosts.get(hostId) as HostView;
+    const host = hosts.get(hostId) as ListedHost;
     const endpoint = host.instanceId && state.currentIncarnations.get(host.instanceId);
     const gone = { detail: 'host-ordered', atMs: nowMs, nowMs } as const;
     if (endpoint) removeEndpoint(state, endpoint.endpointId, gone);
@@ -178,7 +178,7 @@
       const world = { state, hosts, pools: views, busyHosts: new Set<HostId>(), nowMs };
       observePeaks(world);
       change(state, { reclaimedEndpoints: planReclaims(world) });
-      noteOutlooks(world);
+      updatePoolForecasts(world);
       planMoves(world).forEach(({ hostId, toPool }) => move(hostId, toPool, nowMs));
     },
   };
--- a/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
+++ b/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
@@ -9,7 +9,7 @@
 } from '../../shared/ids.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
-import { createHostInventory, takeHostList } from '../pools/host-inventory.js';
+import { createHostInventory, applyHostList } from '../pools/host-inventory.js';
 import type { StepSpec } from '../model/job.js';
 import { takeInJob } from '../jobs/jobs.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
@@ -74,7 +74,7 @@
     instanceId: instanceIdOf(endpointId),
   }));
   const inventory = createHostInventory();
-  takeHostList(inventory, views, 0);
+  applyHostList(inventory, views, 0);
   const hostIds = views.slice(0, hostCount).map(({ hostId }) => hostId);
   const order = { waveNumber: 1, hosts: hostIds, withinMs, maximum };
   const wave = createUpkeepWave(order, [], 0);
@@ -117,6 +117,6 @@
   };
   const hosts = (): readonly UpkeepHost[] => Array.from(wave.hosts.values());
   /** Applies a host list in which all hosts are up, with the same endpoints as before. */
-  const relist = (nowMs: number) => takeHostList(inventory, views, nowMs);
+  const relist = (nowMs: number) => applyHostList(inventory, views, nowMs);
   return { state, endpoints, wave, runOn, plan, planBoth, split, hosts, relist };
 };
--- a/packages/daemon/src/batch/control/learned-keeper.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.ts
@@ -1,7 +1,7 @@
 /** Keeps what a holder has learned in a row, for the next one. */
 import {
-  learnedOf,
-  restoreLearned,
+  toLearnedRow,
+  restoreLearnedRow,
   type BatchState,
   type LearnedRow,
 } from '@valvelatch/core/batch';
@@ -51,14 +51,14 @@
     isRead = true;
     const row = rows.value[0]?.value as LearnedRow | null | undefined;
     if (!row) return;
-    restoreLearned(state, row, nowMs(), todayMs());
+    restoreLearnedRow(state, row, nowMs(), todayMs());
     log.info('learned-read', { peaks: row.onsets.length, kinds: row.runTimes.length });
   };
 
   const save = async (): Promise<void> => {
     if (!isRead) await restore();
     if (!isRead) return;
-    const row = learnedOf(state, nowMs(), todayMs());
+    const row = toLearnedRow(state, nowMs(), todayMs());
     const text = JSON.stringify([row.heights, row.runTimes, row.onsets.length]);
     if (text === savedText) return;
     const outcome = await table.transact({
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -3,8 +3,8 @@
   applyUpkeepAnswer,
   DEFAULT_POOL_POLICY,
   isAnyPoolShort,
-  needsOfPools,
-  noteOutlooks,
+  computePoolNeeds,
+  updatePoolForecasts,
   observePeaks,
   planMoves,
   planReclaims,
@@ -14,7 +14,7 @@
   type HostInventory,
   type HostSight,
   type PoolMove,
-  type PoolWorld,
+  type PoolPlanInput,
   type QueueIndex,
   type UpkeepStep,
   type UpkeepWave,
@@ -122,7 +122,7 @@
     Array.from(movedAtMs.values()).some((atMs) => nowMs() - atMs < MOVE_SETTLES_MS) ||
     waveKeeper.waves().some((wave) => !waveKeeper.isComplete(wave));
 
-  const poolWorld = (): PoolWorld => ({
+  const poolWorld = (): PoolPlanInput => ({
     state,
     hosts: roster.inventory().hosts,
     pools: configuration()?.configuration.pools ?? [],
@@ -183,17 +183,17 @@
   const notePools = (): void => {
     if (nowMs() - notedPoolsAtMs < NOTE_POOLS_MS) return;
     notedPoolsAtMs = nowMs();
-    needsOfPools(poolWorld()).forEach((need) => {
+    computePoolNeeds(poolWorld()).forEach((need) => {
       const cores = (cpuMillis: number): number => Math.round(cpuMillis / 100) / 10;
       log.debug('pool-state', {
         pool: need.name,
         hosts: need.hosts.length,
-        empty: need.empty.length,
-        roomCores: cores(need.roomCpu),
-        comingCores: cores(need.comingCpu),
+        empty: need.emptyEndpoints.length,
+        roomCores: cores(need.capacityCpu),
+        comingCores: cores(need.joiningCpu),
         usedCores: cores(need.usedCpu),
         waitingCores: cores(need.waitingCpu),
-        expectedCores: cores(need.expectedCpu),
+        expectedCores: cores(need.forecastCpu),
       });
     });
   };
@@ -203,9 +203,9 @@
     if (!configuration()) return false;
     notePools();
     const pools = poolWorld();
-    const needs = needsOfPools(pools);
+    const needs = computePoolNeeds(pools);
     change(state, { reclaimedEndpoints: planReclaims(pools, DEFAULT_POOL_POLICY, needs) });
-    noteOutlooks(pools, DEFAULT_POOL_POLICY, needs);
+    updatePoolForecasts(pools, DEFAULT_POOL_POLICY, needs);
     const planned = planMoves(pools, DEFAULT_POOL_POLICY, needs);
     // An order without an answer is repeated: it may be carried out late, whatever is decided now.
     const moves = [...Array.from(unsettled.values()), ...planned];
@@ -214,7 +214,7 @@
   };
 
   const run = async (): Promise<void> => {
-    const ageMs = nowMs() - roster.inventory().listedAtMs;
+    const ageMs = nowMs() - roster.inventory().lastRequestedAtMs;
     if (ageMs > (isBusy() ? LIST_BUSY_MS : LIST_EVERY_MS)) await roster.refresh();
     observePeaks(poolWorld()).forEach((pool) => log.info('peak-begun', { pool }));
     if (!mayOrder() || nowMs() - bornAtMs < orderAfterMs) return;
--- a/packages/daemon/src/batch/hosts/host-roster.ts
+++ b/packages/daemon/src/batch/hosts/host-roster.ts
@@ -5,11 +5,11 @@
   addPendingReports,
   noteLossesBefore,
   findDeadEndpoints,
-  takeHostList,
+  applyHostList,
   type BatchState,
   type HostedEndpoint,
   type HostInventory,
-  type HostView,
+  type ListedHost,
   type InventoryChange,
 } from '@valvelatch/core/batch';
 import { change } from '@valvelatch/core/shared/change';
@@ -74,11 +74,11 @@
     metrics.count('host_list_failed');
     failures += 1;
     if (failures > 1) return;
-    const { hosts, listedAtMs } = inventory;
+    const { hosts, lastRequestedAtMs } = inventory;
     log.warn('host-list-lost', {
       ...error,
       hosts: hosts.size,
-      listAgeMs: ageText(nowMs() - listedAtMs),
+      listAgeMs: ageText(nowMs() - lastRequestedAtMs),
     });
   };
 
@@ -102,7 +102,7 @@
   };
 
   /** Endpoints on the hosts of the first reading may run what an earlier holder began. */
-  const expectEndpoints = (list: readonly HostView[]): void => {
+  const expectEndpoints = (list: readonly ListedHost[]): void => {
     const living = list.flatMap(({ instanceId, hostId, pool }) =>
       instanceId === null ? [] : [{ instanceId, hostId, pool }],
     );
@@ -112,9 +112,9 @@
     change(state, { isHostListAwaited: false });
   };
 
-  const take = (list: readonly HostView[], askedAtMs: number): void => {
-    const isFirst = inventory.listedAtMs === -Infinity;
-    noteChanges(takeHostList(inventory, list, askedAtMs), isFirst);
+  const take = (list: readonly ListedHost[], askedAtMs: number): void => {
+    const isFirst = inventory.lastRequestedAtMs === -Infinity;
+    noteChanges(applyHostList(inventory, list, askedAtMs), isFirst);
     list.forEach(({ hostId, instanceId }) => {
       const endpoint = instanceId && state.currentIncarnations.get(instanceId);
       if (endpoint) endpoint.hostId = hostId;
--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -113,7 +113,7 @@
 
   /** On what a report rests: how many hosts are in which phase, and which list that was judged by. */
   const groundsOf = ({ hosts: inWave }: UpkeepWave): LogFields => {
-    const { hosts: listed, listedAtMs } = sight().inventory;
+    const { hosts: listed, lastRequestedAtMs } = sight().inventory;
     const phases = Array.from(inWave.values(), ({ phase }) => phase);
     const count = (wanted: UpkeepHost['phase']): number =>
       phases.filter((phase) => phase === wanted).length;
@@ -125,7 +125,7 @@
       refused: count('refused'),
       unlisted: Array.from(inWave.keys()).filter((hostId) => !listed.has(hostId)).length,
       listed: listed.size,
-      listAgeMs: ageText(nowMs() - listedAtMs),
+      listAgeMs: ageText(nowMs() - lastRequestedAtMs),
     };
   };
 
--- a/packages/daemon/src/batch/operators/domain-views.ts
+++ b/packages/daemon/src/batch/operators/domain-views.ts
@@ -8,7 +8,7 @@
   type BatchState,
   type DomainKind,
   type EndpointState,
-  type HostView,
+  type ListedHost,
   type StepRun,
 } from '@valvelatch/core/batch';
 import type { DomainId } from '@valvelatch/core/shared/ids';
@@ -24,14 +24,14 @@
 /** What the views are made of. */
 export type DomainSight = {
   readonly state: BatchState;
-  readonly hosts: Iterable<HostView>;
+  readonly hosts: Iterable<ListedHost>;
   readonly nowMs: number;
 };
 
 type DomainView = {
   readonly domainId: DomainId;
   readonly kind: DomainKind;
-  readonly hosts: HostView[];
+  readonly hosts: ListedHost[];
   readonly endpoints: readonly EndpointState[];
 };
 
--- a/packages/daemon/src/batch/operators/operators.ts
+++ b/packages/daemon/src/batch/operators/operators.ts
@@ -220,7 +220,7 @@
 
 /** A list that was not read says nothing: it must not look like a fleet without hosts. */
 const isUnreadable = (term: Term, { kind = '' }: Body): boolean =>
-  HOST_KINDS.has(kind) && term.fleet.inventory().listedAtMs === -Infinity;
+  HOST_KINDS.has(kind) && term.fleet.inventory().lastRequestedAtMs === -Infinity;
 
 const handlers: Readonly<Record<string, Handler>> = {
   get: (term, { kind = '' }) => {
--- a/packages/daemon/src/batch/ports.ts
+++ b/packages/daemon/src/batch/ports.ts
@@ -12,7 +12,7 @@
   EvacuationReading,
   FeedScope,
   HostOrderOutcome,
-  HostView,
+  ListedHost,
   LinkUsage,
   ListOrder,
   OrderError,
@@ -149,7 +149,7 @@
 
 /** The platform's hosts. */
 export type HostPort = {
-  readonly list: () => Promise<Result<readonly HostView[], PlatformError>>;
+  readonly list: () => Promise<Result<readonly ListedHost[], PlatformError>>;
   readonly move: (
     by: HostOrderer,
     order: { readonly hostId: HostId; readonly toPool: PoolName },
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -12,7 +12,7 @@
   type Capacity,
   type ClientAccount,
   type SimulatedEndpoint,
-  type HostView,
+  type ListedHost,
   type PlacementPolicy,
   type QueueIndex,
   type StepSpec,
@@ -142,7 +142,7 @@
 export type SimFleet = {
   readonly entries: SimEntry[];
   readonly endpoints: Map<InstanceId, SimulatedEndpoint>;
-  readonly hosts: Map<HostId, HostView>;
+  readonly hosts: Map<HostId, ListedHost>;
   readonly broken: string[];
   readonly startsSent: readonly SentStart[];
   readonly logged: { readonly event: string; readonly fields: object }[];
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -6,7 +6,7 @@
   type SimulatedEndpoint,
   type EndpointReport,
   type EndpointDescription,
-  type HostView,
+  type ListedHost,
   type OrderError,
   type UpkeepOrder,
 } from '@valvelatch/core/batch';
@@ -355,9 +355,9 @@
   const orderHost = async (
     { fence }: HostOrderer,
     hostId: HostId,
-    checkTaken: (host: HostView) => void,
-    act: (host: HostView) => void,
-    isDone: (host: HostView) => boolean,
+    checkTaken: (host: ListedHost) => void,
+    act: (host: ListedHost) => void,
+    isDone: (host: ListedHost) => boolean,
     isRefused: (hostId: HostId) => boolean = () => false,
   ) => {
     await sleep(faults.hostOrderMs);
--- a/packages/daemon/src/batch/testing/sim-world.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-world.fixtures.ts
@@ -11,7 +11,7 @@
   type EndedRunReport,
   type SimulatedEndpoint,
   type EndpointObserver,
-  type HostView,
+  type ListedHost,
   type SimulatedTask,
   type QueuePolicy,
   type TaskKey,
@@ -157,7 +157,7 @@
   const table = createTableModel();
   const changes: { readonly key: string; readonly value: unknown; readonly version: number }[] = [];
   const endpoints = new Map<InstanceId, SimulatedEndpoint>();
-  const hosts = new Map<HostId, HostView>();
+  const hosts = new Map<HostId, ListedHost>();
   const jobs = new Map<JobId, Submitted>();
   const done = new Set<TaskKey>();
   const noted = new Set<TaskKey>();
@@ -370,7 +370,7 @@
     return restarts % NEW_ID_EVERY === 0 ? newId() : former;
   };
 
-  const liveOn = (host: HostView, instanceId = newId()): void => {
+  const liveOn = (host: ListedHost, instanceId = newId()): void => {
     const endpoint = createSimulatedEndpoint({
       instanceId,
       hostId: host.hostId,
@@ -422,7 +422,7 @@
   };
 
   /** Checks what an order to a host is about to end. */
-  const checkBudgets = (host: HostView): void => {
+  const checkBudgets = (host: ListedHost): void => {
     const endpoint = host.instanceId && endpoints.get(host.instanceId);
     if (!endpoint) return;
     endpoint.runs.forEach((_, key) => {
@@ -439,7 +439,7 @@
 
   const isSpare = (pool: string): boolean => pool === sparePool;
 
-  const checkEmpty = (host: HostView): void => {
+  const checkEmpty = (host: ListedHost): void => {
     const endpoint = host.instanceId && endpoints.get(host.instanceId);
     if (endpoint && endpoint.runs.size > 0) breaks(`a move of ${host.hostId} ended tasks`);
     checkBudgets(host);
@@ -458,7 +458,7 @@
     (table.read('lease/control').value as LeaseRow | null)?.epoch ?? 0;
 
   /** The host's life ends; another begins after a time, unless its pool is switched off. */
-  const relive = (host: HostView, afterMs: number): void => {
+  const relive = (host: ListedHost, afterMs: number): void => {
     const formerId = host.instanceId;
     if (formerId) endpoints.get(formerId)?.crash();
     hosts.set(host.hostId, { ...host, instanceId: null });
@@ -479,7 +479,7 @@
     relive({ ...host, state: 'down' }, downMs);
   };
 
-  const placeOf = (index: number): Pick<HostView, 'dataCentre' | 'labels'> => {
+  const placeOf = (index: number): Pick<ListedHost, 'dataCentre' | 'labels'> => {
     const { hostsPerRack, dataCentres } = domains ?? { hostsPerRack: 1, dataCentres: 2 };
     const rack = domains ? Math.floor(index / hostsPerRack) : index % 2;
     const dataCentre = brand<DataCentreId>(`dc-${rack % dataCentres}`);
@@ -489,7 +489,7 @@
 
   [...pools, ...(sparePool ? [sparePool] : [])].forEach((pool) => {
     Array.from({ length: hostsPerPool }).forEach((_, index) => {
-      const host: HostView = {
+      const host: ListedHost = {
         hostId: brand<HostId>(`h-${pool}-${index}`),
         pool: brand<PoolName>(pool),
         state: 'up',
