--- a/packages/core/src/batch/domains/domains.ts
+++ b/packages/core/src/batch/domains/domains.ts
@@ -71,7 +71,7 @@
  * @param state - The scheduler's state, changed in place.
  * @param endpoint - The endpoint.
  */
-export const joinDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
+export const addToDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
   namedDomains(endpoint.domains).forEach(({ domainId, kind }) => {
     const domain = domains.get(domainId) ?? { domainId, kind, members: new Set() };
     domain.members.add(endpoint);
@@ -84,7 +84,7 @@
  * @param state - The scheduler's state, changed in place.
  * @param endpoint - The endpoint.
  */
-export const leaveDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
+export const removeFromDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
   namedDomains(endpoint.domains).forEach(({ domainId }) => {
     const members = domains.get(domainId)?.members;
     members?.delete(endpoint);
--- a/packages/core/src/batch/domains/outage.test.ts
+++ b/packages/core/src/batch/domains/outage.test.ts
@@ -15,7 +15,7 @@
 import { schedulePool } from '../placement/schedule.js';
 import { answer, JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
 import { seeAt, seeFleet, type RackedFleet } from '../testing/domains.fixtures.js';
-import { endOldSuspicions, isSuspected, noteAnswered, noteUnanswered } from './outage.js';
+import { expireSuspicions, isSuspected, recordAnswered, recordUnanswered } from './outage.js';
 
 const RACK = brand<DomainId>('rack:dc-0/rack-0');
 const DATA_CENTRE = brand<DomainId>('data-centre:dc-0');
@@ -39,7 +39,7 @@
   { atMs = 100, everyMs = 0 } = {},
 ): void =>
   endpoints.forEach(({ endpointId }, index) =>
-    noteUnanswered(state, endpointId, atMs + index * everyMs),
+    recordUnanswered(state, endpointId, atMs + index * everyMs),
   );
 
 const areUsable = (state: BatchState, endpoints: readonly EndpointState[]): readonly boolean[] =>
@@ -130,17 +130,17 @@
   it('does not exclude an endpoint that has answered since it began', () => {
     const { state, endpoints } = createFleet({ racks: 1, hostsPerRack: 4 });
     leaveUnanswered(state, endpoints.slice(0, 2));
-    endpoints.slice(2, 3).forEach((endpoint) => noteAnswered(state, endpoint, 150));
+    endpoints.slice(2, 3).forEach((endpoint) => recordAnswered(state, endpoint, 150));
     expect(areUsable(state, endpoints)).toEqual([false, false, true, false]);
   });
 
   it('ends when more than half of the endpoints have answered, but not at exactly half', () => {
     const { state, endpoints } = createFleet({ racks: 1, hostsPerRack: 4 });
     leaveUnanswered(state, endpoints.slice(0, 2));
-    endpoints.slice(1, 3).forEach((endpoint) => noteAnswered(state, endpoint, 150));
+    endpoints.slice(1, 3).forEach((endpoint) => recordAnswered(state, endpoint, 150));
     expect(suspectedIn(state)).toEqual([RACK]);
     takeEffects(state);
-    endpoints.slice(3).forEach((endpoint) => noteAnswered(state, endpoint, 160));
+    endpoints.slice(3).forEach((endpoint) => recordAnswered(state, endpoint, 160));
     expect(suspectedIn(state)).toEqual([]);
     expect(takeEffects(state)).toMatchObject([
       { event: 'domain-back', fields: { afterMs: 60, relief: 'answered', unanswering: 1 } },
@@ -150,9 +150,9 @@
   it('ends after 10 s, and begins again if endpoints still do not answer', () => {
     const { state, endpoints } = createFleet({ racks: 1, hostsPerRack: 4 });
     leaveUnanswered(state, endpoints.slice(0, 2));
-    endOldSuspicions(state, 10_099);
+    expireSuspicions(state, 10_099);
     expect(suspectedIn(state)).toEqual([RACK]);
-    endOldSuspicions(state, 10_100);
+    expireSuspicions(state, 10_100);
     expect(suspectedIn(state)).toEqual([]);
     leaveUnanswered(state, endpoints.slice(0, 2), { atMs: 10_200 });
     expect(suspectedIn(state)).toEqual([RACK]);
--- a/packages/core/src/batch/domains/outage.ts
+++ b/packages/core/src/batch/domains/outage.ts
@@ -101,7 +101,7 @@
  * @param endpointId - The endpoint.
  * @param nowMs - The time in milliseconds.
  */
-export const noteUnanswered = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
+export const recordUnanswered = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint || endpoint.unansweredSinceMs !== Infinity) return;
   change(endpoint, { unansweredSinceMs: nowMs });
@@ -152,7 +152,7 @@
  * @param endpoint - The endpoint, which is no longer suspected.
  * @param nowMs - The time in milliseconds.
  */
-export const noteAnswered = (state: BatchState, endpoint: EndpointState, nowMs: number): void => {
+export const recordAnswered = (state: BatchState, endpoint: EndpointState, nowMs: number): void => {
   change(endpoint, { unansweredSinceMs: Infinity });
   if (state.suspectedDomains.size > 0) stopAwaiting(state, endpoint, 'answered', nowMs);
 };
@@ -164,7 +164,7 @@
  * @param endpoint - The endpoint.
  * @param nowMs - The time in milliseconds.
  */
-export const forgetSuspect = (state: BatchState, endpoint: EndpointState, nowMs: number): void =>
+export const stopAwaitingGone = (state: BatchState, endpoint: EndpointState, nowMs: number): void =>
   stopAwaiting(state, endpoint, 'gone', nowMs);
 
 /**
@@ -174,7 +174,7 @@
  * @param state - The scheduler's state, changed in place.
  * @param nowMs - The time in milliseconds.
  */
-export const endOldSuspicions = (state: BatchState, nowMs: number): void =>
+export const expireSuspicions = (state: BatchState, nowMs: number): void =>
   state.suspectedDomains.forEach((suspected) => {
     if (nowMs - suspected.sinceMs < MAX_SUSPICION_MS) return;
     suspected.unansweringEndpoints.forEach((endpointId) => {
--- a/packages/core/src/batch/domains/spread.ts
+++ b/packages/core/src/batch/domains/spread.ts
@@ -4,7 +4,7 @@
 import type { DomainId } from '../../shared/ids.js';
 
 /** The domain of one kind that has the most tasks of a step. */
-export type LargestShare = {
+export type LargestDomain = {
   readonly domainId: DomainId;
   readonly tasks: number;
   /** The number of domains of the kind in which the step has tasks. */
@@ -19,13 +19,13 @@
  * @param kind - Racks or data centres.
  * @returns The domain, the first one of equals; undefined if the step has no task in a domain of the kind.
  */
-export const largestShare = (
+export const findLargestDomain = (
   state: BatchState,
   { perDomain }: StepRun,
   kind: DomainKind,
-): LargestShare | undefined => {
+): LargestDomain | undefined => {
   const shares = Array.from(perDomain).filter(([id]) => state.domains.get(id)?.kind === kind);
-  return shares.reduce<LargestShare | undefined>(
+  return shares.reduce<LargestDomain | undefined>(
     (largest, [domainId, tasks]) =>
       largest && largest.tasks >= tasks ? largest : { domainId, tasks, domains: shares.length },
     undefined,
@@ -48,7 +48,7 @@
   ).length;
 
 const describeKind = (state: BatchState, step: StepRun, kind: DomainKind): readonly string[] => {
-  const largest = largestShare(state, step, kind);
+  const largest = findLargestDomain(state, step, kind);
   if (!largest) return [];
   const { mayMiss, taskCount } = step.spec;
   const { domainId, tasks, domains } = largest;
--- a/packages/core/src/batch/endpoints/endpoints.ts
+++ b/packages/core/src/batch/endpoints/endpoints.ts
@@ -1,6 +1,6 @@
 /** Registers and updates endpoints from the platform's list of endpoints. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
-import { domainsOf, joinDomains } from '../domains/domains.js';
+import { domainsOf, addToDomains } from '../domains/domains.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import {
   isSoleHolder,
@@ -75,7 +75,7 @@
     health: { failedJobs: new Set(), withholdCount: 0 },
   };
   state.endpoints.set(endpoint.endpointId, endpoint);
-  joinDomains(state, endpoint);
+  addToDomains(state, endpoint);
   state.currentIncarnations.set(instanceIdOf(endpoint.endpointId), endpoint);
   return endpoint;
 };
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -12,8 +12,8 @@
   noteCrashes,
   recordCrash,
 } from '../crashes/endpoint-crashes.js';
-import { leaveDomains } from '../domains/domains.js';
-import { forgetSuspect } from '../domains/outage.js';
+import { removeFromDomains } from '../domains/domains.js';
+import { stopAwaitingGone } from '../domains/outage.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { mayRunInNextIncarnation } from './followed-runs.js';
 import { giveUpIfDue } from '../jobs/give-up.js';
@@ -48,8 +48,8 @@
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint) return;
   state.endpoints.delete(endpointId);
-  leaveDomains(state, endpoint);
-  forgetSuspect(state, endpoint, nowMs);
+  removeFromDomains(state, endpoint);
+  stopAwaitingGone(state, endpoint, nowMs);
   chargeStrays(state, endpoint, []);
   const instanceId = instanceIdOf(endpointId);
   if (state.currentIncarnations.get(instanceId) === endpoint) state.currentIncarnations.delete(instanceId);
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -1,7 +1,7 @@
 /** Applies the reports of endpoints: which runs are active, which have ended and how. */
 import type { EndpointId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { noteAnswered } from '../domains/outage.js';
+import { recordAnswered } from '../domains/outage.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { applyFirstReport } from './followed-runs.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
@@ -252,7 +252,7 @@
   });
   chargeStrays(state, endpoint, strays);
   if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
-  noteAnswered(state, endpoint, nowMs);
+  recordAnswered(state, endpoint, nowMs);
   change(endpoint, { hasReported: true, reportedAtMs: requestedAtMs, expiredRuns: [] });
   poolOf(state, endpoint.pool).unreportedInstances.delete(instanceIdOf(endpointId));
 };
--- a/packages/core/src/batch/placement/schedule-cycle.ts
+++ b/packages/core/src/batch/placement/schedule-cycle.ts
@@ -3,7 +3,7 @@
  * use up all the starts that may be sent.
  */
 import { change } from '../../shared/change.js';
-import { endOldSuspicions } from '../domains/outage.js';
+import { expireSuspicions } from '../domains/outage.js';
 import { giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { reckonUnreported } from '../accounts/quota.js';
 import { schedulePool } from './schedule.js';
@@ -21,7 +21,7 @@
   let firstPool = 0;
   return (startsLeft, nowMs) => {
     change(state, { startsLeft });
-    endOldSuspicions(state, nowMs);
+    expireSuspicions(state, nowMs);
     giveUpRunsOfGoneEndpoints(state, nowMs);
     reckonUnreported(state, nowMs);
     const names = Array.from(state.pools.keys());
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -6,8 +6,8 @@
   createEndpointDelayEstimator,
   applyReport,
   isSuspected,
-  noteAnswered,
-  noteUnanswered,
+  recordAnswered,
+  recordUnanswered,
   type BatchEffect,
   type EndpointState,
   type OrderError,
@@ -109,13 +109,13 @@
   /** Where so many endpoints miss that the cause is this entry's own link, nothing shows about their domains. */
   const noteSilence = (): void => {
     if (context.linkDelay.isLocalFault()) return;
-    noteUnanswered(state, endpointId, nowMs());
+    recordUnanswered(state, endpointId, nowMs());
     if (isSuspect()) context.poke();
   };
 
   const noteVoice = (): void => {
     const known = endpoint();
-    if (known) noteAnswered(state, known, nowMs());
+    if (known) recordAnswered(state, known, nowMs());
   };
 
   /** A time on the endpoint's clock, and the note of when what it covers has surely ended. */
--- a/packages/daemon/src/batch/operators/domain-views.test.ts
+++ b/packages/daemon/src/batch/operators/domain-views.test.ts
@@ -1,6 +1,6 @@
 /** What operators are told of racks and data centres. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { noteUnanswered } from '@valvelatch/core/batch';
+import { recordUnanswered } from '@valvelatch/core/batch';
 
 import { createMetrics } from '../../observe/metrics.js';
 import { createDomainGauges } from '../control/domain-gauges.js';
@@ -35,7 +35,7 @@
     const state = holderOf(fleet).control.term()?.state;
     if (!state) throw new Error('nobody holds control');
     state.endpoints.forEach(({ endpointId, labels }) => {
-      if (labels.includes('rack-1')) noteUnanswered(state, endpointId, performance.now());
+      if (labels.includes('rack-1')) recordUnanswered(state, endpointId, performance.now());
     });
   };
 
