--- a/packages/core/src/batch/evacuation/belief.test.ts
+++ b/packages/core/src/batch/evacuation/belief.test.ts
@@ -4,12 +4,12 @@
 
 import { brand, type DataCentreId } from '../../shared/ids.js';
 import {
-  applyEvacuationReading,
-  mergeEvacuations,
-  NO_BELIEF,
-  type EvacuationBelief,
+  applyEvacuationUpdate,
+  mergeEvacuationViews,
+  UNREAD_EVACUATION_VIEW,
+  type EvacuationView,
   type EvacuationChange,
-  type EvacuationReading,
+  type EvacuationUpdate,
 } from './belief.js';
 
 const NORTH = brand<DataCentreId>('north');
@@ -31,21 +31,21 @@
 const changeUpdate = (
   changes: readonly EvacuationChange[],
   revision = changes.at(-1)?.revision ?? 0,
-): EvacuationReading => ({ changes, isWhole: false, revision });
+): EvacuationUpdate => ({ changes, isFullRead: false, revision });
 
 const snapshotUpdate = (
   changes: readonly EvacuationChange[],
   revision: number,
-): EvacuationReading => ({
+): EvacuationUpdate => ({
   changes,
-  isWhole: true,
+  isFullRead: true,
   revision,
 });
 
-const viewAfter = (...updates: readonly EvacuationReading[]): EvacuationBelief =>
-  updates.reduce(applyEvacuationReading, NO_BELIEF);
+const viewAfter = (...updates: readonly EvacuationUpdate[]): EvacuationView =>
+  updates.reduce(applyEvacuationUpdate, UNREAD_EVACUATION_VIEW);
 
-const evacuatedIn = ({ evacuated }: EvacuationBelief): readonly DataCentreId[] =>
+const evacuatedIn = ({ evacuated }: EvacuationView): readonly DataCentreId[] =>
   Array.from(evacuated.keys()).sort();
 
 describe('the view of evacuations', () => {
@@ -54,7 +54,7 @@
       const begunView = viewAfter(changeUpdate([rowWritten(NORTH, 3)]));
       expect(evacuatedIn(begunView)).toEqual([NORTH]);
       expect(
-        evacuatedIn(applyEvacuationReading(begunView, changeUpdate([rowDeleted(NORTH, 4)]))),
+        evacuatedIn(applyEvacuationUpdate(begunView, changeUpdate([rowDeleted(NORTH, 4)]))),
       ).toEqual([]);
     });
 
@@ -62,10 +62,10 @@
       // A delayed response must neither end an evacuation nor bring one back.
       const known = viewAfter(changeUpdate([rowWritten(NORTH, 9)], 12));
       expect(
-        evacuatedIn(applyEvacuationReading(known, changeUpdate([rowDeleted(NORTH, 8)]))),
+        evacuatedIn(applyEvacuationUpdate(known, changeUpdate([rowDeleted(NORTH, 8)]))),
       ).toEqual([NORTH]);
       expect(
-        evacuatedIn(applyEvacuationReading(known, changeUpdate([rowWritten(SOUTH, 11)]))),
+        evacuatedIn(applyEvacuationUpdate(known, changeUpdate([rowWritten(SOUTH, 11)]))),
       ).toEqual([NORTH]);
     });
 
@@ -76,14 +76,14 @@
 
   describe('updated with full reads', () => {
     it('drops an evacuation whose row is missing, even if it was received from another entry', () => {
-      const received = mergeEvacuations(NO_BELIEF, viewAfter(changeUpdate([rowWritten(NORTH, 3)])));
-      expect(evacuatedIn(applyEvacuationReading(received, snapshotUpdate([], 4)))).toEqual([]);
+      const received = mergeEvacuationViews(UNREAD_EVACUATION_VIEW, viewAfter(changeUpdate([rowWritten(NORTH, 3)])));
+      expect(evacuatedIn(applyEvacuationUpdate(received, snapshotUpdate([], 4)))).toEqual([]);
     });
 
     it('is unchanged if the full read is older than the view', () => {
       // After the table's history has been compacted, full reads may be seconds old.
       const known = viewAfter(changeUpdate([rowWritten(NORTH, 9)]));
-      expect(applyEvacuationReading(known, snapshotUpdate([rowWritten(SOUTH, 5)], 8))).toBe(known);
+      expect(applyEvacuationUpdate(known, snapshotUpdate([rowWritten(SOUTH, 5)], 8))).toBe(known);
     });
 
     it('keeps a row that is newer than the revision of the full read when an older change of it follows', () => {
@@ -99,9 +99,9 @@
     it('is the view with the higher revision', () => {
       const own = viewAfter(changeUpdate([rowWritten(NORTH, 3)]));
       const other = viewAfter(changeUpdate([rowDeleted(NORTH, 5)]));
-      expect(mergeEvacuations(own, other)).toBe(other);
-      expect(mergeEvacuations(other, own)).toBe(other);
-      expect(mergeEvacuations(own, { ...own })).toBe(own);
+      expect(mergeEvacuationViews(own, other)).toBe(other);
+      expect(mergeEvacuationViews(other, own)).toBe(other);
+      expect(mergeEvacuationViews(own, { ...own })).toBe(own);
     });
   });
 
@@ -132,7 +132,7 @@
             );
             return last && !last.isDeleted ? [last] : [];
           });
-        let view = NO_BELIEF;
+        let view = UNREAD_EVACUATION_VIEW;
         drawnUpdates.forEach(({ isWhole, from, to, isFromOtherEntry }) => {
           const revision = Math.min(history.length, to);
           // A feed requests the changes after the position that it has reached, or after an earlier position.
@@ -145,8 +145,8 @@
             : changeUpdate(changes, revision);
           const before = view.revision;
           view = isFromOtherEntry
-            ? mergeEvacuations(view, viewAfter(snapshotUpdate(tableAt(revision), revision)))
-            : applyEvacuationReading(view, update);
+            ? mergeEvacuationViews(view, viewAfter(snapshotUpdate(tableAt(revision), revision)))
+            : applyEvacuationUpdate(view, update);
           expect(view.revision).toBe(Math.max(before, revision));
           expect(evacuatedIn(view)).toEqual(
             tableAt(view.revision)
--- a/packages/core/src/batch/evacuation/belief.ts
+++ b/packages/core/src/batch/evacuation/belief.ts
@@ -13,16 +13,16 @@
 };
 
 /** The evacuation rows from one read of the operator's table. */
-export type EvacuationReading = {
+export type EvacuationUpdate = {
   readonly changes: readonly EvacuationChange[];
   /** True if `changes` holds all rows of a full read, false if it holds only the rows that have changed. */
-  readonly isWhole: boolean;
+  readonly isFullRead: boolean;
   /** The table's revision up to which the read is complete. */
   readonly revision: number;
 };
 
 /** The evacuated data centres as of a revision of the operator's table. */
-export type EvacuationBelief = {
+export type EvacuationView = {
   /** All changes up to this revision are known; -1 before the first read. */
   readonly revision: number;
   /** Each evacuated data centre with the revision at which its row was written. */
@@ -30,9 +30,9 @@
 };
 
 /** The view of an entry that has not read the table yet. */
-export const NO_BELIEF: EvacuationBelief = { revision: -1, evacuated: new Map() };
+export const UNREAD_EVACUATION_VIEW: EvacuationView = { revision: -1, evacuated: new Map() };
 
-const fromSnapshot = ({ changes, revision }: EvacuationReading): EvacuationBelief => ({
+const fromSnapshot = ({ changes, revision }: EvacuationUpdate): EvacuationView => ({
   revision,
   evacuated: new Map(
     changes
@@ -42,9 +42,9 @@
 });
 
 const applyChanges = (
-  view: EvacuationBelief,
-  { changes, revision }: EvacuationReading,
-): EvacuationBelief => {
+  view: EvacuationView,
+  { changes, revision }: EvacuationUpdate,
+): EvacuationView => {
   const evacuated = new Map(view.evacuated);
   changes
     .filter((change) => change.revision > view.revision)
@@ -65,11 +65,11 @@
  * that are older than the view have no effect.
  * @returns The new view. After a newer full read, evacuations without a row in it have ended.
  */
-export const applyEvacuationReading = (
-  view: EvacuationBelief,
-  update: EvacuationReading,
-): EvacuationBelief => {
-  if (!update.isWhole) return applyChanges(view, update);
+export const applyEvacuationUpdate = (
+  view: EvacuationView,
+  update: EvacuationUpdate,
+): EvacuationView => {
+  if (!update.isFullRead) return applyChanges(view, update);
   return update.revision > view.revision ? fromSnapshot(update) : view;
 };
 
@@ -80,7 +80,7 @@
  * @param other - The view of another entry.
  * @returns The view with the higher revision; `own` if the revisions are equal.
  */
-export const mergeEvacuations = (
-  own: EvacuationBelief,
-  other: EvacuationBelief,
-): EvacuationBelief => (other.revision > own.revision ? other : own);
+export const mergeEvacuationViews = (
+  own: EvacuationView,
+  other: EvacuationView,
+): EvacuationView => (other.revision > own.revision ? other : own);
--- a/packages/core/src/batch/evacuation/evacuated-runs.ts
+++ b/packages/core/src/batch/evacuation/evacuated-runs.ts
@@ -13,7 +13,7 @@
   /** Runs of long-running tasks; an evacuation does not move them. */
   readonly longRuns: number;
   /** When the last short run is expected to end, by the lease holder's clock; undefined if there is no short run. */
-  readonly lastEndMs: number | undefined;
+  readonly lastExpectedEndMs: number | undefined;
 };
 
 const endpointsIn = (state: BatchState, dataCentre: DataCentreId): readonly EndpointState[] =>
@@ -28,7 +28,7 @@
  * @param dataCentre - The data centre.
  * @returns The number of its endpoints, of their runs by kind, and the expected end of the last short run.
  */
-export const runsInDataCentre = (state: BatchState, dataCentre: DataCentreId): DataCentreRuns => {
+export const countRunsInDataCentre = (state: BatchState, dataCentre: DataCentreId): DataCentreRuns => {
   const endpoints = endpointsIn(state, dataCentre);
   const runs = endpoints.flatMap((one) => Array.from(one.runs.values()));
   const shortRuns = runs.filter(endsByItself);
@@ -37,7 +37,7 @@
     endpoints: endpoints.length,
     shortRuns: shortRuns.length,
     longRuns: runs.length - shortRuns.length,
-    lastEndMs: expectedEndsMs.length > 0 ? Math.max(...expectedEndsMs) : undefined,
+    lastExpectedEndMs: expectedEndsMs.length > 0 ? Math.max(...expectedEndsMs) : undefined,
   };
 };
 
@@ -60,7 +60,7 @@
  * @param step - An open step.
  * @returns The data centres; empty if an endpoint elsewhere could run the step, or if no endpoint could.
  */
-export const evacuationsAwaitedBy = (
+export const evacuationsBlocking = (
   { endpoints, evacuatedDataCentres }: BatchState,
   step: StepRun,
 ): readonly DataCentreId[] => {
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -215,11 +215,11 @@
    */
   const readConfirmed = async (waitMs: number): Promise<OperatorNews | undefined> => {
     const news = await read(waitMs);
-    const isFirstWhole = !wasWhole && news?.evacuations?.isWhole === true;
-    wasWhole = news?.evacuations?.isWhole ?? wasWhole;
+    const isFirstWhole = !wasWhole && news?.evacuations?.isFullRead === true;
+    wasWhole = news?.evacuations?.isFullRead ?? wasWhole;
     if (!evacuations.isBounded() || !isFirstWhole) return news;
     const changes = await read(0);
-    wasWhole = changes?.evacuations?.isWhole ?? wasWhole;
+    wasWhole = changes?.evacuations?.isFullRead ?? wasWhole;
     return changes;
   };
 
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
@@ -30,14 +30,14 @@
 const changesAt = (revision: number, changes: EvacuationNews['changes'] = []): EvacuationNews => ({
   changes,
   revision,
-  isWhole: false,
+  isFullRead: false,
   isCurrent: true,
 });
 
 const wholeAt = (revision: number, changes: EvacuationNews['changes'] = []): EvacuationNews => ({
   changes,
   revision,
-  isWhole: true,
+  isFullRead: true,
   isCurrent: false,
 });
 
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.ts
@@ -3,10 +3,10 @@
  * operator's feed and by neighbours, through the keeper of the configuration.
  */
 import {
-  applyEvacuationReading,
-  mergeEvacuations,
-  NO_BELIEF,
-  type EvacuationBelief,
+  applyEvacuationUpdate,
+  mergeEvacuationViews,
+  UNREAD_EVACUATION_VIEW,
+  type EvacuationView,
 } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
@@ -32,7 +32,7 @@
 };
 
 export type EvacuationKeeper = {
-  readonly belief: () => EvacuationBelief;
+  readonly belief: () => EvacuationView;
   readonly evacuated: () => ReadonlySet<DataCentreId>;
   /** For how long a newer evacuation may have gone unheard; Infinity before the first confirmation. */
   readonly ageMs: () => number;
@@ -51,7 +51,7 @@
   readonly tell: () => ToldEvacuations;
 };
 
-const toBelief = ({ revision, evacuated }: ToldEvacuations): EvacuationBelief => ({
+const toBelief = ({ revision, evacuated }: ToldEvacuations): EvacuationView => ({
   revision,
   evacuated: new Map(evacuated),
 });
@@ -67,7 +67,7 @@
   log,
   nowMs = () => performance.now(),
 }: EvacuationKeeperOptions): EvacuationKeeper => {
-  let belief = NO_BELIEF;
+  let belief = UNREAD_EVACUATION_VIEW;
   let evacuated: ReadonlySet<DataCentreId> = new Set();
   let confirmedAtMs = -Infinity;
   /** The highest version that the own feed has told. */
@@ -87,7 +87,7 @@
   const isLagging = (revision: number): boolean =>
     revision < Math.max(feedRevision, ...belief.evacuated.values());
 
-  const believe = (next: EvacuationBelief, source: string): void => {
+  const believe = (next: EvacuationView, source: string): void => {
     const before = evacuated;
     belief = next;
     evacuated = new Set(next.evacuated.keys());
@@ -115,14 +115,14 @@
     take: (news, askedAtMs) => {
       const isNews = news.isCurrent && !isLagging(news.revision);
       feedRevision = Math.max(feedRevision, news.revision);
-      believe(applyEvacuationReading(belief, news), 'table');
+      believe(applyEvacuationUpdate(belief, news), 'table');
       if (isNews) confirm(askedAtMs);
     },
     takeAnswer: (told, askedAtMs) => {
-      believe(mergeEvacuations(belief, toBelief(told)), 'neighbour');
+      believe(mergeEvacuationViews(belief, toBelief(told)), 'neighbour');
       if (told.confirmedAgoMs !== null) confirm(askedAtMs - told.confirmedAgoMs);
     },
-    takeQuestion: (told) => believe(mergeEvacuations(belief, toBelief(told)), 'neighbour'),
+    takeQuestion: (told) => believe(mergeEvacuationViews(belief, toBelief(told)), 'neighbour'),
     tell: () => ({
       revision: belief.revision,
       evacuated: Array.from(belief.evacuated),
--- a/packages/daemon/src/batch/configuration/start-gate.ts
+++ b/packages/daemon/src/batch/configuration/start-gate.ts
@@ -1,5 +1,5 @@
 /** Whether orders to start may leave an entry, by what it believes of the operator's evacuations. */
-import { NO_BELIEF, type EvacuationBelief } from '@valvelatch/core/batch';
+import { UNREAD_EVACUATION_VIEW, type EvacuationView } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
 import type { ConfigurationKeeper } from './configuration-keeper.js';
@@ -13,7 +13,7 @@
 };
 
 export type StartGate = {
-  readonly belief: () => EvacuationBelief;
+  readonly belief: () => EvacuationView;
   readonly evacuated: () => ReadonlySet<DataCentreId>;
   /** For how long a newer evacuation may have gone unheard. */
   readonly ageMs: () => number;
@@ -29,7 +29,7 @@
 
 /** The gate of an entry without evacuations. */
 export const OPEN_GATE: StartGate = {
-  belief: () => NO_BELIEF,
+  belief: () => UNREAD_EVACUATION_VIEW,
   evacuated: () => new Set(),
   ageMs: () => 0,
   isOpen: () => true,
--- a/packages/daemon/src/batch/control/evacuation-watch.ts
+++ b/packages/daemon/src/batch/control/evacuation-watch.ts
@@ -1,5 +1,5 @@
 /** Tells how evacuations go, from the first that the holder hears of one to its end: log lines and gauges. */
-import { runsInDataCentre, type BatchState } from '@valvelatch/core/batch';
+import { countRunsInDataCentre, type BatchState } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
 import type { StartGate } from '../configuration/start-gate.js';
@@ -61,7 +61,7 @@
   const ageMs = (): number => Math.round(gate.ageMs());
 
   const begin = (dataCentre: DataCentreId, revision: number): void => {
-    const { endpoints, shortRuns, longRuns } = runsInDataCentre(state, dataCentre);
+    const { endpoints, shortRuns, longRuns } = countRunsInDataCentre(state, dataCentre);
     const fields = { dataCentre, revision, ageMs: ageMs(), endpoints, shortRuns, longRuns };
     // The operator may have misspelt the name.
     if (endpoints === 0) log.warn('evacuation-begun', fields);
@@ -77,7 +77,7 @@
 
   const lookAtRuns = (evacuation: WatchedEvacuation): void => {
     const { dataCentre, revision, knownSinceMs } = evacuation;
-    const { endpoints, shortRuns, longRuns } = runsInDataCentre(state, dataCentre);
+    const { endpoints, shortRuns, longRuns } = countRunsInDataCentre(state, dataCentre);
     metrics.gauge(gaugeOf(dataCentre), shortRuns);
     const isEmpty = shortRuns === 0;
     if (isEmpty === evacuation.isEmpty) return;
--- a/packages/daemon/src/batch/operators/data-centre-views.ts
+++ b/packages/daemon/src/batch/operators/data-centre-views.ts
@@ -1,9 +1,9 @@
 /** What operators are told of data centres: evacuated or not, what runs there, and what waits because of it. */
 import {
-  evacuationsAwaitedBy,
+  evacuationsBlocking,
   isFinal,
   isSchedulable,
-  runsInDataCentre,
+  countRunsInDataCentre,
   type BatchState,
   type StepRun,
 } from '@valvelatch/core/batch';
@@ -42,7 +42,7 @@
 export const dataCentreRows = (term: Term): readonly object[] => {
   const hosts = Array.from(term.fleet.inventory().hosts.values());
   return knownDataCentres(term).map((dataCentre) => {
-    const { shortRuns, longRuns } = runsInDataCentre(term.state, dataCentre);
+    const { shortRuns, longRuns } = countRunsInDataCentre(term.state, dataCentre);
     const evacuation = term.evacuations.evacuations().get(dataCentre);
     return {
       dataCentre,
@@ -64,12 +64,12 @@
     .filter(({ isOpen }) => isOpen);
 
 const outcomeOf = (term: Term, dataCentre: DataCentreId): string => {
-  const { shortRuns, longRuns, lastEndMs } = runsInDataCentre(term.state, dataCentre);
+  const { shortRuns, longRuns, lastExpectedEndMs } = countRunsInDataCentre(term.state, dataCentre);
   const evacuation = term.evacuations.evacuations().get(dataCentre);
   const left = `${shortRuns} short runs and ${longRuns} long-running tasks`;
   if (!evacuation) return `in service: ${left}`;
-  const inMs = Math.max(0, Math.round((lastEndMs ?? 0) - performance.now()));
-  const end = lastEndMs === undefined ? 'no short run is left' : `the last ends in some ${inMs} ms`;
+  const inMs = Math.max(0, Math.round((lastExpectedEndMs ?? 0) - performance.now()));
+  const end = lastExpectedEndMs === undefined ? 'no short run is left' : `the last ends in some ${inMs} ms`;
   return `evacuated since ${new Date(evacuation.knownSinceDay).toISOString()}: ${left} there, ${end}`;
 };
 
@@ -91,7 +91,7 @@
       reason: `queue=${step.job.job.queue} ${step.spec.isLasting ? 'long-running' : 'short'}, on endpoint ${on}`,
     }));
   const waiting = openSteps(term.state)
-    .filter((step) => evacuationsAwaitedBy(term.state, step).includes(dataCentre))
+    .filter((step) => evacuationsBlocking(term.state, step).includes(dataCentre))
     .map((step) => ({
       of: `job ${step.job.job.jobId} step ${step.number}`,
       reason: `${step.waiting.length} tasks wait: only endpoints here could run them`,
--- a/packages/daemon/src/batch/operators/operators.ts
+++ b/packages/daemon/src/batch/operators/operators.ts
@@ -4,7 +4,7 @@
  */
 import {
   describeSpread,
-  evacuationsAwaitedBy,
+  evacuationsBlocking,
   isFinal,
   isSuspected,
   rackOf,
@@ -127,7 +127,7 @@
 };
 
 const waitReason = (term: Term, step: StepRun): string => {
-  const awaited = evacuationsAwaitedBy(term.state, step);
+  const awaited = evacuationsBlocking(term.state, step);
   if (awaited.length === 0) return waitsFor(term.state, step, performance.now());
   return `room: data centre ${awaited.join(', ')} is evacuated`;
 };
--- a/packages/daemon/src/batch/ports.ts
+++ b/packages/daemon/src/batch/ports.ts
@@ -9,7 +9,7 @@
   EndpointClock,
   EndpointReport,
   EndpointDescription,
-  EvacuationReading,
+  EvacuationUpdate,
   FeedScope,
   HostOrderOutcome,
   ListedHost,
@@ -63,7 +63,7 @@
 };
 
 /** What a reading of the operator's rows says of evacuations. */
-export type EvacuationNews = EvacuationReading & {
+export type EvacuationNews = EvacuationUpdate & {
   /** True if the reading contains every change up to its answer: not a full one, and not cut off at its end. */
   readonly isCurrent: boolean;
 };
--- a/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
@@ -83,7 +83,7 @@
     const seen = history.filter(({ atMs }) => atMs <= asOfMs);
     const newest = new Map(seen.map((row) => [row.dataCentre, row]));
     const changes = Array.from(newest.values()).filter(({ isDeleted }) => !isDeleted);
-    return { changes, isWhole: true, isCurrent: false, revision: seen.length };
+    return { changes, isFullRead: true, isCurrent: false, revision: seen.length };
   };
 
   const feedOf = ({ awake, isCut, lost, configuration }: OperatorReach): OperatorFeed => {
@@ -96,7 +96,7 @@
       if (history.length <= position && waitMs > 0) await waitForChange(waitMs);
       if (ownEpoch < epoch || performance.now() < noChangesUntilMs) return undefined;
       const changes = history.slice(position);
-      return { changes, isWhole: false, isCurrent: true, revision: history.length };
+      return { changes, isFullRead: false, isCurrent: true, revision: history.length };
     };
 
     const read = async (waitMs: number): Promise<EvacuationNews> => {
