--- a/packages/bench/src/accounts/accounts.ts
+++ b/packages/bench/src/accounts/accounts.ts
@@ -6,7 +6,7 @@
   indexQueues,
   isWithinQuota,
   DEFAULT_STEP,
-  takeAccounts,
+  setAccounts,
   addJob,
   type BatchConfiguration,
   type ClientAccount,
@@ -73,7 +73,7 @@
   });
 
   const state = createBatchState(2);
-  takeAccounts(state, index.accounts.byName);
+  setAccounts(state, index.accounts.byName);
   const steps: StepRun[] = [];
   const { accounts } = configuration;
   const admitUs = timeOf(JOBS, (number) => {
--- a/packages/bench/src/backlog/backlog.ts
+++ b/packages/bench/src/backlog/backlog.ts
@@ -6,7 +6,7 @@
   DEFAULT_STEP,
   schedulePool,
   upsertEndpoint,
-  takeAccounts,
+  setAccounts,
   takeEffects,
   addJob,
   type BatchState,
@@ -36,7 +36,7 @@
 const newState = (): BatchState => {
   const state = createBatchState(2);
   const names = Array.from({ length: ACCOUNTS }, (_, index) => brand<never>(`account-${index}`));
-  takeAccounts(state, new Map(names.map((name) => [name, { weight: 4, maximum: MAXIMUM }])));
+  setAccounts(state, new Map(names.map((name) => [name, { weight: 4, maximum: MAXIMUM }])));
   for (let index = 0; index < ENDPOINTS; index += 1) {
     const endpointId = brand<EndpointId>(`i-${index}`);
     upsertEndpoint(
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -20,7 +20,7 @@
 import { cancelJob } from '../jobs/jobs.js';
 import { applyStartOutcome } from '../endpoints/order-answers.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
-import { findQuotaFault, reckonUnreported, takeAccounts, takeOwner } from './quota.js';
+import { findQuotaViolation, estimateUnreportedUsage, setAccounts, recordOwnerLimits } from './quota.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 
@@ -40,7 +40,7 @@
 
 const submit = (state: BatchState, jobId: JobId, submission: Submission): void => {
   submitJob(state, jobId, submission);
-  if (submission.owner) takeOwner(state, submission.owner);
+  if (submission.owner) recordOwnerLimits(state, submission.owner);
 };
 
 /** The state of a control holder with two endpoints of eight cores that have reported. */
@@ -58,8 +58,8 @@
     .flatMap(({ runs }) => Array.from(runs.values()))
     .filter(({ step }) => step.job.job.jobId === jobId).length;
 
-const setAccounts = (state: BatchState, ...owners: readonly JobOwner[]): void =>
-  takeAccounts(
+const setOwners = (state: BatchState, ...owners: readonly JobOwner[]): void =>
+  setAccounts(
     state,
     new Map(owners.map(({ account, maximum }) => [account, { maximum, weight: 1 }])),
   );
@@ -124,10 +124,10 @@
 
   it('keeps its running tasks but starts no more when its maximum is lowered', () => {
     const state = stateWithTwoEndpoints();
-    setAccounts(state, ownerOf(NORTH, 16_000));
+    setOwners(state, ownerOf(NORTH, 16_000));
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 16_000) });
     schedulePool(state, POOL, 20);
-    setAccounts(state, ownerOf(NORTH, 2000));
+    setOwners(state, ownerOf(NORTH, 2000));
     submit(state, JOBS[1], { owner: ownerOf(NORTH, 2000) });
     schedulePool(state, POOL, 30);
     expect([runsOf(state, JOBS[0]), runsOf(state, JOBS[1])]).toEqual([8, 0]);
@@ -136,8 +136,8 @@
 
   it('keeps its last maximum when the configuration no longer names it', () => {
     const state = stateWithTwoEndpoints();
-    setAccounts(state, ownerOf(NORTH, 3000));
-    setAccounts(state);
+    setOwners(state, ownerOf(NORTH, 3000));
+    setOwners(state);
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 9000) });
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[0])).toBe(3);
@@ -152,7 +152,7 @@
 
   it('may start a task of more than half its maximum while it uses less than half', () => {
     const state = stateWithTwoEndpoints();
-    setAccounts(state, ownerOf(NORTH, 8000));
+    setOwners(state, ownerOf(NORTH, 8000));
     submit(state, JOBS[0], { step: { taskCount: 3 }, owner: ownerOf(NORTH, 8000) });
     submit(state, JOBS[1], {
       step: { taskCount: 2, cpuMillis: 6000 },
@@ -181,7 +181,7 @@
     state.inheritedLeasesEndAtMs = 9000;
     submit(state, JOBS[0], { step, owner: ownerOf(NORTH, 10_000), isInherited: true });
     submit(state, JOBS[1], { step: { taskCount: 10 }, owner: ownerOf(NORTH, 10_000) });
-    reckonUnreported(state, 20);
+    estimateUnreportedUsage(state, 20);
     schedulePool(state, POOL, 20);
     return state;
   };
@@ -203,7 +203,7 @@
     const step = { taskCount: 9 };
     submit(state, JOBS[0], { step, owner: ownerOf(NORTH, 10_000), isInherited: true });
     submit(state, JOBS[1], { step, owner: ownerOf(NORTH, 10_000) });
-    reckonUnreported(state, 20);
+    estimateUnreportedUsage(state, 20);
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[1])).toBe(1);
   });
@@ -211,7 +211,7 @@
   it('no longer count once all endpoints have reported', () => {
     const state = stateAfterTakeover({ taskCount: 4 });
     answer(state, { endpointId: THIRD, requestedAtMs: 30, nowMs: 40 });
-    reckonUnreported(state, 50);
+    estimateUnreportedUsage(state, 50);
     expect(state.unreportedUsage.size).toBe(0);
   });
 
@@ -240,7 +240,7 @@
     [{ taskCount: 11, isGang: true }, 'the 11 tasks of gang step 0 needs 11000 cpuMillis'],
     [{ taskCount: 11 }, undefined],
   ])('names a step that can never start under the maximum: %j', (step, expected) => {
-    const fault = findQuotaFault([{ ...DEFAULT_STEP, ...step }], ownerOf(NORTH, 10_000));
+    const fault = findQuotaViolation([{ ...DEFAULT_STEP, ...step }], ownerOf(NORTH, 10_000));
     if (expected === undefined) expect(fault).toBeUndefined();
     else expect(fault).toContain(expected);
   });
--- a/packages/core/src/batch/accounts/quota.ts
+++ b/packages/core/src/batch/accounts/quota.ts
@@ -27,7 +27,7 @@
  * @param state - The state, changed in place.
  * @param accounts - The accounts of the newest configuration.
  */
-export const takeAccounts = (
+export const setAccounts = (
   state: BatchState,
   accounts: ReadonlyMap<AccountName, AccountLimits>,
 ): void => {
@@ -42,7 +42,7 @@
  * @param state - The state, changed in place.
  * @param owner - The job's owner.
  */
-export const takeOwner = (state: BatchState, { account, maximum }: JobOwner): void => {
+export const recordOwnerLimits = (state: BatchState, { account, maximum }: JobOwner): void => {
   if (state.formerAccounts.has(account)) return;
   state.formerAccounts.set(account, { maximum, weight: 0 });
 };
@@ -82,7 +82,7 @@
  * @param endpoint - The endpoint.
  * @param unexpectedSteps - The steps of these runs; they replace those of the previous report.
  */
-export const chargeStrays = (
+export const chargeUnexpectedRuns = (
   state: BatchState,
   endpoint: EndpointState,
   unexpectedSteps: readonly StepRun[],
@@ -128,7 +128,7 @@
  * @param owner - The owner of the job; undefined for a job without an account.
  * @returns A message about the first step that cannot start; undefined if there is none.
  */
-export const findQuotaFault = (
+export const findQuotaViolation = (
   steps: readonly StepSpec[],
   owner: JobOwner | undefined,
 ): string | undefined => {
@@ -218,7 +218,7 @@
  * @param state - The state, changed in place.
  * @param nowMs - The current time by the monotonic clock.
  */
-export const reckonUnreported = (state: BatchState, nowMs: number): void => {
+export const estimateUnreportedUsage = (state: BatchState, nowMs: number): void => {
   if (!mayRunUnreported(state, nowMs)) {
     if (state.unreportedUsage.size > 0) change(state, { unreportedUsage: new Map() });
     return;
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-play.fixtures.ts
@@ -8,7 +8,7 @@
 import { addJob } from '../jobs/jobs.js';
 import type { QueueOrder } from '../model/order-ways.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
-import { takeAccounts } from './quota.js';
+import { setAccounts } from './quota.js';
 import type { EndedRunReport } from '../endpoints/reports.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, takeEffects } from '../model/state.js';
@@ -20,19 +20,19 @@
 const OBJECTIVE_MS = POLICY.stretch * RUN_MS + POLICY.targetLatencyMs;
 
 /** An account with its weight and the rate at which it submits jobs. */
-export type PlayedAccount = {
+export type SimulatedAccount = {
   readonly name: AccountName;
   readonly weight: number;
   readonly jobsPerS: number;
 };
 
 /** What a simulation runs. */
-export type SharePlay = {
-  readonly way: QueueOrder;
-  readonly accounts: readonly PlayedAccount[];
+export type ShareSimulation = {
+  readonly queueOrder: QueueOrder;
+  readonly accounts: readonly SimulatedAccount[];
   /** The number of endpoints; each runs eight tasks at once. */
   readonly endpoints: number;
-  readonly forMs: number;
+  readonly durationMs: number;
 };
 
 /** Creates a random generator with a fixed seed, so that each simulation is repeatable. */
@@ -50,16 +50,16 @@
  * @param play - The order of the queue, the accounts, the endpoints and the duration.
  * @returns For each account the number of jobs completed in time, relative to the jobs that it is owed.
  */
-export const playShares = ({
-  way,
+export const simulateShares = ({
+  queueOrder,
   accounts,
   endpoints,
-  forMs,
-}: SharePlay): ReadonlyMap<AccountName, number> => {
+  durationMs,
+}: ShareSimulation): ReadonlyMap<AccountName, number> => {
   const state = createBatchState(2);
-  state.queueOrder = way;
+  state.queueOrder = queueOrder;
   const limits = accounts.map(({ name, weight }) => [name, { weight, maximum: NO_LIMIT }] as const);
-  takeAccounts(state, new Map(limits));
+  setAccounts(state, new Map(limits));
   const ids = Array.from({ length: endpoints }, (_, index) => brand<EndpointId>(`i-${index}`));
   ids.forEach((endpointId) => see(state, endpointId));
   const random = createRandom();
@@ -72,7 +72,7 @@
   }[] = [];
   let jobs = 0;
 
-  const submit = ({ name }: PlayedAccount, nowMs: number): void => {
+  const submit = ({ name }: SimulatedAccount, nowMs: number): void => {
     jobs += 1;
     const jobId = brand<JobId>(jobs.toString(16).padStart(16, '0'));
     submissions.set(jobId, { name, atMs: nowMs });
@@ -109,10 +109,10 @@
     });
 
   // Runs on for one objective, so that the jobs submitted last can complete in time, too.
-  for (let nowMs = 0; nowMs < forMs + OBJECTIVE_MS; nowMs += STEP_MS) {
+  for (let nowMs = 0; nowMs < durationMs + OBJECTIVE_MS; nowMs += STEP_MS) {
     accounts.forEach((account) => {
       const isArrival = random() < (account.jobsPerS * STEP_MS) / 1000;
-      if (isArrival && nowMs < forMs) submit(account, nowMs);
+      if (isArrival && nowMs < durationMs) submit(account, nowMs);
     });
     ids.forEach((endpointId) => {
       const due = ends.filter((entry) => entry.endpointId === endpointId && entry.atMs === nowMs);
@@ -124,9 +124,9 @@
       if (effect.kind === 'start') scheduleEnd(effect.endpointId, effect.task, effect.run, nowMs);
     });
   }
-  const owedJobsOf = ({ name, weight }: PlayedAccount): number => {
+  const owedJobsOf = ({ name, weight }: SimulatedAccount): number => {
     const submitted = Array.from(submissions.values()).filter((entry) => entry.name === name);
-    return Math.min(submitted.length, (weight * forMs) / 1000);
+    return Math.min(submitted.length, (weight * durationMs) / 1000);
   };
   return new Map(
     accounts.map((account) => [
--- a/packages/core/src/batch/accounts/shares.test.ts
+++ b/packages/core/src/batch/accounts/shares.test.ts
@@ -2,13 +2,13 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName } from '../../shared/ids.js';
-import { playShares, type PlayedAccount } from './share-play.fixtures.js';
+import { simulateShares, type SimulatedAccount } from './share-play.fixtures.js';
 
 const FOR_MS = 20_000;
 /** 8 endpoints of 8 slots run 64 tasks of 0.5 s at once, which is 32 jobs of four tasks a second. */
 const ENDPOINTS = 8;
 
-const accountsOf = (count: number, jobsPerS: number, weight: number): readonly PlayedAccount[] =>
+const accountsOf = (count: number, jobsPerS: number, weight: number): readonly SimulatedAccount[] =>
   Array.from({ length: count }, (_, index) => ({
     name: brand<AccountName>(`account-${index}`),
     weight,
@@ -20,14 +20,14 @@
 
 describe('an account that submits ten times its weight', () => {
   const others = accountsOf(10, 2, 4);
-  const heavy: PlayedAccount = { name: brand('heavy'), weight: 4, jobsPerS: 40 };
+  const heavy: SimulatedAccount = { name: brand('heavy'), weight: 4, jobsPerS: 40 };
 
-  const othersInTime = (accounts: readonly PlayedAccount[]): number => {
-    const inTimeRatioByAccount = playShares({
-      way: 'owed-then-fair',
+  const othersInTime = (accounts: readonly SimulatedAccount[]): number => {
+    const inTimeRatioByAccount = simulateShares({
+      queueOrder: 'owed-then-fair',
       accounts,
       endpoints: ENDPOINTS,
-      forMs: FOR_MS,
+      durationMs: FOR_MS,
     });
     return meanOf(others.map(({ name }) => inTimeRatioByAccount.get(name) ?? 0));
   };
@@ -40,11 +40,11 @@
 
   it('gets the capacity that other accounts leave unused, beyond its guaranteed rate', () => {
     const accounts = [...accountsOf(2, 1, 2), { ...heavy, jobsPerS: 20 }];
-    const inTimeRatioByAccount = playShares({
-      way: 'owed-then-fair',
+    const inTimeRatioByAccount = simulateShares({
+      queueOrder: 'owed-then-fair',
       accounts,
       endpoints: ENDPOINTS,
-      forMs: FOR_MS,
+      durationMs: FOR_MS,
     });
     expect(inTimeRatioByAccount.get(heavy.name)).toBeGreaterThan(4);
   });
@@ -53,11 +53,11 @@
 describe('twenty equal accounts in an overloaded pool', () => {
   it('give the account that is served worst at least 0.9 of the mean', () => {
     const accounts = accountsOf(20, 1.6, 3);
-    const inTimeRatioByAccount = playShares({
-      way: 'owed-then-fair',
+    const inTimeRatioByAccount = simulateShares({
+      queueOrder: 'owed-then-fair',
       accounts,
       endpoints: ENDPOINTS,
-      forMs: FOR_MS,
+      durationMs: FOR_MS,
     });
     const inTimeRatios = Array.from(inTimeRatioByAccount.values());
     expect(Math.min(...inTimeRatios)).toBeGreaterThanOrEqual(0.9 * meanOf(inTimeRatios));
--- a/packages/core/src/batch/accounts/shares.ts
+++ b/packages/core/src/batch/accounts/shares.ts
@@ -57,7 +57,7 @@
  * @param nowMs - The current time by the monotonic clock.
  * @returns Its rank; a job without an account, or of an account without a weight, counts as owed.
  */
-export const peekShare = (
+export const previewShare = (
   state: BatchState,
   account: AccountName | undefined,
   nowMs: number,
@@ -75,7 +75,7 @@
  * @param nowMs - The current time by the monotonic clock.
  * @returns The rank of the job; a job without an account, or of an account without a weight, counts as owed.
  */
-export const takeShare = (
+export const chargeShare = (
   state: BatchState,
   account: AccountName | undefined,
   nowMs: number,
@@ -95,5 +95,5 @@
  * @param nowMs - The current time by the monotonic clock.
  * @returns True for an owed job, and for any other job that has waited longer than `MAX_DEFERRAL_MS`.
  */
-export const goesWithOwed = ({ share, submittedAtMs }: JobState, nowMs: number): boolean =>
+export const isRankedWithinShare = ({ share, submittedAtMs }: JobState, nowMs: number): boolean =>
   share.isWithinShare || nowMs - submittedAtMs > MAX_DEFERRAL_MS;
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -18,7 +18,7 @@
 import { mayRunInNextIncarnation } from './followed-runs.js';
 import { failJobIfCrashing } from '../jobs/give-up.js';
 import { endRunWithoutReport } from './lost-runs.js';
-import { chargeStrays } from '../accounts/quota.js';
+import { chargeUnexpectedRuns } from '../accounts/quota.js';
 import { recordRunEnd, type LogFields, type RunEvidence } from './run-end.js';
 import {
   isFinal,
@@ -50,7 +50,7 @@
   state.endpoints.delete(endpointId);
   removeFromDomains(state, endpoint);
   stopAwaitingGone(state, endpoint, nowMs);
-  chargeStrays(state, endpoint, []);
+  chargeUnexpectedRuns(state, endpoint, []);
   const instanceId = instanceIdOf(endpointId);
   if (state.currentIncarnations.get(instanceId) === endpoint) state.currentIncarnations.delete(instanceId);
   endpoint.runs.forEach(({ step, task }) => {
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -6,7 +6,7 @@
 import { applyFirstReport } from './followed-runs.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
 import { endJob, findReportedTask, completeTask } from '../jobs/jobs.js';
-import { chargeStrays } from '../accounts/quota.js';
+import { chargeUnexpectedRuns } from '../accounts/quota.js';
 import { recordRunTime } from '../jobs/run-times.js';
 import { recordRunEnd, type RunEvidence } from './run-end.js';
 import { endRunWithoutReport } from './lost-runs.js';
@@ -250,7 +250,7 @@
     }
     return [];
   });
-  chargeStrays(state, endpoint, strays);
+  chargeUnexpectedRuns(state, endpoint, strays);
   if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
   recordAnswered(state, endpoint, nowMs);
   change(endpoint, { hasReported: true, reportedAtMs: requestedAtMs, expiredRuns: [] });
--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -3,7 +3,7 @@
 
 import { brand, type AccountName, type JobId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { takeAccounts } from '../accounts/quota.js';
+import { setAccounts } from '../accounts/quota.js';
 import { NO_LIMIT } from '../model/capacity.js';
 import type { BatchJob, StepSpec } from '../model/job.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
@@ -22,7 +22,7 @@
 /** State with one endpoint of eight cores and a backlog of the given number of jobs of one core-second each. */
 const stateWithBacklog = (jobs: number, account = HEAVY): BatchState => {
   const state = createBatchState(2);
-  takeAccounts(
+  setAccounts(
     state,
     new Map([ACCOUNT, HEAVY].map((name) => [name, { weight: 1, maximum: NO_LIMIT }] as const)),
   );
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -5,7 +5,7 @@
 import type { AccountName, JobId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { limitsOf } from '../accounts/quota.js';
-import { peekShare } from '../accounts/shares.js';
+import { previewShare } from '../accounts/shares.js';
 import { RESOURCES } from '../model/capacity.js';
 import type { BatchJob, QueueName, QueuePolicy, StepSpec } from '../model/job.js';
 import type { JobShare } from '../model/share.js';
@@ -255,7 +255,7 @@
     const timeToObjectiveMs = objectiveMs - elapsedMs;
     const limitMs = LATE_SUCCESS_FACTOR * objectiveMs - elapsedMs;
     const share =
-      timeToObjectiveMs < jobWork.chainMs ? LAST_SHARE : peekShare(state, account, nowMs);
+      timeToObjectiveMs < jobWork.chainMs ? LAST_SHARE : previewShare(state, account, nowMs);
     const outlook = outlookOf(submitted, share, jobWork, nowMs);
     if (!outlook) return undefined;
     const onTimeForecast = forecastJob(outlook);
@@ -305,7 +305,7 @@
     evaluate,
     addPending: ({ job, policy }, nowMs) => {
       if (pending.has(job.jobId)) return;
-      const { isWithinShare, virtualStart } = peekShare(state, job.owner?.account, nowMs);
+      const { isWithinShare, virtualStart } = previewShare(state, job.owner?.account, nowMs);
       const { coreMs } = jobWorkOf(state, job);
       const work = { isOwed: isWithinShare, isTooLate: false, priority: policy.priority, virtualStart, coreMs };
       pending.set(job.jobId, { pool: job.pool, work });
--- a/packages/core/src/batch/jobs/jobs.ts
+++ b/packages/core/src/batch/jobs/jobs.ts
@@ -15,7 +15,7 @@
 } from '../model/state.js';
 import { addOccurrence, createJobState, type AddJobOptions } from './create-job.js';
 import { takeFirstAttempt } from './first-attempts.js';
-import { takeShare } from '../accounts/shares.js';
+import { chargeShare } from '../accounts/shares.js';
 import { stopRun, removeFromWaiting } from '../endpoints/runs.js';
 import { estimateStepWork } from './step-times.js';
 
@@ -84,7 +84,7 @@
   const existing = state.jobs.get(options.job.jobId);
   if (existing) return existing;
   const { job: accepted, nowMs } = options;
-  const share = takeShare(state, accepted.owner?.account, nowMs);
+  const share = chargeShare(state, accepted.owner?.account, nowMs);
   const firstAttemptAtMs = takeFirstAttempt(state, accepted.jobId);
   const job = createJobState({ ...options, share, firstAttemptAtMs });
   state.jobs.set(options.job.jobId, job);
--- a/packages/core/src/batch/jobs/pool-load.ts
+++ b/packages/core/src/batch/jobs/pool-load.ts
@@ -1,6 +1,6 @@
 /** Measures the queued work and the capacity of each pool, as input for the forecast of a new job. */
 import type { PoolName } from '../../shared/ids.js';
-import { goesWithOwed } from '../accounts/shares.js';
+import { isRankedWithinShare } from '../accounts/shares.js';
 import { reservedCpu } from '../endpoints/runs.js';
 import { isSchedulable } from '../endpoints/sound-endpoints.js';
 import { isFinal, type BatchState, type EndpointState, type JobState } from '../model/state.js';
@@ -64,7 +64,7 @@
     const coreMs = queuedCoreMs(state, job);
     if (coreMs === 0) return;
     queuedWorkOf(job.job.pool).push({
-      isOwed: goesWithOwed(job, nowMs),
+      isOwed: isRankedWithinShare(job, nowMs),
       isTooLate: isTooLate(state, job, nowMs),
       priority: job.policy.priority,
       virtualStart: job.share.virtualStart,
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -5,7 +5,7 @@
  * for ever. The `OrderWay` decides where the shares of client accounts come in.
  */
 import type { QueueOrder } from '../model/order-ways.js';
-import { goesWithOwed } from '../accounts/shares.js';
+import { isRankedWithinShare } from '../accounts/shares.js';
 import type { BatchState, JobState, StepRun } from '../model/state.js';
 import { estimateStepTime } from '../jobs/step-times.js';
 
@@ -135,7 +135,7 @@
     step,
     tier: canBeInTime ? 0 : lateTier,
     dueAtMs,
-    shareTier: goesWithOwed(step.job, nowMs) ? 0 : 1,
+    shareTier: isRankedWithinShare(step.job, nowMs) ? 0 : 1,
     priority: policy.priority,
     virtualStart: share.virtualStart,
   };
--- a/packages/core/src/batch/placement/ranking.test.ts
+++ b/packages/core/src/batch/placement/ranking.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName, type JobId } from '../../shared/ids.js';
-import { takeAccounts } from '../accounts/quota.js';
+import { setAccounts } from '../accounts/quota.js';
 import { answer, FIRST, POOL, see, submitJob } from '../testing/batch-state.fixtures.js';
 import { NO_LIMIT, type Capacity } from '../model/capacity.js';
 import { createBatchState, type BatchState } from '../model/state.js';
@@ -20,7 +20,7 @@
   const state = createBatchState(2);
   const limits = { weight: 1, maximum: NO_LIMIT };
   const heavy = { weight: 1, maximum: heavyMaximum };
-  takeAccounts(
+  setAccounts(
     state,
     new Map([
       [HEAVY, heavy],
--- a/packages/core/src/batch/placement/schedule-cycle.ts
+++ b/packages/core/src/batch/placement/schedule-cycle.ts
@@ -5,7 +5,7 @@
 import { change } from '../../shared/change.js';
 import { expireSuspicions } from '../domains/outage.js';
 import { giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
-import { reckonUnreported } from '../accounts/quota.js';
+import { estimateUnreportedUsage } from '../accounts/quota.js';
 import { schedulePool } from './schedule.js';
 import type { BatchState } from '../model/state.js';
 
@@ -23,7 +23,7 @@
     change(state, { startsLeft });
     expireSuspicions(state, nowMs);
     giveUpRunsOfGoneEndpoints(state, nowMs);
-    reckonUnreported(state, nowMs);
+    estimateUnreportedUsage(state, nowMs);
     const names = Array.from(state.pools.keys());
     firstPool = (firstPool + 1) % Math.max(1, names.length);
     [...names.slice(firstPool), ...names.slice(0, firstPool)].forEach((name) =>
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -12,7 +12,7 @@
 import { hasLossBefore } from '../crashes/inherited-losses.js';
 import { announcedRunOf, announceTrials, countLostTrials } from '../crashes/trials.js';
 import { announceInheritedStarts, awaitsReports, startableTasks } from './inherited-tasks.js';
-import { goesWithOwed } from '../accounts/shares.js';
+import { isRankedWithinShare } from '../accounts/shares.js';
 import { isWithinQuota } from '../accounts/quota.js';
 import { findGangPlaces } from './gang-places.js';
 import { createCandidates } from './candidates.js';
@@ -244,7 +244,7 @@
   { state, nowMs }: PoolPass,
   endpoints: readonly EndpointState[],
 ) =>
-  state.reclaimedEndpoints.size === 0 || goesWithOwed(step.job, nowMs)
+  state.reclaimedEndpoints.size === 0 || isRankedWithinShare(step.job, nowMs)
     ? endpoints
     : endpoints.filter(({ endpointId }) => !state.reclaimedEndpoints.has(endpointId));
 
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -4,7 +4,7 @@
  */
 import type { EndpointId, HostId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { goesWithOwed } from '../accounts/shares.js';
+import { isRankedWithinShare } from '../accounts/shares.js';
 import { forecastCores } from './demand.js';
 import type { ListedHost } from './hosts.js';
 import {
@@ -308,7 +308,7 @@
 /** Tells whether an endpoint runs no long-running task and no work within an account's fair share. */
 const runsOnlyReclaimableWork = ({ runs }: EndpointState, nowMs: number): boolean =>
   Array.from(runs.values()).every(
-    ({ step }) => !step.spec.isLasting && !goesWithOwed(step.job, nowMs),
+    ({ step }) => !step.spec.isLasting && !isRankedWithinShare(step.job, nowMs),
   );
 
 /**
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -1,6 +1,6 @@
 /** The capacity that each pool has, and what it needs for running, waiting and forecast work. */
 import type { HostId, PoolName } from '../../shared/ids.js';
-import { goesWithOwed } from '../accounts/shares.js';
+import { isRankedWithinShare } from '../accounts/shares.js';
 import { forecastCores, type DemandRates } from './demand.js';
 import { predictPeakCores, observeDemand } from './demand-peaks.js';
 import type { ListedHost, DeclaredPool } from './hosts.js';
@@ -111,7 +111,7 @@
   sum(
     endpoints.flatMap(({ runs }) =>
       Array.from(runs.values(), ({ step }) =>
-        goesWithOwed(step.job, nowMs) ? 0 : reservedCpu(step.spec),
+        isRankedWithinShare(step.job, nowMs) ? 0 : reservedCpu(step.spec),
       ),
     ),
   );
@@ -166,7 +166,7 @@
   const { urgentCpu: currentShortfallCpu, shortCpu: shortfallCpu } = shortfallOf({ usedCpu, waitingCpu, expectedCpu: forecastCpu, availableCpu });
   const fairShareShortfall = shortfallOf({
     usedCpu: usedCpu - cpuBeyondFairShares(endpoints, nowMs),
-    waitingCpu: waitingCpuOf(waiting.filter(({ job }) => goesWithOwed(job, nowMs))),
+    waitingCpu: waitingCpuOf(waiting.filter(({ job }) => isRankedWithinShare(job, nowMs))),
     expectedCpu: forecastWithHeadroom(pool.demand.withinShareRates(nowMs)),
     availableCpu,
   });
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -9,7 +9,7 @@
   type PoolName,
 } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { takeAccounts } from '../accounts/quota.js';
+import { setAccounts } from '../accounts/quota.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
 import { applyReport, type EndedRunReport } from '../endpoints/reports.js';
@@ -197,7 +197,7 @@
   const random = createRandom();
   const admission = createAdmissionControl({ state, random: createRandom() });
   const declared = clients.filter(({ weight }) => weight > 0);
-  takeAccounts(
+  setAccounts(
     state,
     new Map(declared.map(({ name, weight }) => [name, { weight, maximum: NO_LIMIT }] as const)),
   );
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -17,7 +17,7 @@
   recordFirstAttempts,
   paceGapFillers,
   remainingSoleHolderMs,
-  takeAccounts,
+  setAccounts,
   takeEffects,
   handleStalledAndLapsedRuns,
   type AdmissionControl,
@@ -319,7 +319,7 @@
     state.clockMs = nowMs();
     state.wallClockOffsetMs = todayMs() - nowMs();
     state.soleHolderUntilMs = soleHolderUntilMs();
-    takeAccounts(state, configuration()?.accounts.byName ?? state.accounts);
+    setAccounts(state, configuration()?.accounts.byName ?? state.accounts);
     schedulePools(mayStart() ? window.available() : 0, nowMs());
     perform();
   };
--- a/packages/daemon/src/batch/jobs/intake.ts
+++ b/packages/daemon/src/batch/jobs/intake.ts
@@ -7,7 +7,7 @@
   CANCELLED_REASON,
   chooseRetryAfterS,
   validateJob,
-  findQuotaFault,
+  findQuotaViolation,
   isFinal,
   maySee,
   type BatchJob,
@@ -143,7 +143,7 @@
     const startedAtMs = nowMs();
     const fault = validateJob(job);
     if (fault !== undefined) return refuse('notRun', 'malformed-request', fault);
-    const quotaFault = findQuotaFault(job.steps, job.owner);
+    const quotaFault = findQuotaViolation(job.steps, job.owner);
     if (quotaFault !== undefined) return refuse('notRun', 'beyond-quota', quotaFault);
     const row: LiveRow = { kind: 'live', job, policy: queue.policy };
     const written = await submission.submit(row, startedAtMs + deadlineMs * PURSUE_SHARE);
--- a/packages/daemon/src/batch/jobs/job-rows.ts
+++ b/packages/daemon/src/batch/jobs/job-rows.ts
@@ -3,7 +3,7 @@
   cancelJob,
   restoreJob,
   addJob,
-  takeOwner,
+  recordOwnerLimits,
   type BatchJob,
   type BatchJobRow,
   type BatchState,
@@ -98,7 +98,7 @@
   const takeIn = ({ job, policy }: LiveRow, version: number): void => {
     if (ended.has(job.jobId) || state.jobs.has(job.jobId)) return;
     versions.set(job.jobId, { job: version, progress: 0 });
-    if (job.owner) takeOwner(state, job.owner);
+    if (job.owner) recordOwnerLimits(state, job.owner);
     addJob(state, {
       job,
       policy: policyOf(job.queue, policy),
@@ -112,7 +112,7 @@
     const { jobId, queue } = row.job;
     const progressVersion = progressRow?.value ? progressRow.version : 0;
     versions.set(jobId, { job: version, progress: progressVersion });
-    if (row.job.owner) takeOwner(state, row.job.owner);
+    if (row.job.owner) recordOwnerLimits(state, row.job.owner);
     restoreJob(state, {
       job: row.job,
       policy: policyOf(queue, row.policy),
--- a/packages/daemon/src/batch/operators/account-views.ts
+++ b/packages/daemon/src/batch/operators/account-views.ts
@@ -1,6 +1,6 @@
 /** What operators are told of client accounts: what they have running, may have and wait for. */
 import {
-  goesWithOwed,
+  isRankedWithinShare,
   isFinal,
   isWithinQuota,
   limitsOf,
@@ -53,7 +53,7 @@
     const running = roomText(state.usage.get(account) ?? createZeroUsage());
     return `quota: account=${account} has ${running} running and may have ${limitText(limits.maximum)}`;
   }
-  if (goesWithOwed(step.job, nowMs)) return 'room';
+  if (isRankedWithinShare(step.job, nowMs)) return 'room';
   return `share: account=${account} handed in more than its ${limits?.weight ?? 0} jobs a second, others go first`;
 };
 
