--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -13,8 +13,8 @@
 } from '../../shared/ids.js';
 import { upsertEndpoint, type EndpointDescription } from '../endpoints/endpoints.js';
 import { isSchedulable } from '../endpoints/sound-endpoints.js';
-import { planUpkeep } from '../maintenance/upkeep.js';
-import { createUpkeepWave } from '../maintenance/upkeep-progress.js';
+import { planMaintenance } from '../maintenance/upkeep.js';
+import { createMaintenanceWave } from '../maintenance/upkeep-progress.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { createBatchState, poolOf, type EndpointState } from '../model/state.js';
 import { schedulePool } from '../placement/schedule.js';
@@ -162,15 +162,15 @@
 });
 
 describe('a maintenance wave over hosts of which some are in an evacuated data centre', () => {
-  const orderedHosts = (isShort: boolean) => {
+  const orderedHosts = (isCapacityShort: boolean) => {
     const { state, used } = createWorld();
     const inventory = createHostInventory();
     applyHostList(inventory, used, 0);
     // The hosts in the evacuated data centre come last in the order of the wave.
     const hosts = Array.from(used, ({ hostId }) => hostId).reverse();
-    const wave = createUpkeepWave({ waveNumber: 1, hosts, withinMs: 300_000, maximum: 2 }, [], 0);
-    const world = { state, inventory, downMs: 2000, isShort };
-    return planUpkeep(world, [wave], 1000).map(({ hostId }) => hostId);
+    const wave = createMaintenanceWave({ waveNumber: 1, hosts, withinMs: 300_000, maximum: 2 }, [], 0);
+    const world = { state, inventory, downMs: 2000, isCapacityShort };
+    return planMaintenance(world, [wave], 1000).map(({ hostId }) => hostId);
   };
 
   it('takes the hosts in the evacuated data centre first', () => {
--- a/packages/core/src/batch/maintenance/candidate-order.ts
+++ b/packages/core/src/batch/maintenance/candidate-order.ts
@@ -5,8 +5,8 @@
 import * as Ord from 'fp-ts/lib/Ord.js';
 import * as RA from 'fp-ts/lib/ReadonlyArray.js';
 
-import type { Candidate, UpkeepRound } from './upkeep-rules.js';
-import { latestBeginMs } from './wave-plan.js';
+import type { Candidate, PlanningPass } from './upkeep-rules.js';
+import { latestStartOf } from './wave-plan.js';
 
 /** A host with its sort keys, computed once per sort. */
 type RankedHost = {
@@ -69,7 +69,7 @@
  */
 export const sortCandidates = (
   candidates: readonly Candidate[],
-  { plan, nowMs }: UpkeepRound,
+  { plan, nowMs }: PlanningPass,
   startedByRack: ReadonlyMap<string, number>,
 ): readonly Candidate[] =>
   pipe(
@@ -78,7 +78,7 @@
       candidate,
       isEvacuated: candidate.isEvacuated,
       isDraining: candidate.host.phase === 'closing',
-      isOverdue: candidate.lasting.size > 0 && nowMs >= latestBeginMs(plan, candidate),
+      isOverdue: candidate.longRunningSteps.size > 0 && nowMs >= latestStartOf(plan, candidate),
       startedInRack: startedByRack.get(candidate.rack) ?? 0,
       lossCost: estimateLossCost(candidate),
     })),
--- a/packages/core/src/batch/maintenance/early-moves.test.ts
+++ b/packages/core/src/batch/maintenance/early-moves.test.ts
@@ -64,7 +64,7 @@
     const [key] = Array.from(state.endpoints.values()).flatMap(({ runs }) =>
       Array.from(runs.keys()),
     );
-    wave.moved.add(key as TaskKey);
+    wave.movedTasks.add(key as TaskKey);
     plan(0);
     expect(movedTasks(state)).toEqual([]);
   });
--- a/packages/core/src/batch/maintenance/early-moves.ts
+++ b/packages/core/src/batch/maintenance/early-moves.ts
@@ -6,15 +6,15 @@
 import { change } from '../../shared/change.js';
 import { countReady, countUnavailable, runsOnlyLongRunningTasks, moveOneTask } from '../pools/hosts.js';
 import type { EndpointState, StepRun } from '../model/state.js';
-import type { Candidate, UpkeepRound } from './upkeep-rules.js';
-import { latestBeginMs, type WavePlan } from './wave-plan.js';
+import type { Candidate, PlanningPass } from './upkeep-rules.js';
+import { latestStartOf, type WavePlan } from './wave-plan.js';
 
 /**
  * Returns how many other tasks of a step may be unavailable while one task moves. Before the latest start time, tasks
  * move one at a time and the rest of the disruption budget is left for crashes; after it, the whole budget is used.
  */
-const maxOthersUnavailable = (candidate: Candidate, { plan, nowMs }: UpkeepRound, step: StepRun) =>
-  nowMs < latestBeginMs(plan, candidate) ? 0 : step.spec.mayMiss - 1;
+const maxOthersUnavailable = (candidate: Candidate, { plan, nowMs }: PlanningPass, step: StepRun) =>
+  nowMs < latestStartOf(plan, candidate) ? 0 : step.spec.mayMiss - 1;
 
 /**
  * Tells whether moving a task is worth its cost. A moved task is unavailable for longer than one that goes down with
@@ -29,24 +29,24 @@
 const tryMoveTask = (
   candidate: Candidate,
   endpoint: EndpointState,
-  round: UpkeepRound,
+  round: PlanningPass,
   step: StepRun,
 ): boolean => {
-  const { world, wave, plan, claimed, nowMs } = round;
+  const { world, wave, plan, reservedTasks, nowMs } = round;
   const { state } = world;
   if (!isWorthMoving(endpoint, step, plan)) return false;
-  const unavailable = countUnavailable(state, step, endpoint) + (claimed.get(step) ?? 0);
+  const unavailable = countUnavailable(state, step, endpoint) + (reservedTasks.get(step) ?? 0);
   if (unavailable > maxOthersUnavailable(candidate, round, step)) return false;
   const moved = moveOneTask(state, endpoint, {
     step,
     unavailable,
     nowMs,
-    mayMove: ({ key }) => !wave.moved.has(key),
+    mayMove: ({ key }) => !wave.movedTasks.has(key),
     // On a host with pending maintenance the task would have to move again.
     mayReceive: ({ hasMaintenanceAhead }) => !hasMaintenanceAhead,
   });
   if (!moved) return false;
-  wave.moved.add(moved.key);
+  wave.movedTasks.add(moved.key);
   change(candidate.host, { reason: `task ${moved.key} is moved off it first` });
   return true;
 };
@@ -58,8 +58,8 @@
  * @param candidate - The host, which has not been ordered down yet.
  * @param round - The planning pass; its wave's set of moved tasks is changed in place.
  */
-export const moveTasksEarly = (candidate: Candidate, round: UpkeepRound): void => {
-  const { endpoint, lasting } = candidate;
+export const moveTasksEarly = (candidate: Candidate, round: PlanningPass): void => {
+  const { endpoint, longRunningSteps } = candidate;
   if (!endpoint || round.world.state.suspectedDomains.size > 0) return;
-  lasting.forEach((step) => tryMoveTask(candidate, endpoint, round, step));
+  longRunningSteps.forEach((step) => tryMoveTask(candidate, endpoint, round, step));
 };
--- a/packages/core/src/batch/maintenance/upkeep-progress.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.test.ts
@@ -6,11 +6,11 @@
 import { createHostInventory, hostPresence, applyHostList } from '../pools/host-inventory.js';
 import type { ListedHost } from '../pools/hosts.js';
 import { createBatchState } from '../model/state.js';
-import { planUpkeep } from './upkeep.js';
+import { planMaintenance } from './upkeep.js';
 import {
-  applyUpkeepAnswer,
-  createUpkeepWave,
-  isUpkeepComplete,
+  applyOrderOutcome,
+  createMaintenanceWave,
+  isWaveComplete,
   type HostOrderOutcome,
 } from './upkeep-progress.js';
 
@@ -87,7 +87,7 @@
           const downAtMs = new Map<HostId, number>();
           const state = createBatchState(1);
           const inventory = createHostInventory();
-          const wave = createUpkeepWave(
+          const wave = createMaintenanceWave(
             { waveNumber: 1, hosts: hostIds, withinMs: 1000, maximum },
             [],
             0,
@@ -105,7 +105,7 @@
               .filter((hostId) => isThere(hostId) && hostId !== hostIdOf(leftOut))
               .map((hostId) => viewOf(hostId, isDown(hostId, nowMs) ? 'maintenance' : 'up'));
             if (!isListLost) applyHostList(inventory, list, nowMs);
-            planUpkeep({ ...hostSight, state, isShort: false }, [wave], nowMs).forEach(
+            planMaintenance({ ...hostSight, state, isCapacityShort: false }, [wave], nowMs).forEach(
               ({ hostId }) => {
                 const isDone = outcome === 'done' || (outcome === 'unknown' && isCarriedOut);
                 if (isDone && !downAtMs.has(hostId)) {
@@ -113,10 +113,10 @@
                   expect(down.length).toBeLessThan(maximum);
                   downAtMs.set(hostId, nowMs);
                 }
-                applyUpkeepAnswer(wave, hostId, isThere(hostId) ? outcome : 'refused', nowMs);
+                applyOrderOutcome(wave, hostId, isThere(hostId) ? outcome : 'refused', nowMs);
               },
             );
-            if (!isUpkeepComplete(hostSight, wave)) return;
+            if (!isWaveComplete(hostSight, wave)) return;
             const open = hostIds.filter((hostId) => isThere(hostId) && !downAtMs.has(hostId));
             expect(open).toEqual([]);
             const stillDown = hostIds.filter((hostId) => isThere(hostId) && isDown(hostId, nowMs));
@@ -140,7 +140,7 @@
             if (isTooLong) omittedSinceMs = nowMs;
           });
           for (let more = 0; more < 120; more += 1) step((cycles.length + more) * CYCLE_MS, calm);
-          expect(isUpkeepComplete(hostSight, wave)).toBe(true);
+          expect(isWaveComplete(hostSight, wave)).toBe(true);
         },
       ),
       {
--- a/packages/core/src/batch/maintenance/upkeep-progress.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.ts
@@ -5,7 +5,7 @@
 import { hostPresence, type HostInventory, type HostPresence } from '../pools/host-inventory.js';
 
 /** A maintenance wave as the platform requested it. */
-export type UpkeepOrder = {
+export type MaintenanceRequest = {
   readonly waveNumber: number;
   readonly hosts: readonly HostId[];
   /** Time in which the wave should be complete, in ms from when it was first seen. */
@@ -15,7 +15,7 @@
 };
 
 /** Progress of one host of a wave. */
-export type UpkeepHost = {
+export type MaintenanceHost = {
   /**
    * `waiting`: in normal use. `closing`: draining, takes no new work. `asked`: an order to go down was sent and its
    * answer is not known. `refused`: the platform rejected the order. `down`: the order was carried out. `done`: the host
@@ -23,29 +23,29 @@
    */
   phase: 'waiting' | 'closing' | 'asked' | 'refused' | 'down' | 'done';
   /** When the phase was entered, in ms of the monotonic clock. */
-  sinceMs: number;
+  phaseSinceMs: number;
   /** When an order last went unanswered, so that it may have been carried out. -Infinity if every order was answered. */
-  unansweredAtMs: number;
+  lastUnansweredAtMs: number;
   /** Why the host has not gone down yet; '' if nothing blocks it. */
   reason: string;
   /** The long-running steps that had tasks on the host when it was ordered down. */
-  took: ReadonlySet<StepRun>;
+  stepsTakenDown: ReadonlySet<StepRun>;
 };
 
 /** A maintenance wave with its progress. */
-export type UpkeepWave = {
-  readonly order: UpkeepOrder;
+export type MaintenanceWave = {
+  readonly request: MaintenanceRequest;
   /** When this leader first saw the wave, in ms of the monotonic clock. */
-  readonly seenAtMs: number;
-  readonly hosts: Map<HostId, UpkeepHost>;
+  readonly firstSeenAtMs: number;
+  readonly hosts: Map<HostId, MaintenanceHost>;
   /** Long-running tasks that were moved off hosts of the wave. A task moves at most once per wave. */
-  readonly moved: Set<TaskKey>;
+  readonly movedTasks: Set<TaskKey>;
   /** Forecast from the last planning pass of whether the wave can finish in time. */
-  outlook: WaveOutlook;
+  forecast: WaveForecast;
 };
 
 /** Forecast of whether a wave can finish in time. */
-export type WaveOutlook = {
+export type WaveForecast = {
   /** Lower bound on the number of hosts that will miss the deadline. */
   readonly lateHosts: number;
   /** Why hosts will be late; '' if none will. */
@@ -53,7 +53,7 @@
 };
 
 /** What is known about hosts, as input for decisions on a wave. */
-export type HostSight = {
+export type KnownHosts = {
   readonly inventory: HostInventory;
   /** How long a host is down for maintenance, in ms, including a margin for the lag of the host list. */
   readonly downMs: number;
@@ -68,29 +68,29 @@
 /**
  * Creates the progress record of a wave.
  *
- * @param order - The wave as requested.
+ * @param request - The wave as requested.
  * @param done - The hosts that were completed under an earlier leader.
  * @param nowMs - The current time.
  * @returns The wave, with all other hosts waiting.
  */
-export const createUpkeepWave = (
-  order: UpkeepOrder,
+export const createMaintenanceWave = (
+  request: MaintenanceRequest,
   done: readonly HostId[],
   nowMs: number,
-): UpkeepWave => ({
-  order,
-  seenAtMs: nowMs,
-  moved: new Set(),
-  outlook: { lateHosts: 0, reason: '' },
+): MaintenanceWave => ({
+  request,
+  firstSeenAtMs: nowMs,
+  movedTasks: new Set(),
+  forecast: { lateHosts: 0, reason: '' },
   hosts: new Map(
-    order.hosts.map((hostId) => [
+    request.hosts.map((hostId) => [
       hostId,
       {
         phase: done.includes(hostId) ? 'done' : 'waiting',
-        sinceMs: nowMs,
-        unansweredAtMs: -Infinity,
+        phaseSinceMs: nowMs,
+        lastUnansweredAtMs: -Infinity,
         reason: '',
-        took: new Set(),
+        stepsTakenDown: new Set(),
       },
     ]),
   ),
@@ -100,7 +100,7 @@
 export type HostOrderOutcome = 'done' | 'busy' | 'refused' | 'unknown';
 
 /** Only `done` confirms that a host went down. A refused order must not count as done, and it must be retried. */
-const phaseAfterOutcome: Readonly<Record<HostOrderOutcome, UpkeepHost['phase']>> = {
+const phaseAfterOutcome: Readonly<Record<HostOrderOutcome, MaintenanceHost['phase']>> = {
   done: 'down',
   busy: 'closing',
   refused: 'refused',
@@ -115,8 +115,8 @@
  * @param outcome - The answer.
  * @param nowMs - The current time.
  */
-export const applyUpkeepAnswer = (
-  wave: UpkeepWave,
+export const applyOrderOutcome = (
+  wave: MaintenanceWave,
   hostId: HostId,
   outcome: HostOrderOutcome,
   nowMs: number,
@@ -124,8 +124,8 @@
   const host = wave.hosts.get(hostId);
   if (!host || host.phase !== 'asked') return;
   host.phase = phaseAfterOutcome[outcome];
-  host.sinceMs = nowMs;
-  if (outcome === 'unknown') host.unansweredAtMs = nowMs;
+  host.phaseSinceMs = nowMs;
+  if (outcome === 'unknown') host.lastUnansweredAtMs = nowMs;
   if (outcome === 'refused') host.reason = 'the platform refuses the order';
 };
 
@@ -136,7 +136,7 @@
  * @param hostId - The host.
  * @returns Its presence; `gone` only after the host has been missing for longer than maintenance can explain.
  */
-export const presenceInWave = ({ inventory, downMs }: HostSight, hostId: HostId): HostPresence =>
+export const presenceInWave = ({ inventory, downMs }: KnownHosts, hostId: HostId): HostPresence =>
   hostPresence(inventory, hostId, downMs + GONE_MARGIN_MS);
 
 /**
@@ -148,9 +148,9 @@
  * @returns True also if an earlier leader may have ordered the host down without recording it.
  */
 export const mayBeDown = (
-  sight: HostSight,
+  sight: KnownHosts,
   hostId: HostId,
-  { phase, unansweredAtMs }: UpkeepHost,
+  { phase, lastUnansweredAtMs }: MaintenanceHost,
 ): boolean => {
   const { inventory, downMs } = sight;
   // A host that died while it was down would otherwise block the remaining hosts forever.
@@ -158,7 +158,7 @@
   if (phase === 'down' || phase === 'asked') return true;
   // The refusal of a repeated order says nothing about the first order, which may have been carried out. Only a read of
   // the host list after the first order's downtime does.
-  if (phase !== 'done' && inventory.lastRequestedAtMs < unansweredAtMs + downMs) return true;
+  if (phase !== 'done' && inventory.lastRequestedAtMs < lastUnansweredAtMs + downMs) return true;
   const listed = inventory.hosts.get(hostId);
   return listed ? listed.state === 'maintenance' : phase !== 'done';
 };
@@ -170,7 +170,7 @@
  * @param wave - The wave.
  * @returns True if it may be reported as completed.
  */
-export const isUpkeepComplete = (sight: HostSight, wave: UpkeepWave): boolean =>
+export const isWaveComplete = (sight: KnownHosts, wave: MaintenanceWave): boolean =>
   Array.from(wave.hosts).every(([hostId, { phase }]) => {
     const isBack = phase === 'done' && sight.inventory.hosts.get(hostId)?.state !== 'maintenance';
     return isBack || presenceInWave(sight, hostId) === 'gone';
--- a/packages/core/src/batch/maintenance/upkeep-rules.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.test.ts
@@ -4,7 +4,7 @@
 import { type HostId, brand } from '../../shared/ids.js';
 import type { EndpointState } from '../model/state.js';
 import { EARLY_MS, LATE_MS, waveOver } from '../testing/upkeep-wave.fixtures.js';
-import { applyUpkeepAnswer } from './upkeep-progress.js';
+import { applyOrderOutcome } from './upkeep-progress.js';
 
 const LASTING = { isLasting: true, mayMiss: 1 };
 
@@ -28,7 +28,7 @@
     // The platform answers the order as done because the host had been down before; the endpoint keeps running.
     const { plan, hosts, endpoints, wave, relist } = waveOver(1, 1, LATE_MS);
     plan(0);
-    applyUpkeepAnswer(wave, brand<HostId>('h-0'), 'done', 100);
+    applyOrderOutcome(wave, brand<HostId>('h-0'), 'done', 100);
     expect(endpoints[0]?.isCordoned).toBe(true);
     relist(2500);
     plan(2600);
@@ -145,7 +145,7 @@
     const order = ['h-0', 'h-2', 'h-1', 'h-3'];
     order.forEach((hostId, turn) => {
       expect(plan(turn * 5000)).toEqual([hostId]);
-      applyUpkeepAnswer(wave, brand<HostId>(hostId), 'done', turn * 5000);
+      applyOrderOutcome(wave, brand<HostId>(hostId), 'done', turn * 5000);
       relist(turn * 5000 + 4000);
     });
   });
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -5,47 +5,47 @@
 import type { HostId } from '../../shared/ids.js';
 import { findBudgetViolation, runsOnlyLongRunningTasks, type BudgetViolation } from '../pools/hosts.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
-import type { HostSight, UpkeepHost, UpkeepWave } from './upkeep-progress.js';
-import { DRAIN_PATIENCE_MS, latestBeginMs, type WavePlan } from './wave-plan.js';
+import type { KnownHosts, MaintenanceHost, MaintenanceWave } from './upkeep-progress.js';
+import { MAX_DRAIN_MS, latestStartOf, type WavePlan } from './wave-plan.js';
 
 /** The input of planning: hosts, endpoints and pools. */
-export type UpkeepWorld = HostSight & {
+export type MaintenanceContext = KnownHosts & {
   readonly state: BatchState;
   /** True if any pool lacks capacity. */
-  readonly isShort: boolean;
+  readonly isCapacityShort: boolean;
 };
 
 /** A host of a wave that is up and has not yet been ordered down. */
 export type Candidate = {
   readonly hostId: HostId;
-  readonly host: UpkeepHost;
+  readonly host: MaintenanceHost;
   /** The endpoint that runs on the host; undefined if there is none. */
   readonly endpoint: EndpointState | undefined;
   /** Its data centre is evacuated. No tasks start on it, so taking it down costs no usable capacity. */
   readonly isEvacuated: boolean;
   /** The long-running steps with a disruption budget that have tasks on it. */
-  readonly lasting: ReadonlySet<StepRun>;
+  readonly longRunningSteps: ReadonlySet<StepRun>;
   /** The label of its rack; '' if it has none. */
   readonly rack: string;
 };
 
 /** One planning pass over the candidates of a wave, with the results of the decisions made so far. */
-export type UpkeepRound = {
-  readonly world: UpkeepWorld;
-  readonly wave: UpkeepWave;
+export type PlanningPass = {
+  readonly world: MaintenanceContext;
+  readonly wave: MaintenanceWave;
   readonly nowMs: number;
   /** The latest times until which hosts may wait to become empty by themselves. */
   readonly plan: WavePlan;
   /** For each step, the racks in which other waves have taken down hosts with tasks of that step. */
-  readonly racksOfOthers: ReadonlyMap<StepRun, ReadonlySet<string>>;
+  readonly racksOfOtherWaves: ReadonlyMap<StepRun, ReadonlySet<string>>;
   /** Maximum number of hosts that may be ordered down in this pass. */
-  readonly freePlaces: number;
+  readonly maxNewOrders: number;
   /** The hosts ordered down so far in this pass. */
-  readonly ordered: HostId[];
+  readonly orderedDown: HostId[];
   /** Number of hosts closed to new work so far in this pass, including those ordered down. */
-  closingCount: number;
+  cordonedCount: number;
   /** For each step, the number of its tasks on draining hosts that will go down with their hosts. */
-  readonly claimed: Map<StepRun, number>;
+  readonly reservedTasks: Map<StepRun, number>;
 };
 
 /** The decision on a candidate, and the reason why it must wait; '' if nothing blocks it. */
@@ -63,7 +63,7 @@
     }
   | { readonly kind: 'order-down'; readonly reason: '' };
 
-type Rule = (candidate: Candidate, round: UpkeepRound) => HostDecision | undefined;
+type Rule = (candidate: Candidate, round: PlanningPass) => HostDecision | undefined;
 
 /** Number of hosts beyond the maximum that drain in advance, so that the next host is ready as soon as one is back. */
 const DRAIN_AHEAD = 2;
@@ -75,8 +75,8 @@
 /** Before a host's latest start time, keeps it in use while it is busy or a pool lacks capacity. */
 const deferWhileTimeRemains: Rule = (candidate, { world, plan, nowMs }) => {
   const { endpoint, isEvacuated } = candidate;
-  if (nowMs >= latestBeginMs(plan, candidate)) return undefined;
-  if (world.isShort && !isEvacuated) return keepOpen('capacity is short, and there is time left');
+  if (nowMs >= latestStartOf(plan, candidate)) return undefined;
+  if (world.isCapacityShort && !isEvacuated) return keepOpen('capacity is short, and there is time left');
   const isAtWork = endpoint !== undefined && !runsOnlyLongRunningTasks(endpoint);
   return isAtWork ? keepOpen('it is running tasks, and there is time left') : undefined;
 };
@@ -85,8 +85,8 @@
  * The full extent of a suspected outage is not known yet, so none of any step's disruption budget is spent on
  * maintenance.
  */
-const waitForSuspectedDomains: Rule = ({ lasting }, { world }) => {
-  if (lasting.size === 0 || world.state.suspectedDomains.size === 0) return undefined;
+const waitForSuspectedDomains: Rule = ({ longRunningSteps }, { world }) => {
+  if (longRunningSteps.size === 0 || world.state.suspectedDomains.size === 0) return undefined;
   return keepOpen('a rack or a data centre is suspected lost');
 };
 
@@ -94,18 +94,18 @@
  * Keeps the maintenance of all waves that affects one step to one rack at a time. Otherwise losing a rack during
  * maintenance in another one would make tasks of the step unavailable in both.
  */
-const keepToOneRack: Rule = ({ lasting, rack }, { racksOfOthers }) => {
+const keepToOneRack: Rule = ({ longRunningSteps, rack }, { racksOfOtherWaves }) => {
   if (rack === '') return undefined;
-  const shared = Array.from(lasting).find((step) =>
-    Array.from(racksOfOthers.get(step) ?? []).some((other) => other !== rack),
+  const shared = Array.from(longRunningSteps).find((step) =>
+    Array.from(racksOfOtherWaves.get(step) ?? []).some((other) => other !== rack),
   );
   return (
     shared && keepOpen(`another wave has hosts of job ${shared.job.job.jobId} down in another rack`)
   );
 };
 
-const limitDraining: Rule = (_candidate, { wave, closingCount }) => {
-  const isFull = closingCount >= wave.order.maximum + DRAIN_AHEAD;
+const limitDraining: Rule = (_candidate, { wave, cordonedCount }) => {
+  const isFull = cordonedCount >= wave.request.maximum + DRAIN_AHEAD;
   return isFull ? keepOpen('as many hosts as allowed are ahead of it') : undefined;
 };
 
@@ -130,14 +130,14 @@
 };
 
 /** Hosts that each stay within a step's disruption budget could exceed it together. */
-const keepWithinCombinedBudgets: Rule = ({ endpoint }, { world, claimed }) => {
-  const obstacle = endpoint && findBudgetViolation(world.state, endpoint, claimed);
+const keepWithinCombinedBudgets: Rule = ({ endpoint }, { world, reservedTasks }) => {
+  const obstacle = endpoint && findBudgetViolation(world.state, endpoint, reservedTasks);
   return obstacle && keepOpen(`job ${obstacle.step.job.job.jobId} has another host draining first`);
 };
 
-const keepWithinMaximum: Rule = (_candidate, { wave, ordered, freePlaces }) => {
-  if (ordered.length < freePlaces) return undefined;
-  return drain(`${wave.order.maximum} hosts are down, which is the maximum`);
+const keepWithinMaximum: Rule = (_candidate, { wave, orderedDown, maxNewOrders }) => {
+  if (orderedDown.length < maxNewOrders) return undefined;
+  return drain(`${wave.request.maximum} hosts are down, which is the maximum`);
 };
 
 const waitForFirstAnswer: Rule = ({ hostId, endpoint }, { world }) => {
@@ -149,8 +149,8 @@
 
 const waitForShortTasks: Rule = ({ host, endpoint }, { nowMs }) => {
   if (!endpoint || runsOnlyLongRunningTasks(endpoint)) return undefined;
-  const drainingSinceMs = host.phase === 'waiting' ? nowMs : host.sinceMs;
-  if (nowMs - drainingSinceMs > DRAIN_PATIENCE_MS) return undefined;
+  const drainingSinceMs = host.phase === 'waiting' ? nowMs : host.phaseSinceMs;
+  if (nowMs - drainingSinceMs > MAX_DRAIN_MS) return undefined;
   return drain(`${endpoint.runs.size} tasks must end first`);
 };
 
@@ -174,7 +174,7 @@
  * @param round - The planning pass so far.
  * @returns The decision with its reason.
  */
-export const decideOnHost = (candidate: Candidate, round: UpkeepRound): HostDecision => {
+export const decideHostAction = (candidate: Candidate, round: PlanningPass): HostDecision => {
   const decision = rules.reduce<HostDecision | undefined>(
     (decided, rule) => decided ?? rule(candidate, round),
     undefined,
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/upkeep.ts
@@ -13,19 +13,19 @@
 import type { EndpointState, StepRun } from '../model/state.js';
 import { sortCandidates } from './candidate-order.js';
 import { moveTasksEarly } from './early-moves.js';
-import { mayBeDown, presenceInWave, type UpkeepHost, type UpkeepWave } from './upkeep-progress.js';
+import { mayBeDown, presenceInWave, type MaintenanceHost, type MaintenanceWave } from './upkeep-progress.js';
 import {
-  decideOnHost,
+  decideHostAction,
   type Candidate,
   type HostDecision,
-  type UpkeepRound,
-  type UpkeepWorld,
+  type PlanningPass,
+  type MaintenanceContext,
 } from './upkeep-rules.js';
 import { planWave } from './wave-plan.js';
 
 /** An order for a host of a wave to go down, with the reason for the operators' view. */
-export type UpkeepStep = {
-  readonly wave: UpkeepWave;
+export type HostMaintenanceOrder = {
+  readonly wave: MaintenanceWave;
   readonly hostId: HostId;
   readonly reason: string;
 };
@@ -36,39 +36,39 @@
 const RETRY_REFUSED_MS = 1500;
 
 const endpointOf = (
-  { state, inventory: { hosts } }: UpkeepWorld,
+  { state, inventory: { hosts } }: MaintenanceContext,
   hostId: HostId,
 ): EndpointState | undefined => {
   const instanceId = hosts.get(hostId)?.instanceId;
   return instanceId ? state.currentIncarnations.get(instanceId) : undefined;
 };
 
-const rackOfHost = ({ inventory: { hosts } }: UpkeepWorld, hostId: HostId): string =>
+const rackOfHost = ({ inventory: { hosts } }: MaintenanceContext, hostId: HostId): string =>
   rackOf({ labels: hosts.get(hostId)?.labels ?? [] });
 
 /**
  * Marks a host as done. If it had already been down under an earlier leader, it did not go down again: its endpoint has
  * been running all along and must be reopened to new work.
  */
-const markDone = (world: UpkeepWorld, hostId: HostId, host: UpkeepHost): void => {
+const markDone = (world: MaintenanceContext, hostId: HostId, host: MaintenanceHost): void => {
   const endpoint = endpointOf(world, hostId);
-  change(host, { phase: 'done', sinceMs: world.inventory.lastRequestedAtMs });
+  change(host, { phase: 'done', phaseSinceMs: world.inventory.lastRequestedAtMs });
   if (endpoint) change(endpoint, { isCordoned: false });
 };
 
 /** Advances the phases of hosts by the host list and the elapsed time. */
-const advancePhases = (world: UpkeepWorld, wave: UpkeepWave, nowMs: number): void => {
+const advancePhases = (world: MaintenanceContext, wave: MaintenanceWave, nowMs: number): void => {
   const {
     inventory: { hosts, lastRequestedAtMs },
     downMs,
   } = world;
   wave.hosts.forEach((host, hostId) => {
     const isUp = hosts.get(hostId)?.state === 'up';
-    if (host.phase === 'down' && isUp && lastRequestedAtMs - host.sinceMs > downMs) {
+    if (host.phase === 'down' && isUp && lastRequestedAtMs - host.phaseSinceMs > downMs) {
       markDone(world, hostId, host);
     }
-    if (host.phase === 'refused' && nowMs - host.sinceMs > RETRY_REFUSED_MS) {
-      change(host, { phase: 'waiting', sinceMs: nowMs });
+    if (host.phase === 'refused' && nowMs - host.phaseSinceMs > RETRY_REFUSED_MS) {
+      change(host, { phase: 'waiting', phaseSinceMs: nowMs });
     }
   });
 };
@@ -80,7 +80,7 @@
   gone: 'it has left the list of hosts for good',
 };
 
-const recordUnlistedReasons = (world: UpkeepWorld, wave: UpkeepWave): void => {
+const recordUnlistedReasons = (world: MaintenanceContext, wave: MaintenanceWave): void => {
   wave.hosts.forEach((host, hostId) => {
     const presence = presenceInWave(world, hostId);
     if (host.phase === 'done' || presence === 'listed') return;
@@ -88,18 +88,18 @@
   });
 };
 
-const PENDING_PHASES: ReadonlySet<UpkeepHost['phase']> = new Set(['waiting', 'closing', 'refused']);
+const PENDING_PHASES: ReadonlySet<MaintenanceHost['phase']> = new Set(['waiting', 'closing', 'refused']);
 
 /** Tells whether a wave has yet to take a host down. */
 const isPendingIn =
   (hostId: HostId) =>
-  ({ hosts }: UpkeepWave): boolean => {
+  ({ hosts }: MaintenanceWave): boolean => {
     const host = hosts.get(hostId);
     return host !== undefined && PENDING_PHASES.has(host.phase);
   };
 
 /** Marks endpoints on hosts with pending maintenance. A host in two waves stays marked until both have taken it down. */
-const markPendingMaintenance = (world: UpkeepWorld, waves: readonly UpkeepWave[]): void =>
+const markPendingMaintenance = (world: MaintenanceContext, waves: readonly MaintenanceWave[]): void =>
   waves
     .flatMap(({ hosts }) => Array.from(hosts.keys()))
     .forEach((hostId) => {
@@ -107,36 +107,36 @@
       if (endpoint) change(endpoint, { hasMaintenanceAhead: waves.some(isPendingIn(hostId)) });
     });
 
-const ORDERED_PHASES: ReadonlySet<UpkeepHost['phase']> = new Set(['asked', 'down']);
+const ORDERED_PHASES: ReadonlySet<MaintenanceHost['phase']> = new Set(['asked', 'down']);
 
 /**
  * Counts the tasks on hosts that were ordered down as unavailable for every disruption budget. An answer that an
  * endpoint gave before the order took effect would otherwise count them as available again.
  */
-const countOrderedAsAway = (world: UpkeepWorld, wave: UpkeepWave): void =>
+const countOrderedAsAway = (world: MaintenanceContext, wave: MaintenanceWave): void =>
   wave.hosts.forEach(({ phase }, hostId) => {
     if (!ORDERED_PHASES.has(phase)) return;
     endpointOf(world, hostId)?.runs.forEach((run) => change(run, { percent: 0 }));
   });
 
 const canBeOrdered = (
-  { inventory }: UpkeepWorld,
+  { inventory }: MaintenanceContext,
   hostId: HostId,
-  { phase }: UpkeepHost,
+  { phase }: MaintenanceHost,
 ): boolean => {
   const isOpen = phase === 'waiting' || phase === 'closing';
   return isOpen && inventory.hosts.get(hostId)?.state === 'up';
 };
 
-const candidateOf = (world: UpkeepWorld, hostId: HostId, host: UpkeepHost): Candidate => {
+const candidateOf = (world: MaintenanceContext, hostId: HostId, host: MaintenanceHost): Candidate => {
   const endpoint = endpointOf(world, hostId);
   const dataCentre = world.inventory.hosts.get(hostId)?.dataCentre;
   const isEvacuated = dataCentre !== undefined && world.state.evacuatedDataCentres.has(dataCentre);
-  const lasting = endpoint ? budgetedLongRunningSteps(endpoint) : new Set<StepRun>();
-  return { hostId, host, endpoint, isEvacuated, lasting, rack: rackOfHost(world, hostId) };
+  const longRunningSteps = endpoint ? budgetedLongRunningSteps(endpoint) : new Set<StepRun>();
+  return { hostId, host, endpoint, isEvacuated, longRunningSteps, rack: rackOfHost(world, hostId) };
 };
 
-const findCandidates = (world: UpkeepWorld, wave: UpkeepWave): readonly Candidate[] =>
+const findCandidates = (world: MaintenanceContext, wave: MaintenanceWave): readonly Candidate[] =>
   pipe(
     Array.from(wave.hosts),
     RA.filter(([hostId, host]) => canBeOrdered(world, hostId, host)),
@@ -145,48 +145,48 @@
 
 /** For each step, finds the racks in which other waves have taken down hosts with tasks of that step. */
 const findRacksOfOthers = (
-  world: UpkeepWorld,
-  others: readonly UpkeepWave[],
+  world: MaintenanceContext,
+  others: readonly MaintenanceWave[],
 ): ReadonlyMap<StepRun, ReadonlySet<string>> => {
   const racks = new Map<StepRun, Set<string>>();
   others.forEach(({ hosts }) =>
-    hosts.forEach(({ phase, took }, hostId) => {
+    hosts.forEach(({ phase, stepsTakenDown }, hostId) => {
       const rack = rackOfHost(world, hostId);
       if (rack === '' || !ORDERED_PHASES.has(phase)) return;
-      took.forEach((step) => racks.set(step, (racks.get(step) ?? new Set()).add(rack)));
+      stepsTakenDown.forEach((step) => racks.set(step, (racks.get(step) ?? new Set()).add(rack)));
     }),
   );
   return racks;
 };
 
 const startRound = (
-  world: UpkeepWorld,
-  wave: UpkeepWave,
+  world: MaintenanceContext,
+  wave: MaintenanceWave,
   candidates: readonly Candidate[],
-  waves: readonly UpkeepWave[],
+  waves: readonly MaintenanceWave[],
   nowMs: number,
-): UpkeepRound => {
+): PlanningPass => {
   const down = Array.from(wave.hosts).filter(([hostId, host]) => mayBeDown(world, hostId, host));
   return {
     world,
     wave,
     nowMs,
     plan: planWave(wave, candidates, world.downMs, nowMs),
-    racksOfOthers: findRacksOfOthers(
+    racksOfOtherWaves: findRacksOfOthers(
       world,
       waves.filter((other) => other !== wave),
     ),
-    freePlaces: Math.max(0, wave.order.maximum - down.length),
-    ordered: [],
-    closingCount: 0,
-    claimed: new Map(),
+    maxNewOrders: Math.max(0, wave.request.maximum - down.length),
+    orderedDown: [],
+    cordonedCount: 0,
+    reservedTasks: new Map(),
   };
 };
 
-const startDraining = (round: UpkeepRound, { host, endpoint }: Candidate): void => {
-  const sinceMs = host.phase === 'waiting' ? round.nowMs : host.sinceMs;
-  change(round, { closingCount: round.closingCount + 1 });
-  change(host, { phase: 'closing', sinceMs });
+const startDraining = (round: PlanningPass, { host, endpoint }: Candidate): void => {
+  const phaseSinceMs = host.phase === 'waiting' ? round.nowMs : host.phaseSinceMs;
+  change(round, { cordonedCount: round.cordonedCount + 1 });
+  change(host, { phase: 'closing', phaseSinceMs });
   if (endpoint) change(endpoint, { isCordoned: true });
 };
 
@@ -196,23 +196,23 @@
   if (endpoint) change(endpoint, { isCordoned: false });
 };
 
-const orderDown = ({ world, wave, ordered, nowMs }: UpkeepRound, candidate: Candidate): void => {
-  const { hostId, host, lasting } = candidate;
-  ordered.push(hostId);
-  change(host, { phase: 'asked', sinceMs: nowMs, took: lasting });
+const orderDown = ({ world, wave, orderedDown, nowMs }: PlanningPass, candidate: Candidate): void => {
+  const { hostId, host, longRunningSteps } = candidate;
+  orderedDown.push(hostId);
+  change(host, { phase: 'asked', phaseSinceMs: nowMs, stepsTakenDown: longRunningSteps });
   countOrderedAsAway(world, wave);
 };
 
 /** Moves long-running tasks off a draining host and reserves budget for those that will go down with it. */
-const moveOrReserveTasks = (round: UpkeepRound, candidate: Candidate): void => {
+const moveOrReserveTasks = (round: PlanningPass, candidate: Candidate): void => {
   moveTasksEarly(candidate, round);
-  candidate.lasting.forEach((step) => {
+  candidate.longRunningSteps.forEach((step) => {
     const staying = countReady(candidate.endpoint, step);
-    round.claimed.set(step, (round.claimed.get(step) ?? 0) + staying);
+    round.reservedTasks.set(step, (round.reservedTasks.get(step) ?? 0) + staying);
   });
 };
 
-const applyDecision = (round: UpkeepRound, candidate: Candidate, decision: HostDecision): void => {
+const applyDecision = (round: PlanningPass, candidate: Candidate, decision: HostDecision): void => {
   change(candidate.host, { reason: decision.reason });
   if (decision.kind === 'keep-open') {
     stopDraining(candidate);
@@ -228,13 +228,13 @@
   else moveOrReserveTasks(round, candidate);
 };
 
-const findUnansweredOrders = (wave: UpkeepWave, nowMs: number): readonly HostId[] =>
+const findUnansweredOrders = (wave: MaintenanceWave, nowMs: number): readonly HostId[] =>
   Array.from(wave.hosts)
-    .filter(([, { phase, sinceMs }]) => phase === 'asked' && nowMs - sinceMs > RETRY_UNANSWERED_MS)
+    .filter(([, { phase, phaseSinceMs }]) => phase === 'asked' && nowMs - phaseSinceMs > RETRY_UNANSWERED_MS)
     .map(([hostId]) => hostId);
 
 /** Counts the hosts of each rack that have left the phase `waiting`. */
-const countStartedByRack = (world: UpkeepWorld, wave: UpkeepWave): ReadonlyMap<string, number> => {
+const countStartedByRack = (world: MaintenanceContext, wave: MaintenanceWave): ReadonlyMap<string, number> => {
   const started = new Map<string, number>();
   wave.hosts.forEach(({ phase }, hostId) => {
     const rack = rackOfHost(world, hostId);
@@ -245,28 +245,28 @@
 };
 
 const planNext = (
-  world: UpkeepWorld,
-  wave: UpkeepWave,
-  waves: readonly UpkeepWave[],
+  world: MaintenanceContext,
+  wave: MaintenanceWave,
+  waves: readonly MaintenanceWave[],
   nowMs: number,
-): readonly UpkeepStep[] => {
+): readonly HostMaintenanceOrder[] => {
   const unanswered = findUnansweredOrders(wave, nowMs);
   const found = findCandidates(world, wave);
   const round = startRound(world, wave, found, waves, nowMs);
   const candidates = sortCandidates(found, round, countStartedByRack(world, wave));
-  change(wave, { outlook: round.plan.outlook });
+  change(wave, { forecast: round.plan.forecast });
   // Sequential: each decision depends on how much of the budgets the earlier ones have used.
   candidates.forEach((candidate) =>
-    applyDecision(round, candidate, decideOnHost(candidate, round)),
+    applyDecision(round, candidate, decideHostAction(candidate, round)),
   );
   // Spends the budget that the hosts which may go down now have left over on moves off the waiting hosts.
   candidates
     .filter(({ host }) => host.phase === 'waiting')
     .forEach((candidate) => moveTasksEarly(candidate, round));
-  const reason = `wave ${wave.order.waveNumber}: no budget forbids it`;
+  const reason = `wave ${wave.request.waveNumber}: no budget forbids it`;
   return [
     ...unanswered.map((hostId) => ({ wave, hostId, reason: 'the order had no answer' })),
-    ...round.ordered.map((hostId) => ({ wave, hostId, reason })),
+    ...round.orderedDown.map((hostId) => ({ wave, hostId, reason })),
   ];
 };
 
@@ -278,11 +278,11 @@
  * @param nowMs - The current time.
  * @returns The hosts to order down now.
  */
-export const planUpkeep = (
-  world: UpkeepWorld,
-  waves: readonly UpkeepWave[],
+export const planMaintenance = (
+  world: MaintenanceContext,
+  waves: readonly MaintenanceWave[],
   nowMs: number,
-): readonly UpkeepStep[] => {
+): readonly HostMaintenanceOrder[] => {
   waves.forEach((wave) => {
     advancePhases(world, wave, nowMs);
     recordUnlistedReasons(world, wave);
--- a/packages/core/src/batch/maintenance/wave-plan.test.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.test.ts
@@ -4,7 +4,7 @@
 import { budgetedLongRunningSteps } from '../pools/hosts.js';
 import type { EndpointState } from '../model/state.js';
 import { waveOver } from '../testing/upkeep-wave.fixtures.js';
-import { latestBeginMs, planWave, type PlannedHost } from './wave-plan.js';
+import { latestStartOf, planWave, type PlannedHost } from './wave-plan.js';
 
 const DOWN_MS = 2300;
 const WITHIN_MS = 60_000;
@@ -14,24 +14,24 @@
   const places = Array.from({ length: tasks }, (_, index) => index);
   if (tasks > 0) runOn('served', { isLasting: true, mayMiss }, places);
   const hosts = endpoints.map((endpoint: EndpointState): PlannedHost => ({
-    lasting: budgetedLongRunningSteps(endpoint),
+    longRunningSteps: budgetedLongRunningSteps(endpoint),
   }));
   return { plan: planWave(wave, hosts, DOWN_MS, nowMs), hosts };
 };
 
-const EMPTY: PlannedHost = { lasting: new Set() };
+const EMPTY: PlannedHost = { longRunningSteps: new Set() };
 
 describe('a wave planned backwards from its deadline', () => {
   it('lets hosts without long-running tasks start as late as the maximum allows', () => {
     // 12 hosts, 4 at a time: 3 rounds of 4 s, and 12 s are reserved before the deadline.
-    expect(latestBeginMs(planOf(4, 0, 1).plan, EMPTY)).toBe(WITHIN_MS - 12_000 - 12_000);
+    expect(latestStartOf(planOf(4, 0, 1).plan, EMPTY)).toBe(WITHIN_MS - 12_000 - 12_000);
   });
 
   it('makes hosts of a step start earlier with more hosts and a smaller disruption budget', () => {
     // Regression: hosts of a step waited as long as hosts that are limited only by the maximum.
     const latest = ([tasks, mayMiss]: readonly [number, number]): number => {
       const { plan, hosts } = planOf(12, tasks, mayMiss);
-      return latestBeginMs(plan, hosts[0] ?? EMPTY);
+      return latestStartOf(plan, hosts[0] ?? EMPTY);
     };
     const latestMs = (
       [
@@ -46,7 +46,7 @@
 
   it('never lets hosts of a step start later than other hosts', () => {
     const { plan, hosts } = planOf(1, 1, 1);
-    expect(latestBeginMs(plan, hosts[0] ?? EMPTY)).toBe(latestBeginMs(plan, EMPTY));
+    expect(latestStartOf(plan, hosts[0] ?? EMPTY)).toBe(latestStartOf(plan, EMPTY));
   });
 
   it('reports a step as tight if its hosts would miss the deadline without moving tasks', () => {
@@ -56,12 +56,12 @@
   });
 
   it('reports how many hosts will be late, and whether the maximum or a step is the cause', () => {
-    expect(planOf(4, 12, 2).plan.outlook).toEqual({ lateHosts: 0, reason: '' });
-    expect(planOf(1, 0, 1, WITHIN_MS - 7000).plan.outlook).toEqual({
+    expect(planOf(4, 12, 2).plan.forecast).toEqual({ lateHosts: 0, reason: '' });
+    expect(planOf(1, 0, 1, WITHIN_MS - 7000).plan.forecast).toEqual({
       lateHosts: 9,
       reason: '12 hosts are left, 1 may be down at once, and 7000 ms are left',
     });
-    expect(planOf(12, 12, 1, WITHIN_MS - 7000).plan.outlook).toEqual({
+    expect(planOf(12, 12, 1, WITHIN_MS - 7000).plan.forecast).toEqual({
       lateHosts: 8,
       reason:
         'queue=q job=served: 12 hosts have tasks of it, 1 may be missed, and 7000 ms are left',
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -4,10 +4,10 @@
  * others, from the maximum number of hosts that may be down at the same time.
  */
 import type { StepRun } from '../model/state.js';
-import type { UpkeepWave, WaveOutlook } from './upkeep-progress.js';
+import type { MaintenanceWave, WaveForecast } from './upkeep-progress.js';
 
 /** Short tasks on a draining host get this long to end; after that, the host is taken down anyway. */
-export const DRAIN_PATIENCE_MS = 3000;
+export const MAX_DRAIN_MS = 3000;
 
 /**
  * Planned time per round, in which as many hosts go down as the wave's maximum allows. A host drains for up to 3 s and is
@@ -35,26 +35,26 @@
 /** A host that has not yet been ordered down. */
 export type PlannedHost = {
   /** The long-running steps with a disruption budget that have tasks on it. */
-  readonly lasting: ReadonlySet<StepRun>;
+  readonly longRunningSteps: ReadonlySet<StepRun>;
 };
 
 /** The latest times at which the hosts of a wave must start, in ms of the monotonic clock. */
 export type WavePlan = {
   /** For hosts without long-running tasks. */
-  readonly latestMs: number;
+  readonly latestStartMs: number;
   /** For hosts with tasks of a long-running step, by step; never later than `latestMs`. */
-  readonly latestByStep: ReadonlyMap<StepRun, number>;
+  readonly latestStartByStep: ReadonlyMap<StepRun, number>;
   /** Steps whose hosts would miss the deadline if each went down with its tasks instead of having them moved. */
   readonly tightSteps: ReadonlySet<StepRun>;
-  readonly outlook: WaveOutlook;
+  readonly forecast: WaveForecast;
 };
 
-const deadlineOf = ({ seenAtMs, order }: UpkeepWave): number => seenAtMs + order.withinMs;
+const deadlineOf = ({ firstSeenAtMs, request }: MaintenanceWave): number => firstSeenAtMs + request.withinMs;
 
 const countByStep = (hosts: readonly PlannedHost[]): ReadonlyMap<StepRun, number> => {
   const counts = new Map<StepRun, number>();
-  hosts.forEach(({ lasting }) =>
-    lasting.forEach((step) => counts.set(step, (counts.get(step) ?? 0) + 1)),
+  hosts.forEach(({ longRunningSteps }) =>
+    longRunningSteps.forEach((step) => counts.set(step, (counts.get(step) ?? 0) + 1)),
   );
   return counts;
 };
@@ -63,19 +63,19 @@
 const stepDurationMs = ({ spec }: StepRun, hostCount: number, turnMs: number): number =>
   Math.ceil(hostCount / spec.mayMiss) * turnMs;
 
-const createOutlook = (lateHosts: number, reason: string): WaveOutlook =>
+const createOutlook = (lateHosts: number, reason: string): WaveForecast =>
   lateHosts > 0 ? { lateHosts, reason } : { lateHosts: 0, reason: '' };
 
 /**
  * Lists forecasts of how many hosts cannot be back in time even if nothing else delays them: overall, then by step.
  */
 const forecastLateHosts = (
-  wave: UpkeepWave,
+  wave: MaintenanceWave,
   hosts: readonly PlannedHost[],
   downMs: number,
   nowMs: number,
-): readonly WaveOutlook[] => {
-  const { maximum } = wave.order;
+): readonly WaveForecast[] => {
+  const { maximum } = wave.request;
   const leftMs = Math.max(0, deadlineOf(wave) - nowMs);
   const hostsInTime = Math.floor(leftMs / downMs) * maximum;
   const overall = createOutlook(
@@ -103,19 +103,19 @@
  * @returns The latest start times, and a forecast of whether the wave can finish in time.
  */
 export const planWave = (
-  wave: UpkeepWave,
+  wave: MaintenanceWave,
   hosts: readonly PlannedHost[],
   downMs: number,
   nowMs: number,
 ): WavePlan => {
   const endMs = deadlineOf(wave) - RESERVE_MS;
-  const latestMs = endMs - Math.ceil(hosts.length / wave.order.maximum) * ROUND_MS;
+  const latestStartMs = endMs - Math.ceil(hosts.length / wave.request.maximum) * ROUND_MS;
   const counts = Array.from(countByStep(hosts));
-  const maxTurnMs = DRAIN_PATIENCE_MS + downMs + TASK_RESTART_MS;
-  const latestByStep = new Map(
+  const maxTurnMs = MAX_DRAIN_MS + downMs + TASK_RESTART_MS;
+  const latestStartByStep = new Map(
     counts.map(([step, count]) => [
       step,
-      Math.min(latestMs, endMs - stepDurationMs(step, count, maxTurnMs)),
+      Math.min(latestStartMs, endMs - stepDurationMs(step, count, maxTurnMs)),
     ]),
   );
   const tightSteps = new Set(
@@ -126,7 +126,7 @@
   const worst = forecastLateHosts(wave, hosts, downMs, nowMs).reduce((one, other) =>
     other.lateHosts > one.lateHosts ? other : one,
   );
-  return { latestMs, latestByStep, tightSteps, outlook: worst };
+  return { latestStartMs, latestStartByStep, tightSteps, forecast: worst };
 };
 
 /**
@@ -136,5 +136,5 @@
  * @param host - The host.
  * @returns The earliest of the times of its long-running steps, or the time for hosts without any.
  */
-export const latestBeginMs = ({ latestMs, latestByStep }: WavePlan, host: PlannedHost): number =>
-  Math.min(latestMs, ...Array.from(host.lasting, (step) => latestByStep.get(step) ?? Infinity));
+export const latestStartOf = ({ latestStartMs, latestStartByStep }: WavePlan, host: PlannedHost): number =>
+  Math.min(latestStartMs, ...Array.from(host.longRunningSteps, (step) => latestStartByStep.get(step) ?? Infinity));
--- a/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
+++ b/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
@@ -16,11 +16,11 @@
 import { addRun } from '../endpoints/runs.js';
 import { createBatchState, type EndpointState, type StepRun, type Task } from '../model/state.js';
 import {
-  createUpkeepWave,
-  type UpkeepHost,
-  type UpkeepWave,
+  createMaintenanceWave,
+  type MaintenanceHost,
+  type MaintenanceWave,
 } from '../maintenance/upkeep-progress.js';
-import { planUpkeep } from '../maintenance/upkeep.js';
+import { planMaintenance } from '../maintenance/upkeep.js';
 
 const POOL = brand<PoolName>('alpha');
 const CAPACITY = { cpuMillis: 8000, memoryMb: 8000, accelerators: 0 };
@@ -77,7 +77,7 @@
   applyHostList(inventory, views, 0);
   const hostIds = views.slice(0, hostCount).map(({ hostId }) => hostId);
   const order = { waveNumber: 1, hosts: hostIds, withinMs, maximum };
-  const wave = createUpkeepWave(order, [], 0);
+  const wave = createMaintenanceWave(order, [], 0);
 
   /** Adds a job whose tasks run on the endpoints with the given numbers, one task per entry. */
   const runOn = (name: string, changes: Partial<StepSpec>, places: readonly number[]): StepRun => {
@@ -98,24 +98,24 @@
 
   /** Plans the given waves together and returns the hosts that are ordered down. */
   const planBoth = (
-    waves: readonly UpkeepWave[],
+    waves: readonly MaintenanceWave[],
     nowMs: number,
-    isShort = false,
+    isCapacityShort = false,
   ): readonly string[] =>
-    planUpkeep({ state, inventory, downMs: 2300, isShort }, waves, nowMs).map(
+    planMaintenance({ state, inventory, downMs: 2300, isCapacityShort }, waves, nowMs).map(
       ({ hostId }) => hostId,
     );
-  const plan = (nowMs: number, isShort = false): readonly string[] =>
-    planBoth([wave], nowMs, isShort);
+  const plan = (nowMs: number, isCapacityShort = false): readonly string[] =>
+    planBoth([wave], nowMs, isCapacityShort);
   /** Creates two waves, one with the first host of the wave and one with the second. */
-  const split = (): readonly [UpkeepWave, UpkeepWave] => {
+  const split = (): readonly [MaintenanceWave, MaintenanceWave] => {
     const [first, second] = hostIds.map((hostId, index) =>
-      createUpkeepWave({ ...order, waveNumber: index + 1, hosts: [hostId] }, [], 0),
+      createMaintenanceWave({ ...order, waveNumber: index + 1, hosts: [hostId] }, [], 0),
     );
     if (!first || !second) throw new Error('the wave has fewer than two hosts');
     return [first, second];
   };
-  const hosts = (): readonly UpkeepHost[] => Array.from(wave.hosts.values());
+  const hosts = (): readonly MaintenanceHost[] => Array.from(wave.hosts.values());
   /** Applies a host list in which all hosts are up, with the same endpoints as before. */
   const relist = (nowMs: number) => applyHostList(inventory, views, nowMs);
   return { state, endpoints, wave, runOn, plan, planBoth, split, hosts, relist };
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -9,7 +9,7 @@
   newerConfiguration,
   type BatchConfiguration,
   type QueueIndex,
-  type UpkeepOrder,
+  type MaintenanceRequest,
 } from '@valvelatch/core/batch';
 import type { EntryId } from '@valvelatch/core/shared/ids';
 
@@ -69,7 +69,7 @@
   readonly feed: OperatorFeed;
   readonly neighbours: () => readonly EntryId[];
   readonly ask: AskPeer;
-  readonly onWaves: (waves: readonly UpkeepOrder[]) => void;
+  readonly onWaves: (waves: readonly MaintenanceRequest[]) => void;
   /** Told of evacuations by the same feed and neighbours. */
   readonly evacuations?: EvacuationKeeper;
   readonly log: Log;
--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -6,7 +6,7 @@
   type JobStatus,
   type PlacementPolicy,
   type QueueIndex,
-  type UpkeepOrder,
+  type MaintenanceRequest,
 } from '@valvelatch/core/batch';
 import { brand, type EntryId, type JobId } from '@valvelatch/core/shared/ids';
 import type { TableClient } from '@valvelatch/platform';
@@ -111,7 +111,7 @@
 export type Control = ControlView & {
   /** Keeps the lease; to be called several times within it. */
   readonly tick: () => Promise<void>;
-  readonly takeWaves: (orders: readonly UpkeepOrder[]) => void;
+  readonly takeWaves: (orders: readonly MaintenanceRequest[]) => void;
   /** Answers another entry, perhaps later. */
   readonly answer: (method: string, payload: unknown) => unknown;
   readonly term: () => Term | undefined;
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -1,6 +1,6 @@
 /** Orders to hosts, by the holder alone: moves between pools, and maintenance of waves. */
 import {
-  applyUpkeepAnswer,
+  applyOrderOutcome,
   DEFAULT_POOL_POLICY,
   isAnyPoolShort,
   computePoolNeeds,
@@ -8,16 +8,16 @@
   observePeaks,
   planMoves,
   planReclaims,
-  planUpkeep,
+  planMaintenance,
   type BatchState,
   type EndpointState,
   type HostInventory,
-  type HostSight,
+  type KnownHosts,
   type PoolMove,
   type PoolPlanInput,
   type QueueIndex,
-  type UpkeepStep,
-  type UpkeepWave,
+  type HostMaintenanceOrder,
+  type MaintenanceWave,
   type UpkeepWorld,
 } from '@valvelatch/core/batch';
 import { change } from '@valvelatch/core/shared/change';
@@ -70,9 +70,9 @@
   /** How long no host has been ordered. */
   readonly idleMs: () => number;
   readonly inventory: () => HostInventory;
-  readonly waves: () => readonly UpkeepWave[];
+  readonly waves: () => readonly MaintenanceWave[];
   /** True if each host of a wave has been down and is back, or has left for good. */
-  readonly isComplete: (wave: UpkeepWave) => boolean;
+  readonly isComplete: (wave: MaintenanceWave) => boolean;
 };
 
 /**
@@ -130,7 +130,7 @@
     nowMs: nowMs(),
   });
 
-  const sight = (): HostSight => ({
+  const sight = (): KnownHosts => ({
     inventory: roster.inventory(),
     downMs: platform.bounds().maintenanceMs + LIST_LAG_MS,
   });
@@ -140,16 +140,16 @@
   const world = (): UpkeepWorld => ({
     ...sight(),
     state,
-    isShort: isAnyPoolShort(poolWorld()),
+    isCapacityShort: isAnyPoolShort(poolWorld()),
   });
 
-  const take = async ({ wave, hostId, reason }: UpkeepStep): Promise<void> => {
-    const { waveNumber } = wave.order;
+  const take = async ({ wave, hostId, reason }: HostMaintenanceOrder): Promise<void> => {
+    const { waveNumber } = wave.request;
     lastOrderAtMs = nowMs();
     const { outcome, detail } = await platform.hosts.maintain(orderer, { hostId, waveNumber });
     metrics.count(`host_maintain_${outcome}`);
     log.info('host-maintained', { wave: waveNumber, host: hostId, outcome, detail, reason });
-    applyUpkeepAnswer(wave, hostId, outcome, nowMs());
+    applyOrderOutcome(wave, hostId, outcome, nowMs());
   };
 
   const move = async ({ hostId, fromPool, toPool, reason }: PoolMove): Promise<void> => {
@@ -219,7 +219,7 @@
     observePeaks(poolWorld()).forEach((pool) => log.info('peak-begun', { pool }));
     if (!mayOrder() || nowMs() - bornAtMs < orderAfterMs) return;
     Object.assign(state, { clockMs: nowMs() });
-    const steps = planUpkeep(world(), waveKeeper.waves(), nowMs());
+    const steps = planMaintenance(world(), waveKeeper.waves(), nowMs());
     waveKeeper.noteReasons();
     await Promise.all(steps.map(take));
     // An order to a host that was ordered so before is answered alike: the list shows what it did.
--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -1,11 +1,11 @@
 /** The waves of a term: their rows, reports to the operator, and why hosts wait. */
 import {
-  createUpkeepWave,
-  isUpkeepComplete,
-  type HostSight,
-  type UpkeepHost,
-  type UpkeepOrder,
-  type UpkeepWave,
+  createMaintenanceWave,
+  isWaveComplete,
+  type KnownHosts,
+  type MaintenanceHost,
+  type MaintenanceRequest,
+  type MaintenanceWave,
 } from '@valvelatch/core/batch';
 import type { RowCheck } from '@valvelatch/core/rows/transaction';
 import type { HostId } from '@valvelatch/core/shared/ids';
@@ -17,7 +17,7 @@
 
 /** A wave as this entry learned of it. */
 export type KnownWave = {
-  readonly order: UpkeepOrder;
+  readonly order: MaintenanceRequest;
   /** By this entry's monotonic clock. */
   readonly seenAtMs: number;
 };
@@ -29,7 +29,7 @@
   readonly platform: Pick<BatchPlatform, 'table' | 'hosts'>;
   /** Writes depend on this row: a deposed holder writes nothing. */
   readonly fenceCheck: RowCheck;
-  readonly sight: () => HostSight;
+  readonly sight: () => KnownHosts;
   readonly log: Log;
   readonly nowMs: () => number;
   readonly todayMs: () => number;
@@ -39,9 +39,9 @@
   readonly take: (known: readonly KnownWave[]) => void;
   /** Reads and writes how waves stand. */
   readonly follow: () => Promise<void>;
-  readonly waves: () => readonly UpkeepWave[];
+  readonly waves: () => readonly MaintenanceWave[];
   /** True if each host of a wave has been down and is back, or has left for good. */
-  readonly isComplete: (wave: UpkeepWave) => boolean;
+  readonly isComplete: (wave: MaintenanceWave) => boolean;
   /** Logs what hosts wait for, once for each reason, and once which wave cannot be in time. */
   readonly noteReasons: () => void;
 };
@@ -60,14 +60,14 @@
   nowMs,
   todayMs,
 }: WaveKeeperOptions): WaveKeeper => {
-  const waves = new Map<number, UpkeepWave>();
+  const waves = new Map<number, MaintenanceWave>();
   const waiting = new Map<number, KnownWave>();
   const reported = new Map<number, 'running' | 'completed'>();
   const savedDone = new Map<number, number>();
   const loggedReasons = new Map<string, string>();
   const expectedLate = new Set<number>();
 
-  const isComplete = (wave: UpkeepWave): boolean => isUpkeepComplete(sight(), wave);
+  const isComplete = (wave: MaintenanceWave): boolean => isWaveComplete(sight(), wave);
 
   /** When the wave was ordered: as this entry saw it, or earlier by the row of the first holder. */
   const orderedAtMs = ({ order, seenAtMs }: KnownWave, row: WaveRow | undefined): number => {
@@ -83,7 +83,7 @@
     if (rows.isErr()) return;
     const row = (rows.value[0]?.value ?? undefined) as WaveRow | undefined;
     waiting.delete(order.waveNumber);
-    const wave = createUpkeepWave(order, row?.done ?? [], orderedAtMs(known, row));
+    const wave = createMaintenanceWave(order, row?.done ?? [], orderedAtMs(known, row));
     waves.set(order.waveNumber, wave);
     log.info('wave-taken', {
       wave: order.waveNumber,
@@ -91,17 +91,17 @@
       maximum: order.maximum,
       withinMs: order.withinMs,
       done: row?.done.length ?? 0,
-      ageMs: Math.round(nowMs() - wave.seenAtMs),
+      ageMs: Math.round(nowMs() - wave.firstSeenAtMs),
     });
   };
 
-  const saveDone = async (wave: UpkeepWave): Promise<boolean> => {
-    const { waveNumber } = wave.order;
+  const saveDone = async (wave: MaintenanceWave): Promise<boolean> => {
+    const { waveNumber } = wave.request;
     const done = Array.from(wave.hosts)
       .filter(([, { phase }]) => phase === 'done' || phase === 'down')
       .map(([hostId]) => hostId);
     if (savedDone.get(waveNumber) === done.length) return true;
-    const row: WaveRow = { done, takenAtTodayMs: todayMs() - (nowMs() - wave.seenAtMs) };
+    const row: WaveRow = { done, takenAtTodayMs: todayMs() - (nowMs() - wave.firstSeenAtMs) };
     const outcome = await platform.table.transact({
       checks: [fenceCheck],
       writes: [{ key: batchKey.wave(waveNumber), value: row }],
@@ -112,10 +112,10 @@
   };
 
   /** On what a report rests: how many hosts are in which phase, and which list that was judged by. */
-  const groundsOf = ({ hosts: inWave }: UpkeepWave): LogFields => {
+  const groundsOf = ({ hosts: inWave }: MaintenanceWave): LogFields => {
     const { hosts: listed, lastRequestedAtMs } = sight().inventory;
     const phases = Array.from(inWave.values(), ({ phase }) => phase);
-    const count = (wanted: UpkeepHost['phase']): number =>
+    const count = (wanted: MaintenanceHost['phase']): number =>
       phases.filter((phase) => phase === wanted).length;
     return {
       hosts: inWave.size,
@@ -129,8 +129,8 @@
     };
   };
 
-  const report = async (wave: UpkeepWave): Promise<void> => {
-    const { waveNumber } = wave.order;
+  const report = async (wave: MaintenanceWave): Promise<void> => {
+    const { waveNumber } = wave.request;
     const now = isComplete(wave) ? 'completed' : 'running';
     const isSaved = await saveDone(wave);
     if (reported.get(waveNumber) === now || (now === 'completed' && !isSaved)) return;
@@ -151,8 +151,8 @@
     if (reason !== '') log.info('host-waits', { wave: waveNumber, host: hostId, reason });
   };
 
-  const noteOutlook = ({ order: { waveNumber }, outlook }: UpkeepWave): void => {
-    const { lateHosts, reason } = outlook;
+  const noteOutlook = ({ request: { waveNumber }, forecast }: MaintenanceWave): void => {
+    const { lateHosts, reason } = forecast;
     if (lateHosts === 0 || expectedLate.has(waveNumber)) return;
     expectedLate.add(waveNumber);
     log.warn('wave-late-expected', { wave: waveNumber, lateHosts, reason });
@@ -172,7 +172,7 @@
     noteReasons: () =>
       waves.forEach((wave) => {
         noteOutlook(wave);
-        const { waveNumber } = wave.order;
+        const { waveNumber } = wave.request;
         wave.hosts.forEach(({ reason }, hostId) => noteReason(waveNumber, hostId, reason));
       }),
   };
--- a/packages/daemon/src/batch/operators/operators.ts
+++ b/packages/daemon/src/batch/operators/operators.ts
@@ -11,7 +11,7 @@
   type EndpointState,
   type JobState,
   type StepRun,
-  type WaveOutlook,
+  type WaveForecast,
 } from '@valvelatch/core/batch';
 import type { HostId, JobId } from '@valvelatch/core/shared/ids';
 
@@ -45,7 +45,7 @@
 const hostReason = (term: Term, hostId: HostId): string => {
   const waiting = term.fleet
     .waves()
-    .map(({ order, hosts }) => ({ wave: order.waveNumber, host: hosts.get(hostId) }))
+    .map(({ request, hosts }) => ({ wave: request.waveNumber, host: hosts.get(hostId) }))
     .find(({ host }) => host && host.phase !== 'done');
   if (waiting?.host) {
     const { phase, reason } = waiting.host;
@@ -115,12 +115,12 @@
   domains: (term) => domainRows(domainSight(term)),
   waves: (term) =>
     term.fleet.waves().map((wave) => {
-      const { order, hosts } = wave;
+      const { request, hosts } = wave;
       const done = Array.from(hosts.values()).filter(({ phase }) => phase === 'done').length;
       return {
-        waveId: order.waveNumber,
+        waveId: request.waveNumber,
         phase: term.fleet.isComplete(wave) ? 'done' : 'running',
-        selector: `${hosts.size} hosts, ${order.maximum} at once`,
+        selector: `${hosts.size} hosts, ${request.maximum} at once`,
         reason: `${done} done`,
       };
     }),
@@ -151,7 +151,7 @@
 };
 
 /** What is expected of a wave that cannot be in time. */
-const lateText = ({ lateHosts, reason }: WaveOutlook): string =>
+const lateText = ({ lateHosts, reason }: WaveForecast): string =>
   lateHosts === 0 ? '' : `, ${lateHosts} of them expected late: ${reason}`;
 
 const explainers: Readonly<Record<string, (term: Term, name: string) => object | undefined>> = {
@@ -192,10 +192,10 @@
     return host && { outcome: host.state, reason: hostReason(term, host.hostId) };
   },
   wave: (term, name) => {
-    const wave = term.fleet.waves().find(({ order }) => String(order.waveNumber) === name);
+    const wave = term.fleet.waves().find(({ request }) => String(request.waveNumber) === name);
     return (
       wave && {
-        outcome: `${wave.order.hosts.length} hosts${lateText(wave.outlook)}`,
+        outcome: `${wave.request.hosts.length} hosts${lateText(wave.forecast)}`,
         reasons: Array.from(wave.hosts, ([hostId, { phase, reason }]) => ({
           of: `host ${hostId}`,
           reason: reason === '' ? phase : `${phase}: ${reason}`,
--- a/packages/daemon/src/batch/ports.ts
+++ b/packages/daemon/src/batch/ports.ts
@@ -19,7 +19,7 @@
   PaceOrder,
   StartOrder,
   StopOrder,
-  UpkeepOrder,
+  MaintenanceRequest,
 } from '@valvelatch/core/batch';
 import type {
   DataCentreId,
@@ -73,7 +73,7 @@
   readonly configuration?: BatchConfiguration;
   /** What was passed over in the configuration, for people. */
   readonly faults?: readonly string[];
-  readonly waves: readonly UpkeepOrder[];
+  readonly waves: readonly MaintenanceRequest[];
   /** Left out by a platform on which data centres cannot be evacuated. */
   readonly evacuations?: EvacuationNews;
   readonly reading: FeedReading;
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -17,7 +17,7 @@
   type QueueIndex,
   type StepSpec,
   type TaskKey,
-  type UpkeepOrder,
+  type MaintenanceRequest,
 } from '@valvelatch/core/batch';
 import { change } from '@valvelatch/core/shared/change';
 import {
@@ -172,7 +172,7 @@
   readonly takeBack: (dataCentre: DataCentreId) => void;
   /** The operator's rows are compacted: full readings are 3 to 6 s old for a time. */
   readonly forgetOperatorHistory: (options?: { readonly refusesChanges?: boolean }) => void;
-  readonly order: (wave: UpkeepOrder) => void;
+  readonly order: (wave: MaintenanceRequest) => void;
   /** All waves are read by the entries that are there now, as at their start. */
   readonly reorder: () => void;
   /** The endpoint crashes by itself; its host is back after so long, 3 s if left out. */
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -8,7 +8,7 @@
   type EndpointDescription,
   type ListedHost,
   type OrderError,
-  type UpkeepOrder,
+  type MaintenanceRequest,
 } from '@valvelatch/core/batch';
 import {
   brand,
@@ -30,7 +30,7 @@
 } from './sim-world.fixtures.js';
 
 /** What bounds an order for a wave that nobody has ordered. */
-const SIM_NO_WAVE: Pick<UpkeepOrder, 'maximum' | 'hosts'> = { maximum: Infinity, hosts: [] };
+const SIM_NO_WAVE: Pick<MaintenanceRequest, 'maximum' | 'hosts'> = { maximum: Infinity, hosts: [] };
 const HOP_MS = 1;
 /** Where hosts are, and with them their endpoints. */
 export const SIM_DATA_CENTRES = [0, 1].map((index) => brand<DataCentreId>(`dc-${index}`));
--- a/packages/daemon/src/batch/testing/sim-world.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-world.fixtures.ts
@@ -16,7 +16,7 @@
   type QueuePolicy,
   type TaskKey,
   type TaskKeyParts,
-  type UpkeepOrder,
+  type MaintenanceRequest,
 } from '@valvelatch/core/batch';
 import type { LeaseRow } from '@valvelatch/core/leases/lease';
 import { createTableModel } from '@valvelatch/core/replay/table-model';
@@ -200,7 +200,7 @@
   const isListed = (one: SimulatedEndpoint): boolean => one.isUp() && !unlisted.has(one.instanceId);
   const cancelled = new Set<string>();
   const waveStatus = new Map<number, string>();
-  const waves = new Map<number, UpkeepOrder>();
+  const waves = new Map<number, MaintenanceRequest>();
   let lastEndpoint = 0;
   let restarts = 0;
   /** When the order was sent that is being carried out late. */
