--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -94,7 +94,7 @@
  * @param run - The run.
  * @returns True once the observation period has passed.
  */
-export const isSettled = (endpoint: EndpointState, run: RunState): boolean =>
+export const hasSurvivedObservation = (endpoint: EndpointState, run: RunState): boolean =>
   livedMs(endpoint, run) >= observationMs(run.task);
 
 /**
@@ -145,7 +145,7 @@
  * @param endpoint - The endpoint.
  * @returns Its runs, including those that have been given up since.
  */
-export const lastRunsOf = ({ runs, expiredRuns }: EndpointState): readonly RunState[] => [
+export const lastReportedRuns = ({ runs, expiredRuns }: EndpointState): readonly RunState[] => [
   ...runs.values(),
   ...expiredRuns,
 ];
@@ -153,8 +153,8 @@
 /** Returns the jobs with runs that the endpoint has not yet been alive with for the whole observation period. */
 const unsettledJobs = (endpoint: EndpointState): ReadonlySet<JobState> =>
   new Set(
-    lastRunsOf(endpoint)
-      .filter((run) => !isSettled(endpoint, run))
+    lastReportedRuns(endpoint)
+      .filter((run) => !hasSurvivedObservation(endpoint, run))
       .map(({ step }) => step.job),
   );
 
@@ -164,7 +164,7 @@
  */
 const isExplained = (endpoint: EndpointState): boolean =>
   unsettledJobs(endpoint).size === 1 &&
-  lastRunsOf(endpoint).some((run) => !isSettled(endpoint, run) && run.task.crashes.length > 0);
+  lastReportedRuns(endpoint).some((run) => !hasSurvivedObservation(endpoint, run) && run.task.crashes.length > 0);
 
 /**
  * Records that endpoints crashed. Must be called for all of them before the crashes are attributed to their runs,
@@ -174,7 +174,7 @@
  * @param gone - The endpoints that are gone; those that did not crash are ignored.
  * @param nowMs - The current time.
  */
-export const noteCrashes = (
+export const addRecentCrashes = (
   state: BatchState,
   gone: readonly GoneEndpoint[],
   nowMs: number,
@@ -225,7 +225,7 @@
  * @param nowMs - The current time.
  * @returns The crash to record against the run's task; undefined if the endpoint did not crash.
  */
-export const judgeCrash = (
+export const assessCrash = (
   state: BatchState,
   gone: GoneEndpoint,
   run: RunState,
@@ -237,8 +237,8 @@
     run: run.run,
     livedMs: livedMs(endpoint, run),
     isConfirmed: wasPresentAtCrash(gone, run),
-    isSuspected: !isSettled(endpoint, run),
-    isSoleSuspect: lastRunsOf(endpoint).every((other) => isUnlikelyCause(endpoint, run, other)),
+    isSuspected: !hasSurvivedObservation(endpoint, run),
+    isSoleSuspect: lastReportedRuns(endpoint).every((other) => isUnlikelyCause(endpoint, run, other)),
     isCorrelated: isCorrelated(state, gone),
     fence: state.fence,
     countedAtMs: Math.round(nowMs + state.wallClockOffsetMs),
@@ -276,7 +276,7 @@
  * @returns The number of crashes, the fencing tokens of the leaders that recorded them, the age of the first one, and the
  *   details of the last; no fields if there was no crash.
  */
-export const crashFields = (
+export const crashLogFields = (
   { crashes }: Pick<Task, 'crashes'>,
   endpoint: EndpointState,
   todayMs: number,
@@ -292,6 +292,6 @@
     isSuspected: last.isSuspected,
     isSoleSuspect: last.isSoleSuspect,
     isCorrelated: last.isCorrelated,
-    others: lastRunsOf(endpoint).length - 1,
+    others: lastReportedRuns(endpoint).length - 1,
   };
 };
--- a/packages/core/src/batch/crashes/inherited-losses.ts
+++ b/packages/core/src/batch/crashes/inherited-losses.ts
@@ -28,7 +28,7 @@
  * @param state - The scheduler's state, changed in place.
  * @param hosts - The host list.
  */
-export const noteLossesBefore = (state: BatchState, hosts: readonly ListedHost[]): void =>
+export const markPoolsWithDownHosts = (state: BatchState, hosts: readonly ListedHost[]): void =>
   hosts
     .filter((host) => host.state === 'down')
     .forEach(({ pool }) => {
@@ -54,7 +54,7 @@
  * @param endpoints - Its endpoints.
  * @returns True if a host of the pool was down in the first read of the host list, or if an endpoint had just started.
  */
-export const hasLossBefore = (
+export const mayHaveLostEndpoints = (
   state: BatchState,
   pool: PoolState,
   endpoints: readonly EndpointState[],
@@ -71,7 +71,7 @@
  * @returns True if the start must be recorded first, provided that the pool may have lost an endpoint before the
  *   takeover.
  */
-export const isFirstStartOfInherited = (
+export const isFirstStartOfInheritedTask = (
   { fence }: BatchState,
   { job }: StepRun,
   { lastRun }: Task,
--- a/packages/core/src/batch/crashes/isolation.ts
+++ b/packages/core/src/batch/crashes/isolation.ts
@@ -4,8 +4,8 @@
  * the crash is conclusive. If it does not, little is lost: other tasks are placed elsewhere for a quarter of a second.
  */
 import type { EndpointId } from '../../shared/ids.js';
-import { isSettled, isSuspect } from './endpoint-crashes.js';
-import { isWritten } from './trials.js';
+import { hasSurvivedObservation, isSuspect } from './endpoint-crashes.js';
+import { areCrashRecordsWritten } from './trials.js';
 import type { StepSpec } from '../model/job.js';
 import { reservedCpu } from '../endpoints/runs.js';
 import type {
@@ -37,7 +37,7 @@
 export type IsolatedEndpoints = ReadonlyMap<EndpointId, JobState>;
 
 /** No endpoint is reserved. */
-export const NONE_ISOLATED: IsolatedEndpoints = new Map();
+export const NO_ISOLATED_ENDPOINTS: IsolatedEndpoints = new Map();
 
 /**
  * Lists the tasks of a step that are waiting to be started in isolation.
@@ -55,7 +55,7 @@
 
 /** Tells whether a run of a suspect has not yet survived the observation period. */
 const isUnproven = (endpoint: EndpointState, run: RunState): boolean =>
-  isSuspect(run.task) && !isSettled(endpoint, run);
+  isSuspect(run.task) && !hasSurvivedObservation(endpoint, run);
 
 /** Lists the endpoints that have tasks of a job. */
 const endpointsWith = (state: BatchState, { occurrences }: JobState): readonly EndpointState[] => {
@@ -109,7 +109,7 @@
  * @param step - The step.
  * @returns The number of tasks; Infinity for tasks that need no resources.
  */
-export const couldBegin = (endpoint: EndpointState, step: StepRun): number => {
+export const countStartable = (endpoint: EndpointState, step: StepRun): number => {
   const { endpointId, labels, capacity } = endpoint;
   const { spec, perEndpoint, job } = step;
   if (spec.requiredLabel !== '' && !labels.includes(spec.requiredLabel)) return 0;
@@ -131,13 +131,13 @@
 
 /** Tells whether endpoints have capacity for a number of tasks of a step. */
 const haveCapacity = (chosen: readonly EndpointState[], step: StepRun, tasks: number): boolean =>
-  chosen.reduce((sum, endpoint) => sum + couldBegin(endpoint, step), 0) >= tasks;
+  chosen.reduce((sum, endpoint) => sum + countStartable(endpoint, step), 0) >= tasks;
 
 /** A waiting step with suspects, and the endpoints that could be reserved for it. */
 export type IsolationRequest = {
   readonly step: StepRun;
   /** The endpoints of the pool that accept new work and may run the step. */
-  readonly admitted: readonly EndpointState[];
+  readonly eligible: readonly EndpointState[];
 };
 
 /** Returns how many endpoints of a pool may be reserved at once. */
@@ -165,13 +165,13 @@
 ): IsolatedEndpoints => {
   const isolated = endpointsWithUnprovenRuns(state);
   const most = maxReservedEndpoints(endpoints);
-  requests.forEach(({ step, admitted }) => {
+  requests.forEach(({ step, eligible }) => {
     const { job } = step;
     const { length: waiting } = waitingSuspects(state, step);
-    if (!isWritten(job)) return;
-    const chosen = admitted.filter(({ endpointId }) => isolated.get(endpointId) === job);
-    const free = admitted
-      .filter((one) => !isolated.has(one.endpointId) && couldBegin(one, step) > 0)
+    if (!areCrashRecordsWritten(job)) return;
+    const chosen = eligible.filter(({ endpointId }) => isolated.get(endpointId) === job);
+    const free = eligible
+      .filter((one) => !isolated.has(one.endpointId) && countStartable(one, step) > 0)
       .sort(byFewestOtherRuns(job));
     // A gang must get all the endpoints that it needs at once. If nothing else is reserved, it may exceed the share.
     const mayExceed = step.spec.isGang && isolated.size === 0;
@@ -197,18 +197,18 @@
  * @returns The endpoints reserved for the step's job that run only tasks of the job and settled long-running tasks of
  *   others, or, after a waiting time, settled tasks of any kind.
  */
-export const isolatedPlaces = (
+export const findIsolatedEndpoints = (
   isolated: IsolatedEndpoints,
-  { step, admitted }: IsolationRequest,
+  { step, eligible }: IsolationRequest,
   nowMs: number,
 ): readonly EndpointState[] => {
   const { job } = step;
-  if (!isWritten(job)) return [];
+  if (!areCrashRecordsWritten(job)) return [];
   const endedAtMs = Math.max(0, ...step.tasks.map(({ lastEnd }) => lastEnd?.countedAtMs ?? 0));
   const isWaiting = nowMs - endedAtMs < MAX_WAIT_MS;
   const mayShareWith = (endpoint: EndpointState, run: RunState): boolean =>
-    isSettled(endpoint, run) && (run.step.spec.isLasting || !isWaiting);
-  return admitted.filter(
+    hasSurvivedObservation(endpoint, run) && (run.step.spec.isLasting || !isWaiting);
+  return eligible.filter(
     (endpoint) =>
       isolated.get(endpoint.endpointId) === job &&
       runsOfOtherJobs(endpoint, job).every((run) => mayShareWith(endpoint, run)),
--- a/packages/core/src/batch/crashes/trials.ts
+++ b/packages/core/src/batch/crashes/trials.ts
@@ -4,7 +4,7 @@
  * and the next leader counts it as a crash unless an endpoint reports what became of the run.
  */
 import { change } from '../../shared/change.js';
-import { isSettled } from './endpoint-crashes.js';
+import { hasSurvivedObservation } from './endpoint-crashes.js';
 import { nextRunNumber } from '../endpoints/runs.js';
 import type {
   BatchState,
@@ -25,7 +25,7 @@
  * @param task - The task.
  * @returns The run number; undefined if no trial start is open.
  */
-export const openTrialOf = (
+export const findOpenTrialRun = (
   task: Pick<Task, 'trial' | 'lastEnd' | 'crashes'>,
 ): number | undefined =>
   task.trial && !hasKnownEnd(task as Task, task.trial.run) ? task.trial.run : undefined;
@@ -36,8 +36,8 @@
  * @param task - The task.
  * @returns The run number; undefined if a trial start must be announced first.
  */
-export const announcedRunOf = (task: Task): number | undefined =>
-  task.trial?.isInherited === false ? openTrialOf(task) : undefined;
+export const findAnnouncedRun = (task: Task): number | undefined =>
+  task.trial?.isInherited === false ? findOpenTrialRun(task) : undefined;
 
 /**
  * Tells whether all recorded crashes and trial starts are in the job's row, so that the next leader will know of them.
@@ -45,7 +45,7 @@
  * @param job - The job.
  * @returns False while a write is pending.
  */
-export const isWritten = ({ crashRecordRevision, writtenCrashRecordRevision }: JobState): boolean =>
+export const areCrashRecordsWritten = ({ crashRecordRevision, writtenCrashRecordRevision }: JobState): boolean =>
   writtenCrashRecordRevision >= crashRecordRevision;
 
 /**
@@ -70,7 +70,7 @@
  * @param task - The task, changed in place.
  * @param run - The run number.
  */
-export const inheritTrial = (task: Task, run: number): void =>
+export const restoreTrial = (task: Task, run: number): void =>
   change(task, { trial: { run, isInherited: true }, lastRun: Math.max(task.lastRun, run) });
 
 /**
@@ -84,7 +84,7 @@
 export const countLostTrials = (state: BatchState, step: StepRun, nowMs: number): void => {
   const { job, tasks } = step;
   const lost = tasks.flatMap((task) => {
-    const run = openTrialOf(task);
+    const run = findOpenTrialRun(task);
     const isLost = run !== undefined && task.trial?.isInherited && task.phase === 'waiting';
     return isLost ? [{ task, run }] : [];
   });
@@ -120,7 +120,7 @@
  */
 export const closeTrial = (state: BatchState, endpoint: EndpointState, run: RunState): void => {
   const { task, step } = run;
-  if (task.trial?.run !== run.run || !isSettled(endpoint, run)) return;
+  if (task.trial?.run !== run.run || !hasSurvivedObservation(endpoint, run)) return;
   change(task, { trial: null });
   state.effects.push({ kind: 'save', jobId: step.job.job.jobId, isUrgent: false });
 };
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -5,7 +5,7 @@
  * started elsewhere until the next incarnation has reported, or until the order can have no effect any more.
  */
 import { change } from '../../shared/change.js';
-import { judgeCrash, recordCrash } from '../crashes/endpoint-crashes.js';
+import { assessCrash, recordCrash } from '../crashes/endpoint-crashes.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { failJobIfCrashing } from '../jobs/give-up.js';
 import { isStartInTransit, unansweredStartsAt, type RunKey } from './open-starts.js';
@@ -147,7 +147,7 @@
   run: RunState,
   nowMs: number,
 ): void => {
-  const crash = gone.crashesByRun ? gone.crashesByRun.get(run) : judgeCrash(state, gone, run, nowMs);
+  const crash = gone.crashesByRun ? gone.crashesByRun.get(run) : assessCrash(state, gone, run, nowMs);
   if (crash && !isFinal(run.step.job.phase)) recordCrash(state, run, crash);
   logRunFollowed(state, run, [gone.endpoint, next], 'barred');
   const moved = moveRun(state, { from: gone.endpoint, to: next, run, phase: 'unsure' });
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -6,10 +6,10 @@
 import type { EndpointId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import {
-  crashFields,
-  judgeCrash,
-  lastRunsOf,
-  noteCrashes,
+  crashLogFields,
+  assessCrash,
+  lastReportedRuns,
+  addRecentCrashes,
   recordCrash,
 } from '../crashes/endpoint-crashes.js';
 import { removeFromDomains } from '../domains/domains.js';
@@ -62,8 +62,8 @@
 
 /** Decides for each run of a gone endpoint whether the crash counts against it, while all its runs are still known. */
 const judgeRuns = (state: BatchState, gone: GoneEndpoint, nowMs: number): void => {
-  const judged = lastRunsOf(gone.endpoint).flatMap((run) => {
-    const crash = judgeCrash(state, gone, run, nowMs);
+  const judged = lastReportedRuns(gone.endpoint).flatMap((run) => {
+    const crash = assessCrash(state, gone, run, nowMs);
     return crash ? [[run, crash] as const] : [];
   });
   change(gone, { crashesByRun: new Map(judged) });
@@ -83,7 +83,7 @@
   });
   judged.forEach(({ run, crash }) => recordCrash(state, run, crash));
   const todayMs = nowMs + state.wallClockOffsetMs;
-  return new Map(judged.map(({ run }) => [run, crashFields(run.task, endpoint, todayMs)]));
+  return new Map(judged.map(({ run }) => [run, crashLogFields(run.task, endpoint, todayMs)]));
 };
 
 /** Logs the end of the endpoint also for a run that was given up earlier, when the endpoint's lease ended. */
@@ -147,7 +147,7 @@
   if (state.goneEndpoints.size === 0 || !isSoleHolder(state, nowMs)) return;
   const gone = Array.from(state.goneEndpoints.values());
   const unjudged = gone.filter(({ crashesByRun }) => crashesByRun === null);
-  noteCrashes(state, unjudged, nowMs);
+  addRecentCrashes(state, unjudged, nowMs);
   unjudged.forEach((one) => {
     judgeRuns(state, one, nowMs);
     stopAwaitingReport(state, one);
--- a/packages/core/src/batch/jobs/progress.ts
+++ b/packages/core/src/batch/jobs/progress.ts
@@ -7,7 +7,7 @@
 import { addOccurrence, createJobState } from './create-job.js';
 import { startDueOccurrences, endJob, completeTask } from './jobs.js';
 import { giveUpReason } from '../crashes/endpoint-crashes.js';
-import { inheritTrial, openTrialOf } from '../crashes/trials.js';
+import { restoreTrial, findOpenTrialRun } from '../crashes/trials.js';
 import type { BatchJob, FinalPhase, QueuePolicy } from '../model/job.js';
 import {
   isFinal,
@@ -69,7 +69,7 @@
     .filter((task) => task.crashes.length > 0)
     .map((task) => [task.index, task.crashes] as const);
   const trials = step.tasks.flatMap((task) => {
-    const run = openTrialOf(task);
+    const run = findOpenTrialRun(task);
     return run === undefined ? [] : [[task.index, run] as const];
   });
   const isEmpty = [failed, crashes, trials].every(({ length }) => length === 0);
@@ -155,7 +155,7 @@
   trials.forEach(([index, run]) => {
     const task = step.tasks[index];
     if (!task) return;
-    inheritTrial(task, run);
+    restoreTrial(task, run);
     state.suspectJobs.add(step.job);
   });
   step.tasks.forEach((task) => {
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -3,9 +3,9 @@
  * be written to the job's row first.
  */
 import type { InstanceId } from '../../shared/ids.js';
-import { isFirstStartOfInherited } from '../crashes/inherited-losses.js';
+import { isFirstStartOfInheritedTask } from '../crashes/inherited-losses.js';
 import { waitingSuspects } from '../crashes/isolation.js';
-import { announcedRunOf, announceTrials, isWritten } from '../crashes/trials.js';
+import { findAnnouncedRun, announceTrials, areCrashRecordsWritten } from '../crashes/trials.js';
 import { mayRunInheritedTask } from '../endpoints/sound-endpoints.js';
 import {
   isSoleHolder,
@@ -78,10 +78,10 @@
   step: StepRun,
   tasks: readonly Task[],
 ): readonly Task[] => {
-  const needsAnnouncement = (task: Task): boolean => isFirstStartOfInherited(state, step, task);
+  const needsAnnouncement = (task: Task): boolean => isFirstStartOfInheritedTask(state, step, task);
   const unannounced = tasks.filter(
-    (task) => needsAnnouncement(task) && announcedRunOf(task) === undefined,
+    (task) => needsAnnouncement(task) && findAnnouncedRun(task) === undefined,
   );
   if (unannounced.length > 0) announceTrials(state, step, unannounced);
-  return isWritten(step.job) ? tasks : tasks.filter((task) => !needsAnnouncement(task));
+  return areCrashRecordsWritten(step.job) ? tasks : tasks.filter((task) => !needsAnnouncement(task));
 };
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -9,8 +9,8 @@
 import { failJobIfCrashing } from '../jobs/give-up.js';
 import { sortByRank, listRankedSteps } from './ranking.js';
 import { logTaskRestart } from '../endpoints/run-end.js';
-import { hasLossBefore } from '../crashes/inherited-losses.js';
-import { announcedRunOf, announceTrials, countLostTrials } from '../crashes/trials.js';
+import { mayHaveLostEndpoints } from '../crashes/inherited-losses.js';
+import { findAnnouncedRun, announceTrials, countLostTrials } from '../crashes/trials.js';
 import { announceInheritedStarts, awaitsReports, startableTasks } from './inherited-tasks.js';
 import { isRankedWithinShare } from '../accounts/shares.js';
 import { isWithinQuota } from '../accounts/quota.js';
@@ -20,10 +20,10 @@
 import { canHoldTask, schedulableEndpoints } from '../endpoints/sound-endpoints.js';
 import { addRun, nextRunNumber } from '../endpoints/runs.js';
 import {
-  couldBegin,
-  NONE_ISOLATED,
+  countStartable,
+  NO_ISOLATED_ENDPOINTS,
   planIsolation,
-  isolatedPlaces,
+  findIsolatedEndpoints,
   waitingSuspects,
   type IsolationRequest,
   type IsolatedEndpoints,
@@ -90,7 +90,7 @@
     if (!isWithinQuota(state, step)) return false;
     const endpoint = candidates.choose(task);
     if (!endpoint) return false;
-    const run = announcedRunOf(task) ?? nextRunNumber(state.fence, task.lastRun);
+    const run = findAnnouncedRun(task) ?? nextRunNumber(state.fence, task.lastRun);
     startRun(placing, task, { endpoint, run, reason: table.name });
     candidates.recordPlacement(endpoint);
     return true;
@@ -106,7 +106,7 @@
   const places = findGangPlaces(step, endpoints);
   if (!places) return false;
   const lastRun = Math.max(...step.tasks.map((task) => task.lastRun));
-  const announced = step.tasks.find((task) => announcedRunOf(task) !== undefined);
+  const announced = step.tasks.find((task) => findAnnouncedRun(task) !== undefined);
   const run = announced?.trial?.run ?? nextRunNumber(state.fence, lastRun);
   const checkpoint = step.tasks.find((task) => task.checkpoint !== '')?.checkpoint ?? '';
   step.tasks.forEach((task, index) => {
@@ -162,7 +162,7 @@
   if (endpoints.length === 0) return false;
   const { state, step } = placing;
   const { isGang } = step.spec;
-  const unannounced = suspects.filter((task) => announcedRunOf(task) === undefined);
+  const unannounced = suspects.filter((task) => findAnnouncedRun(task) === undefined);
   if (unannounced.length > 0) {
     announceTrials(state, step, isGang ? step.tasks : unannounced);
     return true;
@@ -179,7 +179,7 @@
   endpoints: readonly EndpointState[],
 ): void => {
   if (step.advice === null) return;
-  const couldHold = endpoints.filter((endpoint) => couldBegin(endpoint, step) > 0);
+  const couldHold = endpoints.filter((endpoint) => countStartable(endpoint, step) > 0);
   requestAdvice(state, step, couldHold, nowMs);
 };
 
@@ -206,14 +206,14 @@
     .filter((step) => waitingSuspects(state, step).length > 0)
     .map((step): IsolationRequest => ({
       step,
-      admitted: admittedEndpoints(step, endpoints, nowMs),
+      eligible: admittedEndpoints(step, endpoints, nowMs),
     }));
   const isolated = planIsolation(state, requests, endpoints);
   requests.forEach((request) => {
     if (state.startsLeft <= 0) return;
     const { step } = request;
     const placing: PlacingStep = { state, step, nowMs };
-    const places = isolatedPlaces(isolated, request, nowMs);
+    const places = findIsolatedEndpoints(isolated, request, nowMs);
     const isPlaced = placeSuspects(placing, places, waitingSuspects(state, step));
     if (!isPlaced) requestAdviceForSuspects(placing, endpoints);
   });
@@ -315,14 +315,14 @@
   const pass: PoolPass = {
     state,
     endpoints,
-    mayHaveCrashed: once(() => hasLossBefore(state, pool, endpoints)),
+    mayHaveCrashed: once(() => mayHaveLostEndpoints(state, pool, endpoints)),
     nowMs,
   };
   const mayBegin = (step: StepRun): boolean =>
     !awaitsReports(state, pool, step, nowMs) || startableTasks(state, pool, step, nowMs).length > 0;
   const isolated = hasSuspects
     ? placeIsolated(pass, liveSuspects(pass, pool, Array.from(pool.openSteps).filter(mayBegin)))
-    : NONE_ISOLATED;
+    : NO_ISOLATED_ENDPOINTS;
   const shared =
     isolated.size === 0
       ? endpoints
--- a/packages/daemon/src/batch/hosts/host-roster.ts
+++ b/packages/daemon/src/batch/hosts/host-roster.ts
@@ -3,7 +3,7 @@
   createHostInventory,
   dropUnlistedPendingReports,
   addPendingReports,
-  noteLossesBefore,
+  markPoolsWithDownHosts,
   findDeadEndpoints,
   applyHostList,
   type BatchState,
@@ -108,7 +108,7 @@
     );
     expected = living;
     addPendingReports(state, living);
-    noteLossesBefore(state, list);
+    markPoolsWithDownHosts(state, list);
     change(state, { isHostListAwaited: false });
   };
 
