--- a/packages/core/src/batch/accounts/pool-shares.test.ts
+++ b/packages/core/src/batch/accounts/pool-shares.test.ts
@@ -3,12 +3,12 @@
 
 import { brand, type AccountName, type PoolName } from '../../shared/ids.js';
 import {
-  playFleet,
-  shareInTime,
-  type PlayedClient,
-  type PlayedFleet,
-  type PlayedJob,
-  type PlayedPool,
+  simulateFleet,
+  shareWithinObjective,
+  type SimulatedClient,
+  type FleetSimulationResult,
+  type SimulatedJob,
+  type SimulatedPool,
 } from '../testing/fleet-play.fixtures.js';
 
 const FOR_MS = 32_000;
@@ -23,7 +23,7 @@
 const HEAVY_FROM_MS = 17_000;
 const HEAVY_FOR_MS = 8000;
 
-const POOLS: readonly PlayedPool[] = ['a', 'b', 'c', 'd'].map((name) => ({
+const POOLS: readonly SimulatedPool[] = ['a', 'b', 'c', 'd'].map((name) => ({
   name: brand<PoolName>(name),
   hosts: 8,
   taskCpu: 6200,
@@ -34,7 +34,7 @@
 const isPeak = (index: number, nowMs: number): boolean =>
   Math.floor((nowMs % PERIOD_MS) / PEAK_MS) === index;
 
-const regularClients: readonly PlayedClient[] = POOLS.flatMap(({ name: pool }, index) =>
+const regularClients: readonly SimulatedClient[] = POOLS.flatMap(({ name: pool }, index) =>
   Array.from({ length: ACCOUNTS_PER_POOL }, (_, number) => ({
     name: brand<AccountName>(`${pool}-${number}`),
     pool,
@@ -44,7 +44,7 @@
   })),
 );
 
-const heavyClient = (factor: number): PlayedClient => ({
+const heavyClient = (factor: number): SimulatedClient => ({
   name: brand('heavy'),
   pool: brand('a'),
   weight: WEIGHT,
@@ -52,15 +52,15 @@
     nowMs >= HEAVY_FROM_MS && nowMs < HEAVY_FROM_MS + HEAVY_FOR_MS ? factor * WEIGHT : 0,
 });
 
-const simulate = (clients: readonly PlayedClient[], isAdmissionOn: boolean): PlayedFleet =>
-  playFleet({ pools: POOLS, spareHosts: SPARE_HOSTS, clients, forMs: FOR_MS, isAdmissionOn });
+const simulate = (clients: readonly SimulatedClient[], isAdmissionOn: boolean): FleetSimulationResult =>
+  simulateFleet({ pools: POOLS, spareHosts: SPARE_HOSTS, clients, submitForMs: FOR_MS, isAdmissionOn });
 
-const isOfOtherAccount = ({ client, atMs }: PlayedJob): boolean =>
+const isOfOtherAccount = ({ client, atMs }: SimulatedJob): boolean =>
   client.name !== 'heavy' && atMs >= HEAVY_FROM_MS;
 
-const othersInTime = ({ jobs }: PlayedFleet): readonly number[] =>
+const othersInTime = ({ jobs }: FleetSimulationResult): readonly number[] =>
   POOLS.map(({ name }) =>
-    shareInTime(jobs.filter((job) => isOfOtherAccount(job) && job.client.pool === name)),
+    shareWithinObjective(jobs.filter((job) => isOfOtherAccount(job) && job.client.pool === name)),
   );
 
 const mean = (values: readonly number[]): number =>
@@ -95,7 +95,7 @@
     'at %s times its weight has more of its jobs refused than the other accounts',
     (factor) => {
       const { jobs } = simulate([...regularClients, heavyClient(factor)], true);
-      const refusedRatio = (selected: readonly PlayedJob[]): number =>
+      const refusedRatio = (selected: readonly SimulatedJob[]): number =>
         selected.filter(({ refusals }) => refusals > 0).length / selected.length;
       const heavyRefusedRatio = refusedRatio(jobs.filter(({ client }) => client.name === 'heavy'));
       expect(heavyRefusedRatio).toBeGreaterThan(0.1);
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -5,13 +5,13 @@
 import type { JobOwner } from '../model/accounts.js';
 import { NO_LIMIT } from '../model/capacity.js';
 import {
-  answer,
+  applyAnswer,
   FIRST,
   POOL,
   SECOND,
-  see,
+  addEndpoint,
   submitJob,
-  type Submission,
+  type JobOptions,
 } from '../testing/batch-state.fixtures.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { addPendingReports } from '../endpoints/endpoints.js';
@@ -38,7 +38,7 @@
   maximum: { ...NO_LIMIT, cpuMillis },
 });
 
-const submit = (state: BatchState, jobId: JobId, submission: Submission): void => {
+const submit = (state: BatchState, jobId: JobId, submission: JobOptions): void => {
   submitJob(state, jobId, submission);
   if (submission.owner) recordOwnerLimits(state, submission.owner);
 };
@@ -47,8 +47,8 @@
 const stateWithTwoEndpoints = (): BatchState => {
   const state = createBatchState(2);
   [FIRST, SECOND].forEach((endpointId) => {
-    see(state, endpointId);
-    answer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
+    addEndpoint(state, endpointId);
+    applyAnswer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
   });
   return state;
 };
@@ -176,7 +176,7 @@
   /** The state of a new control holder with three endpoints, the last of which has not reported yet. */
   const stateAfterTakeover = (step: Partial<StepSpec>): BatchState => {
     const state = stateWithTwoEndpoints();
-    see(state, THIRD);
+    addEndpoint(state, THIRD);
     addPendingReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
     state.inheritedLeasesEndAtMs = 9000;
     submit(state, JOBS[0], { step, owner: ownerOf(NORTH, 10_000), isInherited: true });
@@ -210,7 +210,7 @@
 
   it('no longer count once all endpoints have reported', () => {
     const state = stateAfterTakeover({ taskCount: 4 });
-    answer(state, { endpointId: THIRD, requestedAtMs: 30, nowMs: 40 });
+    applyAnswer(state, { endpointId: THIRD, requestedAtMs: 30, nowMs: 40 });
     estimateUnreportedUsage(state, 50);
     expect(state.unreportedUsage.size).toBe(0);
   });
@@ -226,9 +226,9 @@
       percent: 1,
       figure: 0,
     };
-    answer(state, { running: [listed], requestedAtMs: 30, nowMs: 40 });
+    applyAnswer(state, { running: [listed], requestedAtMs: 30, nowMs: 40 });
     expect(state.usage.get(NORTH)).toMatchObject({ cpuMillis: 1000 });
-    answer(state, { requestedAtMs: 50, nowMs: 60 });
+    applyAnswer(state, { requestedAtMs: 50, nowMs: 60 });
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 });
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-play.fixtures.ts
@@ -3,7 +3,7 @@
  */
 import { brand, type AccountName, type EndpointId, type JobId } from '../../shared/ids.js';
 import { NO_LIMIT } from '../model/capacity.js';
-import { answer, POOL, see } from '../testing/batch-state.fixtures.js';
+import { applyAnswer, POOL, addEndpoint } from '../testing/batch-state.fixtures.js';
 import type { TaskKey } from '../model/job.js';
 import { addJob } from '../jobs/jobs.js';
 import type { QueueOrder } from '../model/order-ways.js';
@@ -61,7 +61,7 @@
   const limits = accounts.map(({ name, weight }) => [name, { weight, maximum: NO_LIMIT }] as const);
   setAccounts(state, new Map(limits));
   const ids = Array.from({ length: endpoints }, (_, index) => brand<EndpointId>(`i-${index}`));
-  ids.forEach((endpointId) => see(state, endpointId));
+  ids.forEach((endpointId) => addEndpoint(state, endpointId));
   const random = createRandom();
   const submissions = new Map<JobId, { readonly name: AccountName; readonly atMs: number }>();
   const inTime = new Map<AccountName, number>();
@@ -116,7 +116,7 @@
     });
     ids.forEach((endpointId) => {
       const due = ends.filter((entry) => entry.endpointId === endpointId && entry.atMs === nowMs);
-      answer(state, { endpointId, ended: due.map(({ end }) => end), requestedAtMs: 0, nowMs });
+      applyAnswer(state, { endpointId, ended: due.map(({ end }) => end), requestedAtMs: 0, nowMs });
     });
     countCompleted(nowMs);
     schedulePool(state, POOL, nowMs);
--- a/packages/core/src/batch/crashes/isolation.test.ts
+++ b/packages/core/src/batch/crashes/isolation.test.ts
@@ -4,13 +4,13 @@
 import { change } from '../../shared/change.js';
 import { brand, type EndpointId, type JobId } from '../../shared/ids.js';
 import {
-  answer,
+  applyAnswer,
   FIRST,
   POOL,
   SECOND,
-  scheduleWritten,
-  see,
-  writeRows,
+  scheduleAfterWrites,
+  addEndpoint,
+  markRowsWritten,
   submitJob,
 } from '../testing/batch-state.fixtures.js';
 import { giveUpReason } from './endpoint-crashes.js';
@@ -53,7 +53,7 @@
     percent: 100,
     figure: 0,
   }));
-  answer(state, { endpointId, running, requestedAtMs: nowMs - 1, nowMs });
+  applyAnswer(state, { endpointId, running, requestedAtMs: nowMs - 1, nowMs });
 };
 
 /** Has endpoints report all of their runs as done. */
@@ -71,7 +71,7 @@
       kind: 'done' as const,
       checkpoint: '',
     }));
-    answer(state, { endpointId, ended, requestedAtMs: nowMs - 1, nowMs });
+    applyAnswer(state, { endpointId, ended, requestedAtMs: nowMs - 1, nowMs });
   });
 
 const crash = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
@@ -82,12 +82,12 @@
 /** Creates a state in which the first of three endpoints has crashed while it ran the tasks of a job. */
 const afterCrash = (step: Partial<StepSpec> = {}): BatchState => {
   const state = createBatchState(2);
-  see(state, FIRST);
+  addEndpoint(state, FIRST);
   reportRunning(state, FIRST, 10);
   submit(state, SUSPECT, step, 20);
   schedulePool(state, POOL, 20);
   [SECOND, THIRD].forEach((endpointId) => {
-    see(state, endpointId, 25);
+    addEndpoint(state, endpointId, 25);
     reportRunning(state, endpointId, 30);
   });
   crash(state, FIRST, 1000);
@@ -98,13 +98,13 @@
   /** Two other endpoints crash 0.7 s and 0.2 s before the endpoint of a task. */
   const isCorrelatedWith = ([one, other]: readonly [EndpointId, EndpointId]): boolean => {
     const state = createBatchState(2);
-    see(state, FIRST);
+    addEndpoint(state, FIRST);
     reportRunning(state, FIRST, 10);
     submit(state, SUSPECT, {}, 20);
     schedulePool(state, POOL, 20);
-    see(state, one, 30);
+    addEndpoint(state, one, 30);
     crash(state, one, 300);
-    see(state, other, 400);
+    addEndpoint(state, other, 400);
     crash(state, other, 800);
     crash(state, FIRST, 1000);
     return tasksOf(state, SUSPECT)[0]?.crashes[0]?.isCorrelated ?? false;
@@ -124,16 +124,16 @@
     const state = afterCrash();
     schedulePool(state, POOL, 1010);
     expect(placesOf(state, SUSPECT)).toEqual([]);
-    scheduleWritten(state, 1020);
+    scheduleAfterWrites(state, 1020);
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
   it('is started only after its trial start has been written, too', () => {
     const state = afterCrash();
-    writeRows(state);
+    markRowsWritten(state);
     schedulePool(state, POOL, 1010);
     expect(placesOf(state, SUSPECT)).toEqual([]);
-    writeRows(state);
+    markRowsWritten(state);
     schedulePool(state, POOL, 1020);
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
@@ -141,7 +141,7 @@
   describe('and whose trial start a lost leader had announced', () => {
     const takeOver = (): BatchState => {
       const before = afterCrash();
-      writeRows(before);
+      markRowsWritten(before);
       schedulePool(before, POOL, 1010);
       const job = before.jobs.get(SUSPECT) as JobState;
       const state = createBatchState(3);
@@ -152,14 +152,14 @@
         nowMs: 2000,
         wallClockMs: 2000,
       });
-      see(state, SECOND, 2000);
+      addEndpoint(state, SECOND, 2000);
       reportRunning(state, SECOND, 2010);
       return state;
     };
 
     it('has the trial start counted as a crash if no endpoint reports the run', () => {
       const state = takeOver();
-      scheduleWritten(state, 2020);
+      scheduleAfterWrites(state, 2020);
       expect(tasksOf(state, SUSPECT)[0]?.crashes).toMatchObject([
         { isSuspected: true },
         { isConfirmed: false, isSuspected: true, fence: 3 },
@@ -170,14 +170,14 @@
       const state = takeOver();
       state.inheritedLeasesEndAtMs = 9000;
       addPendingReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
-      scheduleWritten(state, 2020);
+      scheduleAfterWrites(state, 2020);
       expect(tasksOf(state, SUSPECT)[0]?.crashes).toHaveLength(1);
     });
   });
 
   it('has an endpoint to itself until the endpoint has survived the observation period', () => {
     const state = afterCrash();
-    scheduleWritten(state, 1020);
+    scheduleAfterWrites(state, 1020);
     const [place] = placesOf(state, SUSPECT);
     submit(state, OTHER, { taskCount: 12 }, 1030);
     schedulePool(state, POOL, 1030);
@@ -193,10 +193,10 @@
     const state = afterCrash();
     submit(state, OTHER, { taskCount: 2, mostPerEndpoint: 1, cpuMillis: 6000 }, 1000);
     schedulePool(state, POOL, 1000);
-    writeRows(state);
+    markRowsWritten(state);
     const pass = (nowMs: number): readonly EndpointId[] => {
       [SECOND, THIRD].forEach((endpointId) => reportRunning(state, endpointId, nowMs));
-      scheduleWritten(state, nowMs);
+      scheduleAfterWrites(state, nowMs);
       return placesOf(state, SUSPECT);
     };
     expect(pass(1100)).toEqual([]);
@@ -207,7 +207,7 @@
   it('is placed on an endpoint that the limit per endpoint of its own step leaves free', () => {
     const state = createBatchState(2);
     const addLiveEndpoint = (endpointId: EndpointId, nowMs: number): void => {
-      see(state, endpointId, nowMs);
+      addEndpoint(state, endpointId, nowMs);
       reportRunning(state, endpointId, nowMs + 1);
     };
     [FIRST, SECOND].forEach((endpointId) => addLiveEndpoint(endpointId, 10));
@@ -215,7 +215,7 @@
     schedulePool(state, POOL, 20);
     [THIRD, FOURTH].forEach((endpointId) => addLiveEndpoint(endpointId, 25));
     [FIRST, SECOND].forEach((endpointId) => crash(state, endpointId, 1000));
-    scheduleWritten(state, 1020);
+    scheduleAfterWrites(state, 1020);
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
     [1040, 1400].forEach((nowMs) =>
       [THIRD, FOURTH].forEach((id) => reportRunning(state, id, nowMs)),
@@ -230,7 +230,7 @@
     submit(state, OTHER, { taskCount: 16 }, 10);
     schedulePool(state, POOL, 1000);
     expect(placesOf(state, OTHER)).toHaveLength(16);
-    writeRows(state);
+    markRowsWritten(state);
     return state;
   };
 
@@ -242,7 +242,7 @@
     });
     schedulePool(state, POOL, 1410);
     reportAllDone(state, [SECOND, THIRD], 1500);
-    scheduleWritten(state, 1510);
+    scheduleAfterWrites(state, 1510);
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
@@ -254,14 +254,14 @@
     schedulePool(state, POOL, 1001);
     submit(state, later, { taskCount: 16 }, 1002);
     reportAllDone(state, [SECOND], 1003);
-    scheduleWritten(state, 1004);
+    scheduleAfterWrites(state, 1004);
     expect(placesOf(state, later)).toEqual([]);
     expect(placesOf(state, SUSPECT)).toEqual(Array.from({ length: 8 }, () => SECOND));
   });
 
   it('leaves most of a pool to other jobs, however many suspects wait', () => {
     const state = afterCrash({ taskCount: 8 });
-    scheduleWritten(state, 1020);
+    scheduleAfterWrites(state, 1020);
     expect(new Set(placesOf(state, SUSPECT)).size).toBe(1);
     submit(state, OTHER, {}, 1030);
     schedulePool(state, POOL, 1030);
@@ -271,7 +271,7 @@
   it('is started with all members of its gang, away from runs of other jobs', () => {
     const state = afterCrash({ taskCount: 8, isGang: true });
     submit(state, OTHER, {}, 1010);
-    scheduleWritten(state, 1020);
+    scheduleAfterWrites(state, 1020);
     expect(placesOf(state, SUSPECT)).toHaveLength(8);
     expect(placesOf(state, SUSPECT)).not.toContain(placesOf(state, OTHER)[0]);
   });
@@ -280,7 +280,7 @@
 describe('an endpoint that crashed', () => {
   it('is not recorded against tasks of a job that has ended, and leaves no suspect job behind', () => {
     const state = createBatchState(2);
-    see(state, FIRST);
+    addEndpoint(state, FIRST);
     reportRunning(state, FIRST, 10);
     submit(state, SUSPECT, {}, 20);
     schedulePool(state, POOL, 20);
@@ -296,7 +296,7 @@
   /** Crashes an endpoint with one run that it has been alive with for the given time, and one that has just started. */
   const crashBesideRunOf = (livedMs: number): BatchState => {
     const state = createBatchState(2);
-    see(state, FIRST);
+    addEndpoint(state, FIRST);
     reportRunning(state, FIRST, 10);
     submit(state, OTHER, {}, 20);
     schedulePool(state, POOL, 20);
@@ -324,11 +324,11 @@
     const state = createBatchState(2);
     change(state, { takenOverAtMs: 0 });
     submit(state, OTHER, {}, 10);
-    see(state, FIRST);
+    addEndpoint(state, FIRST);
     const running = [
       { task: taskKey(OTHER, 0, 0, 0), run: 1001, checkpoint: '', percent: 5, figure: 0 },
     ];
-    answer(state, { endpointId: FIRST, running, requestedAtMs: 500, nowMs: 510 });
+    applyAnswer(state, { endpointId: FIRST, running, requestedAtMs: 500, nowMs: 510 });
     crash(state, FIRST, 1000);
     expect(isSuspectedOf(state, OTHER)).toBe(false);
   });
@@ -353,7 +353,7 @@
 
   it('is not recorded against a long-running task that had run there for 5 s', () => {
     const state = createBatchState(2);
-    see(state, FIRST);
+    addEndpoint(state, FIRST);
     reportRunning(state, FIRST, 10);
     submit(state, OTHER, { isLasting: true }, 20);
     schedulePool(state, POOL, 20);
--- a/packages/core/src/batch/domains/outage.test.ts
+++ b/packages/core/src/batch/domains/outage.test.ts
@@ -13,8 +13,8 @@
 } from '../model/state.js';
 import { createScheduleCycle } from '../placement/schedule-cycle.js';
 import { schedulePool } from '../placement/schedule.js';
-import { answer, JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
-import { seeAt, seeFleet, type RackedFleet } from '../testing/domains.fixtures.js';
+import { applyAnswer, JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
+import { addEndpointAt, addFleet, type RackedFleet } from '../testing/domains.fixtures.js';
 import { expireSuspicions, isSuspected, recordAnswered, recordUnanswered } from './outage.js';
 
 const RACK = brand<DomainId>('rack:dc-0/rack-0');
@@ -24,7 +24,7 @@
   fleet: RackedFleet,
 ): { readonly state: BatchState; readonly endpoints: readonly EndpointState[] } => {
   const state = createBatchState(2);
-  const endpoints = seeFleet(state, fleet);
+  const endpoints = addFleet(state, fleet);
   takeEffects(state);
   return { state, endpoints };
 };
@@ -76,7 +76,7 @@
     const { state, endpoints } = createFleet({ racks: 2, hostsPerRack: 4 });
     endpoints.slice(0, 4).forEach((endpoint) => {
       leaveUnanswered(state, [endpoint]);
-      answer(state, { endpointId: endpoint.endpointId, requestedAtMs: 110, nowMs: 120 });
+      applyAnswer(state, { endpointId: endpoint.endpointId, requestedAtMs: 110, nowMs: 120 });
     });
     expect(suspectedIn(state)).toEqual([]);
   });
@@ -170,7 +170,7 @@
   it('does not exclude an endpoint that was first seen after it began', () => {
     const { state, endpoints } = createFleet({ racks: 1, hostsPerRack: 2 });
     leaveUnanswered(state, endpoints);
-    const late = seeAt(state, { number: 9, dataCentre: 'dc-0', rack: 'rack-0' });
+    const late = addEndpointAt(state, { number: 9, dataCentre: 'dc-0', rack: 'rack-0' });
     expect(isSuspected(state, late)).toBe(false);
   });
 });
@@ -207,7 +207,7 @@
   it('are never suspected as a group', () => {
     const state = createBatchState(2);
     const endpoints = [0, 1, 2, 3].map((number) =>
-      seeAt(state, { number, dataCentre: '', rack: '' }),
+      addEndpointAt(state, { number, dataCentre: '', rack: '' }),
     );
     leaveUnanswered(state, endpoints);
     expect(suspectedIn(state)).toEqual([]);
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.test.ts
@@ -3,15 +3,15 @@
 
 import type { EndpointId } from '../../shared/ids.js';
 import {
-  answer,
+  applyAnswer,
   FIRST_RUN,
   JOB,
   SECOND,
-  see,
-  stateWithJob,
+  addEndpoint,
+  createStateWithJob,
   TASK,
   taskOf,
-  scheduleWritten,
+  scheduleAfterWrites,
 } from '../testing/batch-state.fixtures.js';
 import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
 import { blockUnansweredStarts } from './followed-runs.js';
@@ -40,12 +40,12 @@
 
   const runCycle = (nowMs: number): void => {
     giveUpRunsOfGoneEndpoints(state, nowMs);
-    scheduleWritten(state, nowMs);
+    scheduleAfterWrites(state, nowMs);
     effects.push(...takeEffects(state));
   };
 
   const respond = (endpointId: EndpointId, nowMs: number, lists: object = {}): void =>
-    answer(state, { endpointId, requestedAtMs: nowMs - 2, nowMs, ...lists });
+    applyAnswer(state, { endpointId, requestedAtMs: nowMs - 2, nowMs, ...lists });
 
   const stopOrdersAt = (endpointId: EndpointId) =>
     effects.filter((one) => one.kind === 'stop' && one.endpointId === endpointId);
@@ -56,20 +56,20 @@
   };
 
   const registerNextIncarnation = (): void => {
-    see(state, NEXT_INCARNATION, RESPONSE_AT_MS - 10);
+    addEndpoint(state, NEXT_INCARNATION, RESPONSE_AT_MS - 10);
     const next = state.endpoints.get(NEXT_INCARNATION);
     if (next) blockUnansweredStarts(state, next, RESPONSE_AT_MS - 10);
   };
 
   /** The task is ordered to start on the first incarnation; a second endpoint could run it as well. */
   beforeEach(() => {
-    state = stateWithJob();
+    state = createStateWithJob();
     effects = [];
-    see(state, FIRST_INCARNATION);
+    addEndpoint(state, FIRST_INCARNATION);
     respond(FIRST_INCARNATION, 10);
     runCycle(SENT_AT_MS);
     recordStartSent(state, FIRST_INCARNATION, ORDERED_RUN, SENT_AT_MS);
-    see(state, SECOND);
+    addEndpoint(state, SECOND);
     respond(SECOND, 30);
     expect(endpointsOf(state, taskOf(state))).toEqual([FIRST_INCARNATION]);
   });
--- a/packages/core/src/batch/endpoints/gone-endpoints.test.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.test.ts
@@ -2,14 +2,14 @@
 import { describe, expect, it } from 'vitest';
 
 import {
-  answer,
+  applyAnswer,
   FIRST,
   POOL,
   SECOND,
-  see,
-  stateWithJob,
+  addEndpoint,
+  createStateWithJob,
   taskOf,
-  scheduleWritten,
+  scheduleAfterWrites,
 } from '../testing/batch-state.fixtures.js';
 import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
 import { addPendingReports } from './endpoints.js';
@@ -22,31 +22,31 @@
 const SOLE_HOLDER_UNTIL_MS = 2400;
 
 const stateWith = (options: { readonly isInherited?: boolean } = {}): BatchState => {
-  const state = stateWithJob(options);
+  const state = createStateWithJob(options);
   state.soleHolderUntilMs = SOLE_HOLDER_UNTIL_MS;
   return state;
 };
 
 const respond = (state: BatchState, endpointId: EndpointId, nowMs: number): void =>
-  answer(state, { endpointId, requestedAtMs: nowMs - 1, nowMs });
+  applyAnswer(state, { endpointId, requestedAtMs: nowMs - 1, nowMs });
 
 const loseEndpoint = (state: BatchState, endpointId: EndpointId, nowMs: number): void =>
   removeEndpoint(state, endpointId, { detail: 'host-list', atMs: nowMs - 50, nowMs });
 
 const runCycle = (state: BatchState, nowMs: number): void => {
   giveUpRunsOfGoneEndpoints(state, nowMs);
-  scheduleWritten(state, nowMs);
+  scheduleAfterWrites(state, nowMs);
 };
 
 describe('an endpoint that is gone', () => {
   /** Starts a task on the first of two endpoints. */
   const stateWithRunningTask = (): BatchState => {
     const state = stateWith();
-    see(state, FIRST);
+    addEndpoint(state, FIRST);
     respond(state, FIRST, 10);
     runCycle(state, 20);
     expect(endpointsOf(state, taskOf(state))).toEqual([FIRST]);
-    see(state, SECOND);
+    addEndpoint(state, SECOND);
     respond(state, SECOND, 30);
     return state;
   };
@@ -98,7 +98,7 @@
       const next = endpointIdOf('i-0000000001', 2);
       const state = stateWith({ isInherited: true });
       Object.assign(state, { inheritedLeasesEndAtMs: 9000, soleHolderUntilMs: Infinity });
-      [life, SECOND].forEach((endpointId) => see(state, endpointId));
+      [life, SECOND].forEach((endpointId) => addEndpoint(state, endpointId));
       addPendingReports(state, [
         { instanceId: instanceIdOf(life), pool: POOL },
         { instanceId: instanceIdOf(SECOND), pool: POOL },
@@ -107,7 +107,7 @@
       removeEndpoint(state, life, { detail: 'restarted', atMs: 100, nowMs: 100 });
       runCycle(state, 100);
       expect(endpointsOf(state, taskOf(state))).toEqual([]);
-      see(state, next, 200);
+      addEndpoint(state, next, 200);
       respond(state, next, 300);
       runCycle(state, 300);
       expect(endpointsOf(state, taskOf(state))).toHaveLength(1);
@@ -115,8 +115,8 @@
 
     it('keeps inherited tasks waiting that may have run on it', () => {
       const state = stateWith({ isInherited: true });
-      see(state, FIRST);
-      see(state, SECOND);
+      addEndpoint(state, FIRST);
+      addEndpoint(state, SECOND);
       addPendingReports(state, [
         { instanceId: instanceIdOf(FIRST), pool: POOL },
         { instanceId: instanceIdOf(SECOND), pool: POOL },
@@ -135,7 +135,7 @@
 describe('an endpoint that was first seen while another entry may be the holder', () => {
   it('is used only after this entry is certain again to be the only holder', () => {
     const state = stateWith();
-    see(state, FIRST, SOLE_HOLDER_UNTIL_MS + 100);
+    addEndpoint(state, FIRST, SOLE_HOLDER_UNTIL_MS + 100);
     respond(state, FIRST, SOLE_HOLDER_UNTIL_MS + 200);
     runCycle(state, SOLE_HOLDER_UNTIL_MS + 200);
     expect(endpointsOf(state, taskOf(state))).toEqual([]);
--- a/packages/core/src/batch/endpoints/reports.test.ts
+++ b/packages/core/src/batch/endpoints/reports.test.ts
@@ -2,11 +2,11 @@
 import { describe, expect, it } from 'vitest';
 
 import {
-  answer,
+  applyAnswer,
   FIRST,
   SECOND,
-  see,
-  stateWithJob,
+  addEndpoint,
+  createStateWithJob,
   JOB,
   TASK,
   taskOf,
@@ -16,8 +16,8 @@
 import type { BatchState } from '../model/state.js';
 
 const stateWith = (...endpointIds: EndpointId[]): BatchState => {
-  const state = stateWithJob({ isInherited: true });
-  endpointIds.forEach((endpointId) => see(state, endpointId));
+  const state = createStateWithJob({ isInherited: true });
+  endpointIds.forEach((endpointId) => addEndpoint(state, endpointId));
   return state;
 };
 
@@ -38,7 +38,7 @@
 });
 
 const report = (state: BatchState, endpointId: EndpointId, ended: readonly EndedRunReport[]): void =>
-  answer(state, { endpointId, ended, requestedAtMs: 1, nowMs: 2 });
+  applyAnswer(state, { endpointId, ended, requestedAtMs: 1, nowMs: 2 });
 
 describe('reports of endpoints', () => {
   it('count each failed run, in whatever order endpoints list them', () => {
@@ -61,8 +61,8 @@
   describe('that list a run neither as running nor as ended', () => {
     const phaseAfter = (hasMoreEnds: boolean): string => {
       const state = stateWith(FIRST);
-      answer(state, { running: [running(1001)], requestedAtMs: 1, nowMs: 2 });
-      answer(state, { hasMoreEnds, requestedAtMs: 10, nowMs: 12 });
+      applyAnswer(state, { running: [running(1001)], requestedAtMs: 1, nowMs: 2 });
+      applyAnswer(state, { hasMoreEnds, requestedAtMs: 10, nowMs: 12 });
       return taskOf(state).phase;
     };
 
--- a/packages/core/src/batch/endpoints/run-end.test.ts
+++ b/packages/core/src/batch/endpoints/run-end.test.ts
@@ -7,10 +7,10 @@
   POOL,
   SECOND,
   TASK,
-  answer,
-  see,
-  stateWithJob,
-  scheduleWritten,
+  applyAnswer,
+  addEndpoint,
+  createStateWithJob,
+  scheduleAfterWrites,
 } from '../testing/batch-state.fixtures.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from './gone-endpoints.js';
 import { cancelJob } from '../jobs/jobs.js';
@@ -39,9 +39,9 @@
 
 /** The start order is sent at 100 ms, to an endpoint whose list was requested at 50 ms. */
 const stateWithOrderedRun = (): BatchState => {
-  const state = stateWithJob({ maxAttempts: 2 });
-  see(state, FIRST);
-  answer(state, { requestedAtMs: 50, nowMs: 60 });
+  const state = createStateWithJob({ maxAttempts: 2 });
+  addEndpoint(state, FIRST);
+  applyAnswer(state, { requestedAtMs: 50, nowMs: 60 });
   schedulePool(state, POOL, 100);
   takeEffects(state);
   return state;
@@ -57,7 +57,7 @@
 describe('a run that its endpoint reports as ended', () => {
   it('is logged with the age of the list, the kind of end and what follows for the task', () => {
     const state = stateWithConfirmedRun();
-    answer(state, { ended: [endOf(2001, 'done')], requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { ended: [endOf(2001, 'done')], requestedAtMs: 900, nowMs: 1000 });
     expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
@@ -75,31 +75,31 @@
 
   it('is logged before its job is saved as ended', () => {
     const state = stateWithConfirmedRun();
-    answer(state, { ended: [endOf(2001, 'done')], requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { ended: [endOf(2001, 'done')], requestedAtMs: 900, nowMs: 1000 });
     expect(takeEffects(state).map(({ kind }) => kind)).toEqual(['note', 'save']);
   });
 
   it('is followed by another run after a failure, until the job is over', () => {
     const state = stateWithConfirmedRun();
-    answer(state, { ended: [endOf(2001, 'failed')], requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { ended: [endOf(2001, 'failed')], requestedAtMs: 900, nowMs: 1000 });
     expect(runEndLogs(state)).toMatchObject([{ detail: 'failed', next: 'again' }]);
     schedulePool(state, POOL, 1100);
-    answer(state, { ended: [endOf(2002, 'failed')], requestedAtMs: 1900, nowMs: 2000 });
+    applyAnswer(state, { ended: [endOf(2002, 'failed')], requestedAtMs: 1900, nowMs: 2000 });
     expect(runEndLogs(state)).toMatchObject([{ run: 2002, detail: 'failed', next: 'job-over' }]);
   });
 
   it('is not followed by another run if its job was cancelled', () => {
     const state = stateWithConfirmedRun();
     cancelJob(state, JOB, null);
-    answer(state, { ended: [endOf(2001, 'stopped')], requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { ended: [endOf(2001, 'stopped')], requestedAtMs: 900, nowMs: 1000 });
     expect(runEndLogs(state)).toMatchObject([{ detail: 'stopped', next: 'job-over' }]);
   });
 
   it('is logged as not known if it was considered ended before', () => {
     const state = stateWithConfirmedRun();
-    answer(state, { requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { requestedAtMs: 900, nowMs: 1000 });
     expect(runEndLogs(state)).toMatchObject([{ cause: 'not-listed', next: 'again' }]);
-    answer(state, { ended: [endOf(2001, 'done')], requestedAtMs: 1100, nowMs: 1150 });
+    applyAnswer(state, { ended: [endOf(2001, 'done')], requestedAtMs: 1100, nowMs: 1150 });
     expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
@@ -118,14 +118,14 @@
   it('changes nothing for a task that has a later run', () => {
     const state = stateWithConfirmedRun();
     const running = [{ task: TASK, run: 2001, checkpoint: '', percent: 10, figure: 0 }];
-    answer(state, { running, ended: [endOf(1001, 'lapsed')], requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { running, ended: [endOf(1001, 'lapsed')], requestedAtMs: 900, nowMs: 1000 });
     expect(runEndLogs(state)).toMatchObject([{ run: 1001, isKnown: false, next: 'none' }]);
   });
 
   it('is logged also if its job is not known', () => {
     const state = createBatchState(2);
-    see(state, FIRST);
-    answer(state, { ended: [endOf(1001, 'stopped')], requestedAtMs: 40, nowMs: 50 });
+    addEndpoint(state, FIRST);
+    applyAnswer(state, { ended: [endOf(1001, 'stopped')], requestedAtMs: 40, nowMs: 50 });
     expect(runEndLogs(state)).toMatchObject([
       { task: TASK, run: 1001, silentMs: 'never', isKnown: false, next: 'none' },
     ]);
@@ -135,7 +135,7 @@
 describe('a run that its endpoint no longer lists', () => {
   it('is logged as confirmed before the list request', () => {
     const state = stateWithConfirmedRun();
-    answer(state, { requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { requestedAtMs: 900, nowMs: 1000 });
     expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
@@ -155,7 +155,7 @@
     const state = stateWithOrderedRun();
     applyStartOutcome(state, FIRST, { ...START_ANSWER, outcome: 'unknown' });
     applyStopResponse(state, FIRST, TASK, 2001, 200);
-    answer(state, { requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, { requestedAtMs: 900, nowMs: 1000 });
     expect(runEndLogs(state)).toMatchObject([{ cause: 'not-listed', detail: 'stop-answered' }]);
   });
 });
@@ -257,29 +257,29 @@
     loggedFields(state, 'task-started-again');
 
   it('is not logged as a restart the first time', () => {
-    const state = stateWithJob();
-    see(state, FIRST);
-    answer(state, { requestedAtMs: 50, nowMs: 60 });
+    const state = createStateWithJob();
+    addEndpoint(state, FIRST);
+    applyAnswer(state, { requestedAtMs: 50, nowMs: 60 });
     schedulePool(state, POOL, 100);
     expect(takeEffects(state).map(({ kind }) => kind)).toEqual(['start']);
   });
 
   it('is logged as a restart with the previous run and the time waited since its end', () => {
     const state = stateWithConfirmedRun();
-    see(state, SECOND);
-    answer(state, { endpointId: SECOND, requestedAtMs: 100, nowMs: 120 });
+    addEndpoint(state, SECOND);
+    applyAnswer(state, { endpointId: SECOND, requestedAtMs: 100, nowMs: 120 });
     removeEndpoint(state, FIRST, { detail: 'host-list', atMs: 4900, nowMs: 5000 });
     giveUpRunsOfGoneEndpoints(state, 5000);
-    scheduleWritten(state, 5300);
+    scheduleAfterWrites(state, 5300);
     expect(restartLogs(state)).toEqual([
       { task: TASK, run: 2002, endpoint: SECOND, runBefore: 2001, waitedMs: 300 },
     ]);
   });
 
   it('is logged as a restart also if another holder started the previous run', () => {
-    const state = stateWithJob({ isInherited: true });
-    see(state, FIRST);
-    answer(state, { ended: [endOf(1001, 'lapsed')], requestedAtMs: 50, nowMs: 60 });
+    const state = createStateWithJob({ isInherited: true });
+    addEndpoint(state, FIRST);
+    applyAnswer(state, { ended: [endOf(1001, 'lapsed')], requestedAtMs: 50, nowMs: 60 });
     schedulePool(state, POOL, 100);
     expect(restartLogs(state)).toEqual([
       { task: TASK, run: 2001, endpoint: FIRST, runBefore: 1001, waitedMs: 40 },
--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -23,11 +23,11 @@
 import { planMoves } from '../pools/pool-moves.js';
 import { DEFAULT_POOL_POLICY, computePoolNeeds, type PoolPlanInput } from '../pools/pool-needs.js';
 import {
-  answer,
+  applyAnswer,
   FIRST,
   POOL,
   SECOND,
-  stateWithJob,
+  createStateWithJob,
   TASK,
 } from '../testing/batch-state.fixtures.js';
 
@@ -105,11 +105,11 @@
 
   describe('whose data centre has been returned to service', () => {
     const endpointOfTask = (coldLeftMs: number, nowMs: number): EndpointId | undefined => {
-      const state = stateWithJob();
+      const state = createStateWithJob();
       upsertEndpoint(state, { ...sightingOn(FIRST, NORTH), coldLeftMs }, 0);
       upsertEndpoint(state, sightingOn(SECOND, SOUTH), 0);
       [FIRST, SECOND].forEach((endpointId) =>
-        answer(state, { endpointId, requestedAtMs: nowMs, nowMs }),
+        applyAnswer(state, { endpointId, requestedAtMs: nowMs, nowMs }),
       );
       schedulePool(state, POOL, nowMs);
       return Array.from(state.endpoints.values()).find(({ runs }) => runs.has(TASK))?.endpointId;
--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -8,7 +8,7 @@
 import type { BatchJob, StepSpec } from '../model/job.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
 import { createBatchState, type BatchState } from '../model/state.js';
-import { answer, FIRST, POOL, see, submitJob } from '../testing/batch-state.fixtures.js';
+import { applyAnswer, FIRST, POOL, addEndpoint, submitJob } from '../testing/batch-state.fixtures.js';
 import { createAdmissionControl, type JobSubmission } from './admission-control.js';
 import { recordFirstAttempts } from './first-attempts.js';
 
@@ -27,8 +27,8 @@
     new Map([ACCOUNT, HEAVY].map((name) => [name, { weight: 1, maximum: NO_LIMIT }] as const)),
   );
   state.takenOverAtMs = 0;
-  see(state, FIRST);
-  answer(state, { requestedAtMs: 5, nowMs: 10 });
+  addEndpoint(state, FIRST);
+  applyAnswer(state, { requestedAtMs: 5, nowMs: 10 });
   Array.from({ length: jobs }, (_, index) =>
     submitJob(state, jobIdOf(index), {
       step: { estimateMs: 1000 },
--- a/packages/core/src/batch/jobs/burst.test.ts
+++ b/packages/core/src/batch/jobs/burst.test.ts
@@ -3,15 +3,15 @@
 
 import { brand, type AccountName, type PoolName } from '../../shared/ids.js';
 import {
-  playFleet,
-  shareInTime,
-  type PlayedClient,
-  type PlayedFleet,
-  type PlayedJob,
-  type PlayedPool,
+  simulateFleet,
+  shareWithinObjective,
+  type SimulatedClient,
+  type FleetSimulationResult,
+  type SimulatedJob,
+  type SimulatedPool,
 } from '../testing/fleet-play.fixtures.js';
 
-const POOL: PlayedPool = { name: brand<PoolName>('a'), hosts: 24, taskCpu: 6200, runMs: 800 };
+const POOL: SimulatedPool = { name: brand<PoolName>('a'), hosts: 24, taskCpu: 6200, runMs: 800 };
 /** Each of the 24 hosts runs ten tasks at once; a job has sixteen tasks of 0.8 s. */
 const CAPACITY_JOBS_PER_S = (24 * 10) / (16 * 0.8);
 const ACCOUNTS = 5;
@@ -23,7 +23,7 @@
 const isInBurst = (nowMs: number): boolean =>
   nowMs >= BURST_FROM_MS && nowMs < BURST_FROM_MS + BURST_FOR_MS;
 
-const clientsOf = (factor: number, weight: number): readonly PlayedClient[] =>
+const clientsOf = (factor: number, weight: number): readonly SimulatedClient[] =>
   Array.from({ length: ACCOUNTS }, (_, index) => ({
     name: brand<AccountName>(`account-${index}`),
     pool: POOL.name,
@@ -31,20 +31,20 @@
     jobsPerS: (nowMs) => ((isInBurst(nowMs) ? factor : BASE_LOAD) * CAPACITY_JOBS_PER_S) / ACCOUNTS,
   }));
 
-const simulate = (factor: number, isAdmissionOn: boolean, weight: number): PlayedFleet =>
-  playFleet({
+const simulate = (factor: number, isAdmissionOn: boolean, weight: number): FleetSimulationResult =>
+  simulateFleet({
     pools: [POOL],
     spareHosts: 0,
     clients: clientsOf(factor, weight),
-    forMs: BURST_FROM_MS + BURST_FOR_MS + 4000,
+    submitForMs: BURST_FROM_MS + BURST_FOR_MS + 4000,
     isAdmissionOn,
   });
 
-const jobsOfBurst = ({ jobs }: PlayedFleet): readonly PlayedJob[] =>
+const jobsOfBurst = ({ jobs }: FleetSimulationResult): readonly SimulatedJob[] =>
   jobs.filter(({ atMs }) => isInBurst(atMs));
 
 /** Rate of jobs that complete within their objective during the burst, relative to the capacity of the pool. */
-const goodputOf = ({ jobs }: PlayedFleet): number => {
+const goodputOf = ({ jobs }: FleetSimulationResult): number => {
   const fromMs = BURST_FROM_MS + 2 * POOL.runMs;
   const untilMs = BURST_FROM_MS + BURST_FOR_MS;
   const done = jobs.filter(
@@ -54,7 +54,7 @@
   return done.length / ((CAPACITY_JOBS_PER_S * (untilMs - fromMs)) / 1000);
 };
 
-const refusalsIn = ({ jobs }: PlayedFleet): number =>
+const refusalsIn = ({ jobs }: FleetSimulationResult): number =>
   jobs.reduce((sum, { refusals }) => sum + refusals, 0);
 
 // Without admission control all jobs are accepted. At twice the capacity 0.51 to 0.54 of them then meet their
@@ -74,13 +74,13 @@
       const first = jobsOfBurst(withAdmission).filter(
         (job) => job.isAccepted && job.refusals === 0,
       );
-      expect(shareInTime(first)).toBeGreaterThanOrEqual(0.95);
-      expect(shareInTime(jobsOfBurst(withoutAdmission))).toBeLessThan(0.55);
+      expect(shareWithinObjective(first)).toBeGreaterThanOrEqual(0.95);
+      expect(shareWithinObjective(jobsOfBurst(withoutAdmission))).toBeLessThan(0.55);
     });
 
     it('has at least 75 % of all accepted jobs meet their objective, counted from the first attempt', () => {
       const accepted = jobsOfBurst(withAdmission).filter(({ isAccepted }) => isAccepted);
-      expect(shareInTime(accepted)).toBeGreaterThanOrEqual(0.75);
+      expect(shareWithinObjective(accepted)).toBeGreaterThanOrEqual(0.75);
     });
 
     it('keeps the goodput at 0.9 of the capacity or more', () => {
@@ -106,7 +106,7 @@
   it('is served as without admission control, and no job is refused', () => {
     const simulated = simulate(5, true, 0);
     expect(refusalsIn(simulated)).toBe(0);
-    const timesOf = ({ jobs }: PlayedFleet) => jobs.map(({ atMs, doneAtMs }) => [atMs, doneAtMs]);
+    const timesOf = ({ jobs }: FleetSimulationResult) => jobs.map(({ atMs, doneAtMs }) => [atMs, doneAtMs]);
     expect(timesOf(simulated)).toEqual(timesOf(simulate(5, false, 0)));
   });
 });
--- a/packages/core/src/batch/jobs/first-attempts.test.ts
+++ b/packages/core/src/batch/jobs/first-attempts.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type JobId } from '../../shared/ids.js';
-import { answer, FIRST, POOL, see, submitJob } from '../testing/batch-state.fixtures.js';
+import { applyAnswer, FIRST, POOL, addEndpoint, submitJob } from '../testing/batch-state.fixtures.js';
 import { recordFirstAttempts } from './first-attempts.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, type BatchState } from '../model/state.js';
@@ -23,8 +23,8 @@
  */
 const startedAfterOutage = (refusedAgoMs: number): readonly number[] => {
   const state = createBatchState(2);
-  see(state, FIRST);
-  answer(state, { requestedAtMs: NOW_MS - 10, nowMs: NOW_MS - 5 });
+  addEndpoint(state, FIRST);
+  applyAnswer(state, { requestedAtMs: NOW_MS - 10, nowMs: NOW_MS - 5 });
   const numbers = Array.from({ length: 12 }, (_, index) => index);
   const retried = numbers.slice(0, 10);
   recordFirstAttempts(
--- a/packages/core/src/batch/jobs/waiting.test.ts
+++ b/packages/core/src/batch/jobs/waiting.test.ts
@@ -3,12 +3,12 @@
 
 import { brand } from '../../shared/ids.js';
 import {
-  answer,
+  applyAnswer,
   FIRST,
   FIRST_RUN,
   POOL,
-  see,
-  stateWithJob,
+  addEndpoint,
+  createStateWithJob,
   TASK,
 } from '../testing/batch-state.fixtures.js';
 import { applyStartOutcome } from '../endpoints/order-answers.js';
@@ -20,9 +20,9 @@
 
 describe('a job whose only task an endpoint was ordered to start', () => {
   const stateAfterOrder = (): BatchState => {
-    const state = stateWithJob();
-    see(state, FIRST);
-    answer(state, { requestedAtMs: 8, nowMs: 10 });
+    const state = createStateWithJob();
+    addEndpoint(state, FIRST);
+    applyAnswer(state, { requestedAtMs: 8, nowMs: 10 });
     schedulePool(state, POOL, 20);
     return state;
   };
@@ -46,7 +46,7 @@
     const ended = [{ ...START, number: 1, kind: 'stopped' as const, checkpoint: '' }];
     [{ running }, { ended }].forEach((lists) => {
       const state = stateAfterOrder();
-      answer(state, { ...lists, requestedAtMs: 28, nowMs: 30 });
+      applyAnswer(state, { ...lists, requestedAtMs: 28, nowMs: 30 });
       expect(waitingJobsIn(state)).toBe(0);
     });
   });
--- a/packages/core/src/batch/maintenance/early-moves.test.ts
+++ b/packages/core/src/batch/maintenance/early-moves.test.ts
@@ -3,18 +3,18 @@
 
 import type { TaskKey } from '../model/job.js';
 import type { EndpointState } from '../model/state.js';
-import { EARLY_MS, waveOver } from '../testing/upkeep-wave.fixtures.js';
+import { PLENTY_OF_TIME_MS, createTestWave } from '../testing/upkeep-wave.fixtures.js';
 
 /** Too short for 4 hosts with tasks of one step: they take 10 s, and 12 s are reserved before the deadline. */
 const TIGHT_MS = 14_000;
 const LASTING = { isLasting: true, mayMiss: 1, mostPerEndpoint: 1 };
 
-const movedTasks = ({ effects }: ReturnType<typeof waveOver>['state']): readonly string[] =>
+const movedTasks = ({ effects }: ReturnType<typeof createTestWave>['state']): readonly string[] =>
   effects.flatMap((effect) => (effect.kind === 'stop' ? [effect.task] : []));
 
 /** Creates a wave over hosts with one long-running and one short task each, and empty hosts outside the wave. */
 const busyWave = (hostCount: number, besideCount: number, withinMs = TIGHT_MS, mayMiss = 1) => {
-  const made = waveOver(hostCount, hostCount, withinMs, besideCount);
+  const made = createTestWave(hostCount, hostCount, withinMs, besideCount);
   const places = Array.from({ length: hostCount }, (_, index) => index);
   const step = made.runOn('served', { ...LASTING, mayMiss }, places);
   made.runOn('short', {}, places);
@@ -31,7 +31,7 @@
   });
 
   it('stays while there is time for each host to go down with its task', () => {
-    const { state, plan } = busyWave(4, 4, EARLY_MS);
+    const { state, plan } = busyWave(4, 4, PLENTY_OF_TIME_MS);
     plan(0);
     expect(movedTasks(state)).toEqual([]);
   });
@@ -80,7 +80,7 @@
   });
 
   it('goes down with a host that runs nothing else', () => {
-    const { state, runOn, plan } = waveOver(2, 2, TIGHT_MS, 2);
+    const { state, runOn, plan } = createTestWave(2, 2, TIGHT_MS, 2);
     runOn('served', LASTING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
     expect(movedTasks(state)).toEqual([]);
@@ -89,7 +89,7 @@
   it('moves off a host with two tasks of its step once no other is unavailable, so that only one goes down with the host', () => {
     // Regression: with "2 of 22 tasks are not at work, 2 would go, 2 may be missed", the budget never had room for both
     // tasks of the host at the same time.
-    const { state, runOn, plan, endpoints } = waveOver(1, 1, EARLY_MS, 4);
+    const { state, runOn, plan, endpoints } = createTestWave(1, 1, PLENTY_OF_TIME_MS, 4);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 0, 1, 2]);
     (endpoints[2] as EndpointState).runs.forEach((run) => Object.assign(run, { percent: 0 }));
     expect(plan(0)).toEqual([]);
--- a/packages/core/src/batch/maintenance/upkeep-rules.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.test.ts
@@ -3,14 +3,14 @@
 
 import { type HostId, brand } from '../../shared/ids.js';
 import type { EndpointState } from '../model/state.js';
-import { EARLY_MS, LATE_MS, waveOver } from '../testing/upkeep-wave.fixtures.js';
+import { PLENTY_OF_TIME_MS, NO_TIME_LEFT_MS, createTestWave } from '../testing/upkeep-wave.fixtures.js';
 import { applyOrderOutcome } from './upkeep-progress.js';
 
 const LASTING = { isLasting: true, mayMiss: 1 };
 
 describe('a host of a maintenance wave', () => {
   it('goes down at once if empty, up to the maximum, while the next hosts drain', () => {
-    const { plan, hosts, endpoints } = waveOver(5, 1, LATE_MS);
+    const { plan, hosts, endpoints } = createTestWave(5, 1, NO_TIME_LEFT_MS);
     expect(plan(0)).toEqual(['h-0']);
     expect(hosts().map(({ phase }) => phase)).toEqual([
       'asked',
@@ -26,7 +26,7 @@
 
   it('takes work again if it had already been down under an earlier leader', () => {
     // The platform answers the order as done because the host had been down before; the endpoint keeps running.
-    const { plan, hosts, endpoints, wave, relist } = waveOver(1, 1, LATE_MS);
+    const { plan, hosts, endpoints, wave, relist } = createTestWave(1, 1, NO_TIME_LEFT_MS);
     plan(0);
     applyOrderOutcome(wave, brand<HostId>('h-0'), 'done', 100);
     expect(endpoints[0]?.isCordoned).toBe(true);
@@ -36,20 +36,20 @@
   });
 
   it('stays in use while it is busy and there is time, and empty hosts go down meanwhile', () => {
-    const { runOn, plan, hosts } = waveOver(2, 2, EARLY_MS);
+    const { runOn, plan, hosts } = createTestWave(2, 2, PLENTY_OF_TIME_MS);
     runOn('a', {}, [0]);
     expect(plan(0)).toEqual(['h-1']);
     expect(hosts()[0]?.reason).toBe('it is running tasks, and there is time left');
   });
 
   it('stays in use while capacity is short and there is time', () => {
-    const { plan, hosts } = waveOver(1, 1, EARLY_MS);
+    const { plan, hosts } = createTestWave(1, 1, PLENTY_OF_TIME_MS);
     expect(plan(0, true)).toEqual([]);
     expect(hosts()[0]?.reason).toBe('capacity is short, and there is time left');
   });
 
   it('waits three seconds for its short tasks and then goes down anyway', () => {
-    const { runOn, plan, hosts } = waveOver(1, 1, LATE_MS);
+    const { runOn, plan, hosts } = createTestWave(1, 1, NO_TIME_LEFT_MS);
     runOn('a', {}, [0]);
     expect([plan(0), plan(3000)]).toEqual([[], []]);
     expect(hosts()[0]).toMatchObject({ phase: 'closing', reason: '1 tasks must end first' });
@@ -57,14 +57,14 @@
   });
 
   it('waits until its endpoint has reported its tasks to this leader', () => {
-    const { plan, hosts, endpoints } = waveOver(1, 1, LATE_MS);
+    const { plan, hosts, endpoints } = createTestWave(1, 1, NO_TIME_LEFT_MS);
     Object.assign(endpoints[0] as EndpointState, { hasReported: false });
     expect(plan(0)).toEqual([]);
     expect(hosts()[0]?.reason).toBe('its endpoint has not answered yet');
   });
 
   it('stays while another draining host will go down with a task of the same step', () => {
-    const { runOn, plan, hosts } = waveOver(2, 2, LATE_MS);
+    const { runOn, plan, hosts } = createTestWave(2, 2, NO_TIME_LEFT_MS);
     runOn('served', LASTING, [0, 1]);
     runOn('short', {}, [0, 1]);
     expect(plan(0)).toEqual([]);
@@ -73,7 +73,7 @@
   });
 
   it('stays open for work while unavailable tasks use up the disruption budget of a step', () => {
-    const { runOn, plan, hosts, endpoints } = waveOver(2, 2, LATE_MS);
+    const { runOn, plan, hosts, endpoints } = createTestWave(2, 2, NO_TIME_LEFT_MS);
     runOn('served', LASTING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
     expect(hosts()[1]).toMatchObject({ phase: 'waiting' });
@@ -82,7 +82,7 @@
   });
 
   it('has a task moved away if it runs more tasks of a step than the disruption budget', () => {
-    const { state, runOn, plan, hosts } = waveOver(1, 1, LATE_MS, 1);
+    const { state, runOn, plan, hosts } = createTestWave(1, 1, NO_TIME_LEFT_MS, 1);
     runOn('served', LASTING, [0, 0]);
     expect(plan(0)).toEqual([]);
     expect(state.effects.filter(({ kind }) => kind === 'stop')).toHaveLength(1);
@@ -90,7 +90,7 @@
   });
 
   it('keeps its tasks if there is no capacity for them elsewhere', () => {
-    const { state, runOn, plan } = waveOver(1, 1, LATE_MS);
+    const { state, runOn, plan } = createTestWave(1, 1, NO_TIME_LEFT_MS);
     runOn('served', LASTING, [0, 0]);
     expect([plan(0), plan(60_000)]).toEqual([[], []]);
     expect(state.effects.filter(({ kind }) => kind === 'stop')).toEqual([]);
@@ -98,7 +98,7 @@
 
   it('counts its own tasks only once against the disruption budget, even if its last answer is old', () => {
     // Regression: "2 of 22 tasks are not at work, 2 would go, 2 may be missed" counted the same two tasks twice.
-    const { state, runOn, plan, hosts, endpoints } = waveOver(1, 1, LATE_MS, 1);
+    const { state, runOn, plan, hosts, endpoints } = createTestWave(1, 1, NO_TIME_LEFT_MS, 1);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 0, 1]);
     Object.assign(state, { clockMs: 3000 });
     Object.assign(endpoints[1] as EndpointState, { reportedAtMs: 3000 });
@@ -107,7 +107,7 @@
   });
 
   it('stays while other endpoints with tasks of the step have stopped answering', () => {
-    const { state, runOn, plan, hosts } = waveOver(1, 1, LATE_MS, 1);
+    const { state, runOn, plan, hosts } = createTestWave(1, 1, NO_TIME_LEFT_MS, 1);
     runOn('served', LASTING, [0, 1]);
     Object.assign(state, { clockMs: 3000 });
     expect(plan(3000)).toEqual([]);
@@ -116,7 +116,7 @@
 
   it('drains in parallel with another host if the disruption budget covers the tasks of both', () => {
     // Regression: hosts drained one after the other, and each blocked the step's disruption budget for 3 s.
-    const { runOn, plan, hosts } = waveOver(3, 3, LATE_MS);
+    const { runOn, plan, hosts } = createTestWave(3, 3, NO_TIME_LEFT_MS);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 1, 2]);
     runOn('short', {}, [0, 1, 2]);
     plan(0);
@@ -125,7 +125,7 @@
 
   it('counts as unavailable even if its endpoint answers after the order was sent', () => {
     // Regression: a second host of the step went down before the first order took effect.
-    const { runOn, plan, endpoints } = waveOver(2, 2, LATE_MS);
+    const { runOn, plan, endpoints } = createTestWave(2, 2, NO_TIME_LEFT_MS);
     runOn('served', LASTING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
     endpoints[0]?.runs.forEach((run) => Object.assign(run, { percent: 100 }));
@@ -133,7 +133,7 @@
   });
 
   it('stays if it runs long-running tasks while a rack or data centre is suspected lost', () => {
-    const { state, runOn, plan, hosts } = waveOver(2, 2, LATE_MS);
+    const { state, runOn, plan, hosts } = createTestWave(2, 2, NO_TIME_LEFT_MS);
     runOn('served', LASTING, [0]);
     Object.assign(state, { suspectedDomains: new Set(['rack-7']) });
     expect(plan(0)).toEqual(['h-1']);
@@ -141,7 +141,7 @@
   });
 
   it('goes before hosts of other racks once its own rack has started', () => {
-    const { plan, wave, relist } = waveOver(4, 1, LATE_MS, 0, (index) => `rack-${index % 2}`);
+    const { plan, wave, relist } = createTestWave(4, 1, NO_TIME_LEFT_MS, 0, (index) => `rack-${index % 2}`);
     const order = ['h-0', 'h-2', 'h-1', 'h-3'];
     order.forEach((hostId, turn) => {
       expect(plan(turn * 5000)).toEqual([hostId]);
@@ -152,7 +152,7 @@
 
   it('stays while another wave has taken down a host with tasks of the same step in another rack', () => {
     const racks = (index: number): string => `rack-${index}`;
-    const { runOn, planBoth, split } = waveOver(2, 2, LATE_MS, 0, racks);
+    const { runOn, planBoth, split } = createTestWave(2, 2, NO_TIME_LEFT_MS, 0, racks);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 1]);
     const [first, second] = split();
     expect(planBoth([first, second], 0)).toEqual(['h-0']);
--- a/packages/core/src/batch/maintenance/wave-plan.test.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.test.ts
@@ -3,14 +3,14 @@
 
 import { budgetedLongRunningSteps } from '../pools/hosts.js';
 import type { EndpointState } from '../model/state.js';
-import { waveOver } from '../testing/upkeep-wave.fixtures.js';
+import { createTestWave } from '../testing/upkeep-wave.fixtures.js';
 import { latestStartOf, planWave, type PlannedHost } from './wave-plan.js';
 
 const DOWN_MS = 2300;
 const WITHIN_MS = 60_000;
 
 const planOf = (maximum: number, tasks: number, mayMiss: number, nowMs = 0) => {
-  const { wave, runOn, endpoints } = waveOver(12, maximum, WITHIN_MS);
+  const { wave, runOn, endpoints } = createTestWave(12, maximum, WITHIN_MS);
   const places = Array.from({ length: tasks }, (_, index) => index);
   if (tasks > 0) runOn('served', { isLasting: true, mayMiss }, places);
   const hosts = endpoints.map((endpoint: EndpointState): PlannedHost => ({
--- a/packages/core/src/batch/placement/candidates.test.ts
+++ b/packages/core/src/batch/placement/candidates.test.ts
@@ -9,7 +9,7 @@
 import { PLACEMENT_POLICIES } from '../model/placement-policy.js';
 import { createBatchState, type StepRun } from '../model/state.js';
 import { JOB, submitJob } from '../testing/batch-state.fixtures.js';
-import { seeAt } from '../testing/domains.fixtures.js';
+import { addEndpointAt } from '../testing/domains.fixtures.js';
 import { chooseBestEndpoint } from './best-endpoint.js';
 import { createCandidates } from './candidates.js';
 import { scoresFor } from './scores.js';
@@ -41,7 +41,7 @@
       const state = createBatchState(2);
       change(state, { placementPolicy });
       const endpoints = endpointSpecs.map(({ rack, dataCentre, usedMillis, hasMaintenanceAhead }, number) => {
-        const endpoint = seeAt(state, { number, dataCentre, rack });
+        const endpoint = addEndpointAt(state, { number, dataCentre, rack });
         change(endpoint, { hasMaintenanceAhead });
         change(endpoint.used, { cpuMillis: usedMillis });
         return endpoint;
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -14,12 +14,12 @@
 import { taskKey, type StepSpec } from '../model/job.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 import {
-  answer,
+  applyAnswer,
   FIRST,
   POOL,
-  scheduleWritten,
+  scheduleAfterWrites,
   SECOND,
-  see,
+  addEndpoint,
   submitJob,
 } from '../testing/batch-state.fixtures.js';
 
@@ -53,7 +53,7 @@
       0,
     );
   });
-  see(state, SILENT);
+  addEndpoint(state, SILENT);
   addPendingReports(
     state,
     [FIRST, SECOND, SILENT].map((one) => ({ instanceId: instanceIdOf(one), pool: POOL })),
@@ -71,7 +71,7 @@
   atMs: number,
   indices: readonly number[] = [],
 ): void =>
-  answer(state, {
+  applyAnswer(state, {
     endpointId,
     running: indices.map((index) => ({
       task: keyOf(index),
@@ -96,7 +96,7 @@
   const reportedAndScheduled = (step: Partial<StepSpec>): BatchState => {
     const state = takenOver(step);
     [FIRST, SECOND].forEach((endpointId) => report(state, endpointId, 10));
-    scheduleWritten(state, 20);
+    scheduleAfterWrites(state, 20);
     return state;
   };
 
@@ -120,7 +120,7 @@
     const state = takenOver({ requiredLabel: 'fast' });
     addPendingReports(state, [{ instanceId: instanceIdOf(brand('i-0000000009')), pool: POOL }]);
     [FIRST, SECOND].forEach((endpointId) => report(state, endpointId, 10));
-    scheduleWritten(state, 20);
+    scheduleAfterWrites(state, 20);
     expect(isAnyStarted(state)).toBe(false);
   });
 });
@@ -131,7 +131,7 @@
     report(state, SECOND, FORMER_ORDERS_END_MS);
     report(state, FIRST, FORMER_ORDERS_END_MS, [0]);
     lose(state, FIRST, 200);
-    scheduleWritten(state, 200);
+    scheduleAfterWrites(state, 200);
     expect(runningOn(state, SECOND)).toEqual([keyOf(0)]);
   });
 
@@ -140,9 +140,9 @@
     report(state, SECOND, FORMER_ORDERS_END_MS);
     report(state, FIRST, FORMER_ORDERS_END_MS - 1, [0]);
     lose(state, FIRST, 200);
-    scheduleWritten(state, 200);
+    scheduleAfterWrites(state, 200);
     expect(runningOn(state, SECOND)).toEqual([]);
-    scheduleWritten(state, LEASES_END_MS);
+    scheduleAfterWrites(state, LEASES_END_MS);
     expect(runningOn(state, SECOND)).toEqual([keyOf(0)]);
   });
 
@@ -151,7 +151,7 @@
     report(state, SECOND, FORMER_ORDERS_END_MS);
     report(state, FIRST, FORMER_ORDERS_END_MS, [0]);
     lose(state, FIRST, 200);
-    scheduleWritten(state, 200);
+    scheduleAfterWrites(state, 200);
     expect(runningOn(state, SECOND)).toEqual([keyOf(0)]);
   });
 
@@ -160,7 +160,7 @@
     report(state, SECOND, FORMER_ORDERS_END_MS);
     report(state, FIRST, FORMER_ORDERS_END_MS, [0]);
     lose(state, FIRST, 200);
-    scheduleWritten(state, 200);
+    scheduleAfterWrites(state, 200);
     expect(runningOn(state, SECOND)).toEqual([]);
   });
 });
@@ -179,7 +179,7 @@
   ): boolean => {
     const state = takenOver();
     addPendingReports(state, [{ instanceId: UNSEEN, pool: POOL }]);
-    if (isSeen) see(state, brand(UNSEEN));
+    if (isSeen) addEndpoint(state, brand(UNSEEN));
     Object.assign(state, { soleHolderUntilMs: soleUntilMs });
     const expected = [{ instanceId: UNSEEN, hostId: HOST }];
     dropUnlistedPendingReports(state, expected, new Map([[HOST, { instanceId }]]), 50);
--- a/packages/core/src/batch/placement/ranking.test.ts
+++ b/packages/core/src/batch/placement/ranking.test.ts
@@ -3,7 +3,7 @@
 
 import { brand, type AccountName, type JobId } from '../../shared/ids.js';
 import { setAccounts } from '../accounts/quota.js';
-import { answer, FIRST, POOL, see, submitJob } from '../testing/batch-state.fixtures.js';
+import { applyAnswer, FIRST, POOL, addEndpoint, submitJob } from '../testing/batch-state.fixtures.js';
 import { NO_LIMIT, type Capacity } from '../model/capacity.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 import { schedulePool } from './schedule.js';
@@ -27,8 +27,8 @@
       [OTHER, limits],
     ]),
   );
-  see(state, FIRST);
-  answer(state, { requestedAtMs: 5, nowMs: 10 });
+  addEndpoint(state, FIRST);
+  applyAnswer(state, { requestedAtMs: 5, nowMs: 10 });
   Array.from({ length: BACKLOG }, (_, index) =>
     submitJob(state, jobIdOf(index), { owner: { account: HEAVY, maximum: heavyMaximum } }),
   );
@@ -56,7 +56,7 @@
     kind: 'done' as const,
     checkpoint: '',
   };
-  answer(state, { ended: [end], requestedAtMs: nowMs - 1, nowMs });
+  applyAnswer(state, { ended: [end], requestedAtMs: nowMs - 1, nowMs });
 };
 
 describe('passes over a pool with 5,000 waiting steps', () => {
--- a/packages/core/src/batch/placement/schedule.test.ts
+++ b/packages/core/src/batch/placement/schedule.test.ts
@@ -3,20 +3,20 @@
 
 import { brand, type JobId } from '../../shared/ids.js';
 import {
-  answer,
+  applyAnswer,
   FIRST,
   POOL,
   SECOND,
-  see,
+  addEndpoint,
   submitJob,
-  type Submission,
+  type JobOptions,
 } from '../testing/batch-state.fixtures.js';
 import { schedulePool } from './schedule.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 
 const jobIdOf = (number: number): JobId => brand<JobId>(number.toString(16).padStart(16, '0'));
 
-const submit = (state: BatchState, number: number, submission: Submission): void =>
+const submit = (state: BatchState, number: number, submission: JobOptions): void =>
   submitJob(state, jobIdOf(number), submission);
 
 const countRuns = (state: BatchState, number: number): number =>
@@ -28,8 +28,8 @@
 const createFullState = (): BatchState => {
   const state = createBatchState(2);
   [FIRST, SECOND].forEach((endpointId) => {
-    see(state, endpointId);
-    answer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
+    addEndpoint(state, endpointId);
+    applyAnswer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
   });
   submit(state, 1, { step: { taskCount: 16 } });
   schedulePool(state, POOL, 20);
@@ -46,7 +46,7 @@
     kind: 'done' as const,
     checkpoint: '',
   }));
-  answer(state, { ended, requestedAtMs: nowMs - 1, nowMs });
+  applyAnswer(state, { ended, requestedAtMs: nowMs - 1, nowMs });
 };
 
 describe('room that becomes free just after the first step in order could not be placed', () => {
--- a/packages/core/src/batch/placement/scores.test.ts
+++ b/packages/core/src/batch/placement/scores.test.ts
@@ -7,7 +7,7 @@
 import { isPlacementPolicy, type PlacementPolicy } from '../model/placement-policy.js';
 import { createBatchState, type BatchState, type EndpointState } from '../model/state.js';
 import { POOL, submitJob } from '../testing/batch-state.fixtures.js';
-import { seeFleet, type RackedFleet } from '../testing/domains.fixtures.js';
+import { addFleet, type RackedFleet } from '../testing/domains.fixtures.js';
 import { schedulePool } from './schedule.js';
 
 const FLEET: RackedFleet = { racks: 4, hostsPerRack: 2, dataCentres: 2 };
@@ -24,7 +24,7 @@
 } => {
   const state = createBatchState(2);
   change(state, { placementPolicy });
-  const endpoints = seeFleet(state, fleet);
+  const endpoints = addFleet(state, fleet);
   const submit = (number: number, step: Partial<StepSpec>): readonly number[] => {
     submitJob(state, jobIdOf(number), { step });
     schedulePool(state, POOL, 20);
--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -42,7 +42,7 @@
 };
 
 /** The options of an additional job with one step. Omitted options are as in the default job. */
-export type Submission = {
+export type JobOptions = {
   readonly step?: Partial<StepSpec>;
   readonly owner?: JobOwner | undefined;
   readonly priority?: number;
@@ -62,7 +62,7 @@
 export const submitJob = (
   state: BatchState,
   jobId: JobId,
-  { step, owner, priority = 0, isInherited = false, nowMs = 0 }: Submission,
+  { step, owner, priority = 0, isInherited = false, nowMs = 0 }: JobOptions,
 ): void => {
   addJob(state, {
     job: {
@@ -85,7 +85,7 @@
  * @param options - Whether an earlier leader had accepted the job, and the maximum number of attempts of its task.
  * @returns The state, without endpoints.
  */
-export const stateWithJob = ({ isInherited = false, maxAttempts = 3 } = {}): BatchState => {
+export const createStateWithJob = ({ isInherited = false, maxAttempts = 3 } = {}): BatchState => {
   const state = createBatchState(FENCE);
   const policy: QueuePolicy = { priority: 0, maxAttempts, stretch: 2, targetLatencyMs: 600 };
   addJob(state, { job, policy, nowMs: 0, wallClockMs: 0, isInherited });
@@ -111,7 +111,7 @@
  * @param endpointId - The endpoint.
  * @param nowMs - The time at which it is first seen.
  */
-export const see = (state: BatchState, endpointId: EndpointId, nowMs = 0): void => {
+export const addEndpoint = (state: BatchState, endpointId: EndpointId, nowMs = 0): void => {
   upsertEndpoint(
     state,
     {
@@ -133,7 +133,7 @@
  *
  * @param state - The state, changed in place.
  */
-export const writeRows = (state: BatchState): void =>
+export const markRowsWritten = (state: BatchState): void =>
   state.jobs.forEach((one) => change(one, { writtenCrashRecordRevision: one.crashRecordRevision }));
 
 /**
@@ -143,10 +143,10 @@
  * @param state - The state, changed in place.
  * @param nowMs - The current time.
  */
-export const scheduleWritten = (state: BatchState, nowMs: number): void => {
-  writeRows(state);
+export const scheduleAfterWrites = (state: BatchState, nowMs: number): void => {
+  markRowsWritten(state);
   schedulePool(state, POOL, nowMs);
-  writeRows(state);
+  markRowsWritten(state);
   schedulePool(state, POOL, nowMs);
 };
 
@@ -160,7 +160,7 @@
  * @param state - The state, changed in place.
  * @param answer - The report.
  */
-export const answer = (
+export const applyAnswer = (
   state: BatchState,
   { endpointId = FIRST, running = [], ended = [], hasMoreEnds = false, requestedAtMs, nowMs }: Answer,
 ): void => applyReport(state, endpointId, { running, ended, hasMoreEnds, requestedAtMs, nowMs });
--- a/packages/core/src/batch/testing/domains.fixtures.ts
+++ b/packages/core/src/batch/testing/domains.fixtures.ts
@@ -2,7 +2,7 @@
 import { brand, type DataCentreId, type EndpointId, type PoolName } from '../../shared/ids.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
 import type { BatchState, EndpointState } from '../model/state.js';
-import { answer, POOL } from './batch-state.fixtures.js';
+import { applyAnswer, POOL } from './batch-state.fixtures.js';
 
 /** The size and layout of a fleet. Racks are assigned to the data centres in turn. */
 export type RackedFleet = {
@@ -32,7 +32,7 @@
  * @param endpoint - The endpoint's number and location.
  * @returns The state of the endpoint.
  */
-export const seeAt = (
+export const addEndpointAt = (
   state: BatchState,
   { number, dataCentre, rack, pool = POOL }: RackedEndpoint,
 ): EndpointState =>
@@ -58,18 +58,18 @@
  * @param fleet - The size and layout of the fleet.
  * @returns The endpoints in rack order.
  */
-export const seeFleet = (
+export const addFleet = (
   state: BatchState,
   { racks, hostsPerRack, dataCentres = 1, hasRacks = true, pool = POOL }: RackedFleet,
 ): readonly EndpointState[] =>
   Array.from({ length: racks * hostsPerRack }, (_, number) => {
     const rack = Math.floor(number / hostsPerRack);
-    const endpoint = seeAt(state, {
+    const endpoint = addEndpointAt(state, {
       number,
       dataCentre: `dc-${rack % dataCentres}`,
       rack: hasRacks ? `rack-${rack}` : '',
       pool,
     });
-    answer(state, { endpointId: endpoint.endpointId, requestedAtMs: 5, nowMs: 10 });
+    applyAnswer(state, { endpointId: endpoint.endpointId, requestedAtMs: 5, nowMs: 10 });
     return endpoint;
   });
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -45,7 +45,7 @@
 const LATE_OBJECTIVES = 3;
 
 /** A simulated pool. Its jobs have two steps of eight tasks, one after the other. */
-export type PlayedPool = {
+export type SimulatedPool = {
   readonly name: PoolName;
   /** The number of hosts at the start. */
   readonly hosts: number;
@@ -56,7 +56,7 @@
 };
 
 /** A simulated client account and its load. */
-export type PlayedClient = {
+export type SimulatedClient = {
   readonly name: AccountName;
   readonly pool: PoolName;
   /** The account's weight in the configuration; 0 for an account that is not declared there. */
@@ -66,22 +66,22 @@
 };
 
 /** The parameters of a simulation. */
-export type FleetPlay = {
-  readonly pools: readonly PlayedPool[];
+export type FleetSimulationOptions = {
+  readonly pools: readonly SimulatedPool[];
   readonly spareHosts: number;
-  readonly clients: readonly PlayedClient[];
+  readonly clients: readonly SimulatedClient[];
   /** For how long clients submit jobs, in ms. */
-  readonly forMs: number;
+  readonly submitForMs: number;
   /** Whether admission control refuses jobs that cannot be served in time; true by default. */
   readonly isAdmissionOn?: boolean;
   /** Maximum number of attempts per job, including the first one; 3 by default. */
-  readonly mostTries?: number;
+  readonly maxAttempts?: number;
 };
 
 /** The outcome of one job. */
-export type PlayedJob = {
+export type SimulatedJob = {
   readonly jobId: JobId;
-  readonly client: PlayedClient;
+  readonly client: SimulatedClient;
   /** When it was first submitted. */
   readonly atMs: number;
   /** The latency objective, in ms. */
@@ -98,8 +98,8 @@
 };
 
 /** The result of a simulation. */
-export type PlayedFleet = {
-  readonly jobs: readonly PlayedJob[];
+export type FleetSimulationResult = {
+  readonly jobs: readonly SimulatedJob[];
   readonly state: BatchState;
   /** Core-milliseconds of all started runs, by pool. */
   readonly workedCoreMs: ReadonlyMap<PoolName, number>;
@@ -116,11 +116,11 @@
 };
 
 /** Returns the latency objective of a pool's jobs: the stretched duration of their two steps plus the target latency. */
-const objectiveOf = ({ runMs }: PlayedPool): number =>
+const objectiveOf = ({ runMs }: SimulatedPool): number =>
   POLICY.stretch * 2 * runMs + POLICY.targetLatencyMs;
 
 /** Creates the hosts of a simulation, with functions that move hosts between pools. */
-const createHosts = (state: BatchState, { pools, spareHosts }: FleetPlay) => {
+const createHosts = (state: BatchState, { pools, spareHosts }: FleetSimulationOptions) => {
   const hosts = new Map<HostId, ListedHost>();
   const backAtMs = new Map<HostId, number>();
   const views: readonly DeclaredPool[] = [
@@ -190,8 +190,8 @@
  * @param play - The pools, the hosts and the load from clients.
  * @returns The outcome of each job, and the final state.
  */
-export const playFleet = (play: FleetPlay): PlayedFleet => {
-  const { pools, clients, forMs, isAdmissionOn = true, mostTries = 3 } = play;
+export const simulateFleet = (play: FleetSimulationOptions): FleetSimulationResult => {
+  const { pools, clients, submitForMs, isAdmissionOn = true, maxAttempts = 3 } = play;
   const state = createBatchState(2);
   change(state, { takenOverAtMs: -Infinity });
   const random = createRandom();
@@ -203,15 +203,15 @@
   );
   const fleet = createHosts(state, play);
   const poolByName = new Map(pools.map((pool) => [pool.name, pool]));
-  const played = new Map<JobId, PlayedJob>();
-  const retries: { readonly job: PlayedJob; readonly atMs: number }[] = [];
+  const played = new Map<JobId, SimulatedJob>();
+  const retries: { readonly job: SimulatedJob; readonly atMs: number }[] = [];
   const workedCoreMs = new Map<PoolName, number>();
   const ends = new Map<EndpointId, { readonly atMs: number; readonly end: EndedRunReport }[]>();
   let ended = 0;
 
-  const submitAttempt = (job: PlayedJob, nowMs: number): void => {
+  const submitAttempt = (job: SimulatedJob, nowMs: number): void => {
     const { client, jobId } = job;
-    const { taskCpu, runMs } = poolByName.get(client.pool) as PlayedPool;
+    const { taskCpu, runMs } = poolByName.get(client.pool) as SimulatedPool;
     const step = {
       ...DEFAULT_STEP,
       taskCount: TASKS_PER_STEP,
@@ -243,12 +243,12 @@
     admission.recordRefusal(refusal, client.pool);
     recordFirstAttempts(state, [{ jobId, atMs: nowMs }]);
     change(job, { refusals: job.refusals + 1 });
-    if (job.refusals < mostTries) retries.push({ job, atMs: nowMs + refusal.retryAfterMs });
+    if (job.refusals < maxAttempts) retries.push({ job, atMs: nowMs + refusal.retryAfterMs });
   };
 
-  const submit = (client: PlayedClient, nowMs: number): void => {
+  const submit = (client: SimulatedClient, nowMs: number): void => {
     const jobId = brand<JobId>((played.size + 1).toString(16).padStart(16, '0'));
-    const objectiveMs = objectiveOf(poolByName.get(client.pool) as PlayedPool);
+    const objectiveMs = objectiveOf(poolByName.get(client.pool) as SimulatedPool);
     const initialOutcome = {
       refusals: 0,
       isAccepted: false,
@@ -256,13 +256,13 @@
       hasRun: false,
       doneAtMs: Infinity,
     };
-    const job: PlayedJob = { jobId, client, atMs: nowMs, objectiveMs, ...initialOutcome };
+    const job: SimulatedJob = { jobId, client, atMs: nowMs, objectiveMs, ...initialOutcome };
     played.set(jobId, job);
     submitAttempt(job, nowMs);
   };
 
   const startRun = (endpoint: EndpointState, task: TaskKey, run: number, nowMs: number): void => {
-    const { runMs, taskCpu } = poolByName.get(endpoint.pool) as PlayedPool;
+    const { runMs, taskCpu } = poolByName.get(endpoint.pool) as SimulatedPool;
     const { endpointId, pool } = endpoint;
     ended += 1;
     const end = { number: ended, task, run, kind: 'done' as const, checkpoint: '' };
@@ -289,7 +289,7 @@
   const recordDoneJobs = (nowMs: number): void =>
     state.jobs.forEach((job, jobId) => {
       if (job.phase !== 'completed') return;
-      (played.get(jobId) as PlayedJob).doneAtMs = nowMs;
+      (played.get(jobId) as SimulatedJob).doneAtMs = nowMs;
       state.jobs.delete(jobId);
     });
 
@@ -307,11 +307,11 @@
   };
 
   const longestMs = Math.max(...pools.map(objectiveOf)) * LATE_OBJECTIVES;
-  for (let nowMs = 0, step = 0; nowMs < forMs + longestMs; nowMs += TIME_STEP_MS, step += 1) {
+  for (let nowMs = 0, step = 0; nowMs < submitForMs + longestMs; nowMs += TIME_STEP_MS, step += 1) {
     state.clockMs = nowMs;
     clients.forEach((client) => {
       const isArrival = random() < (client.jobsPerS(nowMs) * TIME_STEP_MS) / 1000;
-      if (isArrival && nowMs < forMs) submit(client, nowMs);
+      if (isArrival && nowMs < submitForMs) submit(client, nowMs);
     });
     retries
       .splice(0)
@@ -328,7 +328,7 @@
  * @param factor - The factor by which the objective is multiplied.
  * @returns A number from 0 to 1; 1 if there are no jobs.
  */
-export const shareInTime = (jobs: readonly PlayedJob[], factor = 1): number =>
+export const shareWithinObjective = (jobs: readonly SimulatedJob[], factor = 1): number =>
   jobs.length === 0
     ? 1
     : jobs.filter(({ atMs, doneAtMs, objectiveMs }) => doneAtMs - atMs <= factor * objectiveMs)
--- a/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
+++ b/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
@@ -25,9 +25,9 @@
 const POOL = brand<PoolName>('alpha');
 const CAPACITY = { cpuMillis: 8000, memoryMb: 8000, accelerators: 0 };
 /** The time limit of a wave whose hosts must all start immediately, in ms. */
-export const LATE_MS = 1000;
+export const NO_TIME_LEFT_MS = 1000;
 /** The time limit of a wave with plenty of time left, in ms. */
-export const EARLY_MS = 300_000;
+export const PLENTY_OF_TIME_MS = 300_000;
 
 /**
  * Creates a maintenance wave over hosts. Each host has an endpoint that has answered. Hosts outside the wave are numbered
@@ -36,19 +36,19 @@
  * @param hostCount - The number of hosts in the wave.
  * @param maximum - The maximum number of hosts that may be down at the same time.
  * @param withinMs - The time limit of the wave, in ms.
- * @param besideCount - The number of hosts outside the wave.
+ * @param outsideCount - The number of hosts outside the wave.
  * @param rackOf - Returns the rack label of a host by its number; '' for none.
  * @returns The wave, and functions that add running tasks to its hosts and plan it.
  */
-export const waveOver = (
+export const createTestWave = (
   hostCount: number,
   maximum: number,
   withinMs: number,
-  besideCount = 0,
+  outsideCount = 0,
   rackOf: (index: number) => string = () => '',
 ) => {
   const state = createBatchState(1);
-  const endpoints = Array.from({ length: hostCount + besideCount }, (_, index): EndpointState => {
+  const endpoints = Array.from({ length: hostCount + outsideCount }, (_, index): EndpointState => {
     const sighting = {
       endpointId: brand<EndpointId>(`e-${index}`),
       pool: POOL,
