--- a/packages/core/src/batch/accounts/pool-shares.test.ts
+++ b/packages/core/src/batch/accounts/pool-shares.test.ts
@@ -52,8 +52,17 @@
     nowMs >= HEAVY_FROM_MS && nowMs < HEAVY_FROM_MS + HEAVY_FOR_MS ? factor * WEIGHT : 0,
 });
 
-const simulate = (clients: readonly SimulatedClient[], isAdmissionOn: boolean): FleetSimulationResult =>
-  simulateFleet({ pools: POOLS, spareHosts: SPARE_HOSTS, clients, submitForMs: FOR_MS, isAdmissionOn });
+const simulate = (
+  clients: readonly SimulatedClient[],
+  isAdmissionOn: boolean,
+): FleetSimulationResult =>
+  simulateFleet({
+    pools: POOLS,
+    spareHosts: SPARE_HOSTS,
+    clients,
+    submitForMs: FOR_MS,
+    isAdmissionOn,
+  });
 
 const isOfOtherAccount = ({ client, atMs }: SimulatedJob): boolean =>
   client.name !== 'heavy' && atMs >= HEAVY_FROM_MS;
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -20,7 +20,12 @@
 import { cancelJob } from '../jobs/jobs.js';
 import { applyStartOutcome } from '../endpoints/order-answers.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
-import { findQuotaViolation, estimateUnreportedUsage, setAccounts, recordOwnerLimits } from './quota.js';
+import {
+  findQuotaViolation,
+  estimateUnreportedUsage,
+  setAccounts,
+  recordOwnerLimits,
+} from './quota.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 
--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -164,7 +164,9 @@
  */
 const isExplained = (endpoint: EndpointState): boolean =>
   unsettledJobs(endpoint).size === 1 &&
-  lastReportedRuns(endpoint).some((run) => !hasSurvivedObservation(endpoint, run) && run.task.crashes.length > 0);
+  lastReportedRuns(endpoint).some(
+    (run) => !hasSurvivedObservation(endpoint, run) && run.task.crashes.length > 0,
+  );
 
 /**
  * Records that endpoints crashed. Must be called for all of them before the crashes are attributed to their runs,
@@ -207,7 +209,8 @@
 
 /** Tells whether the run is known to have been on the endpoint shortly before the crash was detected. */
 const wasPresentAtCrash = ({ endpoint, atMs }: GoneEndpoint, { startedByMs }: RunState): boolean =>
-  startedByMs < Infinity && atMs - Math.max(startedByMs, endpoint.reportedAtMs) < MAX_UNRESPONSIVE_MS;
+  startedByMs < Infinity &&
+  atMs - Math.max(startedByMs, endpoint.reportedAtMs) < MAX_UNRESPONSIVE_MS;
 
 /**
  * Tells whether another run is unlikely to have caused a crash. This requires a longer time than `isSettled`, because a
@@ -238,7 +241,9 @@
     livedMs: livedMs(endpoint, run),
     isConfirmed: wasPresentAtCrash(gone, run),
     isSuspected: !hasSurvivedObservation(endpoint, run),
-    isSoleSuspect: lastReportedRuns(endpoint).every((other) => isUnlikelyCause(endpoint, run, other)),
+    isSoleSuspect: lastReportedRuns(endpoint).every((other) =>
+      isUnlikelyCause(endpoint, run, other),
+    ),
     isCorrelated: isCorrelated(state, gone),
     fence: state.fence,
     countedAtMs: Math.round(nowMs + state.wallClockOffsetMs),
--- a/packages/core/src/batch/crashes/inherited-losses.ts
+++ b/packages/core/src/batch/crashes/inherited-losses.ts
@@ -59,7 +59,8 @@
   pool: PoolState,
   endpoints: readonly EndpointState[],
 ): boolean =>
-  pool.hadHostDownAtTakeover || endpoints.some((endpoint) => hasStartedBeforeTakeover(state, endpoint));
+  pool.hadHostDownAtTakeover ||
+  endpoints.some((endpoint) => hasStartedBeforeTakeover(state, endpoint));
 
 /**
  * Tells whether the next start of a task is the first one by this leader, and an earlier leader may have started the
--- a/packages/core/src/batch/crashes/trials.ts
+++ b/packages/core/src/batch/crashes/trials.ts
@@ -45,8 +45,10 @@
  * @param job - The job.
  * @returns False while a write is pending.
  */
-export const areCrashRecordsWritten = ({ crashRecordRevision, writtenCrashRecordRevision }: JobState): boolean =>
-  writtenCrashRecordRevision >= crashRecordRevision;
+export const areCrashRecordsWritten = ({
+  crashRecordRevision,
+  writtenCrashRecordRevision,
+}: JobState): boolean => writtenCrashRecordRevision >= crashRecordRevision;
 
 /**
  * Announces the next start of tasks as a trial start in the row of their job. The tasks are not started until the row
--- a/packages/core/src/batch/domains/outage.ts
+++ b/packages/core/src/batch/domains/outage.ts
@@ -101,7 +101,11 @@
  * @param endpointId - The endpoint.
  * @param nowMs - The time in milliseconds.
  */
-export const recordUnanswered = (state: BatchState, endpointId: EndpointId, nowMs: number): void => {
+export const recordUnanswered = (
+  state: BatchState,
+  endpointId: EndpointId,
+  nowMs: number,
+): void => {
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint || endpoint.unansweredSinceMs !== Infinity) return;
   change(endpoint, { unansweredSinceMs: nowMs });
@@ -198,5 +202,6 @@
   suspectedDomains.size > 0 &&
   [rack, dataCentre].some(
     (domainId) =>
-      domainId !== null && suspectedDomains.get(domainId)?.unansweringEndpoints.has(endpointId) === true,
+      domainId !== null &&
+      suspectedDomains.get(domainId)?.unansweringEndpoints.has(endpointId) === true,
   );
--- a/packages/core/src/batch/endpoints/answer-times.ts
+++ b/packages/core/src/batch/endpoints/answer-times.ts
@@ -81,7 +81,8 @@
 
   const setMissing = (endpoint: EndpointCallState, hasMissedResponse: boolean): void => {
     endpoints.add(endpoint);
-    if (endpoint.hasMissedResponse !== hasMissedResponse) missingCount += hasMissedResponse ? 1 : -1;
+    if (endpoint.hasMissedResponse !== hasMissedResponse)
+      missingCount += hasMissedResponse ? 1 : -1;
     change(endpoint, { hasMissedResponse });
   };
 
@@ -124,7 +125,9 @@
  * @param link - The estimator that all endpoints share.
  * @returns The estimator; before the first response, its timeout is the maximum for an endpoint.
  */
-export const createEndpointDelayEstimator = (link: SharedDelayEstimator = createSharedDelayEstimator()): EndpointDelayEstimator => {
+export const createEndpointDelayEstimator = (
+  link: SharedDelayEstimator = createSharedDelayEstimator(),
+): EndpointDelayEstimator => {
   const callState: EndpointCallState = { hasMissedResponse: false };
   let smoothed: Smoothed | undefined;
   let backoffFactor = 1;
--- a/packages/core/src/batch/endpoints/endpoint-model.ts
+++ b/packages/core/src/batch/endpoints/endpoint-model.ts
@@ -191,7 +191,13 @@
     return Math.min(needs.isLasting ? 100 : 99, Math.floor((ranMs / totalMs) * 100));
   };
 
-  const start: SimulatedEndpoint['start'] = ({ task, run, keepUntilMs, fence: orderFence, ticket }) => {
+  const start: SimulatedEndpoint['start'] = ({
+    task,
+    run,
+    keepUntilMs,
+    fence: orderFence,
+    ticket,
+  }) => {
     if (!acceptFence(orderFence)) return refuse('fence');
     if (keepUntilMs <= clockMs()) return refuse('late');
     extendLease(keepUntilMs);
--- a/packages/core/src/batch/endpoints/endpoints.ts
+++ b/packages/core/src/batch/endpoints/endpoints.ts
@@ -101,7 +101,8 @@
 ): void => {
   endpoints.forEach(({ instanceId, pool }) => {
     const known = poolOf(state, pool);
-    if (!state.currentIncarnations.get(instanceId)?.hasReported) known.unreportedInstances.add(instanceId);
+    if (!state.currentIncarnations.get(instanceId)?.hasReported)
+      known.unreportedInstances.add(instanceId);
   });
 };
 
@@ -109,7 +110,10 @@
 export type HostedEndpoint = { readonly instanceId: InstanceId; readonly hostId: HostId };
 
 /** True if no list of endpoints has named the endpoint. Otherwise its end is handled together with its runs. */
-const wasNeverListed = ({ currentIncarnations, goneEndpoints }: BatchState, instanceId: InstanceId): boolean =>
+const wasNeverListed = (
+  { currentIncarnations, goneEndpoints }: BatchState,
+  instanceId: InstanceId,
+): boolean =>
   !currentIncarnations.has(instanceId) &&
   !Array.from(goneEndpoints.keys()).some((endpointId) => instanceIdOf(endpointId) === instanceId);
 
--- a/packages/core/src/batch/endpoints/feed-scope.test.ts
+++ b/packages/core/src/batch/endpoints/feed-scope.test.ts
@@ -35,7 +35,11 @@
   });
 
   it('requests changes of a growing table, also after a failed request', () => {
-    const grown = { writePattern: 'log', hasLastRequestFailed: true, lastResponseBytes: 5 * STATE_BYTES } as const;
+    const grown = {
+      writePattern: 'log',
+      hasLastRequestFailed: true,
+      lastResponseBytes: 5 * STATE_BYTES,
+    } as const;
     expect(nextFeedScope(past(grown))).toBe('changes');
   });
 });
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.test.ts
@@ -210,7 +210,9 @@
       const endpoint = state.endpoints.get(FIRST_INCARNATION);
       Object.assign(endpoint ?? {}, { leaseEndsAtMs: 7000 });
       expect(handleStalledAndLapsedRuns(state, 7100)).toEqual([]);
-      expect(handleStalledAndLapsedRuns(state, SENT_AT_MS + MAX_ORDER_DELAY_MS + 1)).toHaveLength(1);
+      expect(handleStalledAndLapsedRuns(state, SENT_AT_MS + MAX_ORDER_DELAY_MS + 1)).toHaveLength(
+        1,
+      );
     });
   });
 
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -147,7 +147,9 @@
   run: RunState,
   nowMs: number,
 ): void => {
-  const crash = gone.crashesByRun ? gone.crashesByRun.get(run) : assessCrash(state, gone, run, nowMs);
+  const crash = gone.crashesByRun
+    ? gone.crashesByRun.get(run)
+    : assessCrash(state, gone, run, nowMs);
   if (crash && !isFinal(run.step.job.phase)) recordCrash(state, run, crash);
   logRunFollowed(state, run, [gone.endpoint, next], 'barred');
   const moved = moveRun(state, { from: gone.endpoint, to: next, run, phase: 'unsure' });
@@ -193,7 +195,11 @@
  * @param next - The new incarnation.
  * @param nowMs - The current time.
  */
-export const blockUnansweredStarts = (state: BatchState, next: EndpointState, nowMs: number): void => {
+export const blockUnansweredStarts = (
+  state: BatchState,
+  next: EndpointState,
+  nowMs: number,
+): void => {
   const instanceId = instanceIdOf(next.endpointId);
   const heldTasks = new Set(
     Array.from(state.goneEndpoints.values())
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -52,9 +52,11 @@
   stopAwaitingGone(state, endpoint, nowMs);
   chargeUnexpectedRuns(state, endpoint, []);
   const instanceId = instanceIdOf(endpointId);
-  if (state.currentIncarnations.get(instanceId) === endpoint) state.currentIncarnations.delete(instanceId);
+  if (state.currentIncarnations.get(instanceId) === endpoint)
+    state.currentIncarnations.delete(instanceId);
   endpoint.runs.forEach(({ step, task }) => {
-    if (step.spec.isLasting && task.unavailableSinceMs === 0) change(task, { unavailableSinceMs: nowMs });
+    if (step.spec.isLasting && task.unavailableSinceMs === 0)
+      change(task, { unavailableSinceMs: nowMs });
   });
   const gone = { endpoint, detail, atMs, crashesByRun: null, hasSuccessorAnswered: false };
   state.goneEndpoints.set(endpointId, gone);
--- a/packages/core/src/batch/endpoints/health.ts
+++ b/packages/core/src/batch/endpoints/health.ts
@@ -45,7 +45,11 @@
  * @param endpoint - The endpoint.
  * @param jobId - The task's job.
  */
-export const recordTaskFailure = (state: BatchState, endpoint: EndpointState, jobId: JobId): void => {
+export const recordTaskFailure = (
+  state: BatchState,
+  endpoint: EndpointState,
+  jobId: JobId,
+): void => {
   const { failedJobs } = endpoint.health;
   failedJobs.add(jobId);
   if (failedJobs.size < FAILED_JOBS_TO_WITHHOLD) return;
--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/open-starts.ts
@@ -62,7 +62,9 @@
   nowMs: number,
 ): void => {
   const instanceId = instanceIdOf(endpointId);
-  const others = unansweredStartsAt(state, instanceId, nowMs).filter((one) => !isSameRun(started)(one));
+  const others = unansweredStartsAt(state, instanceId, nowMs).filter(
+    (one) => !isSameRun(started)(one),
+  );
   const { task, run } = started;
   setOpenStarts(state, instanceId, [...others, { task, run, untilMs: nowMs + MAX_ORDER_DELAY_MS }]);
 };
--- a/packages/core/src/batch/endpoints/reports.test.ts
+++ b/packages/core/src/batch/endpoints/reports.test.ts
@@ -37,8 +37,11 @@
   figure: 0,
 });
 
-const report = (state: BatchState, endpointId: EndpointId, ended: readonly EndedRunReport[]): void =>
-  applyAnswer(state, { endpointId, ended, requestedAtMs: 1, nowMs: 2 });
+const report = (
+  state: BatchState,
+  endpointId: EndpointId,
+  ended: readonly EndedRunReport[],
+): void => applyAnswer(state, { endpointId, ended, requestedAtMs: 1, nowMs: 2 });
 
 describe('reports of endpoints', () => {
   it('count each failed run, in whatever order endpoints list them', () => {
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -139,7 +139,16 @@
   }
   const updateTask = (): void => settleWithRunTime(0);
   const startedAtMs = undefined;
-  recordRunEnd(state, { endpoint, task, run, taskWithStep, startedAtMs, evidence, nowMs, updateTask });
+  recordRunEnd(state, {
+    endpoint,
+    task,
+    run,
+    taskWithStep,
+    startedAtMs,
+    evidence,
+    nowMs,
+    updateTask,
+  });
 };
 
 const updateRun = (
--- a/packages/core/src/batch/endpoints/run-end.test.ts
+++ b/packages/core/src/batch/endpoints/run-end.test.ts
@@ -118,7 +118,12 @@
   it('changes nothing for a task that has a later run', () => {
     const state = stateWithConfirmedRun();
     const running = [{ task: TASK, run: 2001, checkpoint: '', percent: 10, figure: 0 }];
-    applyAnswer(state, { running, ended: [endOf(1001, 'lapsed')], requestedAtMs: 900, nowMs: 1000 });
+    applyAnswer(state, {
+      running,
+      ended: [endOf(1001, 'lapsed')],
+      requestedAtMs: 900,
+      nowMs: 1000,
+    });
     expect(runEndLogs(state)).toMatchObject([{ run: 1001, isKnown: false, next: 'none' }]);
   });
 
@@ -173,7 +178,9 @@
 
   it('is logged with the time since the end of the lease and the time for which this entry is the only holder', () => {
     const state = stateWithSilentEndpoint(8000);
-    expect(handleStalledAndLapsedRuns(state, 7040)).toEqual([{ endpointId: FIRST, endedAtMs: 7000 }]);
+    expect(handleStalledAndLapsedRuns(state, 7040)).toEqual([
+      { endpointId: FIRST, endedAtMs: 7000 },
+    ]);
     expect(runEndLogs(state)).toEqual([
       {
         task: TASK,
--- a/packages/core/src/batch/endpoints/run-end.ts
+++ b/packages/core/src/batch/endpoints/run-end.ts
@@ -39,7 +39,10 @@
  * @param nowMs - The current time.
  * @returns The remaining time in whole milliseconds, negative once it is over; undefined if it is unlimited.
  */
-export const remainingSoleHolderMs = ({ soleHolderUntilMs }: BatchState, nowMs: number): number | undefined =>
+export const remainingSoleHolderMs = (
+  { soleHolderUntilMs }: BatchState,
+  nowMs: number,
+): number | undefined =>
   soleHolderUntilMs === Infinity ? undefined : Math.round(soleHolderUntilMs - nowMs);
 
 const silentMs = ({ hasReported, reportedAtMs }: EndpointState, nowMs: number): number | string =>
@@ -87,7 +90,17 @@
  */
 export const recordRunEnd = (
   state: BatchState,
-  { endpoint, task, run, taskWithStep, startedAtMs, evidence, nowMs, fields: extraFields, updateTask }: RunEndOptions,
+  {
+    endpoint,
+    task,
+    run,
+    taskWithStep,
+    startedAtMs,
+    evidence,
+    nowMs,
+    fields: extraFields,
+    updateTask,
+  }: RunEndOptions,
 ): void => {
   const isKnown = startedAtMs !== undefined;
   const fields: LogFields = {
--- a/packages/core/src/batch/endpoints/watch-runs.ts
+++ b/packages/core/src/batch/endpoints/watch-runs.ts
@@ -59,7 +59,10 @@
  * @param nowMs - The current time.
  * @returns The endpoints whose leases have ended.
  */
-export const handleStalledAndLapsedRuns = (state: BatchState, nowMs: number): readonly LapsedEndpoint[] => {
+export const handleStalledAndLapsedRuns = (
+  state: BatchState,
+  nowMs: number,
+): readonly LapsedEndpoint[] => {
   const lapsed: LapsedEndpoint[] = [];
   state.endpoints.forEach((endpoint) => {
     if (endpoint.runs.size === 0) return;
--- a/packages/core/src/batch/evacuation/belief.test.ts
+++ b/packages/core/src/batch/evacuation/belief.test.ts
@@ -76,7 +76,10 @@
 
   describe('updated with full reads', () => {
     it('drops an evacuation whose row is missing, even if it was received from another entry', () => {
-      const received = mergeEvacuationViews(UNREAD_EVACUATION_VIEW, viewAfter(changeUpdate([rowWritten(NORTH, 3)])));
+      const received = mergeEvacuationViews(
+        UNREAD_EVACUATION_VIEW,
+        viewAfter(changeUpdate([rowWritten(NORTH, 3)])),
+      );
       expect(evacuatedIn(applyEvacuationUpdate(received, snapshotUpdate([], 4)))).toEqual([]);
     });
 
--- a/packages/core/src/batch/evacuation/belief.ts
+++ b/packages/core/src/batch/evacuation/belief.ts
@@ -80,7 +80,5 @@
  * @param other - The view of another entry.
  * @returns The view with the higher revision; `own` if the revisions are equal.
  */
-export const mergeEvacuationViews = (
-  own: EvacuationView,
-  other: EvacuationView,
-): EvacuationView => (other.revision > own.revision ? other : own);
+export const mergeEvacuationViews = (own: EvacuationView, other: EvacuationView): EvacuationView =>
+  other.revision > own.revision ? other : own;
--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -168,7 +168,11 @@
     applyHostList(inventory, used, 0);
     // The hosts in the evacuated data centre come last in the order of the wave.
     const hosts = Array.from(used, ({ hostId }) => hostId).reverse();
-    const wave = createMaintenanceWave({ waveNumber: 1, hosts, withinMs: 300_000, maximum: 2 }, [], 0);
+    const wave = createMaintenanceWave(
+      { waveNumber: 1, hosts, withinMs: 300_000, maximum: 2 },
+      [],
+      0,
+    );
     const world = { state, inventory, downMs: 2000, isCapacityShort };
     return planMaintenance(world, [wave], 1000).map(({ hostId }) => hostId);
   };
--- a/packages/core/src/batch/evacuation/evacuated-runs.ts
+++ b/packages/core/src/batch/evacuation/evacuated-runs.ts
@@ -28,11 +28,16 @@
  * @param dataCentre - The data centre.
  * @returns The number of its endpoints, of their runs by kind, and the expected end of the last short run.
  */
-export const countRunsInDataCentre = (state: BatchState, dataCentre: DataCentreId): DataCentreRuns => {
+export const countRunsInDataCentre = (
+  state: BatchState,
+  dataCentre: DataCentreId,
+): DataCentreRuns => {
   const endpoints = endpointsIn(state, dataCentre);
   const runs = endpoints.flatMap((one) => Array.from(one.runs.values()));
   const shortRuns = runs.filter(endsByItself);
-  const expectedEndsMs = shortRuns.map((run) => run.startedAtMs + estimateStepTime(state, run.step));
+  const expectedEndsMs = shortRuns.map(
+    (run) => run.startedAtMs + estimateStepTime(state, run.step),
+  );
   return {
     endpoints: endpoints.length,
     shortRuns: shortRuns.length,
@@ -69,6 +74,8 @@
     couldRun(endpoint, step),
   );
   const dataCentres = new Set(capableEndpoints.map(({ dataCentre }) => dataCentre));
-  const canRunElsewhere = Array.from(dataCentres).some((dataCentre) => !evacuatedDataCentres.has(dataCentre));
+  const canRunElsewhere = Array.from(dataCentres).some(
+    (dataCentre) => !evacuatedDataCentres.has(dataCentre),
+  );
   return canRunElsewhere ? [] : Array.from(dataCentres);
 };
--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -8,7 +8,13 @@
 import type { BatchJob, StepSpec } from '../model/job.js';
 import { DEFAULT_STEP } from '../model/plain-step.js';
 import { createBatchState, type BatchState } from '../model/state.js';
-import { applyAnswer, FIRST, POOL, addEndpoint, submitJob } from '../testing/batch-state.fixtures.js';
+import {
+  applyAnswer,
+  FIRST,
+  POOL,
+  addEndpoint,
+  submitJob,
+} from '../testing/batch-state.fixtures.js';
 import { createAdmissionControl, type JobSubmission } from './admission-control.js';
 import { recordFirstAttempts } from './first-attempts.js';
 
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -206,13 +206,20 @@
     const coresOf = (cpuMillis: number): number => (cpuMillis * usable) / MILLIS;
     return {
       queuedAheadCoreMs: sum(
-        load.queuedWork.filter((work) => runsBefore(work, share, policy)).map(({ coreMs }) => coreMs),
+        load.queuedWork
+          .filter((work) => runsBefore(work, share, policy))
+          .map(({ coreMs }) => coreMs),
+      ),
+      usableCores: sum(
+        load.endpointsCpuMillis.map((capacityCpu) => usableCores(capacityCpu, taskCpu)),
       ),
-      usableCores: sum(load.endpointsCpuMillis.map((capacityCpu) => usableCores(capacityCpu, taskCpu))),
       arrivingCapacity: [
         { cores: coresOf(forecast.comingCpu), delayMs: MOVING_HOST_MS },
         { cores: coresOf(forecast.freeCpu), delayMs: FREE_HOST_MS },
-        { cores: share.isWithinShare ? coresOf(forecast.reclaimedCpu) : 0, delayMs: RECLAIMED_HOST_MS },
+        {
+          cores: share.isWithinShare ? coresOf(forecast.reclaimedCpu) : 0,
+          delayMs: RECLAIMED_HOST_MS,
+        },
       ],
       overtakingCores: share.isWithinShare ? 0 : demand.withinShareRates(nowMs).slowCores,
       jobCoreMs: jobWork.coreMs,
@@ -228,7 +235,9 @@
     nowMs: number,
   ): ForecastInput => {
     const { demand } = poolOf(state, pool);
-    const { fastCores, slowCores } = isWithinShare ? demand.withinShareRates(nowMs) : demand.rates(nowMs);
+    const { fastCores, slowCores } = isWithinShare
+      ? demand.withinShareRates(nowMs)
+      : demand.rates(nowMs);
     return { ...outlook, overtakingCores: Math.max(fastCores, slowCores) };
   };
 
@@ -307,7 +316,13 @@
       if (pending.has(job.jobId)) return;
       const { isWithinShare, virtualStart } = previewShare(state, job.owner?.account, nowMs);
       const { coreMs } = jobWorkOf(state, job);
-      const work = { isOwed: isWithinShare, isTooLate: false, priority: policy.priority, virtualStart, coreMs };
+      const work = {
+        isOwed: isWithinShare,
+        isTooLate: false,
+        priority: policy.priority,
+        virtualStart,
+        coreMs,
+      };
       pending.set(job.jobId, { pool: job.pool, work });
       loads.get(job.pool)?.queuedWork.push(work);
     },
--- a/packages/core/src/batch/jobs/burst.test.ts
+++ b/packages/core/src/batch/jobs/burst.test.ts
@@ -106,7 +106,8 @@
   it('is served as without admission control, and no job is refused', () => {
     const simulated = simulate(5, true, 0);
     expect(refusalsIn(simulated)).toBe(0);
-    const timesOf = ({ jobs }: FleetSimulationResult) => jobs.map(({ atMs, doneAtMs }) => [atMs, doneAtMs]);
+    const timesOf = ({ jobs }: FleetSimulationResult) =>
+      jobs.map(({ atMs, doneAtMs }) => [atMs, doneAtMs]);
     expect(timesOf(simulated)).toEqual(timesOf(simulate(5, false, 0)));
   });
 });
--- a/packages/core/src/batch/jobs/early-occurrence.test.ts
+++ b/packages/core/src/batch/jobs/early-occurrence.test.ts
@@ -5,7 +5,13 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand } from '../../shared/ids.js';
-import { applyAnswer, FIRST, JOB, addEndpoint, createStateWithJob } from '../testing/batch-state.fixtures.js';
+import {
+  applyAnswer,
+  FIRST,
+  JOB,
+  addEndpoint,
+  createStateWithJob,
+} from '../testing/batch-state.fixtures.js';
 import { taskKey } from '../model/job.js';
 import { addJob } from './jobs.js';
 import { createScheduleCycle } from '../placement/schedule-cycle.js';
--- a/packages/core/src/batch/jobs/first-attempts.test.ts
+++ b/packages/core/src/batch/jobs/first-attempts.test.ts
@@ -2,7 +2,13 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type JobId } from '../../shared/ids.js';
-import { applyAnswer, FIRST, POOL, addEndpoint, submitJob } from '../testing/batch-state.fixtures.js';
+import {
+  applyAnswer,
+  FIRST,
+  POOL,
+  addEndpoint,
+  submitJob,
+} from '../testing/batch-state.fixtures.js';
 import { recordFirstAttempts } from './first-attempts.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, type BatchState } from '../model/state.js';
--- a/packages/core/src/batch/jobs/forecast.test.ts
+++ b/packages/core/src/batch/jobs/forecast.test.ts
@@ -24,8 +24,12 @@
 
   it('counts arriving capacity only from its arrival on', () => {
     const arrivingCapacity = [{ cores: 100, delayMs: 2000 }];
-    expect(forecastJob({ ...EMPTY, queuedAheadCoreMs: 400_000, arrivingCapacity }).backlogMs).toBe(3000);
-    expect(forecastJob({ ...EMPTY, queuedAheadCoreMs: 100_000, arrivingCapacity }).backlogMs).toBe(1000);
+    expect(forecastJob({ ...EMPTY, queuedAheadCoreMs: 400_000, arrivingCapacity }).backlogMs).toBe(
+      3000,
+    );
+    expect(forecastJob({ ...EMPTY, queuedAheadCoreMs: 100_000, arrivingCapacity }).backlogMs).toBe(
+      1000,
+    );
   });
 
   it('is delayed by the work that overtakes it, but stays finite', () => {
--- a/packages/core/src/batch/jobs/forecast.ts
+++ b/packages/core/src/batch/jobs/forecast.ts
@@ -34,7 +34,11 @@
 /** How long an amount of work takes while the capacity grows; in milliseconds, Infinity without any capacity. */
 const processingTimeMs = (
   coreMs: number,
-  { usableCores, arrivingCapacity, overtakingCores }: Omit<ForecastInput, 'jobCoreMs' | 'criticalPathMs'>,
+  {
+    usableCores,
+    arrivingCapacity,
+    overtakingCores,
+  }: Omit<ForecastInput, 'jobCoreMs' | 'criticalPathMs'>,
 ): number => {
   if (coreMs <= 0) return 0;
   const growthSteps = [...arrivingCapacity].sort((left, right) => left.delayMs - right.delayMs);
--- a/packages/core/src/batch/jobs/pool-load.ts
+++ b/packages/core/src/batch/jobs/pool-load.ts
@@ -83,7 +83,10 @@
       ([pool, list]) =>
         [
           pool,
-          { queuedWork: list, endpointsCpuMillis: (healthyEndpoints.get(pool) ?? []).map(availableCpuOf) },
+          {
+            queuedWork: list,
+            endpointsCpuMillis: (healthyEndpoints.get(pool) ?? []).map(availableCpuOf),
+          },
         ] as const,
     ),
   );
--- a/packages/core/src/batch/jobs/progress.ts
+++ b/packages/core/src/batch/jobs/progress.ts
@@ -111,7 +111,10 @@
  * @param wallClockMs - The current time by the wall clock, in milliseconds since 1970.
  * @returns The row.
  */
-export const buildJobRow = ({ job, policy, phase, reason }: JobState, wallClockMs: number): BatchJobRow =>
+export const buildJobRow = (
+  { job, policy, phase, reason }: JobState,
+  wallClockMs: number,
+): BatchJobRow =>
   isFinal(phase)
     ? {
         kind: 'ended',
--- a/packages/core/src/batch/jobs/run-times.ts
+++ b/packages/core/src/batch/jobs/run-times.ts
@@ -47,5 +47,7 @@
  */
 export const estimateRunTime = (times: RunTimes, kind: string, estimateMs: number): number => {
   const learned = times.byKind.get(kind);
-  return learned && learned.completions >= MIN_COMPLETIONS ? learned.meanMs : Math.max(1, estimateMs);
+  return learned && learned.completions >= MIN_COMPLETIONS
+    ? learned.meanMs
+    : Math.max(1, estimateMs);
 };
--- a/packages/core/src/batch/jobs/step-times.ts
+++ b/packages/core/src/batch/jobs/step-times.ts
@@ -19,8 +19,10 @@
  * @param step - The step.
  * @returns The run time in milliseconds.
  */
-export const estimateStepTime = ({ runTimes }: Pick<BatchState, 'runTimes'>, step: StepRun): number =>
-  estimateRunTime(runTimes, step.kind, step.spec.estimateMs);
+export const estimateStepTime = (
+  { runTimes }: Pick<BatchState, 'runTimes'>,
+  step: StepRun,
+): number => estimateRunTime(runTimes, step.kind, step.spec.estimateMs);
 
 /**
  * Estimates the work of all tasks of a step.
--- a/packages/core/src/batch/maintenance/early-moves.ts
+++ b/packages/core/src/batch/maintenance/early-moves.ts
@@ -4,7 +4,12 @@
  * elsewhere immediately.
  */
 import { change } from '../../shared/change.js';
-import { countReady, countUnavailable, runsOnlyLongRunningTasks, moveOneTask } from '../pools/hosts.js';
+import {
+  countReady,
+  countUnavailable,
+  runsOnlyLongRunningTasks,
+  moveOneTask,
+} from '../pools/hosts.js';
 import type { EndpointState, StepRun } from '../model/state.js';
 import type { Candidate, PlanningPass } from './upkeep-rules.js';
 import { latestStartOf, type WavePlan } from './wave-plan.js';
@@ -13,8 +18,11 @@
  * Returns how many other tasks of a step may be unavailable while one task moves. Before the latest start time, tasks
  * move one at a time and the rest of the disruption budget is left for crashes; after it, the whole budget is used.
  */
-const maxOthersUnavailable = (candidate: Candidate, { plan, nowMs }: PlanningPass, step: StepRun) =>
-  nowMs < latestStartOf(plan, candidate) ? 0 : step.spec.mayMiss - 1;
+const maxOthersUnavailable = (
+  candidate: Candidate,
+  { plan, nowMs }: PlanningPass,
+  step: StepRun,
+) => (nowMs < latestStartOf(plan, candidate) ? 0 : step.spec.mayMiss - 1);
 
 /**
  * Tells whether moving a task is worth its cost. A moved task is unavailable for longer than one that goes down with
--- a/packages/core/src/batch/maintenance/upkeep-rules.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.test.ts
@@ -3,7 +3,11 @@
 
 import { type HostId, brand } from '../../shared/ids.js';
 import type { EndpointState } from '../model/state.js';
-import { PLENTY_OF_TIME_MS, NO_TIME_LEFT_MS, createTestWave } from '../testing/upkeep-wave.fixtures.js';
+import {
+  PLENTY_OF_TIME_MS,
+  NO_TIME_LEFT_MS,
+  createTestWave,
+} from '../testing/upkeep-wave.fixtures.js';
 import { applyOrderOutcome } from './upkeep-progress.js';
 
 const LASTING = { isLasting: true, mayMiss: 1 };
@@ -141,7 +145,13 @@
   });
 
   it('goes before hosts of other racks once its own rack has started', () => {
-    const { plan, wave, relist } = createTestWave(4, 1, NO_TIME_LEFT_MS, 0, (index) => `rack-${index % 2}`);
+    const { plan, wave, relist } = createTestWave(
+      4,
+      1,
+      NO_TIME_LEFT_MS,
+      0,
+      (index) => `rack-${index % 2}`,
+    );
     const order = ['h-0', 'h-2', 'h-1', 'h-3'];
     order.forEach((hostId, turn) => {
       expect(plan(turn * 5000)).toEqual([hostId]);
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -3,7 +3,11 @@
  * first rule that applies decides; a host to which none applies is ordered down.
  */
 import type { HostId } from '../../shared/ids.js';
-import { findBudgetViolation, runsOnlyLongRunningTasks, type BudgetViolation } from '../pools/hosts.js';
+import {
+  findBudgetViolation,
+  runsOnlyLongRunningTasks,
+  type BudgetViolation,
+} from '../pools/hosts.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
 import type { KnownHosts, MaintenanceHost, MaintenanceWave } from './upkeep-progress.js';
 import { MAX_DRAIN_MS, latestStartOf, type WavePlan } from './wave-plan.js';
@@ -76,7 +80,8 @@
 const deferWhileTimeRemains: Rule = (candidate, { world, plan, nowMs }) => {
   const { endpoint, isEvacuated } = candidate;
   if (nowMs >= latestStartOf(plan, candidate)) return undefined;
-  if (world.isCapacityShort && !isEvacuated) return keepOpen('capacity is short, and there is time left');
+  if (world.isCapacityShort && !isEvacuated)
+    return keepOpen('capacity is short, and there is time left');
   const isAtWork = endpoint !== undefined && !runsOnlyLongRunningTasks(endpoint);
   return isAtWork ? keepOpen('it is running tasks, and there is time left') : undefined;
 };
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/upkeep.ts
@@ -13,7 +13,12 @@
 import type { EndpointState, StepRun } from '../model/state.js';
 import { sortCandidates } from './candidate-order.js';
 import { moveTasksEarly } from './early-moves.js';
-import { mayBeDown, presenceInWave, type MaintenanceHost, type MaintenanceWave } from './upkeep-progress.js';
+import {
+  mayBeDown,
+  presenceInWave,
+  type MaintenanceHost,
+  type MaintenanceWave,
+} from './upkeep-progress.js';
 import {
   decideHostAction,
   type Candidate,
@@ -88,7 +93,11 @@
   });
 };
 
-const PENDING_PHASES: ReadonlySet<MaintenanceHost['phase']> = new Set(['waiting', 'closing', 'refused']);
+const PENDING_PHASES: ReadonlySet<MaintenanceHost['phase']> = new Set([
+  'waiting',
+  'closing',
+  'refused',
+]);
 
 /** Tells whether a wave has yet to take a host down. */
 const isPendingIn =
@@ -99,7 +108,10 @@
   };
 
 /** Marks endpoints on hosts with pending maintenance. A host in two waves stays marked until both have taken it down. */
-const markPendingMaintenance = (world: MaintenanceContext, waves: readonly MaintenanceWave[]): void =>
+const markPendingMaintenance = (
+  world: MaintenanceContext,
+  waves: readonly MaintenanceWave[],
+): void =>
   waves
     .flatMap(({ hosts }) => Array.from(hosts.keys()))
     .forEach((hostId) => {
@@ -128,7 +140,11 @@
   return isOpen && inventory.hosts.get(hostId)?.state === 'up';
 };
 
-const candidateOf = (world: MaintenanceContext, hostId: HostId, host: MaintenanceHost): Candidate => {
+const candidateOf = (
+  world: MaintenanceContext,
+  hostId: HostId,
+  host: MaintenanceHost,
+): Candidate => {
   const endpoint = endpointOf(world, hostId);
   const dataCentre = world.inventory.hosts.get(hostId)?.dataCentre;
   const isEvacuated = dataCentre !== undefined && world.state.evacuatedDataCentres.has(dataCentre);
@@ -196,7 +212,10 @@
   if (endpoint) change(endpoint, { isCordoned: false });
 };
 
-const orderDown = ({ world, wave, orderedDown, nowMs }: PlanningPass, candidate: Candidate): void => {
+const orderDown = (
+  { world, wave, orderedDown, nowMs }: PlanningPass,
+  candidate: Candidate,
+): void => {
   const { hostId, host, longRunningSteps } = candidate;
   orderedDown.push(hostId);
   change(host, { phase: 'asked', phaseSinceMs: nowMs, stepsTakenDown: longRunningSteps });
@@ -230,11 +249,17 @@
 
 const findUnansweredOrders = (wave: MaintenanceWave, nowMs: number): readonly HostId[] =>
   Array.from(wave.hosts)
-    .filter(([, { phase, phaseSinceMs }]) => phase === 'asked' && nowMs - phaseSinceMs > RETRY_UNANSWERED_MS)
+    .filter(
+      ([, { phase, phaseSinceMs }]) =>
+        phase === 'asked' && nowMs - phaseSinceMs > RETRY_UNANSWERED_MS,
+    )
     .map(([hostId]) => hostId);
 
 /** Counts the hosts of each rack that have left the phase `waiting`. */
-const countStartedByRack = (world: MaintenanceContext, wave: MaintenanceWave): ReadonlyMap<string, number> => {
+const countStartedByRack = (
+  world: MaintenanceContext,
+  wave: MaintenanceWave,
+): ReadonlyMap<string, number> => {
   const started = new Map<string, number>();
   wave.hosts.forEach(({ phase }, hostId) => {
     const rack = rackOfHost(world, hostId);
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -49,7 +49,8 @@
   readonly forecast: WaveForecast;
 };
 
-const deadlineOf = ({ firstSeenAtMs, request }: MaintenanceWave): number => firstSeenAtMs + request.withinMs;
+const deadlineOf = ({ firstSeenAtMs, request }: MaintenanceWave): number =>
+  firstSeenAtMs + request.withinMs;
 
 const countByStep = (hosts: readonly PlannedHost[]): ReadonlyMap<StepRun, number> => {
   const counts = new Map<StepRun, number>();
@@ -136,5 +137,11 @@
  * @param host - The host.
  * @returns The earliest of the times of its long-running steps, or the time for hosts without any.
  */
-export const latestStartOf = ({ latestStartMs, latestStartByStep }: WavePlan, host: PlannedHost): number =>
-  Math.min(latestStartMs, ...Array.from(host.longRunningSteps, (step) => latestStartByStep.get(step) ?? Infinity));
+export const latestStartOf = (
+  { latestStartMs, latestStartByStep }: WavePlan,
+  host: PlannedHost,
+): number =>
+  Math.min(
+    latestStartMs,
+    ...Array.from(host.longRunningSteps, (step) => latestStartByStep.get(step) ?? Infinity),
+  );
--- a/packages/core/src/batch/model/endpoint-life.ts
+++ b/packages/core/src/batch/model/endpoint-life.ts
@@ -66,7 +66,9 @@
   answer: Answer,
 ): Result<Answer, OrderError> => {
   const answeringId =
-    answeringStartMs === undefined ? endpointId : endpointIdOf(instanceIdOf(endpointId), answeringStartMs);
+    answeringStartMs === undefined
+      ? endpointId
+      : endpointIdOf(instanceIdOf(endpointId), answeringStartMs);
   if (answeringId === endpointId) return Ok(answer);
   return Err({ verdict: 'mayHaveRun', reason: 'other-life', detail: `${answeringId} answers` });
 };
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -13,7 +13,12 @@
   PoolName,
 } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import type { EndpointState, GoneEndpoint, UnansweredStart, RecentCrash } from './endpoint-state.js';
+import type {
+  EndpointState,
+  GoneEndpoint,
+  UnansweredStart,
+  RecentCrash,
+} from './endpoint-state.js';
 import type { BatchPhase, TaskKey } from './job.js';
 import type { JobState, StepRun } from './job-state.js';
 import { createDemand, type Demand } from '../pools/demand.js';
@@ -285,7 +290,8 @@
   openSteps.add(step);
   ranking.openedSteps.push(step);
   // A pool without endpoints is never ranked, which would let this list grow without bound.
-  if (ranking.openedSteps.length > MAX_OPENED) change(ranking, { openedSteps: [], rankedAtMs: -Infinity });
+  if (ranking.openedSteps.length > MAX_OPENED)
+    change(ranking, { openedSteps: [], rankedAtMs: -Infinity });
 };
 
 /**
--- a/packages/core/src/batch/placement/candidates.test.ts
+++ b/packages/core/src/batch/placement/candidates.test.ts
@@ -40,12 +40,14 @@
       // Guards against a score that a placement changes and that is not computed again.
       const state = createBatchState(2);
       change(state, { placementPolicy });
-      const endpoints = endpointSpecs.map(({ rack, dataCentre, usedMillis, hasMaintenanceAhead }, number) => {
-        const endpoint = addEndpointAt(state, { number, dataCentre, rack });
-        change(endpoint, { hasMaintenanceAhead });
-        change(endpoint.used, { cpuMillis: usedMillis });
-        return endpoint;
-      });
+      const endpoints = endpointSpecs.map(
+        ({ rack, dataCentre, usedMillis, hasMaintenanceAhead }, number) => {
+          const endpoint = addEndpointAt(state, { number, dataCentre, rack });
+          change(endpoint, { hasMaintenanceAhead });
+          change(endpoint.used, { cpuMillis: usedMillis });
+          return endpoint;
+        },
+      );
       submitJob(state, JOB, { step: { taskCount: 12, ...stepSpec } });
       const step = state.jobs.get(JOB)?.occurrences.get(0)?.steps[0] as StepRun;
       const view = { state, step, nowMs: 20 };
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -8,7 +8,11 @@
   type InstanceId,
   type JobId,
 } from '../../shared/ids.js';
-import { dropUnlistedPendingReports, addPendingReports, upsertEndpoint } from '../endpoints/endpoints.js';
+import {
+  dropUnlistedPendingReports,
+  addPendingReports,
+  upsertEndpoint,
+} from '../endpoints/endpoints.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
 import { taskKey, type StepSpec } from '../model/job.js';
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -36,7 +36,8 @@
 ): boolean => {
   if (!job.isInherited) return false;
   if (nowMs >= state.inheritedLeasesEndAtMs && isSoleHolder(state, nowMs)) return false;
-  const mayRunOn = (instanceId: InstanceId): boolean => mayRunInheritedTask(state, instanceId, spec);
+  const mayRunOn = (instanceId: InstanceId): boolean =>
+    mayRunInheritedTask(state, instanceId, spec);
   return state.isHostListAwaited || Array.from(unreportedInstances).some(mayRunOn);
 };
 
@@ -83,5 +84,7 @@
     (task) => needsAnnouncement(task) && findAnnouncedRun(task) === undefined,
   );
   if (unannounced.length > 0) announceTrials(state, step, unannounced);
-  return areCrashRecordsWritten(step.job) ? tasks : tasks.filter((task) => !needsAnnouncement(task));
+  return areCrashRecordsWritten(step.job)
+    ? tasks
+    : tasks.filter((task) => !needsAnnouncement(task));
 };
--- a/packages/core/src/batch/placement/ranking.test.ts
+++ b/packages/core/src/batch/placement/ranking.test.ts
@@ -3,7 +3,13 @@
 
 import { brand, type AccountName, type JobId } from '../../shared/ids.js';
 import { setAccounts } from '../accounts/quota.js';
-import { applyAnswer, FIRST, POOL, addEndpoint, submitJob } from '../testing/batch-state.fixtures.js';
+import {
+  applyAnswer,
+  FIRST,
+  POOL,
+  addEndpoint,
+  submitJob,
+} from '../testing/batch-state.fixtures.js';
 import { NO_LIMIT, type Capacity } from '../model/capacity.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 import { schedulePool } from './schedule.js';
--- a/packages/core/src/batch/placement/scores.ts
+++ b/packages/core/src/batch/placement/scores.ts
@@ -51,7 +51,8 @@
  * An endpoint is cold, and therefore slow, for a time after its data centre was taken back into service. A warm endpoint
  * with room is preferred.
  */
-const coldness: PlacementScore['compute'] = ({ coldUntilMs }, { nowMs }) => Number(coldUntilMs > nowMs);
+const coldness: PlacementScore['compute'] = ({ coldUntilMs }, { nowMs }) =>
+  Number(coldUntilMs > nowMs);
 
 /** Tells whether the endpoint holds tasks of the same job, counting all steps of the occurrence. */
 const hasJobOnEndpoint: PlacementScore['compute'] = ({ endpointId }, { step: { occurrence } }) =>
@@ -65,7 +66,13 @@
 export const PLACEMENT_SCORES: readonly PlacementScore[] = [
   { name: 'fullest', weight: 1, compute: fullness },
   { name: 'near its data', weight: 2, compute: nearData },
-  { name: 'failed there', weight: -4, compute: failedThere, outranksSpread: true, dependsOnTask: true },
+  {
+    name: 'failed there',
+    weight: -4,
+    compute: failedThere,
+    outranksSpread: true,
+    dependsOnTask: true,
+  },
   { name: 'maintenance ahead', weight: -3, compute: wouldMoveAgain, outranksSpread: true },
   { name: 'cold', weight: -1, compute: coldness },
 ];
--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -3,7 +3,12 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type PoolName } from '../../shared/ids.js';
-import { createDemandPeakHistory, predictPeakCores, observeDemand, type DemandPeakHistory } from './demand-peaks.js';
+import {
+  createDemandPeakHistory,
+  predictPeakCores,
+  observeDemand,
+  type DemandPeakHistory,
+} from './demand-peaks.js';
 import { toLearnedRow, restoreLearnedRow } from './learned.js';
 import { createBatchState } from '../model/state.js';
 
--- a/packages/core/src/batch/pools/hosts.ts
+++ b/packages/core/src/batch/pools/hosts.ts
@@ -131,7 +131,11 @@
  * @param endpoint - The endpoint that is to go down, or from which a task is to move.
  * @returns The number of unavailable tasks.
  */
-export const countUnavailable = (state: BatchState, step: StepRun, endpoint: EndpointState): number => {
+export const countUnavailable = (
+  state: BatchState,
+  step: StepRun,
+  endpoint: EndpointState,
+): number => {
   const readyHere = countReady(endpoint, step);
   return step.spec.taskCount - countReadyElsewhere(state, step, endpoint) - readyHere;
 };
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -36,7 +36,10 @@
   readonly reason: string;
 };
 
-const freeHostsOn = (world: PoolPlanInput, endpoints: readonly EndpointState[]): readonly ListedHost[] =>
+const freeHostsOn = (
+  world: PoolPlanInput,
+  endpoints: readonly EndpointState[],
+): readonly ListedHost[] =>
   endpoints
     .flatMap(({ hostId }) => (hostId && world.hosts.get(hostId)) ?? [])
     .filter((host) => isHostMovable(world, host));
@@ -47,7 +50,9 @@
     .flatMap(({ name }) =>
       Array.from(world.hosts.values()).filter(
         (host) =>
-          host.pool === name && isHostMovable(world, host) && !world.state.evacuatedDataCentres.has(host.dataCentre),
+          host.pool === name &&
+          isHostMovable(world, host) &&
+          !world.state.evacuatedDataCentres.has(host.dataCentre),
       ),
     );
 
@@ -72,7 +77,8 @@
 ): readonly ListedHost[] => {
   const idle = need.emptyEndpoints.filter(
     ({ endpointId, idleSinceMs }) =>
-      world.state.reclaimedEndpoints.has(endpointId) || world.nowMs - idleSinceMs >= policy.releaseAfterMs,
+      world.state.reclaimedEndpoints.has(endpointId) ||
+      world.nowMs - idleSinceMs >= policy.releaseAfterMs,
   );
   return chooseSurplusHosts(need, freeHostsOn(world, idle), policy, rank);
 };
@@ -343,7 +349,12 @@
   policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
   needs: readonly PoolNeed[] = computePoolNeeds(world, policy),
 ): ReadonlySet<EndpointId> => {
-  if (needs.every(({ shortfallCpu, withinShareShortfallCpu }) => shortfallCpu === withinShareShortfallCpu)) return new Set();
+  if (
+    needs.every(
+      ({ shortfallCpu, withinShareShortfallCpu }) => shortfallCpu === withinShareShortfallCpu,
+    )
+  )
+    return new Set();
   let { missingCpu: missing } = allocateHosts(world, needs, policy, {
     rank: 'within-share',
     earlierMoves: [],
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -136,7 +136,10 @@
   peakCores: number,
 ): PoolNeed => {
   const poolHosts = Array.from(hosts.values()).filter(
-    (host) => host.pool === name && host.state !== 'down' && !state.evacuatedDataCentres.has(host.dataCentre),
+    (host) =>
+      host.pool === name &&
+      host.state !== 'down' &&
+      !state.evacuatedDataCentres.has(host.dataCentre),
   );
   const emptyEvacuatedEndpoints = Array.from(state.endpoints.values()).filter(
     ({ pool: endpointPool, dataCentre, runs, hasReported, isCordoned }) =>
@@ -163,7 +166,12 @@
     Math.max(forecastCores(rates), peakCores) * 1000 * headroom;
   const forecastCpu = forecastWithHeadroom(pool.demand.rates(nowMs));
   const availableCpu = capacityCpu + joiningCpu;
-  const { urgentCpu: currentShortfallCpu, shortCpu: shortfallCpu } = shortfallOf({ usedCpu, waitingCpu, expectedCpu: forecastCpu, availableCpu });
+  const { urgentCpu: currentShortfallCpu, shortCpu: shortfallCpu } = shortfallOf({
+    usedCpu,
+    waitingCpu,
+    expectedCpu: forecastCpu,
+    availableCpu,
+  });
   const fairShareShortfall = shortfallOf({
     usedCpu: usedCpu - cpuBeyondFairShares(endpoints, nowMs),
     waitingCpu: waitingCpuOf(waiting.filter(({ job }) => isRankedWithinShare(job, nowMs))),
@@ -242,7 +250,10 @@
 export const isAnyPoolShort = (
   world: PoolPlanInput,
   policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
-): boolean => computePoolNeeds(world, policy).some(({ withinShareShortfallCpu }) => withinShareShortfallCpu > 0);
+): boolean =>
+  computePoolNeeds(world, policy).some(
+    ({ withinShareShortfallCpu }) => withinShareShortfallCpu > 0,
+  );
 
 /**
  * Tells whether a host may be moved now.
@@ -264,8 +275,10 @@
  * @param rank - Which work is counted.
  * @returns The shortfall in thousandths of a core; negative for a surplus.
  */
-export const shortfallCpuOf = ({ shortfallCpu, withinShareShortfallCpu }: PoolNeed, rank: WorkScope): number =>
-  rank === 'within-share' ? withinShareShortfallCpu : shortfallCpu;
+export const shortfallCpuOf = (
+  { shortfallCpu, withinShareShortfallCpu }: PoolNeed,
+  rank: WorkScope,
+): number => (rank === 'within-share' ? withinShareShortfallCpu : shortfallCpu);
 
 /**
  * Counts how many hosts a pool does not need. It always keeps its minimum number of hosts.
--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -162,5 +162,12 @@
  */
 export const applyAnswer = (
   state: BatchState,
-  { endpointId = FIRST, running = [], ended = [], hasMoreEnds = false, requestedAtMs, nowMs }: Answer,
+  {
+    endpointId = FIRST,
+    running = [],
+    ended = [],
+    hasMoreEnds = false,
+    requestedAtMs,
+    nowMs,
+  }: Answer,
 ): void => applyReport(state, endpointId, { running, ended, hasMoreEnds, requestedAtMs, nowMs });
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -296,7 +296,8 @@
       const job = state.jobs.get(jobId);
       if (job && isUrgent) {
         log.info('job-ended', { job: jobId, phase: job.phase, reason: job.reason });
-        if (job.phase === 'completed') admission.recordCompletion(job.job, isWithinObjective(state, job, nowMs()));
+        if (job.phase === 'completed')
+          admission.recordCompletion(job.job, isWithinObjective(state, job, nowMs()));
       }
       saver.mark(jobId, isUrgent);
     },
@@ -400,7 +401,10 @@
     jobRows.restore([early, late]);
     addPendingReports(
       state,
-      endpoints.seen.map(({ endpointId, pool }) => ({ instanceId: instanceIdOf(endpointId), pool })),
+      endpoints.seen.map(({ endpointId, pool }) => ({
+        instanceId: instanceIdOf(endpointId),
+        pool,
+      })),
     );
     roster.take(endpoints);
     isReady = true;
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -281,7 +281,10 @@
     const known = endpoint();
     return (
       known !== undefined &&
-      (known.runs.size > 0 || !known.hasReported || isSuspect() || acknowledgement.written() < taken)
+      (known.runs.size > 0 ||
+        !known.hasReported ||
+        isSuspect() ||
+        acknowledgement.written() < taken)
     );
   };
 
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -2,7 +2,11 @@
  * One entry of a fleet that runs batch work: takes jobs from clients, and holds control of the
  * fleet while it has the lease. All entries are alike and keep nothing.
  */
-import { TABLE_UNAVAILABLE_MS, type PlacementPolicy, type QueueIndex } from '@valvelatch/core/batch';
+import {
+  TABLE_UNAVAILABLE_MS,
+  type PlacementPolicy,
+  type QueueIndex,
+} from '@valvelatch/core/batch';
 import type { DataCentreId, EntryId } from '@valvelatch/core/shared/ids';
 import { createGroupCommit } from '@valvelatch/platform/group-commit';
 
--- a/packages/daemon/src/batch/jobs/changed-jobs.ts
+++ b/packages/daemon/src/batch/jobs/changed-jobs.ts
@@ -115,7 +115,9 @@
     settleCommitted: (sent, version) =>
       sent.forEach(({ job, wasFinal, crashes }) => {
         const known = versionsOf(job.job.jobId);
-        change(job, { writtenCrashRecordRevision: Math.max(job.writtenCrashRecordRevision, crashes) });
+        change(job, {
+          writtenCrashRecordRevision: Math.max(job.writtenCrashRecordRevision, crashes),
+        });
         change(known, wasFinal ? { job: version, progress: 0 } : { progress: version });
         if (wasFinal) onSaved(job);
       }),
--- a/packages/daemon/src/batch/jobs/intake.ts
+++ b/packages/daemon/src/batch/jobs/intake.ts
@@ -73,7 +73,11 @@
 };
 
 export type Intake = {
-  readonly submit: (queue: DeclaredQueue, job: BatchJob, deadlineMs?: number) => Promise<IntakeAnswer>;
+  readonly submit: (
+    queue: DeclaredQueue,
+    job: BatchJob,
+    deadlineMs?: number,
+  ) => Promise<IntakeAnswer>;
   readonly status: (jobId: JobId, caller: Caller) => Promise<IntakeAnswer>;
   readonly cancel: (jobId: JobId, caller: Caller, deadlineMs?: number) => Promise<IntakeAnswer>;
   readonly waiting: (queue: DeclaredQueue) => Promise<IntakeAnswer>;
--- a/packages/daemon/src/batch/jobs/job-owners.test.ts
+++ b/packages/daemon/src/batch/jobs/job-owners.test.ts
@@ -1,5 +1,11 @@
 /** Jobs of one account, as callers of another see them. */
-import type { BatchJob, BatchJobRow, Caller, JobStatus, DeclaredQueue } from '@valvelatch/core/batch';
+import type {
+  BatchJob,
+  BatchJobRow,
+  Caller,
+  JobStatus,
+  DeclaredQueue,
+} from '@valvelatch/core/batch';
 import { brand, type AccountName, type JobId } from '@valvelatch/core/shared/ids';
 import { Ok } from 'ts-results-es';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
--- a/packages/daemon/src/batch/operators/data-centre-views.ts
+++ b/packages/daemon/src/batch/operators/data-centre-views.ts
@@ -69,7 +69,8 @@
   const left = `${shortRuns} short runs and ${longRuns} long-running tasks`;
   if (!evacuation) return `in service: ${left}`;
   const inMs = Math.max(0, Math.round((lastExpectedEndMs ?? 0) - performance.now()));
-  const end = lastExpectedEndMs === undefined ? 'no short run is left' : `the last ends in some ${inMs} ms`;
+  const end =
+    lastExpectedEndMs === undefined ? 'no short run is left' : `the last ends in some ${inMs} ms`;
   return `evacuated since ${new Date(evacuation.knownSinceDay).toISOString()}: ${left} there, ${end}`;
 };
 
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -225,7 +225,12 @@
       });
   };
 
-  const observeEnd = (on: EndpointId, task: TaskKey, run: number, kind: RunEndKind | 'died'): void => {
+  const observeEnd = (
+    on: EndpointId,
+    task: TaskKey,
+    run: number,
+    kind: RunEndKind | 'died',
+  ): void => {
     if (kind !== 'done') return;
     const atMs = nowMs();
     const followedBy = undefined;
@@ -392,7 +397,9 @@
     const { crashRecordRevision } = job;
     setTimeout(
       () =>
-        change(job, { writtenCrashRecordRevision: Math.max(job.writtenCrashRecordRevision, crashRecordRevision) }),
+        change(job, {
+          writtenCrashRecordRevision: Math.max(job.writtenCrashRecordRevision, crashRecordRevision),
+        }),
       saveMs,
     );
   };
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -258,7 +258,10 @@
     ];
     const sums = new Map<AccountName, number>();
     endpointsKnown
-      .flatMap(({ runs, unexpectedSteps }) => [...Array.from(runs.values(), ({ step }) => step), ...unexpectedSteps])
+      .flatMap(({ runs, unexpectedSteps }) => [
+        ...Array.from(runs.values(), ({ step }) => step),
+        ...unexpectedSteps,
+      ])
       .forEach((step) => {
         const account = step.job.job.owner?.account;
         if (account) sums.set(account, (sums.get(account) ?? 0) + step.spec.cpuMillis);
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -321,7 +321,9 @@
     };
   };
 
-  const placeOf = ({ hostId }: SimulatedEndpoint): Pick<EndpointDescription, 'dataCentre' | 'labels'> => {
+  const placeOf = ({
+    hostId,
+  }: SimulatedEndpoint): Pick<EndpointDescription, 'dataCentre' | 'labels'> => {
     const host = hosts.get(hostId);
     return {
       dataCentre: host?.dataCentre ?? brand<DataCentreId>(''),
@@ -405,7 +407,9 @@
         };
         const patienceMs = order.waitMs + timeoutMs;
         const answer = await toEndpoint(instanceIdOf(endpointId), order, ask, patienceMs);
-        return answer.andThen(({ bornAtMs, value }) => requireSameIncarnation(endpointId, bornAtMs, value));
+        return answer.andThen(({ bornAtMs, value }) =>
+          requireSameIncarnation(endpointId, bornAtMs, value),
+        );
       },
       start: ({ endpointId }, order, timeoutMs) => {
         const instanceId = instanceIdOf(endpointId);
--- a/packages/stand-ins/src/users-platform/executor-service.ts
+++ b/packages/stand-ins/src/users-platform/executor-service.ts
@@ -44,7 +44,9 @@
  * @param options - The names, the room and the clock of its endpoint.
  * @returns The executor.
  */
-export const startExecutor = async (options: SimulatedEndpointOptions): Promise<StandInExecutor> => {
+export const startExecutor = async (
+  options: SimulatedEndpointOptions,
+): Promise<StandInExecutor> => {
   const model = createSimulatedEndpoint(options);
   const server = fastify();
 
