--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -213,8 +213,8 @@
   atMs - Math.max(startedByMs, endpoint.reportedAtMs) < MAX_UNRESPONSIVE_MS;
 
 /**
- * Tells whether another run is unlikely to have caused a crash. This requires a longer time than `isSettled`, because a
- * task may crash its endpoint late.
+ * Tells whether another run is unlikely to have caused a crash. This requires a longer time than
+ * `hasSurvivedObservation`, because a task may crash its endpoint late.
  */
 const isUnlikelyCause = (endpoint: EndpointState, run: RunState, other: RunState): boolean =>
   other.step.job === run.step.job || livedMs(endpoint, other) >= MAX_OBSERVATION_MS;
--- a/packages/core/src/batch/endpoints/endpoint-model.ts
+++ b/packages/core/src/batch/endpoints/endpoint-model.ts
@@ -51,7 +51,7 @@
     kind: RunEndKind | 'died',
   ) => void;
   readonly onAcknowledged: (end: EndedRunReport) => void;
-  /** Called when a task crashes the endpoint; the creator of the endpoint then calls `die`. */
+  /** Called when a task crashes the endpoint; the creator of the endpoint then calls `crash`. */
   readonly onCrash?: (endpoint: SimulatedEndpoint, task: TaskKey) => void;
   readonly taskOf: (task: TaskKey) => SimulatedTask;
 };
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -34,7 +34,7 @@
 
 /**
  * Marks an endpoint as gone. It gets no new tasks and its capacity no longer counts. Tasks that ran there, and
- * inherited tasks that may have run there, wait until `settleGoneEndpoints` gives their runs up.
+ * inherited tasks that may have run there, wait until `giveUpRunsOfGoneEndpoints` gives their runs up.
  *
  * @param state - The holder's batch state, modified in place.
  * @param endpointId - The endpoint.
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -89,7 +89,7 @@
 export type AdmissionControl = {
   /** Decides on a submitted job; undefined if it is to be accepted. */
   readonly evaluate: (submitted: JobSubmission, nowMs: number) => ForecastRefusal | undefined;
-  /** Counts an admitted job as queued work until `settle` is called for it. */
+  /** Counts an admitted job as queued work until `removePending` is called for it. */
   readonly addPending: (submitted: JobSubmission, nowMs: number) => void;
   /** Stops counting an admitted job: it was added to the state, or is known not to be. */
   readonly removePending: (jobId: JobId) => void;
--- a/packages/core/src/batch/jobs/run-times.ts
+++ b/packages/core/src/batch/jobs/run-times.ts
@@ -24,7 +24,7 @@
  * Records the run time of a completed task.
  *
  * @param times - The learned run times, changed in place.
- * @param kind - The kind of the task, see `kindOf`.
+ * @param kind - The kind of the task, see `taskKindOf`.
  * @param runTimeMs - The run time in milliseconds.
  */
 export const recordRunTime = (times: RunTimes, kind: string, runTimeMs: number): void => {
@@ -41,7 +41,7 @@
  * Estimates the run time of a task.
  *
  * @param times - The learned run times.
- * @param kind - The kind of the task, see `kindOf`.
+ * @param kind - The kind of the task, see `taskKindOf`.
  * @param estimateMs - The client's estimate.
  * @returns The average of the kind, or the client's estimate while too few tasks have completed; in milliseconds.
  */
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -42,7 +42,7 @@
 export type WavePlan = {
   /** For hosts without long-running tasks. */
   readonly latestStartMs: number;
-  /** For hosts with tasks of a long-running step, by step; never later than `latestMs`. */
+  /** For hosts with tasks of a long-running step, by step; never later than `latestStartMs`. */
   readonly latestStartByStep: ReadonlyMap<StepRun, number>;
   /** Steps whose hosts would miss the deadline if each went down with its tasks instead of having them moved. */
   readonly tightSteps: ReadonlySet<StepRun>;
--- a/packages/core/src/batch/model/job-state.ts
+++ b/packages/core/src/batch/model/job-state.ts
@@ -140,6 +140,6 @@
   hasStarted: boolean;
   /** Incremented with each change of the crashes and announced starts that the job's row contains. */
   crashRecordRevision: number;
-  /** The `blameRevision` that the job's row was last written with. */
+  /** The `crashRecordRevision` that the job's row was last written with. */
   writtenCrashRecordRevision: number;
 };
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -2,7 +2,7 @@
  * The order in which open steps are placed. Steps that can still finish within their job's objective come first, those
  * whose objective ends earliest before the others. Steps that can still be a late success come next, and then the rest.
  * Within each of these tiers, steps of equal priority are ordered by the end of their objective, so that no step waits
- * for ever. The `OrderWay` decides where the shares of client accounts come in.
+ * for ever. The `QueueOrder` decides where the shares of client accounts come in.
  */
 import type { QueueOrder } from '../model/order-ways.js';
 import { isRankedWithinShare } from '../accounts/shares.js';
@@ -91,7 +91,7 @@
  * @param state - The batch state, which holds the learned run times.
  * @param job - The job.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
- * @returns True if more than `LATE_FACTOR` times the objective has passed; false for a repeating job.
+ * @returns True if more than `LATE_SUCCESS_FACTOR` times the objective has passed; false for a repeating job.
  */
 export const isTooLate = (state: BatchState, job: JobState, nowMs: number): boolean => {
   const step = job.occurrences.get(0)?.steps[0];
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -75,7 +75,7 @@
    * for a surplus.
    */
   readonly shortfallCpu: number;
-  /** The same for work within the accounts' fair shares only; equal to `shortCpu` if no account has a weight. */
+  /** The same for work within the accounts' fair shares only; equal to `shortfallCpu` if no account has a weight. */
   readonly withinShareShortfallCpu: number;
   /** The capacity that is missing for running and waiting work, without the forecast. */
   readonly currentShortfallCpu: number;
