--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -1,4 +1,4 @@
-/** The lease on control at one entry: takes it, runs a term under it, and finds who holds it. */
+/** Manages the control lease at one entry: takes and renews it, runs a term while it is held, and finds its holder. */
 import {
   TABLE_UNAVAILABLE_MS,
   type BatchJobRow,
@@ -31,102 +31,118 @@
 import type { KnownWave } from '../hosts/wave-keeper.js';
 
 /**
- * The lease on control: for so long from its last renewal a holder without the table goes on to
- * order endpoints, so that the work in hand is done in an outage of 6 s. A holder that is lost is
- * silent on the mesh too and replaced sooner (`EARLY_TAKE_MS`).
+ * Duration of the control lease. A holder without the table continues to order endpoints for this long after its
+ * last renewal, so that accepted work continues through an outage of 6 s. A holder that has failed is silent on
+ * the mesh too and is replaced sooner (`EARLY_TAKEOVER_MS`).
  */
 const CONTROL_LEASE_MS = 8000;
-/** A renewal each 1.2 to 1.7 s: what depends on how recent the last one is needs them. */
+/**
+ * Renewals come every 1.2 to 1.7 s with this value. The rules below that depend on the age of the last renewal need
+ * them that often.
+ */
 const RENEW_AFTER_MS = 1300;
-/** Clocks of entries may differ by 2 % over the lease; the rest is for late timers. */
-const CONTROL_MARGIN_MS = 500;
 /**
- * The lease of a holder that is silent on the mesh too is taken after this time. It renews each 1.3
- * to 1.8 s. It may still think that it holds control: endpoints and rows are fenced, hosts are
- * ordered only shortly after a renewal, and jobs are admitted only then too (`SOLE_HOLDER_MS`).
+ * Safety margin of the lease between its holder and the entries that may take it. Their clocks may differ by 2 % over
+ * the lease; the rest is for late timers.
  */
-const EARLY_TAKE_MS = 2600;
+const CONTROL_LEASE_MARGIN_MS = 500;
 /**
- * For so long after a renewal no other entry can have taken the lease. Jobs that others wrote are
- * admitted only then, since those that a next holder accepted are its own to start; and a lease on
- * an endpoint is believed to have ended only then, since a next holder may have prolonged it. Less
- * than `EARLY_TAKE_MS`, by more than clocks differ in it.
+ * The lease of a holder that is also silent on the mesh is taken after this time without a renewal. Its renewals
+ * are seen every 1.3 to 1.8 s. That holder may still act as if it held control, which is safe: endpoints and rows
+ * are fenced, and hosts are ordered and jobs of other entries admitted only shortly after a renewal
+ * (`MAX_RENEWAL_AGE_FOR_HOST_ORDERS_MS`, `SOLE_HOLDER_MS`).
+ */
+const EARLY_TAKEOVER_MS = 2600;
+/**
+ * For this long after a renewal no other entry can have taken the lease. Only in this time does the holder admit
+ * jobs that other entries wrote, since later ones may have been accepted by a next holder, which starts them; and
+ * only in this time does it treat an endpoint's lease as ended, since a next holder may have extended it. Must be
+ * less than `EARLY_TAKEOVER_MS` by more than clocks can differ over that time.
  */
 const SOLE_HOLDER_MS = 2400;
-/** Counts of waiting jobs may be 2 s old; clients ask all entries. */
-const WAITING_FRESH_MS = 700;
+/**
+ * How long an entry caches the holder's counts of waiting jobs. The counts may be up to 2 s old, and clients ask
+ * all entries for them.
+ */
+const MAX_WAITING_CACHE_AGE_MS = 700;
 
-/** A planned stop leaves this long to find the platform again and give control up. */
-const RESIGN_FOR_MS = 4200;
-const RESIGN_PAUSE_MS = 250;
+/** How long a planned stop tries to give up control, in case the platform is unavailable at first. */
+const RESIGN_TIMEOUT_MS = 4200;
+const RESIGN_RETRY_MS = 250;
 /**
- * Hosts are ordered only so shortly after a renewal, so that whoever takes over a lapsed lease
- * knows how long ago the last order was at least.
+ * Hosts are ordered only within this time after a renewal, so that an entry that takes over a lapsed lease knows
+ * a minimum for the time since the last order.
  */
-const HOST_ORDERS_WITHIN_MS = 1800;
-const TURN_MARGIN_MS = 300;
+const MAX_RENEWAL_AGE_FOR_HOST_ORDERS_MS = 1800;
+/** Added to the minimum time between the host orders of two holders. */
+const HOLDER_TURN_MARGIN_MS = 300;
 
 /**
- * A holder whose own route to the table is lost for so long, while neighbours are served, gives
- * control up: shorter, and a lost connection would cost a change of the holder (0.5 s); longer, and
- * accepted jobs wait for it.
+ * A holder gives up control when its own route to the table has been lost for this long while the table serves its
+ * neighbours. With a shorter time a single lost connection would change the holder, which costs 0.5 s; with a
+ * longer one accepted jobs wait for the change.
  */
-const TURNED_AWAY_MS = 1200;
+const TABLE_ROUTE_LOST_MS = 1200;
 
 /**
- * The look at the lease waits so long for a renewal. One that hung for several seconds kept a holder
- * from noticing that the table served others.
+ * How long one tick waits for the lease to be read or renewed. Without the limit a renewal that hangs for several
+ * seconds would keep a holder from noticing that the table serves other entries.
  */
-const LOOK_MS = 600;
+const LEASE_TICK_TIMEOUT_MS = 600;
 /**
- * A holder that the table has not answered for so long, directly or at all, cannot renew. A slow table
- * takes up to 610 ms.
+ * A holder cannot renew if the table has not answered it for this long, either on its direct route or on any route.
+ * A slow table takes up to 610 ms.
  */
-const CANNOT_RENEW_MS = 1000;
+const TABLE_SILENCE_LIMIT_MS = 1000;
 
 export type ControlOptions = {
   readonly self: EntryId;
   readonly platform: BatchPlatform;
   readonly table: RelayedTable;
+  /** Undefined while the mesh is not open. */
   readonly peers: () => Peers | undefined;
+  /** The operator's queues; undefined until they were read once. */
   readonly configuration: () => QueueIndex | undefined;
-  /** Whether orders to start may leave this entry; always if left out. */
+  /** Decides whether this entry may send start orders; if left out, it always may. */
   readonly startGate?: StartGate;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** How this entry stands among the others. */
+  /** Whether this entry is preferred as holder; all entries are equal if left out. */
   readonly standing?: Standing;
-  /** For how long endpoints keep what runs there without contact with the holder. */
+  /** How long an endpoint keeps its runs without contact with the holder, in milliseconds. */
   readonly endpointLeaseMs?: number;
-  /** Where tasks of short steps go; `fullest` if left out. */
+  /** How endpoints are chosen for tasks of short steps; `fullest` if left out. */
   readonly placementPolicy?: PlacementPolicy;
-  /** For how long another entry has been silent on the mesh; Infinity without a link to it. */
+  /** For how long another entry has been silent on the mesh, in milliseconds; Infinity without a link to it. */
   readonly silentForMs?: (entryId: EntryId) => number;
   readonly nowMs?: () => number;
 };
 
-type Cancel = { readonly jobId: JobId; readonly caller: Caller };
-type Taken = { readonly row: BatchJobRow; readonly version: number };
+type CancelRequest = { readonly jobId: JobId; readonly caller: Caller };
+type WrittenJob = { readonly row: BatchJobRow; readonly version: number };
 
 export type Control = ControlView & {
-  /** Keeps the lease; to be called several times within it. */
+  /** Takes, renews or hands over the lease, and starts and ends terms; to be called several times within a lease. */
   readonly tick: () => Promise<void>;
+  /** Adds maintenance waves that this entry has heard of; known ones are ignored. */
   readonly takeWaves: (orders: readonly MaintenanceRequest[]) => void;
-  /** Answers another entry, perhaps later. */
+  /** Answers a call of another entry, possibly with a promise; undefined for an unknown method. */
   readonly answer: (method: string, payload: unknown) => unknown;
+  /** The running term; undefined while this entry does not hold control. */
   readonly term: () => Term | undefined;
+  /** The control holder at the last tick; null if there was none. */
   readonly holder: () => EntryId | null;
-  /** Tells the holder, here or elsewhere, of jobs that were refused; false if it was not reached. */
+  /** Reports refused jobs to the holder, which may be this entry; false if it was not reached. */
   readonly tellRefused: (jobs: readonly RefusedJob[]) => Promise<boolean>;
-  /** Gives control up at once, for a planned stop. */
+  /** Gives up control, for a planned stop. */
   readonly resign: () => Promise<void>;
 };
 
 /**
- * Builds the control of an entry.
+ * Builds the control of batch work at one entry.
  *
  * @param options - The entry, its platform and its peers.
- * @returns The control.
+ * @returns The control, which does nothing until `tick` is called.
  */
 export const createControl = ({
   self,
@@ -148,29 +164,32 @@
     name: CONTROL_LEASE,
     self,
     durationMs: CONTROL_LEASE_MS,
-    marginMs: CONTROL_MARGIN_MS,
+    marginMs: CONTROL_LEASE_MARGIN_MS,
     renewAfterMs: RENEW_AFTER_MS,
-    mayTake: () => isWilling() && (isOpenToStrong() || isLeftToUs()),
+    mayTake: () => isWilling() && (mayTakeAtOnce() || mayTakeAfterYielding()),
     mayRetake: () => isWilling(),
-    freeAfterMs: () => (isHolderSuspect() ? EARLY_TAKE_MS : undefined),
+    freeAfterMs: () => (isHolderSuspect() ? EARLY_TAKEOVER_MS : undefined),
     nowMs,
   });
   const knownWaves = new Map<number, KnownWave>();
   let term: Term | undefined;
   let isResigned = false;
-  const hasYielded = createYielding();
-  let lookedAtMs = 0;
+  const recordLeaseObservation = createYielding();
+  let checkedForStrongerAtMs = 0;
   let lostFence = -1;
-  /** Other entries were told that nothing is ordered here any more under this fence and those before. */
+  /** Other entries were told that this entry sends no more orders under this fence or an earlier one. */
   let resignedFence = -1;
   let lastHolder: EntryId | null = null;
   let waitingCache:
     { readonly atMs: number; readonly counts: ReadonlyMap<string, number> } | undefined;
 
-  /** Feeds come by the own route only: an entry without it could hold control, and not exert it. */
+  /**
+   * An entry without its own route to the table does not take control: feeds are read over that route only, so
+   * it could keep the lease through neighbours but learn of no new work.
+   */
   const isWilling = (): boolean => !isResigned && configuration() !== undefined && table.isServed();
 
-  /** A holder that is silent or has resigned: its lease may be taken after `EARLY_TAKE_MS`. */
+  /** True if another entry holds the lease and is silent or has resigned: it may be taken after `EARLY_TAKEOVER_MS`. */
   const isHolderSuspect = (): boolean => {
     const holder = keeper.lastRow()?.holder ?? null;
     if (holder === null || holder === self) return false;
@@ -178,51 +197,54 @@
   };
 
   /**
-   * A strong entry takes the lease of a silent holder at once, and one that nobody holds. A holder
-   * that is heard comes first: after an outage of the table it renews its lapsed lease, and what it
-   * knows of tasks, run times and demand is not lost.
+   * A preferred entry need not leave the lease to others if nobody holds it, or if its holder is this entry or is
+   * suspect. A holder that is heard on the mesh has priority: after an outage of the table it renews its lapsed lease,
+   * and its state of tasks, run times and demand is not lost.
    */
-  const isOpenToStrong = (): boolean => {
+  const mayTakeAtOnce = (): boolean => {
     const holder = keeper.lastRow()?.holder ?? null;
     return standing.isStrong() && (holder === null || holder === self || isHolderSuspect());
   };
 
-  /** Entries that come first have had their time to take the lease. */
-  const isLeftToUs = (): boolean => {
+  /** True if the lease has been free for long enough that every entry with priority could have taken it. */
+  const mayTakeAfterYielding = (): boolean => {
     const isHeld = (keeper.lastRow()?.holder ?? null) !== null;
-    const wholeMs = isHolderSuspect() ? EARLY_TAKE_MS : CONTROL_LEASE_MS + CONTROL_MARGIN_MS;
-    const freeAfterMs = isHeld ? wholeMs : 0;
-    return hasYielded(keeper.unchangedForMs() >= freeAfterMs, nowMs());
+    const takeoverMs = isHolderSuspect()
+      ? EARLY_TAKEOVER_MS
+      : CONTROL_LEASE_MS + CONTROL_LEASE_MARGIN_MS;
+    const freeAfterMs = isHeld ? takeoverMs : 0;
+    return recordLeaseObservation(keeper.unchangedForMs() >= freeAfterMs, nowMs());
   };
 
   const endTerm = async (reason: string): Promise<void> => {
-    const ending = term;
+    const endingTerm = term;
     term = undefined;
-    if (!ending) return;
-    log.warn('control-lost', { fence: ending.state.fence, reason });
-    await ending.stop();
+    if (!endingTerm) return;
+    log.warn('control-lost', { fence: endingTerm.state.fence, reason });
+    await endingTerm.stop();
   };
 
   /**
-   * Holders that the platform both hears must not order hosts within `holderTurnMs` of each other.
-   * One whose lease was taken from it did not renew, so it is not heard; one that gave its lease up
-   * tells for how long it had ordered none.
+   * The delay before this holder's first host order. Two holders that both reach the platform must not order
+   * hosts within `holderTurnMs` of each other. A holder whose lease was taken did not renew it, so it does not reach
+   * the platform; one that gave up its lease recorded for how long it had ordered no host.
    */
   const hostOrdersAfterMs = (): number => {
     if (keeper.takenFrom() !== null) return 0;
-    const distanceMs = platform.bounds().holderTurnMs + TURN_MARGIN_MS;
+    const distanceMs = platform.bounds().holderTurnMs + HOLDER_TURN_MARGIN_MS;
     return Math.max(0, distanceMs - keeper.idleBeforeMs() - keeper.watchedMs());
   };
 
-  /** For how long holders before may still order endpoints, by their own clocks. */
-  const holdersBeforeMs = (): number => Math.max(0, keeper.earlierUntilMs() - nowMs());
+  /** For how long earlier holders may still order endpoints, by their own clocks. */
+  const formerOrdersRemainingMs = (): number => Math.max(0, keeper.earlierUntilMs() - nowMs());
 
   const mayOrderHosts = (): boolean =>
-    table.isServed() && keeper.heldUntilMs() - nowMs() > CONTROL_LEASE_MS - HOST_ORDERS_WITHIN_MS;
+    table.isServed() &&
+    keeper.heldUntilMs() - nowMs() > CONTROL_LEASE_MS - MAX_RENEWAL_AGE_FOR_HOST_ORDERS_MS;
 
   const beginTerm = (fence: number): void => {
     const { key, version } = keeper.fence();
-    const begun = createTerm({
+    const newTerm = createTerm({
       self,
       fence,
       fenceCheck: { key, version },
@@ -233,7 +255,7 @@
       holds: keeper.holds,
       mayOrderHosts,
       hostOrdersAfterMs: hostOrdersAfterMs(),
-      holdersBeforeMs: holdersBeforeMs(),
+      holdersBeforeMs: formerOrdersRemainingMs(),
       endpointLeaseMs,
       placementPolicy,
       isTableAway: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
@@ -245,64 +267,68 @@
         void endTerm(reason).then(() => keeper.release());
       },
     });
-    term = begun;
-    begun.fleet.takeWaves(Array.from(knownWaves.values()));
-    void begun.start().catch((error: unknown) => {
+    term = newTerm;
+    newTerm.fleet.takeWaves(Array.from(knownWaves.values()));
+    void newTerm.start().catch((error: unknown) => {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
       log.error('term-failed', { fence, detail });
-      void endTerm('it could not be started');
+      void endTerm('the term could not be started');
     });
   };
 
-  /** The table turns this entry away and serves others: they must hold control. */
-  const isTurnedAway = (): boolean =>
-    nowMs() - table.lostSinceMs() > TURNED_AWAY_MS &&
-    table.answeredAtMs() - table.lostSinceMs() > TURNED_AWAY_MS / 2 &&
-    nowMs() - table.answeredAtMs() < TURNED_AWAY_MS;
-
-  /** Why control should go to another entry now, if it should. */
-  const findSuccession = async (): Promise<string | undefined> => {
-    if (isTurnedAway()) return 'the table turns this entry away and serves others';
-    if (standing.isStrong() || nowMs() - lookedAtMs < HAND_OVER_LOOK_MS) return undefined;
-    lookedAtMs = nowMs();
+  /** True if the table serves other entries and not this one: then one of them must hold control. */
+  const isTableServingOthersOnly = (): boolean =>
+    nowMs() - table.lostSinceMs() > TABLE_ROUTE_LOST_MS &&
+    table.answeredAtMs() - table.lostSinceMs() > TABLE_ROUTE_LOST_MS / 2 &&
+    nowMs() - table.answeredAtMs() < TABLE_ROUTE_LOST_MS;
+
+  /** The reason why control should go to another entry now; undefined if it should not. */
+  const findHandoverReason = async (): Promise<string | undefined> => {
+    if (isTableServingOthersOnly()) return 'the table serves other entries and not this one';
+    if (standing.isStrong() || nowMs() - checkedForStrongerAtMs < HAND_OVER_LOOK_MS)
+      return undefined;
+    checkedForStrongerAtMs = nowMs();
     const stronger = await standing.findStronger();
-    return stronger && `it is left to ${stronger}, which is stronger`;
+    return stronger && `handed over to ${stronger}, which has more capacity`;
   };
 
   const handOver = async (): Promise<void> => {
-    const reason = term && (await findSuccession());
+    const reason = term && (await findHandoverReason());
     if (reason !== undefined && (await keeper.release(term?.fleet.idleMs()))) await endTerm(reason);
   };
 
-  /** A lapsed lease that nobody has taken is renewed; until then the term orders nothing. */
+  /**
+   * True if another entry has taken the lease since the term began. A lapsed lease that nobody has taken does not
+   * end the term: it sends no orders until the lease is renewed.
+   */
   const isTakenOver = ({ state: { fence } }: Term): boolean =>
     keeper.lastRow()?.holder !== self || keeper.epoch() !== fence;
 
-  /** The last renewal is so old that another entry may take the lease, and the table does not answer. */
+  /** True if the last renewal is so old that another entry may take the lease, and the table does not answer. */
   const cannotRenew = (): boolean => {
     const renewedAtMs = keeper.heldUntilMs() - CONTROL_LEASE_MS;
     const unansweredMs = Math.max(table.silentForMs(), nowMs() - table.lostSinceMs());
-    return nowMs() - renewedAtMs >= SOLE_HOLDER_MS && unansweredMs >= CANNOT_RENEW_MS;
+    return nowMs() - renewedAtMs >= SOLE_HOLDER_MS && unansweredMs >= TABLE_SILENCE_LIMIT_MS;
   };
 
   /**
-   * Answers an entry that the table serves and that sees no renewal under a fence. The term under it ends
-   * if it cannot renew, and once the answer was true nothing is ordered here under that fence or an earlier one.
+   * Answers an entry that the table serves and that sees no renewal under a fence. If this entry cannot renew, the
+   * term under that fence ends. After a true answer this entry sends no orders under that fence or an earlier one.
    */
-  const resignUnder = (fence: number): boolean => {
+  const resignFence = (fence: number): boolean => {
     if (fence <= resignedFence) return true;
     const isHeld = keeper.holds() && keeper.epoch() === fence;
     const isActive = isHeld || term?.state.fence === fence;
     if ((isActive && !cannotRenew()) || keeper.epoch() > fence) return false;
     resignedFence = fence;
     keeper.abandon();
-    void endTerm('the table serves others and does not answer this entry');
+    void endTerm('the table serves other entries and does not answer this one');
     return true;
   };
 
   const resignations = createResignations({ ask: (...args) => peers()?.ask(...args), nowMs });
 
-  const askHolder = (): void => {
+  const askHolderIfResigned = (): void => {
     resignations.noteTable(table.isServed() ? table.silentForMs() : Infinity);
     const row = keeper.lastRow();
     const isOther = row !== null && row.holder !== null && row.holder !== self;
@@ -310,31 +336,31 @@
     resignations.ask(row.holder, row.epoch);
   };
 
-  let keeping: Promise<void> | undefined;
+  let pendingLeaseTick: Promise<void> | undefined;
 
   const keepLease = async (): Promise<void> => {
-    keeping ??= keeper.tick().finally(() => {
-      keeping = undefined;
+    pendingLeaseTick ??= keeper.tick().finally(() => {
+      pendingLeaseTick = undefined;
     });
-    await Promise.race([keeping, sleep(LOOK_MS)]);
+    await Promise.race([pendingLeaseTick, sleep(LEASE_TICK_TIMEOUT_MS)]);
   };
 
   const tick = async (): Promise<void> => {
     await handOver();
     await keepLease();
-    askHolder();
+    askHolderIfResigned();
     const fence = keeper.epoch();
     const isHeld = keeper.holds() && keeper.lastRow()?.holder === self;
     if (term && isTakenOver(term)) await endTerm('another entry holds control');
-    const isOver = fence === lostFence || fence <= resignedFence;
-    if (!term && isHeld && !isResigned && !isOver) beginTerm(fence);
+    const isFenceRetired = fence === lostFence || fence <= resignedFence;
+    if (!term && isHeld && !isResigned && !isFenceRetired) beginTerm(fence);
     const holder = keeper.lastRow()?.holder ?? null;
     if (holder !== lastHolder) log.info('control-holder', { holder: holder ?? 'none', fence });
     lastHolder = holder;
     if (holder !== null && holder !== self) peers()?.keepLink(holder);
   };
 
-  const holderThere = createHolderClient({
+  const holderClient = createHolderClient({
     self,
     peers,
     holder: () => lastHolder,
@@ -343,23 +369,25 @@
     nowMs,
   });
 
-  const ownWaiting = (): Record<string, number> | undefined => {
+  const countWaitingHere = (): Record<string, number> | undefined => {
     const counts = term?.waiting();
     return counts && Object.fromEntries(counts);
   };
 
-  const waitingCounts = async (): Promise<ReadonlyMap<string, number> | undefined> => {
-    if (waitingCache && nowMs() - waitingCache.atMs < WAITING_FRESH_MS) return waitingCache.counts;
+  const readWaitingCounts = async (): Promise<ReadonlyMap<string, number> | undefined> => {
+    if (waitingCache && nowMs() - waitingCache.atMs < MAX_WAITING_CACHE_AGE_MS)
+      return waitingCache.counts;
     const atMs = nowMs();
     const counts =
-      ownWaiting() ??
-      ((await holderThere.ask(CONTROL_METHOD.waiting, null)) as Record<string, number> | undefined);
+      countWaitingHere() ??
+      ((await holderClient.ask(CONTROL_METHOD.waiting, null)) as
+        Record<string, number> | undefined);
     if (!counts) return undefined;
     waitingCache = { atMs, counts: new Map(Object.entries(counts)) };
     return waitingCache.counts;
   };
 
-  const takenHere = ({ row, version }: Taken): boolean => {
+  const admitWrittenHere = ({ row, version }: WrittenJob): boolean => {
     if (row.kind === 'live') term?.takeIn(row, version);
     return term !== undefined;
   };
@@ -367,7 +395,7 @@
   const acceptHere = async (row: BatchJobRow): Promise<AcceptOutcome | null> =>
     (row.kind === 'live' ? await term?.accept(row) : undefined) ?? null;
 
-  const refusedHere = (jobs: readonly RefusedJob[]): boolean => {
+  const recordRefusedHere = (jobs: readonly RefusedJob[]): boolean => {
     term?.noteRefused(jobs);
     return term !== undefined;
   };
@@ -375,13 +403,13 @@
   const handlers: Readonly<Record<string, (payload: unknown) => unknown>> = {
     [CONTROL_METHOD.phase]: (payload) => term?.statusOf(brand<JobId>(String(payload))) ?? null,
     [CONTROL_METHOD.willing]: () => isWilling(),
-    [CONTROL_METHOD.waiting]: () => ownWaiting() ?? null,
-    [CONTROL_METHOD.taken]: (payload) => takenHere(payload as Taken),
+    [CONTROL_METHOD.waiting]: () => countWaitingHere() ?? null,
+    [CONTROL_METHOD.taken]: (payload) => admitWrittenHere(payload as WrittenJob),
     [CONTROL_METHOD.accept]: (payload) => acceptHere(payload as BatchJobRow),
-    [CONTROL_METHOD.refused]: (payload) => refusedHere(payload as readonly RefusedJob[]),
-    [CONTROL_METHOD.resigned]: (payload) => resignUnder(Number(payload)),
+    [CONTROL_METHOD.refused]: (payload) => recordRefusedHere(payload as readonly RefusedJob[]),
+    [CONTROL_METHOD.resigned]: (payload) => resignFence(Number(payload)),
     [CONTROL_METHOD.cancelled]: (payload) => {
-      const { jobId, caller } = payload as Cancel;
+      const { jobId, caller } = payload as CancelRequest;
       return term?.cancel(jobId, caller) ?? null;
     },
   };
@@ -389,7 +417,9 @@
   return {
     tick,
     tellRefused: async (jobs) =>
-      term ? refusedHere(jobs) : (await holderThere.ask(CONTROL_METHOD.refused, jobs)) === true,
+      term
+        ? recordRefusedHere(jobs)
+        : (await holderClient.ask(CONTROL_METHOD.refused, jobs)) === true,
     takeWaves: (waves) => {
       waves
         .filter(({ waveNumber }) => !knownWaves.has(waveNumber))
@@ -401,35 +431,35 @@
     holder: () => lastHolder,
     resign: async () => {
       isResigned = true;
-      const untilMs = nowMs() + RESIGN_FOR_MS;
-      // While the platform is away nobody could take over: control goes on until it is back.
+      const untilMs = nowMs() + RESIGN_TIMEOUT_MS;
+      // While the platform is unavailable no entry could take over, so this term continues until it is back.
       while (term && nowMs() < untilMs && !(await keeper.release(term.fleet.idleMs()))) {
-        await sleep(RESIGN_PAUSE_MS);
+        await sleep(RESIGN_RETRY_MS);
       }
-      await endTerm('this entry stops as planned');
+      await endTerm('planned stop of this entry');
     },
     statusOf: async (jobId) => {
       if (term) return term.statusOf(jobId);
       return (
-        ((await holderThere.ask(CONTROL_METHOD.phase, jobId)) as JobStatus | null) ?? undefined
+        ((await holderClient.ask(CONTROL_METHOD.phase, jobId)) as JobStatus | null) ?? undefined
       );
     },
     waitingOf: async (queue) => {
-      const counts = await waitingCounts();
+      const counts = await readWaitingCounts();
       return counts && (counts.get(queue) ?? 0);
     },
     tellTaken: (row, version) => {
-      if (term) takenHere({ row, version });
-      else void holderThere.ask(CONTROL_METHOD.taken, { row, version });
+      if (term) admitWrittenHere({ row, version });
+      else void holderClient.ask(CONTROL_METHOD.taken, { row, version });
     },
     holderSilentMs: () => {
-      if (lastHolder === null || lastHolder === self || holderThere.isAway()) return Infinity;
+      if (lastHolder === null || lastHolder === self || holderClient.isAway()) return Infinity;
       return silentForMs(lastHolder);
     },
-    accept: async (row) => (await (term ? acceptHere(row) : holderThere.accept(row))) ?? undefined,
+    accept: async (row) => (await (term ? acceptHere(row) : holderClient.accept(row))) ?? undefined,
     tellCancelled: async (jobId, caller) => {
       if (term) term.cancel(jobId, caller);
-      else await holderThere.ask(CONTROL_METHOD.cancelled, { jobId, caller });
+      else await holderClient.ask(CONTROL_METHOD.cancelled, { jobId, caller });
     },
   };
 };
--- a/packages/daemon/src/batch/control/domain-gauges.ts
+++ b/packages/daemon/src/batch/control/domain-gauges.ts
@@ -1,38 +1,40 @@
-/** What a scraper is told of failure domains: a gauge for each data centre. */
+/** Metrics of failure domains: one gauge for each data centre. */
 import type { BatchState } from '@valvelatch/core/batch';
 
 import type { Metrics } from '../../observe/metrics.js';
 import { countSuspects } from '../operators/domain-views.js';
 
-const escaped = (label: string): string => label.replace(/["\\\n]/g, '_');
+const escapeLabel = (label: string): string => label.replace(/["\\\n]/g, '_');
 
-/** The gauges of one term. */
+/** The failure domain gauges of one term. */
 export type DomainGauges = {
+  /** Sets the gauges from the current state. */
   readonly note: () => void;
-  /** Sets all to 0: another entry tells of them from now on. */
+  /** Sets all gauges to 0 at the end of the term, as the next holder reports them. */
   readonly clear: () => void;
 };
 
 /**
- * Builds the gauges of a term: how many endpoints of each data centre get no new work as it, or their rack, is suspected.
+ * Builds the gauges of a term. Each counts the endpoints of a data centre that get no new work because the data centre
+ * or their rack is suspected.
  *
- * @param state - All that the holder knows.
- * @param metrics - Where the gauges are.
- * @returns What sets them.
+ * @param state - The holder's state.
+ * @param metrics - The registry of the gauges.
+ * @returns The gauges.
  */
 export const createDomainGauges = (state: BatchState, metrics: Metrics): DomainGauges => {
-  const told = new Set<string>();
+  const reportedGauges = new Set<string>();
   return {
     note: () => {
       const counts = new Map(
         countSuspects(state).map(({ dataCentre, suspected }) => [
-          `suspected_endpoints{data_centre="${escaped(dataCentre)}"}`,
+          `suspected_endpoints{data_centre="${escapeLabel(dataCentre)}"}`,
           suspected,
         ]),
       );
-      counts.forEach((_, name) => told.add(name));
-      told.forEach((name) => metrics.gauge(name, counts.get(name) ?? 0));
+      counts.forEach((_, name) => reportedGauges.add(name));
+      reportedGauges.forEach((name) => metrics.gauge(name, counts.get(name) ?? 0));
     },
-    clear: () => told.forEach((name) => metrics.gauge(name, 0)),
+    clear: () => reportedGauges.forEach((name) => metrics.gauge(name, 0)),
   };
 };
--- a/packages/daemon/src/batch/control/evacuation-watch.ts
+++ b/packages/daemon/src/batch/control/evacuation-watch.ts
@@ -1,4 +1,4 @@
-/** Tells how evacuations go, from the first that the holder hears of one to its end: log lines and gauges. */
+/** Reports the progress of evacuations in log lines and gauges, from when the holder first learns of one to its end. */
 import { countRunsInDataCentre, type BatchState } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
@@ -6,15 +6,16 @@
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
 
-/** An evacuation as this holder follows it. */
+/** An evacuation that this holder tracks. */
 export type WatchedEvacuation = {
   readonly dataCentre: DataCentreId;
-  /** The version of the operator's row. */
+  /** The version of the operator's row that orders the evacuation. */
   readonly revision: number;
-  /** Since when this holder knows of it, by its monotonic clock and by the time of day. */
+  /** Since when this holder knows of it, by its monotonic clock. */
   readonly knownSinceMs: number;
+  /** The same by the wall clock. */
   readonly knownSinceDay: number;
-  /** No short run is left there. */
+  /** True if no short run is left there. Long-running tasks stay and are not counted. */
   readonly isEmpty: boolean;
 };
 
@@ -28,24 +29,24 @@
 };
 
 export type EvacuationWatch = {
-  /** Looks at what has changed; to be called several times a second. */
+  /** Logs changes and sets the gauges; to be called several times a second. */
   readonly look: () => void;
   readonly evacuations: () => ReadonlyMap<DataCentreId, WatchedEvacuation>;
-  /** The version of the operator's rows that is known here. */
+  /** The version of the operator's rows that this entry knows. */
   readonly revision: () => number;
-  /** For how long newer rows may have gone unheard. */
+  /** The age of this entry's evacuation view in milliseconds: newer rows may have been missed for that long. */
   readonly ageMs: () => number;
-  /** The gauges no longer tell anything. */
+  /** Sets all gauges to 0, at the end of the term. */
   readonly close: () => void;
 };
 
-const gaugeOf = (dataCentre: DataCentreId): string =>
+const gaugeName = (dataCentre: DataCentreId): string =>
   `evacuated_runs_left{data_centre=${JSON.stringify(dataCentre)}}`;
 
 /**
- * Builds the watch of a term.
+ * Builds the evacuation watch of a term.
  *
- * @param options - What is believed of evacuations, and what runs.
+ * @param options - The evacuation view, the state of the runs, and where to report.
  * @returns The watch.
  */
 export const createEvacuationWatch = ({
@@ -60,10 +61,10 @@
 
   const ageMs = (): number => Math.round(gate.ageMs());
 
-  const begin = (dataCentre: DataCentreId, revision: number): void => {
+  const startWatching = (dataCentre: DataCentreId, revision: number): void => {
     const { endpoints, shortRuns, longRuns } = countRunsInDataCentre(state, dataCentre);
     const fields = { dataCentre, revision, ageMs: ageMs(), endpoints, shortRuns, longRuns };
-    // The operator may have misspelt the name.
+    // A data centre without endpoints may be a misspelt name.
     if (endpoints === 0) log.warn('evacuation-begun', fields);
     else log.info('evacuation-begun', fields);
     watched.set(dataCentre, {
@@ -75,35 +76,41 @@
     });
   };
 
-  const lookAtRuns = (evacuation: WatchedEvacuation): void => {
+  const updateRunCounts = (evacuation: WatchedEvacuation): void => {
     const { dataCentre, revision, knownSinceMs } = evacuation;
     const { endpoints, shortRuns, longRuns } = countRunsInDataCentre(state, dataCentre);
-    metrics.gauge(gaugeOf(dataCentre), shortRuns);
+    metrics.gauge(gaugeName(dataCentre), shortRuns);
     const isEmpty = shortRuns === 0;
     if (isEmpty === evacuation.isEmpty) return;
     watched.set(dataCentre, { ...evacuation, isEmpty });
     if (!isEmpty || endpoints === 0) return;
-    const afterMs = Math.round(nowMs() - knownSinceMs);
-    log.info('evacuation-empty', { dataCentre, revision, ageMs: ageMs(), afterMs, longRuns });
+    const sinceKnownMs = Math.round(nowMs() - knownSinceMs);
+    log.info('evacuation-empty', {
+      dataCentre,
+      revision,
+      ageMs: ageMs(),
+      afterMs: sinceKnownMs,
+      longRuns,
+    });
   };
 
-  const end = ({ dataCentre, knownSinceMs }: WatchedEvacuation): void => {
+  const stopWatching = ({ dataCentre, knownSinceMs }: WatchedEvacuation): void => {
     const { revision } = gate.belief();
     const lastedMs = Math.round(nowMs() - knownSinceMs);
     log.info('evacuation-ended', { dataCentre, revision, ageMs: ageMs(), lastedMs });
-    metrics.gauge(gaugeOf(dataCentre), 0);
+    metrics.gauge(gaugeName(dataCentre), 0);
     watched.delete(dataCentre);
   };
 
   const look = (): void => {
     const { evacuated } = gate.belief();
     evacuated.forEach((revision, dataCentre) => {
-      if (!watched.has(dataCentre)) begin(dataCentre, revision);
+      if (!watched.has(dataCentre)) startWatching(dataCentre, revision);
     });
     Array.from(watched.values())
       .filter(({ dataCentre }) => !evacuated.has(dataCentre))
-      .forEach(end);
-    watched.forEach(lookAtRuns);
+      .forEach(stopWatching);
+    watched.forEach(updateRunCounts);
     metrics.gauge('evacuated_data_centres', watched.size);
   };
 
@@ -113,7 +120,7 @@
     revision: () => gate.belief().revision,
     ageMs,
     close: () => {
-      watched.forEach(({ dataCentre }) => metrics.gauge(gaugeOf(dataCentre), 0));
+      watched.forEach(({ dataCentre }) => metrics.gauge(gaugeName(dataCentre), 0));
       metrics.gauge('evacuated_data_centres', 0);
     },
   };
--- a/packages/daemon/src/batch/control/guard.ts
+++ b/packages/daemon/src/batch/control/guard.ts
@@ -1,23 +1,24 @@
-/** The row that every write of jobs depends on: a new holder changes it before it reads jobs. */
+/** The guard row. Every write of job rows checks its version, and a new holder changes it before it reads jobs. */
 import type { RowCheck } from '@valvelatch/core/rows/transaction';
 
 import { batchKey } from '../keys.js';
 import type { BatchTable } from '../ports.js';
 
-/** What became of an attempt to change the guard. */
+/** The result of an attempt to change the guard row. */
 export type GuardOutcome =
+  /** The row carries this term's fence; `check` makes a write depend on that. */
   | { readonly kind: 'taken'; readonly check: RowCheck }
-  /** A later holder has changed it. */
+  /** A later holder has changed the row. */
   | { readonly kind: 'superseded' }
-  /** There was no answer, or the row had changed meanwhile: to be tried again. */
+  /** The table did not answer, or the row changed in the meantime: to be tried again. */
   | { readonly kind: 'open' };
 
 /**
- * Changes the guard for a term. From then on no earlier holder writes jobs.
+ * Changes the guard row for a term. From then on the writes of earlier holders fail their version check.
  *
  * @param table - The table.
  * @param fence - The term's fence.
- * @returns What became of it.
+ * @returns Whether the row was changed.
  */
 export const takeGuard = async (
   table: Pick<BatchTable, 'read' | 'transact'>,
@@ -26,13 +27,14 @@
   const key = batchKey.guard;
   const rows = await table.read([key]);
   if (rows.isErr()) return { kind: 'open' };
-  const [row] = rows.value;
-  const value = (row?.value ?? { fence: 0 }) as { readonly fence: number };
-  // An earlier try took effect without an answer.
-  if (row && value.fence === fence) return { kind: 'taken', check: { key, version: row.version } };
+  const [guardRow] = rows.value;
+  const value = (guardRow?.value ?? { fence: 0 }) as { readonly fence: number };
+  // An earlier attempt took effect, but its response was lost.
+  if (guardRow && value.fence === fence)
+    return { kind: 'taken', check: { key, version: guardRow.version } };
   if (value.fence > fence) return { kind: 'superseded' };
   const outcome = await table.transact({
-    checks: [{ key, version: row?.version ?? 0 }],
+    checks: [{ key, version: guardRow?.version ?? 0 }],
     writes: [{ key, value: { fence } }],
   });
   if (outcome.isErr() || outcome.value.kind === 'conflict') return { kind: 'open' };
--- a/packages/daemon/src/batch/control/holder-client.ts
+++ b/packages/daemon/src/batch/control/holder-client.ts
@@ -1,4 +1,4 @@
-/** What an entry asks of the holder of control while that is another entry. */
+/** Client for calls to the control holder while that is another entry. */
 import type { BatchJobRow } from '@valvelatch/core/batch';
 import type { EntryId } from '@valvelatch/core/shared/ids';
 
@@ -8,23 +8,24 @@
 import type { AcceptOutcome } from '../jobs/accept-queue.js';
 import type { Peers } from '../entry/peers.js';
 
-/** How long the holder is waited for before the rows are read instead. */
-const ASK_MS = 500;
-/** A slow table takes well over a second for what the holder writes for others. */
-const ACCEPT_ASK_MS = 2200;
-/** Entries say something on each link every 0.5 s. */
+/** Default time limit of a call to the holder; after it the caller reads the rows instead. */
+const DEFAULT_ASK_TIMEOUT_MS = 500;
+/** Time limit for having the holder write a job: with a slow table such a write takes well over a second. */
+const ACCEPT_TIMEOUT_MS = 2200;
+/** A holder is considered silent after this time without a message. Entries send one on each link every 0.5 s. */
 export const HOLDER_SILENT_MS = 1400;
-const SILENCE_LOOK_MS = 100;
-/** A holder that did not answer in time is not asked to accept for so long; rows are written here. */
-const PASS_OVER_MS = 1500;
+const SILENCE_CHECK_INTERVAL_MS = 100;
+/** After a holder did not answer in time, this entry writes the rows of new jobs itself for this long. */
+const SKIP_HOLDER_MS = 1500;
 
 /**
- * A holder that the table does not answer is not asked again for so long, unless the table answers
- * this entry: longer than the two looks of a second by which a balancer sends clients elsewhere.
+ * How long a holder that reported the table as unavailable to it is treated so. In this time it is asked
+ * again only if the table answers this entry. Longer than the two checks, one second apart, after which
+ * a load balancer sends clients to other entries.
  */
-const AWAY_FOR_MS = 3000;
+const TABLE_UNAVAILABLE_FOR_MS = 3000;
 
-/** Methods of the mesh that entries answer about control. */
+/** Mesh methods through which entries call each other about control. */
 export const CONTROL_METHOD = {
   phase: 'phase',
   waiting: 'waiting',
@@ -38,7 +39,9 @@
 
 export type HolderClientOptions = {
   readonly self: EntryId;
+  /** Undefined while the mesh is not open. */
   readonly peers: () => Peers | undefined;
+  /** The control holder; null if nobody holds control. */
   readonly holder: () => EntryId | null;
   readonly log: Log;
   readonly metrics: Metrics;
@@ -46,18 +49,18 @@
 };
 
 export type HolderClient = {
-  /** Asks the holder; undefined if it is not known or does not answer. */
+  /** Calls the holder; resolves to undefined if it is unknown or does not answer within `ms`. */
   readonly ask: (method: string, payload: unknown, ms?: number) => Promise<unknown>;
-  /** Has the holder write a job; null if it must be written here. */
+  /** Has the holder write a job; null if this entry must write it itself. */
   readonly accept: (row: BatchJobRow) => Promise<AcceptOutcome | null>;
-  /** True for a while after the holder said that the table does not answer it. */
+  /** True for a few seconds after the holder reported that the table does not answer it. */
   readonly isAway: () => boolean;
 };
 
 /**
- * Builds the client of the holder.
+ * Builds the client for the control holder.
  *
- * @param options - Who holds control, and the mesh.
+ * @param options - Lookups for the current holder and for the mesh.
  * @returns The client.
  */
 export const createHolderClient = ({
@@ -68,17 +71,18 @@
   metrics,
   nowMs,
 }: HolderClientOptions): HolderClient => {
-  let passedOverUntilMs = 0;
-  let awayUntilMs = 0;
+  let holderSkippedUntilMs = 0;
+  let tableUnavailableUntilMs = 0;
 
-  const known = (): EntryId | undefined => {
+  /** The holder, if it is another entry that the mesh knows. */
+  const findReachableHolder = (): EntryId | undefined => {
     const entryId = holder();
     const isOther = entryId !== null && entryId !== self;
     return isOther && peers()?.knows(entryId) ? entryId : undefined;
   };
 
-  const ask: HolderClient['ask'] = async (method, payload, ms = ASK_MS) => {
-    const entryId = known();
+  const ask: HolderClient['ask'] = async (method, payload, ms = DEFAULT_ASK_TIMEOUT_MS) => {
+    const entryId = findReachableHolder();
     if (entryId === undefined) return undefined;
     try {
       return await peers()?.ask(entryId, method, payload, ms);
@@ -89,11 +93,14 @@
     }
   };
 
-  /** Resolves once a holder that had a link is silent: a slow table is waited for, a dead entry not. */
-  const holderFallsSilent = async (): Promise<undefined> => {
-    const untilMs = nowMs() + ACCEPT_ASK_MS;
+  /**
+   * Resolves once a holder that had a link to this entry is silent, or after the time limit. So callers
+   * wait for a slow table, and not for a dead entry.
+   */
+  const waitForHolderSilence = async (): Promise<undefined> => {
+    const untilMs = nowMs() + ACCEPT_TIMEOUT_MS;
     while (nowMs() < untilMs) {
-      await sleep(SILENCE_LOOK_MS);
+      await sleep(SILENCE_CHECK_INTERVAL_MS);
       const entryId = holder();
       const silentMs = entryId === null ? 0 : (peers()?.silentForMs(entryId) ?? 0);
       if (silentMs > HOLDER_SILENT_MS && silentMs < Infinity) return undefined;
@@ -103,20 +110,20 @@
 
   return {
     ask,
-    isAway: () => nowMs() < awayUntilMs,
+    isAway: () => nowMs() < tableUnavailableUntilMs,
     accept: async (row) => {
-      if (nowMs() < passedOverUntilMs || known() === undefined) return null;
+      if (nowMs() < holderSkippedUntilMs || findReachableHolder() === undefined) return null;
       const answer = await Promise.race([
-        ask(CONTROL_METHOD.accept, row, ACCEPT_ASK_MS),
-        holderFallsSilent(),
+        ask(CONTROL_METHOD.accept, row, ACCEPT_TIMEOUT_MS),
+        waitForHolderSilence(),
       ]);
       if (answer !== undefined) {
         const outcome = answer as AcceptOutcome | null;
-        if (outcome?.kind === 'away') awayUntilMs = nowMs() + AWAY_FOR_MS;
+        if (outcome?.kind === 'away') tableUnavailableUntilMs = nowMs() + TABLE_UNAVAILABLE_FOR_MS;
         return outcome;
       }
-      passedOverUntilMs = nowMs() + PASS_OVER_MS;
-      // It was sent, whoever holds control by now.
+      holderSkippedUntilMs = nowMs() + SKIP_HOLDER_MS;
+      // The job was sent, so it may have been written, even if another entry holds control by now.
       return { kind: 'unheard' };
     },
   };
--- a/packages/daemon/src/batch/control/learned-keeper.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.ts
@@ -1,4 +1,4 @@
-/** Keeps what a holder has learned in a row, for the next one. */
+/** Stores a holder's demand history (demand and run times) in a row, for the next holder. */
 import {
   toLearnedRow,
   restoreLearnedRow,
@@ -19,17 +19,17 @@
 };
 
 export type LearnedKeeper = {
-  /** Applies what the holder before has learned; without an answer the next `save` tries again. */
+  /** Reads the stored history into the state; if the table does not answer, the next `save` tries again. */
   readonly restore: () => Promise<void>;
-  /** Writes what has been learned, if anything is new. */
+  /** Writes the history if it has changed since it was last written. */
   readonly save: () => Promise<void>;
 };
 
 /**
- * Builds the keeper of a term.
+ * Builds the demand history store of a term.
  *
  * @param options - The state and the table.
- * @returns The keeper.
+ * @returns The store.
  */
 export const createLearnedKeeper = ({
   table,
@@ -38,9 +38,9 @@
   nowMs,
   todayMs,
 }: LearnedKeeperOptions): LearnedKeeper => {
-  let savedText = '';
-  /** A row that was not read holds what others have learned: it must not be written over. */
-  let isRead = false;
+  let lastSavedJson = '';
+  /** Until the row has been read it must not be overwritten, as it may hold the history of earlier holders. */
+  let hasReadRow = false;
 
   const restore = async (): Promise<void> => {
     const rows = await table.read([batchKey.learned]);
@@ -48,7 +48,7 @@
       log.warn('learned-not-read', rows.error);
       return;
     }
-    isRead = true;
+    hasReadRow = true;
     const row = rows.value[0]?.value as LearnedRow | null | undefined;
     if (!row) return;
     restoreLearnedRow(state, row, nowMs(), todayMs());
@@ -56,16 +56,16 @@
   };
 
   const save = async (): Promise<void> => {
-    if (!isRead) await restore();
-    if (!isRead) return;
+    if (!hasReadRow) await restore();
+    if (!hasReadRow) return;
     const row = toLearnedRow(state, nowMs(), todayMs());
-    const text = JSON.stringify([row.heights, row.runTimes, row.onsets.length]);
-    if (text === savedText) return;
+    const json = JSON.stringify([row.heights, row.runTimes, row.onsets.length]);
+    if (json === lastSavedJson) return;
     const outcome = await table.transact({
       checks: [],
       writes: [{ key: batchKey.learned, value: row }],
     });
-    if (outcome.isOk()) savedText = text;
+    if (outcome.isOk()) lastSavedJson = json;
     else log.debug('learned-not-written', outcome.error);
   };
 
--- a/packages/daemon/src/batch/control/load-note.ts
+++ b/packages/daemon/src/batch/control/load-note.ts
@@ -1,22 +1,24 @@
-/** What control carries: the figures by which an operator sees what holds starts back. */
+/** Logs the load of control, so that an operator can see what delays the start of tasks. */
 import type { BatchState, SharedDelayEstimator, OrderWindow } from '@valvelatch/core/batch';
 
 import type { Log } from '../../observe/log.js';
 
 export type LoadNoteOptions = {
   readonly state: BatchState;
+  /** Limits the orders in flight. */
   readonly window: OrderWindow;
+  /** The estimated response time of endpoints. */
   readonly linkDelay: SharedDelayEstimator;
-  /** For how long it is sure that no other entry holds control. */
+  /** For how many milliseconds it is still certain that no other entry holds control; negative once that time is over. */
   readonly soleForMs: () => number;
   readonly nowMs: () => number;
   readonly log: Log;
 };
 
 /**
- * Tells one line about the load, where any task waits.
+ * Writes one log line about the load if any task waits.
  *
- * @param options - What the holder knows of its work and of its link.
+ * @param options - The state of the jobs, the orders in flight and the response times.
  */
 export const noteLoad = ({
   state,
--- a/packages/daemon/src/batch/control/standing.ts
+++ b/packages/daemon/src/batch/control/standing.ts
@@ -1,68 +1,72 @@
 /**
- * Which entry should hold control. The holder's work grows with the fleet, and entries differ in
- * processor and link: one of the strongest takes the lease, a weaker one only if none of them does.
+ * Decides which entry should hold control. The holder's work grows with the fleet, and entries differ in
+ * CPU and link capacity. An entry with close to the highest capacity takes the lease, and one with less
+ * capacity takes it only if none of those does.
  */
 import type { EntryId } from '@valvelatch/core/shared/ids';
 
 /**
- * Some 3 to 5 MB a second go with one core: a holder of 300 endpoints put 1.04 MB a second on its link
- * and used 0.25 of a core. An entry is as strong as what it has less of.
+ * Link bandwidth that a holder needs for each core that it uses, within 3 to 5 MB/s. A holder of 300 endpoints
+ * sends 1.04 MB/s and uses 0.25 cores. The scarcer of the two resources limits an entry's capacity.
  */
-const LINK_BYTES_PER_S_AND_CORE = 3_400_000;
+const LINK_BYTES_PER_S_PER_CORE = 3_400_000;
 
 /**
- * Tells how much of a holder's work an entry can carry.
+ * Computes an entry's capacity for the work of the control holder.
  *
- * @param cores - How many cores it may use.
- * @param linkBytesPerS - What its link carries each way.
- * @returns Its strength, in cores.
+ * @param cores - How many cores the entry may use.
+ * @param linkBytesPerS - The bandwidth of its link in each direction.
+ * @returns The capacity, in cores.
  */
 export const strengthOf = (cores: number, linkBytesPerS: number): number =>
-  Math.min(cores, linkBytesPerS / LINK_BYTES_PER_S_AND_CORE);
+  Math.min(cores, linkBytesPerS / LINK_BYTES_PER_S_PER_CORE);
 
-/** An entry with this share of the strongest one's strength counts as strong. */
-const STRONG_SHARE = 0.8;
+/** An entry is preferred as holder if its capacity is at least this share of the highest one. */
+const PREFERRED_CAPACITY_SHARE = 0.8;
 /**
- * A free lease is left to stronger entries for this time: they look each 400 ms, and one that has
- * just started reads the operator's configuration first.
+ * How long an entry leaves a free lease to entries with more capacity. Those check the lease every 400 ms,
+ * and one that has just started has to read the operator's configuration first.
  */
 export const YIELD_MS = 1200;
-/** A weak holder looks so often for a stronger entry to hand over to. */
+/** Interval at which a holder that is not preferred looks for an entry with more capacity to hand control over to. */
 export const HAND_OVER_LOOK_MS = 4000;
 
-/** How an entry stands among the others. */
+/** Whether an entry is preferred as holder, compared with the other entries. */
 export type Standing = {
-  /** False while a stronger entry is known, or the others are not known yet. */
+  /** False while an entry with clearly more capacity is known, or the other entries are not known yet. */
   readonly isStrong: () => boolean;
-  /** A stronger entry that answers that it would take control. */
+  /**
+   * Asks the entries with clearly more capacity than this one whether they would take control, and returns the
+   * one with the highest capacity that agrees; undefined if none does.
+   */
   readonly findStronger: () => Promise<EntryId | undefined>;
 };
 
-/** The standing of an entry of a fleet whose entries are all alike. */
+/** For an entry of a fleet whose entries all have the same capacity: each of them is preferred. */
 export const EQUAL_STANDING: Standing = {
   isStrong: () => true,
   findStronger: async () => undefined,
 };
 
 export type StandingOptions = {
-  /** How much this entry can carry, by `strengthOf`. */
+  /** This entry's capacity, in cores. */
   readonly strength: number;
-  /** The same of all others; undefined until they were read once. */
+  /** The capacities of all other entries; undefined until they were read once. */
   readonly othersStrength: () => ReadonlyMap<EntryId, number> | undefined;
-  /** Asks another entry whether it would take control; rejects without an answer. */
+  /** Asks another entry whether it would take control; rejects if there is no answer. */
   readonly ask: (entryId: EntryId) => Promise<unknown>;
 };
 
 /**
- * Builds the standing of an entry.
+ * Builds the preference of an entry as holder.
  *
- * @param options - Its strength and the others'.
- * @returns The standing.
+ * @param options - The capacity of this entry and of the others.
+ * @returns The preference.
  */
 export const createStanding = ({ strength, othersStrength, ask }: StandingOptions): Standing => {
-  const stronger = (): readonly EntryId[] =>
+  const listStrongerEntries = (): readonly EntryId[] =>
     Array.from(othersStrength() ?? [])
-      .filter(([, others]) => strength < others * STRONG_SHARE)
+      .filter(([, others]) => strength < others * PREFERRED_CAPACITY_SHARE)
       .sort(([, left], [, right]) => right - left)
       .map(([entryId]) => entryId);
 
@@ -70,36 +74,37 @@
     try {
       return (await ask(entryId)) === true;
     } catch {
-      // Its row outlives an entry that is gone: no answer is what is expected of those.
+      // The row of an entry outlives its process, so some entries never answer.
       return false;
     }
   };
 
   return {
-    isStrong: () => othersStrength() !== undefined && stronger().length === 0,
+    isStrong: () => othersStrength() !== undefined && listStrongerEntries().length === 0,
     findStronger: async () => {
-      const names = stronger();
-      const willing = await Promise.all(names.map(isWilling));
-      return names.find((_, index) => willing[index]);
+      const candidates = listStrongerEntries();
+      const willing = await Promise.all(candidates.map(isWilling));
+      return candidates.find((_, index) => willing[index]);
     },
   };
 };
 
-/** A gap between two looks above this leaves open what happened to the lease in between. */
-const MOST_BETWEEN_LOOKS_MS = 1000;
+/** After a longer gap between two observations it is unknown whether the lease stayed free in between. */
+const MAX_OBSERVATION_GAP_MS = 1000;
 
 /**
- * Watches how long a lease has been seen free. Only looks that were answered count: after an outage
- * of the table all entries find the lease free at once, and the strong ones still go first.
+ * Measures how long a lease has been observed as free. The time restarts after a gap without observations: after an
+ * outage of the table all entries find the lease free at the same moment, and the preferred ones must still go first.
  *
- * @returns A function that takes one look and says whether stronger entries have had their time.
+ * @returns A function that records one observation and returns whether the lease has been left to entries with more
+ *   capacity for long enough.
  */
 export const createYielding = (): ((isFree: boolean, nowMs: number) => boolean) => {
   let freeSinceMs = Infinity;
-  let lookedAtMs = -Infinity;
+  let lastObservedAtMs = -Infinity;
   return (isFree, nowMs) => {
-    const hasGap = nowMs - lookedAtMs > MOST_BETWEEN_LOOKS_MS;
-    lookedAtMs = nowMs;
+    const hasGap = nowMs - lastObservedAtMs > MAX_OBSERVATION_GAP_MS;
+    lastObservedAtMs = nowMs;
     if (!isFree) freeSinceMs = Infinity;
     else if (hasGap || freeSinceMs === Infinity) freeSinceMs = nowMs;
     return isFree && nowMs - freeSinceMs >= YIELD_MS;
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -1,6 +1,6 @@
 /**
- * One term of a holder of control: from taking the lease until it is lost or given up. Nothing of
- * it outlives it; the next holder starts from the rows and from what endpoints report.
+ * One term of a control holder, from taking the lease until it is lost or given up. No state in memory is kept
+ * after it: the next holder starts from the stored rows and from the reports of endpoints.
  */
 import {
   startDueOccurrences,
@@ -62,53 +62,62 @@
 import type { RefusedJob } from '../jobs/refused-jobs.js';
 
 const TICK_MS = 100;
-/** New jobs are announced over the mesh; the feed finds what was lost there. */
+/** New jobs are announced over the mesh; the feed of rows finds those whose announcement was lost. */
 const JOB_FEED_MS = 500;
-/** Each endpoint writes its entry every 1.5 s, so a waiting feed would wake all the time. */
+/**
+ * The list of endpoints is polled. Each endpoint writes its entry every 1.5 s, so a blocking read would return
+ * almost at once each time.
+ */
 const ENDPOINT_FEED_MS = 400;
-/** A lease on an endpoint ends so much later by an endpoint's slow clock and a late answer. */
-const LEASE_SLACK = 1.05;
+/** An endpoint's lease may last longer than its duration by this factor, because of a slow clock at the endpoint. */
+const LEASE_CLOCK_FACTOR = 1.05;
+/** And by this time, because of a late answer. */
 const LEASE_MARGIN_MS = 500;
 const FEED_RETRY_MS = 300;
-/** A sweep takes 40 jobs: 57 a second, above the 50 that a fleet of 250 endpoints admits. */
-const SWEEP_MS = 700;
-/** A change of the holder costs the learning of so long; each writing is one call of the table. */
-const LEARNED_MS = 2000;
-const NOTE_LOAD_MS = 1000;
+/** A sweep removes up to 40 jobs, so 57 a second: more than the 50 a second that a fleet of 250 endpoints admits. */
+const SWEEP_INTERVAL_MS = 700;
+/** A change of holder loses up to this much of the demand history; each save is one call to the table. */
+const DEMAND_HISTORY_SAVE_INTERVAL_MS = 2000;
+const LOAD_LOG_INTERVAL_MS = 1000;
 
 export type TermOptions = {
   readonly self: EntryId;
   readonly fence: number;
-  /** The row that a taker of the lease changes; writes of waves depend on it. */
+  /** The version of the fence row, which each new holder changes; writes of wave rows depend on it. */
   readonly fenceCheck: RowCheck;
   readonly platform: BatchPlatform;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** True while the lease is surely held. */
+  /** True while the lease is certainly held. */
   readonly holds: () => boolean;
-  /** True while orders to hosts may be sent too. */
+  /** True while orders to hosts may be sent. */
   readonly mayOrderHosts: () => boolean;
-  /** How long after its start the term may order hosts for the first time. */
+  /** How long after its start the term may order hosts for the first time, in milliseconds. */
   readonly hostOrdersAfterMs: number;
-  /** For how long after the start of the term holders before may still order endpoints. */
+  /** For how long after the start of the term earlier holders may still order endpoints, in milliseconds. */
   readonly holdersBeforeMs: number;
-  /** For how long an endpoint keeps what runs there without contact with the holder. */
+  /** How long an endpoint keeps its runs without contact with the holder, in milliseconds. */
   readonly endpointLeaseMs: number;
-  /** Where tasks of short steps go; `fullest` if left out. */
+  /** How endpoints are chosen for tasks of short steps; `fullest` if left out. */
   readonly placementPolicy?: PlacementPolicy;
-  /** The table has answered nothing for so long that it is away. */
+  /** True once the table has answered nothing for long enough to count as unavailable. */
   readonly isTableAway: () => boolean;
-  /** Until then no other entry can have become the holder: what was not heard has not happened elsewhere. */
+  /**
+   * Until this time no other entry can have become the holder, so that what was not reported to this holder was not
+   * reported to another one either.
+   */
   readonly soleHolderUntilMs: () => number;
+  /** The operator's queues; undefined until they were read once. */
   readonly configuration: () => QueueIndex | undefined;
-  /** Whether orders to start may leave this entry. */
+  /** Decides whether this entry may send start orders; if left out, it always may. */
   readonly startGate?: StartGate;
+  /** Called once if the term finds that another holder has replaced it. */
   readonly onLost: (reason: string) => void;
   readonly nowMs?: () => number;
   readonly todayMs?: () => number;
 };
 
-/** What others may ask a holder. */
+/** A term as other parts of the entry use it. */
 export type Term = {
   readonly self: EntryId;
   readonly state: BatchState;
@@ -117,22 +126,27 @@
   readonly admission: AdmissionControl;
   readonly start: () => Promise<void>;
   readonly stop: () => Promise<void>;
-  /** Where a job stands; undefined if the holder cannot tell. */
+  /** The status of a job; undefined if the job is unknown or this entry cannot answer as the holder. */
   readonly statusOf: (jobId: JobId) => JobStatus | undefined;
+  /** The number of waiting jobs by queue; undefined if this entry cannot answer as the holder. */
   readonly waiting: () => ReadonlyMap<string, number> | undefined;
-  /** Writes and admits a job; undefined if this entry cannot. */
+  /** Writes and admits a job; undefined if this entry cannot act as the holder. */
   readonly accept: (row: LiveRow) => Promise<AcceptOutcome | undefined>;
   /** Admits a job whose row another entry wrote. */
   readonly takeIn: (row: LiveRow, version: number) => void;
-  /** Notes jobs whose clients were refused and come back. */
+  /** Records jobs that were refused and that their clients will submit again. */
   readonly noteRefused: (jobs: readonly RefusedJob[]) => void;
+  /**
+   * Cancels a job and returns its phase afterwards; undefined if the job is unknown or belongs to another account, or if
+   * this entry cannot answer as the holder.
+   */
   readonly cancel: (jobId: JobId, caller: Caller) => BatchPhase | undefined;
 };
 
 /**
  * Builds a term.
  *
- * @param options - Who holds control, under which fence, and on which platform.
+ * @param options - The holder, its fence, the platform and the limits from the lease.
  * @returns The term, not yet started.
  */
 export const createTerm = ({
@@ -157,43 +171,47 @@
   todayMs = () => Date.now(),
 }: TermOptions): Term => {
   const state = createBatchState(fence);
-  const bornAtMs = nowMs();
+  const createdAtMs = nowMs();
   state.placementPolicy = placementPolicy;
   const schedulePools = createScheduleCycle(state);
-  const inheritedLeasesMs = endpointLeaseMs * LEASE_SLACK + LEASE_MARGIN_MS + holdersBeforeMs;
+  const inheritedLeasesMs =
+    endpointLeaseMs * LEASE_CLOCK_FACTOR + LEASE_MARGIN_MS + holdersBeforeMs;
   const window = createOrderWindow();
   const linkDelay = createSharedDelayEstimator();
   let guard: RowCheck = { key: batchKey.guard, version: -1 };
   let isStopped = false;
   let isReady = false;
-  let isPoked = false;
+  let isCycleRequested = false;
   let loops: RunningLoops | undefined;
 
   const isSoleHolder = (): boolean => nowMs() < soleHolderUntilMs();
 
-  /** A new holder starts nothing before it has asked what is evacuated: the holder before may have known more. */
-  const mayStart = (): boolean => startGate.isConfirmedSince(bornAtMs) && startGate.isOpen();
+  /**
+   * A new holder starts nothing before its evacuation view was confirmed: the previous holder may have known of a newer
+   * evacuation.
+   */
+  const mayStart = (): boolean => startGate.isConfirmedSince(createdAtMs) && startGate.isOpen();
 
   const confirmEvacuations = async (): Promise<void> => {
     if (mayStart()) return;
     await startGate.confirm();
-    poke();
+    requestCycle();
   };
 
-  /** A term whose lease has lapsed cannot know what another holder does. */
+  /** False once the lease has lapsed, since another holder may have changed what this one would answer. */
   const isAnswering = (): boolean => !isStopped && isReady && holds();
 
-  const lose = (reason: string): void => {
+  const endAsLost = (reason: string): void => {
     if (isStopped) return;
     isStopped = true;
     onLost(reason);
   };
 
-  const poke = (): void => {
-    if (isPoked || isStopped) return;
-    isPoked = true;
+  const requestCycle = (): void => {
+    if (isCycleRequested || isStopped) return;
+    isCycleRequested = true;
     setImmediate(() => {
-      isPoked = false;
+      isCycleRequested = false;
       cycle();
     });
   };
@@ -212,15 +230,15 @@
       nowMs,
       mayOrder: () => !isStopped && holds(),
       mayStartIn: (dataCentre) => mayStart() && startGate.mayStartIn(dataCentre),
-      poke,
+      poke: requestCycle,
       wantSave: () => saver.poke(),
-      onFenceLost: () => lose('an endpoint has seen a higher fence'),
+      onFenceLost: () => endAsLost('an endpoint has seen a higher fence'),
     },
     inheritedLeasesMs,
     isStopped: () => isStopped,
   });
 
-  const ended = createEndedJobs({
+  const endedJobs = createEndedJobs({
     table: platform.table,
     guard: () => guard,
     log,
@@ -238,23 +256,23 @@
     isTableAway,
     beginRound: roster.mark,
     onSaved: ({ job, phase, reason }: JobState) => {
-      ended.add(job.jobId, { phase, reason, ...accountOf(job) }, todayMs());
+      endedJobs.add(job.jobId, { phase, reason, ...accountOf(job) }, todayMs());
       state.jobs.delete(job.jobId);
       saver.versions.delete(job.jobId);
     },
     onAccepted: (row, version) => jobRows.takeIn(row, version),
-    onFenceLost: () => lose('another holder changed the fence row'),
+    onFenceLost: () => endAsLost('another holder changed the fence row'),
   });
 
   const jobRows = createJobRows({
     state,
     table: platform.table,
     versions: saver.versions,
-    ended,
+    ended: endedJobs,
     configuration,
     isSoleHolder,
     isStopped: () => isStopped,
-    poke,
+    poke: requestCycle,
     log,
     nowMs,
     todayMs,
@@ -271,9 +289,16 @@
     nowMs,
   });
 
-  const learned = createLearnedKeeper({ table: platform.table, state, log, nowMs, todayMs });
+  const demandHistory = createLearnedKeeper({ table: platform.table, state, log, nowMs, todayMs });
 
-  const advisor = createAdvisor({ state, port: platform.advice, log, metrics, nowMs, poke });
+  const advisor = createAdvisor({
+    state,
+    port: platform.advice,
+    log,
+    metrics,
+    nowMs,
+    poke: requestCycle,
+  });
 
   const evacuations = createEvacuationWatch({
     state,
@@ -296,7 +321,8 @@
       const job = state.jobs.get(jobId);
       if (job && isUrgent) {
         log.info('job-ended', { job: jobId, phase: job.phase, reason: job.reason });
-        if (job.phase === 'completed') admission.recordCompletion(job.job, isWithinObjective(state, job, nowMs()));
+        if (job.phase === 'completed')
+          admission.recordCompletion(job.job, isWithinObjective(state, job, nowMs()));
       }
       saver.mark(jobId, isUrgent);
     },
@@ -326,7 +352,7 @@
 
   const domainGauges = createDomainGauges(state, metrics);
 
-  const loadNote: LoadNoteOptions = {
+  const loadLogOptions: LoadNoteOptions = {
     state,
     window,
     linkDelay,
@@ -335,12 +361,12 @@
     log,
   };
 
-  const note = (): void => {
-    noteLoad(loadNote);
+  const reportLoad = (): void => {
+    noteLoad(loadLogOptions);
     noteAdmission(admission, metrics);
   };
 
-  const noteLapsed = ({ endpointId, endedAtMs }: LapsedEndpoint): void =>
+  const logLapsedLease = ({ endpointId, endedAtMs }: LapsedEndpoint): void =>
     log.warn('endpoint-lease-ended', {
       endpoint: endpointId,
       ageMs: Math.round(nowMs() - endedAtMs),
@@ -353,13 +379,13 @@
     saver.lookAtTable();
     evacuations.look();
     state.recurringJobs.forEach((job) => startDueOccurrences(state, job, nowMs(), todayMs()));
-    handleStalledAndLapsedRuns(state, nowMs()).forEach(noteLapsed);
+    handleStalledAndLapsedRuns(state, nowMs()).forEach(logLapsedLease);
     paceGapFillers(state, nowMs());
     admission.checkTrackedRefusals(nowMs());
     cycle();
   };
 
-  const until: Until = async (attempt) => {
+  const retryUntilDefined: Until = async (attempt) => {
     while (!isStopped) {
       const value = await attempt();
       if (value !== undefined) return value;
@@ -370,9 +396,9 @@
     return undefined;
   };
 
-  const ownGuard = async (): Promise<true | undefined> => {
+  const takeGuardForTerm = async (): Promise<true | undefined> => {
     const outcome = await takeGuard(platform.table, fence);
-    if (outcome.kind === 'superseded') lose('a later holder has written the guard row');
+    if (outcome.kind === 'superseded') endAsLost('a later holder has written the guard row');
     if (outcome.kind !== 'taken') return undefined;
     guard = outcome.check;
     return true;
@@ -385,29 +411,32 @@
     state.inheritedLeasesEndAtMs = startedAtMs + inheritedLeasesMs;
     state.formerOrdersEndAtMs = startedAtMs + holdersBeforeMs;
     state.isHostListAwaited = true;
-    // What is inherited waits for the hosts; nothing else does.
+    // Only inherited tasks wait for the list of hosts.
     void fleet.refreshHosts();
-    // What an earlier holder wrote between the first reading and the guard is in the second.
-    const [, early, endpoints] = await Promise.all([
-      until(ownGuard),
-      jobRows.read(until),
-      until(roster.read),
-      learned.restore(),
+    // The second read finds what an earlier holder wrote after the first read and before the guard row changed.
+    const [, firstRead, endpoints] = await Promise.all([
+      retryUntilDefined(takeGuardForTerm),
+      jobRows.read(retryUntilDefined),
+      retryUntilDefined(roster.read),
+      demandHistory.restore(),
     ]);
-    const late = await jobRows.read(until);
-    if (isStopped || !early || !late || !endpoints) return;
+    const secondRead = await jobRows.read(retryUntilDefined);
+    if (isStopped || !firstRead || !secondRead || !endpoints) return;
     state.clockMs = nowMs();
-    jobRows.restore([early, late]);
+    jobRows.restore([firstRead, secondRead]);
     addPendingReports(
       state,
-      endpoints.seen.map(({ endpointId, pool }) => ({ instanceId: instanceIdOf(endpointId), pool })),
+      endpoints.seen.map(({ endpointId, pool }) => ({
+        instanceId: instanceIdOf(endpointId),
+        pool,
+      })),
     );
     roster.take(endpoints);
     isReady = true;
     log.info('term-recovered', {
       fence,
       jobs: state.jobs.size,
-      ended: ended.count(),
+      ended: endedJobs.count(),
       endpoints: endpoints.seen.length,
       tookMs: Math.round(nowMs() - startedAtMs),
     });
@@ -432,7 +461,7 @@
 
   const start = async (): Promise<void> => {
     log.info('term-started', { fence });
-    // Beside the recovery, which takes several calls.
+    // Runs in parallel with the recovery, which takes several calls.
     void confirmEvacuations();
     await recover();
     if (isStopped) return;
@@ -444,17 +473,17 @@
         { name: 'jobs', everyMs: JOB_FEED_MS, run: jobRows.follow },
         { name: 'fleet', everyMs: fleet.everyMs, run: fleet.run },
         { name: 'waves', everyMs: fleet.everyMs, run: fleet.follow },
-        { name: 'sweep', everyMs: SWEEP_MS, run: ended.sweep },
-        { name: 'load', everyMs: NOTE_LOAD_MS, run: async () => note() },
-        { name: 'domains', everyMs: NOTE_LOAD_MS, run: async () => domainGauges.note() },
-        { name: 'learned', everyMs: LEARNED_MS, run: learned.save },
+        { name: 'sweep', everyMs: SWEEP_INTERVAL_MS, run: endedJobs.sweep },
+        { name: 'load', everyMs: LOAD_LOG_INTERVAL_MS, run: async () => reportLoad() },
+        { name: 'domains', everyMs: LOAD_LOG_INTERVAL_MS, run: async () => domainGauges.note() },
+        { name: 'learned', everyMs: DEMAND_HISTORY_SAVE_INTERVAL_MS, run: demandHistory.save },
       ],
       (name, error) => {
         const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
         log.error('term-loop-failed', { name, detail });
       },
     );
-    poke();
+    requestCycle();
   };
 
   const stop = async (): Promise<void> => {
@@ -476,12 +505,14 @@
     start,
     stop,
     statusOf: (jobId) =>
-      !isAnswering() ? undefined : (ended.statusOf(jobId) ?? savedStatus(state.jobs.get(jobId))),
+      !isAnswering()
+        ? undefined
+        : (endedJobs.statusOf(jobId) ?? reportedStatus(state.jobs.get(jobId))),
     waiting: () => (isAnswering() ? countWaitingJobs(state) : undefined),
     accept: async (row) => {
       if (!isAnswering()) return undefined;
       const { jobId } = row.job;
-      if (state.jobs.has(jobId) || ended.has(jobId)) return { kind: 'conflict' };
+      if (state.jobs.has(jobId) || endedJobs.has(jobId)) return { kind: 'conflict' };
       return admitJob(row);
     },
     takeIn: (row, version) => {
@@ -494,7 +525,7 @@
       ),
     cancel: (jobId, caller) => {
       if (!isAnswering()) return undefined;
-      const phase = ended.statusOf(jobId)?.phase ?? cancelJob(state, jobId, caller);
+      const phase = endedJobs.statusOf(jobId)?.phase ?? cancelJob(state, jobId, caller);
       perform();
       return phase;
     },
@@ -504,9 +535,12 @@
 const accountOf = ({ owner }: BatchJob): Pick<JobStatus, 'account'> =>
   owner ? { account: owner.account } : {};
 
-/** An end is reported only once it is written, so that any entry can find it again. */
-const savedStatus = (job: JobState | undefined): JobStatus | undefined => {
+/**
+ * The status of a job whose row is not yet saved as ended. A completed or failed job is reported as running until its
+ * end is written, so that any entry can find a reported end in the row.
+ */
+const reportedStatus = (job: JobState | undefined): JobStatus | undefined => {
   if (!job) return undefined;
-  const isWritten = job.phase !== 'completed' && job.phase !== 'failed';
-  return { phase: isWritten ? job.phase : 'running', reason: '', ...accountOf(job.job) };
+  const isReportable = job.phase !== 'completed' && job.phase !== 'failed';
+  return { phase: isReportable ? job.phase : 'running', reason: '', ...accountOf(job.job) };
 };
