--- a/packages/daemon/src/batch/control/evacuation.test.ts
+++ b/packages/daemon/src/batch/control/evacuation.test.ts
@@ -160,7 +160,7 @@
       const others = fleet.entries.filter((entry) => entry !== holder);
       others.forEach((entry) => Object.assign(entry, { isCutFromTable: true }));
       const job = submitMany(fleet);
-      // Nor is there a response waiting for it when it resumes.
+      // Nor is there an answer waiting for it when it resumes.
       Object.assign(holder, { isFrozen: true, isSilent: true, isCutFromOperator: true });
       fleet.evacuate(NORTH);
       await advance(EVACUATE_MS + 500);
--- a/packages/daemon/src/batch/control/guard.ts
+++ b/packages/daemon/src/batch/control/guard.ts
@@ -29,7 +29,7 @@
   if (rows.isErr()) return { kind: 'open' };
   const [guardRow] = rows.value;
   const value = (guardRow?.value ?? { fence: 0 }) as { readonly fence: number };
-  // An earlier attempt took effect, but its response was lost.
+  // An earlier attempt took effect, but its answer was lost.
   if (guardRow && value.fence === fence)
     return { kind: 'taken', check: { key, version: guardRow.version } };
   if (value.fence > fence) return { kind: 'superseded' };
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -71,7 +71,7 @@
 const ENDPOINT_FEED_MS = 400;
 /** An endpoint's lease may last longer than its duration by this factor, because of a slow clock at the endpoint. */
 const LEASE_CLOCK_FACTOR = 1.05;
-/** And by this time, because of a late answer. */
+/** An endpoint's lease may last longer by this time in addition, because of a late answer. */
 const LEASE_MARGIN_MS = 500;
 const FEED_RETRY_MS = 300;
 /** A sweep removes up to 40 jobs, so 57 a second: more than the 50 a second that a fleet of 250 endpoints admits. */
@@ -83,7 +83,7 @@
 export type TermOptions = {
   readonly self: EntryId;
   readonly fence: number;
-  /** The version of the fence row, which each new holder changes; writes of wave rows depend on it. */
+  /** The key and version of the fence row, which each new holder changes; writes of wave rows depend on it. */
   readonly fenceCheck: RowCheck;
   readonly platform: BatchPlatform;
   readonly log: Log;
@@ -124,7 +124,9 @@
   readonly fleet: FleetCycle;
   readonly evacuations: Omit<EvacuationWatch, 'look' | 'close'>;
   readonly admission: AdmissionControl;
+  /** Recovers the state from rows and from the list of endpoints, then starts the loops. */
   readonly start: () => Promise<void>;
+  /** Ends all work of the term. */
   readonly stop: () => Promise<void>;
   /** The status of a job; undefined if the job is unknown or this entry cannot answer as the holder. */
   readonly statusOf: (jobId: JobId) => JobStatus | undefined;
@@ -132,7 +134,10 @@
   readonly waiting: () => ReadonlyMap<string, number> | undefined;
   /** Writes and admits a job; undefined if this entry cannot act as the holder. */
   readonly accept: (row: LiveRow) => Promise<AcceptOutcome | undefined>;
-  /** Admits a job whose row another entry wrote. */
+  /**
+   * Admits a job whose row another entry wrote. Ignored before the recovery, and while another entry may have become the
+   * holder.
+   */
   readonly takeIn: (row: LiveRow, version: number) => void;
   /** Records jobs that were refused and that their clients will submit again. */
   readonly noteRefused: (jobs: readonly RefusedJob[]) => void;
@@ -261,7 +266,7 @@
       saver.versions.delete(job.jobId);
     },
     onAccepted: (row, version) => jobRows.takeIn(row, version),
-    onFenceLost: () => endAsLost('another holder changed the fence row'),
+    onFenceLost: () => endAsLost('another holder changed the guard row'),
   });
 
   const jobRows = createJobRows({
