--- a/packages/daemon/src/batch/endpoints/acknowledgement.test.ts
+++ b/packages/daemon/src/batch/endpoints/acknowledgement.test.ts
@@ -1,4 +1,7 @@
-/** Acknowledgements that reach the next life of an endpoint, which would forget ends that nobody has read. */
+/**
+ * Guards against acknowledgements that reach the next incarnation, which would delete ended runs that nobody has
+ * read.
+ */
 import { MAX_ORDER_DELAY_MS } from '@valvelatch/core/batch';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
@@ -9,7 +12,7 @@
 const PAUSE_MS = 20;
 
 describe('an acknowledgement', () => {
-  const heardWith = (written: number) => {
+  const createRespondedWith = (written: number) => {
     const clock = { ms: 0 };
     const acknowledgement = createAcknowledgement(() => clock.ms);
     acknowledgement.noteAnswer(0);
@@ -17,36 +20,36 @@
     return { clock, acknowledgement };
   };
 
-  it('names the highest end that is written while its life was just heard', () => {
-    expect(heardWith(7).acknowledgement.toSend(PAUSE_MS)).toBe(7);
+  it('names the last stored ended run if its incarnation has responded recently', () => {
+    expect(createRespondedWith(7).acknowledgement.toSend(PAUSE_MS)).toBe(7);
   });
 
-  it('names none before the life was ever heard', () => {
+  it('names none before its incarnation has responded', () => {
     const acknowledgement = createAcknowledgement(() => 0);
     acknowledgement.noteWritten(7);
     expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
   });
 
-  it('names none once the life has not been heard for some time', () => {
-    const { clock, acknowledgement } = heardWith(7);
+  it('names none if its incarnation has not responded for some time', () => {
+    const { clock, acknowledgement } = createRespondedWith(7);
     clock.ms = 1000;
     expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
     expect(acknowledgement.toSend(1000)).toBe(7);
   });
 
-  it('names none after a question without an answer, until the life answers again', () => {
-    const { acknowledgement } = heardWith(7);
+  it('names none after an unanswered list request until its incarnation responds again', () => {
+    const { acknowledgement } = createRespondedWith(7);
     acknowledgement.noteMiss(7);
     expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
     acknowledgement.noteAnswer(0);
     expect(acknowledgement.toSend(PAUSE_MS)).toBe(7);
   });
 
-  it('may be carried out late once its life outlived one without an answer', () => {
-    const { clock, acknowledgement } = heardWith(7);
+  it('may arrive late once its incarnation has responded after an unanswered list request', () => {
+    const { clock, acknowledgement } = createRespondedWith(7);
     expect(acknowledgement.toSend(PAUSE_MS)).toBe(7);
     acknowledgement.noteMiss(7);
-    // So far it may have been lost with its life.
+    // So far, the request may have been lost with its incarnation.
     expect(acknowledgement.lateUntilMs()).toBe(0);
     clock.ms = 100;
     acknowledgement.noteAnswer(0);
@@ -55,8 +58,8 @@
     expect(acknowledgement.lateUntilMs()).toBe(0);
   });
 
-  it('is not sent again once the life has answered it', () => {
-    const { acknowledgement } = heardWith(7);
+  it('is not sent again once its incarnation has responded to it', () => {
+    const { acknowledgement } = createRespondedWith(7);
     acknowledgement.noteAnswer(7);
     expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
     acknowledgement.noteWritten(9);
@@ -64,7 +67,7 @@
   });
 });
 
-describe('questions to an endpoint', () => {
+describe('list requests to an endpoint', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -73,18 +76,18 @@
     vi.useRealTimers();
   });
 
-  it('acknowledge nothing first after it stood empty: its next life may have ended tasks already', async () => {
-    const world = createLeasedEndpoint({ taskCount: 3, runMs: 300 });
+  it('acknowledge nothing at first after it was idle, because a new incarnation may already have ended runs', async () => {
+    const leased = createLeasedEndpoint({ taskCount: 3, runMs: 300 });
     await advance(3000);
-    const before = world.sent.length;
-    world.submit(3, 300);
+    const sentBefore = leased.sent.length;
+    leased.submit(3, 300);
     await advance(3000);
-    const [first, ...later] = world.sent
-      .slice(before)
+    const [first, ...later] = leased.sent
+      .slice(sentBefore)
       .flatMap(({ kind, acknowledged }) => (kind === 'list' ? [acknowledged] : []));
-    world.close();
+    leased.close();
     expect(first).toBe(0);
     expect(Math.max(...later)).toBeGreaterThanOrEqual(3);
-    expect(world.broken).toEqual([]);
+    expect(leased.broken).toEqual([]);
   });
 });
--- a/packages/daemon/src/batch/endpoints/acknowledgement.ts
+++ b/packages/daemon/src/batch/endpoints/acknowledgement.ts
@@ -1,53 +1,61 @@
 /**
- * Which ends a question may acknowledge. A question reaches whichever life has the endpoint's id: the next one would
- * forget ends of its own, unread, up to the number that was meant for the life before. So a number is sent
- * only while the life that it is meant for was heard a moment ago, and no more once that life has answered it.
+ * Determines which ended runs a list request may acknowledge. An endpoint deletes acknowledged runs from its list.
+ *
+ * A list request reaches whichever incarnation has the endpoint's id. A later incarnation would delete its own ended
+ * runs, which nobody has read, up to the number that was meant for the previous one. Therefore a number is sent only
+ * while the intended incarnation has responded recently, and no longer once it has responded to that number.
  */
 
 import { MAX_ORDER_DELAY_MS } from '@valvelatch/core/batch';
 
-/** Beyond the pause between two questions: no endpoint is up again, given work and done with it in this time. */
-const FRESH_MS = 500;
+/**
+ * An incarnation counts as recently heard for this time beyond the pause between two list requests. It is too short
+ * for an endpoint to restart, get work and finish it.
+ */
+const FRESHNESS_MARGIN_MS = 500;
 
-/** What is acknowledged of one life of an endpoint. */
+/** Tracks the acknowledged runs of one incarnation of an endpoint. */
 export type Acknowledgement = {
-  /** Tells that ends up to this number are written. */
+  /** Records that the ended runs up to this number are stored. */
   readonly noteWritten: (number: number) => void;
+  /** The highest number that is stored; 0 if there is none. */
   readonly written: () => number;
   /**
-   * Gives the number to send.
+   * Determines the number to send with a list request.
    *
-   * @param pauseMs - How long questions to the endpoint are apart now.
-   * @returns The highest end that is written; 0, which acknowledges none, where the life may be over, or knows it.
+   * @param pauseMs - The current pause between two list requests to the endpoint, in milliseconds.
+   * @returns The number of the highest ended run that is stored. It is 0, which acknowledges none, if the incarnation
+   *   may have ended or has already confirmed that number.
    */
   readonly toSend: (pauseMs: number) => number;
-  /** Tells that the life has answered a question that acknowledged this number. */
+  /** Records that the incarnation responded to a list request that acknowledged this number. */
   readonly noteAnswer: (sent: number) => void;
-  /** Tells that a question that acknowledged this number had no answer. */
+  /** Records that a list request that acknowledged this number got no response. */
   readonly noteMiss: (sent: number) => void;
   /**
-   * Tells until when one that was sent may be carried out late, by a life to come.
+   * Determines until when a list request with an acknowledgement may arrive late, at the next incarnation.
    *
-   * @returns The time; 0 while no question without an answer has been followed by an answer of the same life: it
-   *   was lost with the life, rather than held up on the way.
+   * @returns The time on the holder's clock, in milliseconds. It is 0 unless the incarnation recently responded after
+   *   a list request with an acknowledgement had got no response: otherwise that request counts as lost with the
+   *   incarnation, not as delayed on the network.
    */
   readonly lateUntilMs: () => number;
 };
 
 /**
- * Builds the acknowledgement of a life that has not been heard.
+ * Creates the acknowledgement state of an incarnation that has not responded yet.
  *
- * @param nowMs - The holder's monotonic clock.
- * @returns The acknowledgement.
+ * @param nowMs - The holder's monotonic clock, in milliseconds.
+ * @returns The acknowledgement state.
  */
 export const createAcknowledgement = (nowMs: () => number): Acknowledgement => {
   let written = 0;
   let confirmed = 0;
-  let heardAtMs = -Infinity;
+  let respondedAtMs = -Infinity;
   let sentAtMs = -Infinity;
   let missedAtMs = -Infinity;
-  /** When one without an answer was sent that the life has outlived. */
-  let outlivedAtMs = -Infinity;
+  /** When the last acknowledgement was missed after which the same incarnation responded again. */
+  let survivedMissAtMs = -Infinity;
 
   return {
     noteWritten: (number) => {
@@ -55,23 +63,23 @@
     },
     written: () => written,
     toSend: (pauseMs) => {
-      const isFresh = nowMs() - heardAtMs < pauseMs + FRESH_MS;
-      const isWanted = isFresh && written > confirmed;
-      if (isWanted) sentAtMs = nowMs();
-      return isWanted ? written : 0;
+      const isFresh = nowMs() - respondedAtMs < pauseMs + FRESHNESS_MARGIN_MS;
+      const isNeeded = isFresh && written > confirmed;
+      if (isNeeded) sentAtMs = nowMs();
+      return isNeeded ? written : 0;
     },
     noteAnswer: (sent) => {
       confirmed = Math.max(confirmed, sent);
-      heardAtMs = nowMs();
-      outlivedAtMs = Math.max(outlivedAtMs, missedAtMs);
+      respondedAtMs = nowMs();
+      survivedMissAtMs = Math.max(survivedMissAtMs, missedAtMs);
     },
     noteMiss: (sent) => {
-      heardAtMs = -Infinity;
+      respondedAtMs = -Infinity;
       if (sent > 0) missedAtMs = nowMs();
     },
     lateUntilMs: () => {
-      const areLate = nowMs() < outlivedAtMs + MAX_ORDER_DELAY_MS;
-      return areLate ? sentAtMs + MAX_ORDER_DELAY_MS : 0;
+      const mayBeLate = nowMs() < survivedMissAtMs + MAX_ORDER_DELAY_MS;
+      return mayBeLate ? sentAtMs + MAX_ORDER_DELAY_MS : 0;
     },
   };
 };
--- a/packages/daemon/src/batch/endpoints/advisor.ts
+++ b/packages/daemon/src/batch/endpoints/advisor.ts
@@ -1,4 +1,6 @@
-/** Asks the service of advice for the holder: a few questions at a time, in the order they came. */
+/**
+ * Sends the holder's advice questions to the advice service in the order in which they were asked, a few at a time.
+ */
 import { applyAdvice, type AdviceQuestion, type BatchState } from '@valvelatch/core/batch';
 
 import type { Log } from '../../observe/log.js';
@@ -6,29 +8,32 @@
 import type { AdvicePort } from '../ports.js';
 
 /**
- * The service answers one question at a time for each entry and turns questions away with 32
- * waiting. A second one that waits there saves the trip; more would only lose their order.
+ * The service answers one question per entry at a time and rejects questions while 32 are waiting. With two in
+ * flight, the second already waits at the service when the first is answered, which saves a round trip. More in
+ * flight would only risk that they arrive out of order.
  */
-const MOST_AT_ONCE = 2;
+const MAX_IN_FLIGHT = 2;
 
 export type AdvisorOptions = {
   readonly state: BatchState;
   readonly port: AdvicePort;
   readonly log: Log;
   readonly metrics: Metrics;
+  /** The holder's monotonic clock, in milliseconds. */
   readonly nowMs: () => number;
-  /** Something changed: places may be found. */
+  /** Requests a scheduling cycle, because tasks may be placeable now. */
   readonly poke: () => void;
 };
 
 export type Advisor = {
+  /** Queues a question. Its result is applied to the state. */
   readonly ask: (question: AdviceQuestion) => void;
 };
 
 /**
- * Builds the advisor of a term.
+ * Creates the advisor of one control term.
  *
- * @param options - The state that questions are about, and the service.
+ * @param options - The state to which the advice is applied, and the connection to the service.
  * @returns The advisor.
  */
 export const createAdvisor = ({
@@ -39,12 +44,12 @@
   nowMs,
   poke,
 }: AdvisorOptions): Advisor => {
-  const waiting: AdviceQuestion[] = [];
-  let underWay = 0;
+  const queue: AdviceQuestion[] = [];
+  let inFlight = 0;
 
-  const isWanted = ({ jobId }: AdviceQuestion): boolean => state.jobs.has(jobId);
+  const isJobKnown = ({ jobId }: AdviceQuestion): boolean => state.jobs.has(jobId);
 
-  const put = async (question: AdviceQuestion): Promise<void> => {
+  const sendQuestion = async (question: AdviceQuestion): Promise<void> => {
     const askedAtMs = nowMs();
     const answer = await port.ask(question);
     metrics.count('advice_questions');
@@ -60,30 +65,31 @@
     poke();
   };
 
-  const next = (): void => {
-    if (underWay >= MOST_AT_ONCE) return;
-    const question = waiting.shift();
+  /** Sends the next question of the queue; questions about jobs that are gone are dropped. */
+  const sendNext = (): void => {
+    if (inFlight >= MAX_IN_FLIGHT) return;
+    const question = queue.shift();
     if (!question) return;
-    if (!isWanted(question)) {
-      next();
+    if (!isJobKnown(question)) {
+      sendNext();
       return;
     }
-    underWay += 1;
-    void put(question)
+    inFlight += 1;
+    void sendQuestion(question)
       .catch((error: unknown) => {
         log.error('advice-broken', { job: question.jobId, detail: String(error) });
         applyAdvice(state, question, undefined, nowMs());
       })
       .finally(() => {
-        underWay -= 1;
-        next();
+        inFlight -= 1;
+        sendNext();
       });
   };
 
   return {
     ask: (question) => {
-      waiting.push(question);
-      next();
+      queue.push(question);
+      sendNext();
     },
   };
 };
--- a/packages/daemon/src/batch/endpoints/answer-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/answer-orders.test.ts
@@ -1,6 +1,6 @@
 /**
- * What a holder makes of the answers of its endpoints, in whatever order they come: starts, stops and
- * lists are carried out at once, late or never, and their answers pass each other or are lost.
+ * How a holder handles the responses of its endpoints, in whatever order they arrive: start, stop and list orders are
+ * carried out at once, late or never, and their responses overtake each other or are lost.
  */
 import { taskKey } from '@valvelatch/core/batch';
 import { brand, type JobId } from '@valvelatch/core/shared/ids';
@@ -16,12 +16,12 @@
 } from '../testing/answer-orders.fixtures.js';
 import { advance, FAKED } from '../testing/virtual-time.fixtures.js';
 
-/** In this time orders and answers go astray. */
-const TROUBLE_MS = 12_000;
-/** Longer than the latest order is late (7 s) and an endpoint keeps what runs there after it (6.5 s). */
-const QUIET_MS = 20_000;
+/** For this time, orders and responses are delayed or lost. */
+const FAULTY_MS = 12_000;
+/** Longer than the maximum delay of an order (7 s) and the time for which an endpoint then keeps its runs (6.5 s). */
+const RECOVERY_MS = 20_000;
 
-describe('a holder of control', () => {
+describe('a control holder', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -30,8 +30,11 @@
     vi.useRealTimers();
   });
 
-  describe('under any order of starts, stops, lists and their answers', () => {
-    /** Times of the size of a hop, of a time-out and of a lease: each changes what comes first. */
+  describe('with any sequence of start, stop and list orders and their responses', () => {
+    /**
+     * Durations in the range of a network hop, a timeout and a lease: each changes the order of events in another
+     * way.
+     */
     const ms = fc.oneof(
       { weight: 6, arbitrary: fc.integer({ min: 1, max: 12 }) },
       { weight: 3, arbitrary: fc.integer({ min: 13, max: 400 }) },
@@ -61,9 +64,10 @@
       },
     );
 
-    const someFates = (maxLength: number): fc.Arbitrary<Fate[]> => fc.array(fate, { maxLength });
+    const arbitraryFates = (maxLength: number): fc.Arbitrary<Fate[]> =>
+      fc.array(fate, { maxLength });
 
-    const play = fc.record({
+    const scenario = fc.record({
       rooms: fc.array(fc.integer({ min: 1, max: 3 }), { minLength: 1, maxLength: 2 }),
       runMs: fc.array(fc.integer({ min: 20, max: 1500 }), { minLength: 1, maxLength: 3 }),
       taskCount: fc.integer({ min: 1, max: 3 }),
@@ -85,18 +89,22 @@
         }),
         { maxLength: 2 },
       ),
-      fates: fc.record({ start: someFates(8), stop: someFates(8), list: someFates(14) }),
+      fates: fc.record({
+        start: arbitraryFates(8),
+        stop: arbitraryFates(8),
+        list: arbitraryFates(14),
+      }),
     });
 
-    type Play = typeof play extends fc.Arbitrary<infer One> ? One : never;
+    type Scenario = typeof scenario extends fc.Arbitrary<infer One> ? One : never;
 
-    const playOut = async (
-      { taskCount, isGang, stops, crashes, cuts, ...world }: Play,
+    const simulate = async (
+      { taskCount, isGang, stops, crashes, cuts, ...world }: Scenario,
       prepare?: (held: HeldWorld) => void,
     ) => {
       vi.clearAllTimers();
-      const room = world.rooms.reduce((sum, one) => sum + one, 0);
-      const step = { taskCount: isGang ? Math.min(taskCount, room) : taskCount, isGang };
+      const capacity = world.rooms.reduce((sum, one) => sum + one, 0);
+      const step = { taskCount: isGang ? Math.min(taskCount, capacity) : taskCount, isGang };
       const options: HeldWorldOptions = {
         ...world,
         steps: [step],
@@ -112,34 +120,35 @@
       cuts.forEach(({ atMs, pick, forMs, isHeldUp }) =>
         setTimeout(() => held.cut(pick, forMs, isHeldUp), atMs),
       );
-      await advance(TROUBLE_MS);
+      await advance(FAULTY_MS);
       held.calm();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       held.stop();
       return held;
     };
 
     const numRuns = Number(process.env.VALVELATCH_FUZZ_RUNS ?? 400);
 
-    it('has no task run twice, and acknowledges no end that it has not applied', async () => {
+    it('has no task run twice, and acknowledges no ended run that it has not applied', async () => {
       await fc.assert(
-        fc.asyncProperty(play, async (one) => {
-          const { broken } = await playOut(one);
+        fc.asyncProperty(scenario, async (one) => {
+          const { broken } = await simulate(one);
           expect(broken).toEqual([]);
         }),
         { numRuns },
       );
     });
 
-    it('begins nothing again whose end another holder has acknowledged, though endpoints die', async () => {
-      // The other holder reaches each endpoint at its own time; until then this one's fence is the highest.
+    it('restarts no task whose end another holder has acknowledged, even if endpoints crash', async () => {
+      // The other holder reaches each endpoint at a different time; until then, the fence of this one is the highest
+      // there.
       const handover = fc.record({
         atMs: fc.integer({ min: 100, max: 3000 }),
         afterMs: fc.tuple(fc.nat(3000), fc.nat(9000)),
       });
       await fc.assert(
-        fc.asyncProperty(play, handover, async (one, { atMs, afterMs }) => {
-          const { broken } = await playOut(one, (held) => {
+        fc.asyncProperty(scenario, handover, async (one, { atMs, afterMs }) => {
+          const { broken } = await simulate(one, (held) => {
             setTimeout(() => held.succeed(afterMs), atMs);
           });
           expect(broken).toEqual([]);
@@ -148,12 +157,12 @@
       );
     });
 
-    it('has all work end once answers come again', async () => {
+    it('has all jobs end once responses arrive again', async () => {
       await fc.assert(
-        fc.asyncProperty(play, async (one) => {
-          // A stop that an unhealthy endpoint refuses has a case of its own below.
+        fc.asyncProperty(scenario, async (one) => {
+          // A stop order that an unhealthy endpoint rejects is tested separately below.
           const stop = one.fates.stop.filter(({ refusal }) => refusal !== 'unhealthy');
-          const held = await playOut({ ...one, fates: { ...one.fates, stop } });
+          const held = await simulate({ ...one, fates: { ...one.fates, stop } });
           expect(held.open()).toEqual([]);
         }),
         { numRuns: Math.ceil(numRuns / 4) },
@@ -161,65 +170,78 @@
     });
   });
 
-  /** A world in which all endpoints have answered once and nothing runs. */
-  const ready = async (options: Partial<HeldWorldOptions> = {}): Promise<HeldWorld> => {
+  /** Creates a simulation in which all endpoints have responded once and nothing runs. */
+  const createReadyWorld = async (options: Partial<HeldWorldOptions> = {}): Promise<HeldWorld> => {
     const world = createHeldWorld({ rooms: [1, 1], runMs: [300], steps: [{}], ...options });
     await advance(20);
     return world;
   };
 
-  const LOST: Fate = { goMs: 1, backMs: null };
-  const NEVER: Fate = { goMs: null, backMs: null };
+  const RESPONSE_LOST: Fate = { goMs: 1, backMs: null };
+  const NOT_DELIVERED: Fate = { goMs: null, backMs: null };
 
   const runsOf = ({ starts }: HeldWorld): readonly number[] => starts.map(({ run }) => run);
   const phaseOf = ({ jobs }: HeldWorld): string => jobs[0]?.phase ?? 'missing';
-  const firstEndpoint = ({ endpoints }: HeldWorld) => {
+  const getFirstEndpoint = ({ endpoints }: HeldWorld) => {
     const [first] = endpoints.values();
     if (!first) throw new Error('there is no endpoint');
     return first;
   };
 
-  describe('whose order to start a task was given up', () => {
-    it('begins the task elsewhere only once the first order can do nothing any more', async () => {
+  describe('whose start order for a task was given up', () => {
+    it('starts the task elsewhere only once the first order can no longer take effect', async () => {
       const late: Fate = { goMs: 5000, backMs: null };
-      const world = await ready({ runMs: [4000], fates: { start: [late, late] } });
+      const world = await createReadyWorld({ runMs: [4000], fates: { start: [late, late] } });
       world.submit();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2002], []]);
     });
 
-    it('does not begin it elsewhere while the order to stop it has no answer either', async () => {
+    it('does not start the task elsewhere while the stop order is unanswered as well', async () => {
       const late: Fate = { goMs: 2500, backMs: null };
-      const world = await ready({
+      const world = await createReadyWorld({
         runMs: [400],
-        fates: { start: [late, late], stop: [NEVER, NEVER, NEVER, NEVER, NEVER, NEVER] },
+        fates: {
+          start: [late, late],
+          stop: [
+            NOT_DELIVERED,
+            NOT_DELIVERED,
+            NOT_DELIVERED,
+            NOT_DELIVERED,
+            NOT_DELIVERED,
+            NOT_DELIVERED,
+          ],
+        },
       });
       world.submit();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2001], []]);
     });
 
-    it('takes "old" for a run that was begun by the order before and has ended', async () => {
-      const world = await ready({ runMs: [50], fates: { start: [LOST], list: [LOST, LOST] } });
+    it('interprets "old" as a run that the previous order started and that has ended', async () => {
+      const world = await createReadyWorld({
+        runMs: [50],
+        fates: { start: [RESPONSE_LOST], list: [RESPONSE_LOST, RESPONSE_LOST] },
+      });
       world.submit();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2001], []]);
     });
 
-    it('keeps the run where the second order is refused, which says nothing of the first', async () => {
-      const world = await ready({ runMs: [3000], fates: { start: [LOST] } });
+    it('keeps the run if the second order is rejected, which says nothing about the first', async () => {
+      const world = await createReadyWorld({ runMs: [3000], fates: { start: [RESPONSE_LOST] } });
       world.plan('start', { goMs: null, backMs: 1, refusal: 'unhealthy' });
       world.submit();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([phaseOf(world), world.broken]).toEqual(['completed', []]);
     });
 
-    it('begins it elsewhere within 3 s of an order to stop that an unhealthy endpoint refused once', async () => {
-      const world = await ready({ fates: { start: [NEVER, NEVER] } });
+    it('starts the task elsewhere within 3 s of a stop order that an unhealthy endpoint rejected once', async () => {
+      const world = await createReadyWorld({ fates: { start: [NOT_DELIVERED, NOT_DELIVERED] } });
       world.plan('stop', { goMs: null, backMs: 1, refusal: 'unhealthy' });
       world.submit();
       await advance(5000);
@@ -228,103 +250,107 @@
     });
   });
 
-  describe('whose question passes an order to start', () => {
-    it('keeps a run that the answer lacks because it was composed before the start', async () => {
-      // While a run is being stopped the endpoint is asked at once and often.
-      const world = await ready({ rooms: [3], runMs: [1000] });
+  describe('whose list request overtakes a start order', () => {
+    it('keeps a run that is missing from the response because that was composed before the start', async () => {
+      // While a run is being stopped, list requests are sent at once and often.
+      const world = await createReadyWorld({ rooms: [3], runMs: [1000] });
       world.submit();
       await advance(50);
       world.plan('start', { goMs: 240, backMs: 1 });
       world.stopOne(0);
       world.submit();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([world.open(), runsOf(world), world.broken]).toEqual([[], [2001, 2001, 2002], []]);
     });
   });
 
-  describe('with two questions under way at once', () => {
-    it('takes an end in once, whichever of the two answers comes last', async () => {
-      // The run has ended when its stop arrives, and the question asked before brings its answer later.
-      const world = await ready({ rooms: [1], runMs: [200] });
+  describe('with two list requests in flight at once', () => {
+    it('applies an ended run once, whichever of the two responses arrives last', async () => {
+      // The run has ended when its stop order arrives, and the response to the earlier list request arrives after
+      // that.
+      const world = await createReadyWorld({ rooms: [1], runMs: [200] });
       world.plan('list', { goMs: 1, backMs: 240 }, SOUND);
       world.submit();
       await advance(215);
       world.stopOne(0);
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2001], []]);
     });
 
     /**
-     * A run is stopped on an endpoint that takes no new work. Counts how often it is believed to run
-     * there again after the holder was told of its end.
+     * Stops a run on a cordoned endpoint. Counts how often the holder considers it active there again after it
+     * learned of its end.
      */
-    const countTakenOver = async (stop: Fate, ...lists: readonly Fate[]): Promise<number> => {
-      const world = await ready({ rooms: [1], runMs: [5000] });
+    const countReappearances = async (stop: Fate, ...lists: readonly Fate[]): Promise<number> => {
+      const world = await createReadyWorld({ rooms: [1], runMs: [5000] });
       world.submit();
       await advance(680);
-      const [known] = world.state.endpoints.values();
-      if (!known) throw new Error('there is no endpoint');
-      known.isCordoned = true;
+      const [endpoint] = world.state.endpoints.values();
+      if (!endpoint) throw new Error('there is no endpoint');
+      endpoint.isCordoned = true;
       world.plan('stop', stop);
       world.plan('list', ...lists);
       world.stopOne(0);
-      let takenOver = 0;
-      let before = known.runs.size;
+      let reappearances = 0;
+      let before = endpoint.runs.size;
       for (let turn = 0; turn < 2000; turn += 1) {
         await advance(1);
-        if (before === 0 && known.runs.size > 0) takenOver += 1;
-        before = known.runs.size;
+        if (before === 0 && endpoint.runs.size > 0) reappearances += 1;
+        before = endpoint.runs.size;
       }
       world.stop();
       expect([before, world.broken]).toEqual([0, []]);
-      return takenOver;
+      return reappearances;
     };
 
-    it('does not believe a run back that the answer to the older question lists, coming last', async () => {
+    it('does not restore a run that the response to the older list request names, if it arrives last', async () => {
       const stop: Fate = { goMs: 1, backMs: 200 };
-      expect(await countTakenOver(stop, { goMs: 1, backMs: 240 }, { goMs: 130, backMs: 1 })).toBe(
-        0,
-      );
+      expect(
+        await countReappearances(stop, { goMs: 1, backMs: 240 }, { goMs: 130, backMs: 1 }),
+      ).toBe(0);
     });
 
-    it('does not believe a run back that the answer to an overtaking question lists', async () => {
-      // Asked later, it was carried out before the run had ended, and the older one after that.
+    it('does not restore a run that the response to an overtaking list request names', async () => {
+      // The later request was carried out before the run had ended, and the older one after that.
       const stop: Fate = { goMs: 1, backMs: 200 };
-      expect(await countTakenOver(stop, { goMs: 230, backMs: 1 }, { goMs: 1, backMs: 220 })).toBe(
-        0,
-      );
+      expect(
+        await countReappearances(stop, { goMs: 230, backMs: 1 }, { goMs: 1, backMs: 220 }),
+      ).toBe(0);
     });
   });
 
   describe('of a gang', () => {
-    it('takes the end of one member for that of all, though another is listed as running later', async () => {
-      const world = await ready({ runMs: [300, 900], steps: [{ taskCount: 2, isGang: true }] });
+    it('takes the end of one member as that of all, even if another is listed as running later', async () => {
+      const world = await createReadyWorld({
+        runMs: [300, 900],
+        steps: [{ taskCount: 2, isGang: true }],
+      });
       world.submit();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([phaseOf(world), world.starts.length, world.broken]).toEqual(['completed', 2, []]);
     });
 
-    it('does not begin it again while the order to start one member has no answer', async () => {
+    it('does not restart the gang while the start order of one member is unanswered', async () => {
       const late: Fate = { goMs: 4000, backMs: null };
-      const world = await ready({
+      const world = await createReadyWorld({
         runMs: [500],
         steps: [{ taskCount: 2, isGang: true }],
         fates: { start: [SOUND, late, late] },
       });
       world.submit();
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([phaseOf(world), world.starts.length, world.broken]).toEqual(['completed', 1, []]);
     });
   });
 
-  describe('told of more ends than an endpoint lists at once', () => {
-    it('begins no task again whose end is listed later, when the earlier ones are acknowledged', async () => {
-      // An endpoint lists 500 ends at once. The table is away, so none is acknowledged.
-      const world = await ready({
+  describe('with more ended runs than an endpoint lists at once', () => {
+    it('restarts no task whose end is listed only when the earlier ones are acknowledged', async () => {
+      // An endpoint lists at most 500 ended runs at once. The table is unavailable, so none of them is acknowledged.
+      const world = await createReadyWorld({
         rooms: [30],
         runMs: [100],
         steps: [{ taskCount: 540 }],
@@ -338,9 +364,9 @@
     });
   });
 
-  describe('told of an end whose task it does not know yet', () => {
-    it('acknowledges it only once it has been applied', async () => {
-      // The holder before had a clock ahead of this one's: there the time of the job had come.
+  describe('with an ended run whose task it does not know yet', () => {
+    it('acknowledges the run only once it has been applied', async () => {
+      // The clock of the previous holder was ahead of this one's, so that the job was due there already.
       const task = taskKey(brand<JobId>('0000000000000001'), 0, 0, 0);
       const order = { task, run: 1001, spec: '', checkpoint: '', ticket: '', fence: 1 };
       const world = createHeldWorld({
@@ -351,20 +377,20 @@
         meetsAfterMs: 100,
       });
       world.submit({ repeats: 1, firstDueAtMs: Date.now() + 1500, intervalMs: 1 });
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect(world.broken).toEqual([]);
     });
   });
 
   describe('that another holder has replaced', () => {
-    it('does not take the lease of an endpoint for ended that the other may have prolonged', async () => {
-      const world = await ready({ runMs: [1500], hasSuccessor: true });
+    it('does not consider a lease ended that the other holder may have extended', async () => {
+      const world = await createReadyWorld({ runMs: [1500], hasSuccessor: true });
       world.submit();
       await advance(100);
-      // What is given up there could only be begun on the other one.
-      const [known] = world.state.endpoints.values();
-      if (known) known.isCordoned = true;
+      // A run that is given up there could only be started on the other endpoint.
+      const [endpoint] = world.state.endpoints.values();
+      if (endpoint) endpoint.isCordoned = true;
       world.cut(0, 11_000, false);
       world.succeed([200, 15_000]);
       await advance(12_000);
@@ -372,16 +398,16 @@
       expect([runsOf(world), world.broken]).toEqual([[2001], []]);
     });
 
-    it('begins nothing again that ended while its own question waited, and whose end the other acknowledged', async () => {
-      const world = await ready({ runMs: [600], hasSuccessor: true });
+    it('restarts no task that ended while its own list request waited, and whose end the other holder acknowledged', async () => {
+      const world = await createReadyWorld({ runMs: [600], hasSuccessor: true });
       world.submit();
       await advance(500);
-      const { model } = firstEndpoint(world);
+      const { model } = getFirstEndpoint(world);
       world.plan('list', ...Array.from({ length: 12 }, (): Fate => ({ goMs: 1, backMs: null })));
       const later = { fence: 3, acknowledged: 0, keepUntilMs: 9000, waitMs: 400 };
       await Promise.all([model.list(later), advance(300)]);
       await model.list({ ...later, acknowledged: 1, waitMs: 0 });
-      await advance(QUIET_MS);
+      await advance(RECOVERY_MS);
       world.stop();
       expect([runsOf(world), world.broken]).toEqual([[2001], []]);
     });
--- a/packages/daemon/src/batch/endpoints/endpoint-clock.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-clock.ts
@@ -1,45 +1,50 @@
-/** The steady clock of one life of an endpoint, as its answers tell it. */
+/** Estimates the monotonic clock of one incarnation of an endpoint from its responses. */
 import type { EndpointClock as ClockReading } from '@valvelatch/core/batch';
 
 /**
- * It may be 2 % slow. A time on it is reckoned as if it were, so that no lease is longer than 1.02 times what
- * is meant, however old the reading is: whoever comes next counts with that.
+ * The lowest clock rate that is assumed: an endpoint's clock may be 2 % slow. Times on it are extrapolated at this
+ * rate, so that no lease is longer than 1.02 times the intended length, however old the reading is. The next holder
+ * relies on this bound.
  */
-const SLOWEST_CLOCK = 0.98;
-/** On a clock that is not slow a lease is shorter by 2 % of the reading's age: no more than 0.6 s. */
-const CLOCK_FRESH_MS = 30_000;
+const MIN_CLOCK_RATE = 0.98;
+/**
+ * The maximum age of a reading. On a clock that is not slow, a lease is shorter than intended by 2 % of the age of
+ * the reading: with this limit by 0.6 s at most.
+ */
+const MAX_READING_AGE_MS = 30_000;
 
-/** What is known of the clock. */
+/** The estimate of an endpoint's clock. */
 export type EndpointClock = {
+  /** Records the clock reading of a response. */
   readonly note: (reading: ClockReading) => void;
   /**
-   * Gives a time on the clock.
+   * Estimates a future time on the endpoint's clock.
    *
-   * @param ms - How far ahead of now it is.
-   * @returns The time in milliseconds; undefined before the first reading.
+   * @param ms - How far the time is ahead of now, in milliseconds.
+   * @returns The time on the endpoint's clock in milliseconds; undefined before the first reading.
    */
   readonly after: (ms: number) => number | undefined;
-  /** True if the last reading is too old to reckon a lease from. */
+  /** True if the last reading is too old to compute a lease from; false before the first reading. */
   readonly isOld: () => boolean;
 };
 
 /**
- * Builds the clock of a life that has not answered.
+ * Creates the clock estimate of an incarnation that has not responded yet.
  *
- * @param nowMs - The holder's monotonic clock.
- * @returns The clock.
+ * @param nowMs - The holder's monotonic clock, in milliseconds.
+ * @returns The estimate, without a reading.
  */
 export const createEndpointClock = (nowMs: () => number): EndpointClock => {
-  let last: { readonly clockMs: number; readonly atMs: number } | undefined;
+  let lastReading: { readonly clockMs: number; readonly atMs: number } | undefined;
 
   return {
     note: ({ clockMs }) => {
-      last = { clockMs, atMs: nowMs() };
+      lastReading = { clockMs, atMs: nowMs() };
     },
     after: (ms) => {
-      if (!last) return undefined;
-      return Math.floor(last.clockMs + (nowMs() - last.atMs) * SLOWEST_CLOCK + ms);
+      if (!lastReading) return undefined;
+      return Math.floor(lastReading.clockMs + (nowMs() - lastReading.atMs) * MIN_CLOCK_RATE + ms);
     },
-    isOld: () => last !== undefined && nowMs() - last.atMs > CLOCK_FRESH_MS,
+    isOld: () => lastReading !== undefined && nowMs() - lastReading.atMs > MAX_READING_AGE_MS,
   };
 };
--- a/packages/daemon/src/batch/endpoints/endpoint-crashes.test.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-crashes.test.ts
@@ -1,20 +1,19 @@
 /**
- * Tasks that take down each endpoint that begins them, and endpoints that crash with no task to blame,
- * in virtual time.
+ * Tasks that crash each endpoint on which they start, and endpoints that crash without a task as the cause, in
+ * virtual time.
  *
- * The failure: endpoint after endpoint of one pool crashed, each some 0.3 s after the one before, and
- * with each 13 to 20 tasks of others; two thirds of the pool's jobs were not done. The order of events:
- * a task begins, and 10 ms later its endpoint is gone. The list of hosts shows another life of its host,
- * the holder puts all that ran there back to those that wait, and the task is begun again on the next
- * endpoint. One task was begun over 20 times under one holder; the next holder, after the loss of all
- * processes, went on with it.
+ * The failure: the endpoints of one pool crashed one after another, some 0.3 s apart. Each crash took down 13 to 20
+ * other tasks, and two thirds of the pool's jobs were not completed. A task started, and 10 ms later its endpoint was
+ * gone. The list of hosts showed another incarnation on the host, the holder returned all tasks of the endpoint to
+ * the queue, and the task was started on the next endpoint. One task was started over 20 times under one holder.
+ * After the loss of all processes, the next holder continued in the same way.
  *
- * The cause: an endpoint that crashes reports nothing, and only what endpoints report counted against a
- * task. That its run was gone was known; that it had gone with its endpoint, and how often that had happened, was
- * kept nowhere.
+ * The cause: a crashed endpoint reports nothing, and only reports of endpoints counted against a task. The holder
+ * knew that the run was gone, but did not record that it was lost with its endpoint and how often that had happened.
  *
- * The evidence: each of these runs has a number of its own, so each start was decided; all were on different
- * endpoints, which lived with them for 10 ms; others that went with the same endpoints were done elsewhere.
+ * The evidence: each of these runs had a number of its own, so each start was a new decision. All of them were on
+ * different endpoints, which survived the start by 10 ms. Other tasks that were lost with the same endpoints
+ * completed elsewhere.
  */
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -25,14 +24,14 @@
 import type { SimEntry, SimFleet } from '../testing/sim-fleet.fixtures.js';
 import { advance, FAKED, holderOf, phaseOf, started } from '../testing/virtual-time.fixtures.js';
 
-/** Over the time that a host is crash, so that there is always a place for the next start. */
-const PLAY_MS = 30_000;
+/** Longer than a host is down after a crash, so that there always is an endpoint for the next start. */
+const SIMULATION_MS = 30_000;
 
-/** A job of which one of several tasks takes its endpoints down. */
+/** Submits a job of several tasks, one of which crashes its endpoints. */
 const submitCrashing = (fleet: SimFleet, crashesAfterMs = 10): JobId =>
   fleet.submit({ pool: 'alpha', steps: [{ taskCount: 3 }], runMs: 640, crashesAfterMs });
 
-/** Work of others, all the while. */
+/** Submits harmless jobs throughout the given time. */
 const submitOthers = async (fleet: SimFleet, forMs: number): Promise<readonly JobId[]> => {
   const jobs: JobId[] = [];
   for (let ms = 0; ms < forMs; ms += 500) {
@@ -45,7 +44,7 @@
 const phasesOf = (fleet: SimFleet, jobs: readonly JobId[]): ReadonlySet<string> =>
   new Set(jobs.map((job) => phaseOf(fleet, job)));
 
-describe('a task that takes down each endpoint that begins it', () => {
+describe('a task that crashes each endpoint on which it starts', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -54,43 +53,43 @@
     vi.useRealTimers();
   });
 
-  it('is given up before it has taken down a fourth one, and what ran beside it is done', async () => {
+  it('is given up before it has crashed a fourth one, and the tasks next to it complete', async () => {
     const fleet = await started({ hostsPerPool: 4 });
     const crashing = submitCrashing(fleet);
-    const others = await submitOthers(fleet, PLAY_MS);
-    await advance(PLAY_MS);
+    const others = await submitOthers(fleet, SIMULATION_MS);
+    await advance(SIMULATION_MS);
     expect(fleet.broken).toEqual([]);
     expect(phaseOf(fleet, crashing)).toBe('failed');
     expect(phasesOf(fleet, others)).toEqual(new Set(['completed']));
     expect(Math.max(...fleet.crashes.values())).toBeLessThan(4);
   });
 
-  it('is given up while the list of hosts is away, by the next lives of the hosts', async () => {
-    // Nothing but the end of a lease is seen then; that the endpoint had crashed shows later.
+  it('is given up while the list of hosts is unavailable, by the next incarnations on the hosts', async () => {
+    // Without the list, only the end of the lease is observed; that the endpoint had crashed shows later.
     const fleet = await started({ hostsPerPool: 4 });
     fleet.faults.isHostListDown = true;
     const crashing = submitCrashing(fleet);
-    await advance(4 * PLAY_MS);
+    await advance(4 * SIMULATION_MS);
     expect(fleet.broken).toEqual([]);
     expect(phaseOf(fleet, crashing)).toBe('failed');
   });
 
-  it('is given up where the list of hosts comes back long after its endpoints have gone', async () => {
+  it('is given up if the list of hosts returns long after its endpoints are gone', async () => {
     const fleet = await started({ hostsPerPool: 4 });
     fleet.faults.isHostListDown = true;
     const crashing = submitCrashing(fleet);
-    // The lease of the second is over, and nothing runs on what is left of the first two.
+    // By then the lease of the second endpoint has ended, and the records of the first two endpoints hold no runs.
     await advance(16_000);
     fleet.faults.isHostListDown = false;
-    await advance(PLAY_MS);
+    await advance(SIMULATION_MS);
     expect(fleet.broken).toEqual([]);
     expect(phaseOf(fleet, crashing)).toBe('failed');
   });
 
-  it('has its client and operators told why, by each holder and by the job itself', async () => {
+  it('has the reason shown to its client and to operators by each holder, and stored in the row of its job', async () => {
     const fleet = await started({ hostsPerPool: 4 });
     const crashing = submitCrashing(fleet);
-    await advance(PLAY_MS);
+    await advance(SIMULATION_MS);
     const explain = () =>
       answerOperator(
         holderOf(fleet).control,
@@ -99,7 +98,7 @@
       );
     const why = `2 endpoints crashed under task ${crashing}.0.0.0, 2 of them`;
     const reason = expect.stringContaining(why) as string;
-    const told = async () => [
+    const readReasons = async () => [
       await holderOf(fleet).control.statusOf(crashing),
       explain(),
       fleet.rowOf(crashing),
@@ -109,13 +108,13 @@
       { value: { outcome: 'failed', reason } },
       { phase: 'failed', reason },
     ];
-    expect(await told()).toMatchObject(expected);
+    expect(await readReasons()).toMatchObject(expected);
     fleet.kill(holderOf(fleet));
     await advance(6000);
-    expect(await told()).toMatchObject(expected);
+    expect(await readReasons()).toMatchObject(expected);
   });
 
-  it('is given up by the next holders together, if all processes are killed again and again', async () => {
+  it('is given up by successive holders together if all processes are killed repeatedly', async () => {
     const fleet = await started({ hostsPerPool: 4 });
     const crashing = submitCrashing(fleet);
     for (let loss = 0; loss < 6; loss += 1) {
@@ -123,42 +122,42 @@
       const total = (): number =>
         Array.from(fleet.crashes.values()).reduce((sum, count) => sum + count, 0);
       for (let ms = 0; ms < 12_000 && total() === before; ms += 100) await advance(100);
-      // Long enough that a holder has read the list of hosts and written what it concluded.
+      // Long enough for a holder to read the list of hosts and store its conclusions.
       await advance(1400);
       const names = fleet.entries.map(({ entryId }) => entryId);
       Array.from(fleet.entries).forEach(fleet.kill);
       await advance(500);
       names.forEach((name) => fleet.addEntry(name));
     }
-    await advance(PLAY_MS);
+    await advance(SIMULATION_MS);
     expect(fleet.broken).toEqual([]);
     expect(phaseOf(fleet, crashing)).toBe('failed');
   });
 });
 
-describe('endpoints that crash, with a task to blame and without', () => {
-  type Trouble = { readonly kind: string; readonly atMs: number; readonly pick: number };
-  type Work = {
+describe('endpoints that crash, with and without a task as the cause', () => {
+  type Fault = { readonly kind: string; readonly atMs: number; readonly pick: number };
+  type JobSpec = {
     readonly step: Partial<StepSpec>;
     readonly runMs: number;
     readonly needsAdvice: boolean;
     readonly crashesAfterMs: number | undefined;
   };
 
-  const trouble = fc.record({
+  const fault = fc.record({
     kind: fc.constantFrom('crash', 'crash', 'rack', 'hostList', 'killHolder', 'killAll', 'table'),
     atMs: fc.integer({ min: 0, max: 20_000 }),
     pick: fc.nat(1000),
   });
 
-  const work = fc.record({
+  const jobSpec = fc.record({
     step: fc.record({
       taskCount: fc.integer({ min: 1, max: 6 }),
       mostPerEndpoint: fc.constantFrom(0, 0, 2),
       isGang: fc.constantFrom(false, false, true),
     }),
     runMs: fc.integer({ min: 100, max: 3000 }),
-    // Endpoints with an odd number may not run what needs advice, and in time all of a pool are odd.
+    // Endpoints with an odd number may not run tasks that need advice, and over time all endpoints of a pool are odd.
     needsAdvice: fc.constant(false),
     crashesAfterMs: fc.constantFrom(undefined, undefined, undefined, undefined, 0, 10, 300, 1200),
   });
@@ -175,13 +174,13 @@
     setTimeout(() => fleet.addEntry(entry.entryId), 700);
   };
 
-  const strike = (fleet: SimFleet, { kind, pick }: Trouble): void => {
-    const living = Array.from(fleet.endpoints.values()).filter((one) => one.isUp());
-    const chosen = living[pick % Math.max(1, living.length)];
-    const acts: Readonly<Record<string, () => void>> = {
+  const injectFault = (fleet: SimFleet, { kind, pick }: Fault): void => {
+    const liveEndpoints = Array.from(fleet.endpoints.values()).filter((one) => one.isUp());
+    const chosen = liveEndpoints[pick % Math.max(1, liveEndpoints.length)];
+    const actions: Readonly<Record<string, () => void>> = {
       crash: () => chosen && fleet.crash(chosen.instanceId),
       rack: () =>
-        living
+        liveEndpoints
           .filter((one) => one.pool === chosen?.pool)
           .slice(0, 2)
           .forEach(({ instanceId }) => fleet.crash(instanceId)),
@@ -199,19 +198,19 @@
         setTimeout(() => Object.assign(fleet.faults, { isTableDown: false }), pick * 4);
       },
     };
-    acts[kind]?.();
+    actions[kind]?.();
   };
 
-  const play = async (
-    works: readonly Work[],
-    troubles: readonly Trouble[],
+  const simulate = async (
+    jobSpecs: readonly JobSpec[],
+    faults: readonly Fault[],
     seed: number,
   ): Promise<void> => {
     const fleet = await started({ hostsPerPool: 4, seed });
-    troubles.forEach((one) => setTimeout(() => strike(fleet, one), one.atMs));
-    const jobs: (readonly [JobId, Work])[] = [];
-    for (let index = 0; index < works.length; index += 1) {
-      const one = works[index] as Work;
+    faults.forEach((one) => setTimeout(() => injectFault(fleet, one), one.atMs));
+    const jobs: (readonly [JobId, JobSpec])[] = [];
+    for (let index = 0; index < jobSpecs.length; index += 1) {
+      const one = jobSpecs[index] as JobSpec;
       const { step, runMs, needsAdvice, crashesAfterMs } = one;
       const crashing = crashesAfterMs === undefined ? {} : { crashesAfterMs };
       const job = fleet.submit({ pool: 'alpha', steps: [step], runMs, needsAdvice, ...crashing });
@@ -221,7 +220,7 @@
     await advance(100_000);
     expect(fleet.broken).toEqual([]);
     jobs.forEach(([job, { step, crashesAfterMs = Infinity }]) => {
-      // The end of one member of a gang stands for all, and these members work on without one another.
+      // The end of one gang member counts for all members, and these members continue without one another.
       const expected = crashesAfterMs === Infinity ? ['completed'] : ['failed'];
       const allowed = step.isGang && crashesAfterMs < Infinity ? ['completed', 'failed'] : expected;
       expect(allowed.map((phase) => [job, phase])).toContainEqual([job, phaseOf(fleet, job)]);
@@ -236,27 +235,28 @@
     vi.useRealTimers();
   });
 
-  it('leave all that is not to blame done, and what is to blame given up in time', async () => {
+  it('have all harmless jobs completed, and all crashing ones given up in time', async () => {
     await fc.assert(
       fc.asyncProperty(
-        fc.array(work, { minLength: 1, maxLength: 12 }),
-        fc.array(trouble, { maxLength: 8 }),
+        fc.array(jobSpec, { minLength: 1, maxLength: 12 }),
+        fc.array(fault, { maxLength: 8 }),
         fc.integer({ min: 1, max: 100_000 }),
-        async (works, troubles, seed) => {
+        async (jobSpecs, faults, seed) => {
           vi.useRealTimers();
           vi.useFakeTimers({ toFake: [...FAKED] });
-          await play(works, troubles, seed);
+          await simulate(jobSpecs, faults, seed);
         },
       ),
       {
         numRuns: Number(process.env.VALVELATCH_FUZZ_RUNS ?? 25),
-        // A play takes a third of a second; what fails is small enough to read.
+        // A simulation takes a third of a second, and a failing one is small enough to read without shrinking.
         endOnFailure: true,
-        // Two crashes by chance, each within 0.25 s of a start where nothing else had begun, look like the task's
-        // doing: of drawn plays some have that. By hand any seed is played.
+        // Two random crashes, each within 0.25 s of a start on an endpoint with no other new run, look as if the task
+        // had caused them. Some drawn simulations contain that, so the seed is fixed unless VALVELATCH_FUZZ_RUNS is
+        // set.
         ...(process.env.VALVELATCH_FUZZ_RUNS === undefined ? { seed: 1 } : {}),
         examples: [
-          // Of a task that needs advice all endpoints' tickets had run out, and nobody asked for new ones.
+          // The tickets of all endpoints for a task that needs advice had expired, and no new ones were requested.
           [
             [
               { ...PLAIN, needsAdvice: true, crashesAfterMs: 300 },
@@ -265,7 +265,7 @@
             [{ kind: 'crash', atMs: 0, pick: 113 }],
             1,
           ],
-          // One that takes its endpoint down late, beside another that began later; then both endpoints go at once.
+          // A task that crashes its endpoint late, next to one that started later; then both endpoints crash at once.
           [
             [
               { ...PLAIN, step: { ...PLAIN.step, mostPerEndpoint: 2 }, runMs: 946, ...HARMLESS },
@@ -281,7 +281,7 @@
             ],
             5,
           ],
-          // Crashes before and after an endpoint lived with the task for 0.8 s.
+          // Crashes before and after an endpoint survived the task for 0.8 s.
           [
             [
               { ...PLAIN, ...gangOf(3), runMs: 2725, needsAdvice: false, crashesAfterMs: 10 },
@@ -304,8 +304,8 @@
     );
   }, 900_000);
 
-  it('give a task up in time also where two holders in a row are lost 0.1 s after their endpoints crashed', async () => {
-    const drawn: Parameters<typeof play> = [
+  it('have a task given up in time even if two consecutive holders are lost 0.1 s after their endpoints crashed', async () => {
+    const drawn: Parameters<typeof simulate> = [
       [
         {
           step: { taskCount: 5, mostPerEndpoint: 0, isGang: false },
@@ -392,6 +392,6 @@
       ],
       89929,
     ];
-    await play(...drawn);
+    await simulate(...drawn);
   });
 });
--- a/packages/daemon/src/batch/endpoints/endpoint-leases.test.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-leases.test.ts
@@ -1,7 +1,7 @@
 /**
- * Leases on endpoints: what a holder takes for ended has ended at the endpoint, whatever becomes of its
- * orders and their answers. In virtual time, first one holder and one endpoint under any order of
- * troubles, then each cause on its own by which a lease could last longer than its holder counts.
+ * Leases on endpoints: a lease that a holder considers ended has ended at the endpoint, whatever becomes of the
+ * orders and their responses. The tests run in virtual time: first one holder and one endpoint with any sequence of
+ * faults, then each single cause by which a lease could last longer than its holder assumes.
  */
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -18,13 +18,13 @@
 import { createSimFleet, type SimEntry, type SimFleet } from '../testing/sim-fleet.fixtures.js';
 import { advance, FAKED, holderOf, runningOf } from '../testing/virtual-time.fixtures.js';
 
-const PLAY_MS = 32_000;
+const SIMULATION_MS = 32_000;
 const DEFAULT_RUNS = 60;
-/** What a term counts for what an earlier holder that is surely over may have granted. */
+/** For how long leases may last that were granted by an earlier holder, once that holder has certainly ended. */
 const INHERITED_LEASES_MS = 6800;
 /** Longer than any lease that is granted here. */
 const LONG_CUT_MS = 16_000;
-/** The holder asks an endpoint with nothing on it for nothing, so what it knows of its clock is as old. */
+/** Idle times. An endpoint without runs gets no list requests, so the last reading of its clock is as old as that. */
 const IDLE_MS = [2000, 150_000];
 
 describe('leases on endpoints', () => {
@@ -36,7 +36,7 @@
     vi.useRealTimers();
   });
 
-  describe('under any order of lost, late and crossing answers', () => {
+  describe('with any sequence of lost, late and overtaking responses', () => {
     const hopMs = fc.oneof(
       { weight: 6, arbitrary: fc.nat(5) },
       { weight: 1, arbitrary: fc.integer({ min: 50, max: 2500 }) },
@@ -53,14 +53,14 @@
       backMs: hopMs,
       lateMs: fc.integer({ min: 2000, max: 12_000 }),
     });
-    const trouble: fc.Arbitrary<Trouble> = fc.record({
+    const fault: fc.Arbitrary<Trouble> = fc.record({
       kind: fc.constantFrom('freeze', 'cut', 'cut', 'refuse', 'table' as const),
       atMs: fc.nat(20_000),
       forMs: fc.oneof(fc.integer({ min: 20, max: 1500 }), fc.integer({ min: 1500, max: 10_000 })),
     });
     const options: fc.Arbitrary<LeasedEndpointOptions> = fc.record({
       fates: fc.array(fate, { minLength: 1, maxLength: 40 }),
-      troubles: fc.array(trouble, { maxLength: 5 }),
+      troubles: fc.array(fault, { maxLength: 5 }),
       clockRate: fc.nat(20).map((perMille) => 1 - perMille / 1000),
       successor: fc.option(
         fc.record({ afterMs: fc.nat(1500), forMs: fc.integer({ min: 500, max: 12_000 }) }),
@@ -71,7 +71,7 @@
       idleMs: fc.constantFrom(0, 0, 0, 20_000, 150_000),
     });
 
-    const play = async (given: LeasedEndpointOptions): Promise<number> => {
+    const simulate = async (given: LeasedEndpointOptions): Promise<number> => {
       vi.useRealTimers();
       vi.useFakeTimers({ toFake: [...FAKED] });
       const { idleMs = 0, troubles = [] } = given;
@@ -79,24 +79,24 @@
         ...given,
         troubles: troubles.map((one) => ({ ...one, atMs: one.atMs + idleMs })),
       });
-      await advance(idleMs + PLAY_MS);
+      await advance(idleMs + SIMULATION_MS);
       pair.close();
       expect(pair.broken).toEqual([]);
       return pair.gaveUpAtMs.length;
     };
 
-    it('are over whenever their runs are given up, and none of those comes back', async () => {
+    it('have ended whenever their runs are given up, and none of these runs returns', async () => {
       let givenUp = 0;
       await fc.assert(
         fc.asyncProperty(options, async (given) => {
-          givenUp += await play(given);
+          givenUp += await simulate(given);
         }),
         {
           numRuns: Number(process.env.VALVELATCH_FUZZ_RUNS ?? DEFAULT_RUNS),
           examples: [
-            // Surely gives something up, so that the property says something in each run.
+            // Always gives runs up, so that the property is not vacuous.
             [{ troubles: [{ kind: 'cut', atMs: 3000, forMs: 9000 }] }],
-            // A start that waited for a reading of the clock was sent after its run was given up.
+            // A start order that waited for a reading of the clock was sent after its run had been given up.
             [
               {
                 fates: [
@@ -116,8 +116,8 @@
     }, 600_000);
   });
 
-  describe('of one holder that may be the only one', () => {
-    /** A holder that knows its endpoint and has had nothing to do for a time. */
+  describe('of a holder that may be the sole holder', () => {
+    /** Creates a holder and an endpoint that know each other and have been idle for a time. */
     const idlePair = async (idleMs = 2000, options: LeasedEndpointOptions = {}) => {
       const pair = createLeasedEndpoint({
         idleMs,
@@ -128,8 +128,8 @@
       return pair;
     };
 
-    /** Nothing reaches the endpoint any more: its lease runs out, and the holder counts it out. */
-    const runOut = async (pair: LeasedEndpoint): Promise<void> => {
+    /** Cuts the endpoint off until its lease has ended and the holder has given its runs up. */
+    const letLeaseExpire = async (pair: LeasedEndpoint): Promise<void> => {
       pair.strike('cut', LONG_CUT_MS);
       await advance(LONG_CUT_MS - 1000);
       pair.close();
@@ -137,21 +137,21 @@
 
     const startsOf = ({ sent }: LeasedEndpoint) => sent.filter(({ kind }) => kind === 'start');
 
-    it('end before their runs are given up where a start is sent twice, and once more late', async () => {
+    it('end before their runs are given up if a start order is repeated and the second one is carried out late', async () => {
       const pair = await idlePair();
       pair.meet([
         { ...QUICK, kind: 'answer-lost' },
         { ...QUICK, kind: 'carried-late', lateMs: 4000 },
       ]);
       await advance(1500);
-      await runOut(pair);
+      await letLeaseExpire(pair);
       const [first, second] = startsOf(pair);
       expect(second?.keepUntilMs).toBe(first?.keepUntilMs);
       expect(pair.gaveUpAtMs.length).toBeGreaterThan(0);
       expect(pair.broken).toEqual([]);
     });
 
-    it('are not prolonged by questions to an endpoint that counts as silent, however late', async () => {
+    it('are not extended by list requests to an endpoint that does not respond, however late these are carried out', async () => {
       const pair = await idlePair();
       await advance(1000);
       const late: Fate = { ...QUICK, kind: 'carried-late', lateMs: 5000 };
@@ -167,49 +167,50 @@
       expect(pair.broken).toEqual([]);
     });
 
-    describe('whose clock is known from an old answer', () => {
+    describe('computed from an old reading of the clock of the endpoint', () => {
       it.each(IDLE_MS)(
-        'end before their runs are given up after %i ms without one',
+        'end before their runs are given up after %i ms without a reading',
         async (idleMs) => {
           const pair = await idlePair(idleMs);
-          // The one order that keeps the run is its start.
+          // The start order is the only order that grants a lease to the run.
           pair.meet([QUICK]);
           await advance(15);
-          await runOut(pair);
+          await letLeaseExpire(pair);
           expect(pair.gaveUpAtMs.length).toBeGreaterThan(0);
           expect(pair.broken).toEqual([]);
         },
       );
 
-      it('end before their runs are given up where an answer was long under way', async () => {
+      it('end before their runs are given up if a response was in flight for long', async () => {
         const pair = await idlePair();
         await advance(1000);
         pair.meet([{ ...QUICK, toMs: 200, backMs: 500 }]);
         await advance(1000);
-        await runOut(pair);
+        await letLeaseExpire(pair);
         expect(pair.gaveUpAtMs.length).toBeGreaterThan(0);
         expect(pair.broken).toEqual([]);
       });
 
       it.each([400, 3000, 5500, 7000])(
-        'end before their runs are given up where the holder stood still for %i ms before it took one in',
+        'end before their runs are given up if the holder was frozen for %i ms before it processed a response',
         async (forMs) => {
           const pair = await idlePair();
           await advance(1000);
           pair.strike('freeze', forMs);
           await advance(forMs + 50);
-          await runOut(pair);
+          await letLeaseExpire(pair);
           expect(pair.gaveUpAtMs.length).toBeGreaterThan(0);
           expect(pair.broken).toEqual([]);
         },
       );
     });
 
-    describe('of an endpoint that the list loses and names again', () => {
-      // The holder forgets what it counted. A grant that counts on an old reading of a slow clock lasts
-      // longer by 2 % of the reading's age than what is counted for the endpoint anew.
+    describe('of an endpoint that disappears from the list and returns', () => {
+      // The holder loses the lease end that it recorded. A lease that was computed from an old reading of a slow
+      // clock lasts longer, by 2 % of the age of the reading, than the one that is assumed when the endpoint is
+      // listed again.
       it.each(IDLE_MS)(
-        'are counted from before, where its first run came after %i ms without any',
+        'are still accounted for if its first run came after %i ms without runs',
         async (idleMs) => {
           const pair = await idlePair(idleMs, { runMs: 200 });
           await advance(300);
@@ -220,15 +221,15 @@
           await advance(450);
           pair.submit(1, Infinity);
           await advance(20);
-          await runOut(pair);
+          await letLeaseExpire(pair);
           expect(pair.gaveUpAtMs.length).toBeGreaterThan(0);
           expect(pair.broken).toEqual([]);
         },
       );
     });
 
-    describe('while its control lease has lapsed and is renewed by itself', () => {
-      it('are not taken for ended before the renewal, and are over by then', async () => {
+    describe('while the control lease has expired until the same entry renews it', () => {
+      it('are not considered ended before the renewal, and have ended by then', async () => {
         const pair = await idlePair();
         await advance(2000);
         const cutAtMs = performance.now();
@@ -245,9 +246,9 @@
     });
   });
 
-  describe('of a holder that was replaced and does not know it', () => {
+  describe('of a holder that was replaced without noticing', () => {
     it.each([0, 300, 900, 1500])(
-      'are not taken for ended while the next one keeps what runs there, %i ms after it could',
+      'are not considered ended while they are extended by the next holder, which took control %i ms after it could',
       async (afterMs) => {
         const pair = createLeasedEndpoint({
           troubles: [
@@ -266,45 +267,45 @@
   });
 
   describe('that a new holder inherits', () => {
-    /** A fleet whose endpoints all have clocks that are 2 % slow, and no luck in it. */
-    const slowFleet = (...names: readonly string[]): SimFleet => {
+    /** Creates a fleet without randomness whose endpoints all have clocks that are 2 % slow. */
+    const createSlowClockFleet = (...names: readonly string[]): SimFleet => {
       const fleet = createSimFleet({ hostsPerPool: 2, pools: ['alpha'], random: () => 0 });
       names.forEach((name) => fleet.addEntry(name));
       return fleet;
     };
 
-    /** Starts a task that lasts; gives the endpoint that runs it and the job. */
-    const runOne = async (fleet: SimFleet) => {
+    /** Starts a long-running task, and returns its job and the endpoint that runs it. */
+    const startTask = async (fleet: SimFleet) => {
       const jobId = fleet.submit({ pool: 'alpha', steps: [{ isLasting: true }] });
-      const runsThere = () =>
+      const findInstance = () =>
         Array.from(fleet.endpoints.values()).find(({ runs }) => runs.size > 0)?.instanceId;
-      while (!runsThere()) await advance(10);
-      const instanceId = runsThere();
+      while (!findInstance()) await advance(10);
+      const instanceId = findInstance();
       if (!instanceId) throw new Error('nothing runs');
       return { jobId, instanceId };
     };
 
-    const othersOf = (fleet: SimFleet, one: SimEntry): readonly SimEntry[] =>
+    const listOtherEntries = (fleet: SimFleet, one: SimEntry): readonly SimEntry[] =>
       fleet.entries.filter((entry) => entry !== one);
 
-    const nextHolder = async (fleet: SimFleet, before: SimEntry): Promise<SimEntry> => {
+    const waitForNextHolder = async (fleet: SimFleet, before: SimEntry): Promise<SimEntry> => {
       const find = () =>
-        othersOf(fleet, before).find(({ control }) => control.term() !== undefined);
+        listOtherEntries(fleet, before).find(({ control }) => control.term() !== undefined);
       for (let turn = 0; turn < 100 && !find(); turn += 1) await advance(100);
       const next = find();
       if (!next) throw new Error('nobody else took control');
       return next;
     };
 
-    describe('from one that gives control up right after a start', () => {
-      // The next holder does not know how old the reading was that the last grant counts on.
+    describe('from one that resigns right after a start', () => {
+      // The next holder does not know how old the reading was from which the last lease was computed.
       it.each(IDLE_MS)(
-        'are over before the run is begun elsewhere, if the endpoint was idle for %i ms',
+        'have ended before the task is started elsewhere, if the endpoint was idle for %i ms',
         async (idleMs) => {
-          const fleet = slowFleet('a', 'b');
+          const fleet = createSlowClockFleet('a', 'b');
           await advance(idleMs);
           const first = holderOf(fleet);
-          const { jobId, instanceId } = await runOne(fleet);
+          const { jobId, instanceId } = await startTask(fleet);
           fleet.entries.forEach(({ cutFrom }) => cutFrom.add(instanceId));
           void first.control.resign();
           await advance(20_000);
@@ -315,43 +316,44 @@
     });
 
     /**
-     * The holder is cut off with the endpoint that runs a task, and goes on ordering it until its own
-     * lease is over; another entry has taken control.
+     * Cuts the holder off from everything but the endpoint that runs a task. The holder sends orders there until its
+     * own control lease ends, while another entry takes control.
      */
-    const cutOff = async () => {
-      const fleet = slowFleet('a', 'b', 'c');
+    const cutHolderOff = async () => {
+      const fleet = createSlowClockFleet('a', 'b', 'c');
       await advance(2000);
-      const { jobId, instanceId } = await runOne(fleet);
+      const { jobId, instanceId } = await startTask(fleet);
       await advance(1000);
       const first = holderOf(fleet);
-      othersOf(fleet, first).forEach(({ cutFrom }) => cutFrom.add(instanceId));
+      listOtherEntries(fleet, first).forEach(({ cutFrom }) => cutFrom.add(instanceId));
       Array.from(fleet.endpoints.keys())
         .filter((other) => other !== instanceId)
         .forEach((other) => first.cutFrom.add(other));
       Object.assign(first, { isCutFromTable: true, isSilent: true });
-      const second = await nextHolder(fleet, first);
+      const second = await waitForNextHolder(fleet, first);
       return { fleet, jobId, instanceId, second };
     };
 
-    describe('from one that took control from one that still orders', () => {
-      // The third holder has to count with the first, whose name the row of the lease no longer tells.
-      it('are over before the run is begun elsewhere, if it keeps control', async () => {
-        const { fleet, jobId } = await cutOff();
+    describe('from one that replaced a holder that still sends orders', () => {
+      // The third holder has to allow for leases of the first, whose name is no longer in the row of the control
+      // lease.
+      it('have ended before the task is started elsewhere, if it keeps control', async () => {
+        const { fleet, jobId } = await cutHolderOff();
         await advance(20_000);
         expect(fleet.broken).toEqual([]);
         expect(runningOf(fleet, jobId)).toHaveLength(1);
       });
 
-      it('are over before the run is begun elsewhere, if it gives control up at once', async () => {
-        const { fleet, jobId, second } = await cutOff();
+      it('have ended before the task is started elsewhere, if it resigns at once', async () => {
+        const { fleet, jobId, second } = await cutHolderOff();
         void second.control.resign();
         await advance(20_000);
         expect(fleet.broken).toEqual([]);
         expect(runningOf(fleet, jobId)).toHaveLength(1);
       });
 
-      it('are over before the run is begun elsewhere, if it is killed and comes back at once', async () => {
-        const { fleet, jobId, instanceId, second } = await cutOff();
+      it('have ended before the task is started elsewhere, if it is killed and restarted at once', async () => {
+        const { fleet, jobId, instanceId, second } = await cutHolderOff();
         fleet.kill(second);
         fleet.addEntry(second.entryId).cutFrom.add(instanceId);
         await advance(20_000);
@@ -360,8 +362,8 @@
         expect(runningOf(fleet, jobId)).toHaveLength(1);
       });
 
-      it('are over before the run is begun elsewhere, if it is killed for good', async () => {
-        const { fleet, jobId, second } = await cutOff();
+      it('have ended before the task is started elsewhere, if it is killed and does not return', async () => {
+        const { fleet, jobId, second } = await cutHolderOff();
         fleet.kill(second);
         await advance(20_000);
         expect(fleet.broken).toEqual([]);
@@ -370,19 +372,19 @@
     });
 
     it.each([500, 2000, 3500])(
-      'are not taken for over by one that is itself replaced unknowingly, cut off after %i ms',
+      'are not considered ended by one that is cut off after %i ms and replaced without noticing',
       async (afterMs) => {
-        const fleet = slowFleet('a', 'b', 'c');
+        const fleet = createSlowClockFleet('a', 'b', 'c');
         await advance(2000);
-        const { instanceId } = await runOne(fleet);
+        const { instanceId } = await startTask(fleet);
         const first = holderOf(fleet);
-        // The second never hears the endpoint; the third, which replaces it, does.
-        othersOf(fleet, first).forEach(({ cutFrom }) => cutFrom.add(instanceId));
+        // The second holder gets no response of the endpoint; the third, which replaces it, does.
+        listOtherEntries(fleet, first).forEach(({ cutFrom }) => cutFrom.add(instanceId));
         void first.control.resign();
-        const second = await nextHolder(fleet, first);
+        const second = await waitForNextHolder(fleet, first);
         await advance(afterMs);
         const elsewhere = Array.from(fleet.endpoints.keys()).filter((one) => one !== instanceId);
-        othersOf(fleet, second).forEach(({ cutFrom }) => {
+        listOtherEntries(fleet, second).forEach(({ cutFrom }) => {
           cutFrom.delete(instanceId);
           elsewhere.forEach((one) => cutFrom.add(one));
         });
@@ -392,10 +394,10 @@
       },
     );
 
-    it('are believed to be over by the only entry once its lapsed control lease is renewed', async () => {
-      const fleet = slowFleet('a');
+    it('are considered ended by the only entry once its expired control lease is renewed', async () => {
+      const fleet = createSlowClockFleet('a');
       await advance(2000);
-      const { jobId, instanceId } = await runOne(fleet);
+      const { jobId, instanceId } = await startTask(fleet);
       await advance(1000);
       const only = holderOf(fleet);
       const givenUp = () => fleet.logged.filter(({ event }) => event === 'endpoint-lease-ended');
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -1,6 +1,6 @@
 /**
- * The holder's side of one endpoint: sends orders, asks again and again what runs and what has
- * ended, and keeps the lease of what runs there.
+ * The holder's connection to one endpoint. It sends orders, repeatedly requests the list of active and ended runs,
+ * and extends the lease of the runs there.
  */
 import {
   createEndpointDelayEstimator,
@@ -23,53 +23,66 @@
 import { createStopOrders } from './stop-orders.js';
 
 /**
- * For how long an endpoint keeps what runs there without contact with the holder. Longer than a
- * takeover of control, so that tasks outlive their holder; no longer than the shortest bound that
- * platforms set (6 s), so that work of a lost host is soon begun again.
+ * For how long an endpoint keeps its runs without contact with the holder. It is longer than a takeover of control,
+ * so that tasks outlive their holder. It is no longer than the shortest limit that platforms set (6 s), so that tasks
+ * of a lost host are soon started again.
  */
 export const ENDPOINT_LEASE_MS = 6000;
-/** A lease ends so much later by an endpoint's slow clock and a late answer. */
-const CLOCK_SLACK = 1.05;
-const CLOCK_MARGIN_MS = 200;
-/** How long an answer may wait for an end. */
-const WAIT_MS = 400;
-/** Beside tasks that fill gaps the figures must be fresher. */
-const WAIT_SHARED_MS = 500;
-const WAIT_START_MS = 200;
-/** Ends that come within this time share one question. */
-const GATHER_MS = 20;
 /**
- * Where answers are late, endpoints are asked as much less often: ends gather there, and a question
- * answers for more of them. No longer than this, or leases of 6 s would hang on a question or two.
+ * A lease may end later than its nominal length by this factor and margin, because the endpoint's clock may be slow
+ * and its response late.
  */
-const MOST_GATHER_MS = 1000;
+const LEASE_CLOCK_FACTOR = 1.05;
+const LEASE_MARGIN_MS = 200;
+/** For how long an endpoint may hold back the response to a list request until a run ends. */
+const LIST_WAIT_MS = 400;
+/** The wait while gap-filling tasks run on the endpoint: next to them, load figures must be more recent. */
+const GAP_FILLING_LIST_WAIT_MS = 500;
+/** The wait while a long-running task there is not ready yet. */
+const STARTING_LIST_WAIT_MS = 200;
+/** The shortest pause between two list requests. Runs that end within it are reported in one response. */
+const MIN_LIST_PAUSE_MS = 20;
+/**
+ * The longest pause between two list requests. The pause grows with the delay of responses, so that each response
+ * reports more ended runs. With a longer pause, a lease of 6 s would depend on one or two list requests.
+ */
+const MAX_LIST_PAUSE_MS = 1000;
 
-const gatherForMs = (delayMs: number): number =>
-  Math.min(MOST_GATHER_MS, Math.max(GATHER_MS, delayMs));
+/** Computes the pause between two list requests from the mean response delay. */
+const computeListPauseMs = (delayMs: number): number =>
+  Math.min(MAX_LIST_PAUSE_MS, Math.max(MIN_LIST_PAUSE_MS, delayMs));
 const RETRY_MS = 250;
-/** So many questions without an answer in a row show that an endpoint is not just slow once. */
+/** The number of consecutive unanswered list requests that show that an endpoint is not merely slow once. */
 const MISSES_TO_WITHHOLD = 2;
-/** Pause between questions while a run is being stopped, which takes up to `stopMs` (900). */
-const STOPPING_MS = 100;
-/** Ends wait so long to be written before the endpoint is asked without acknowledging them. */
-const SAVE_PATIENCE_MS = 80;
-/** An endpoint that turned a task away for want of room gets nothing new for this time. */
-const FULL_MS = 150;
-const UNHEALTHY_MS = 1000;
+/** The pause between two list requests while a run is being stopped, which takes up to `stopMs` (900). */
+const STOPPING_LIST_PAUSE_MS = 100;
+/**
+ * For how long the next list request waits at least for ended runs to be stored, before it is sent without
+ * acknowledging them.
+ */
+const SAVE_WAIT_MS = 80;
+/** An endpoint that rejected a task for lack of capacity gets no new work for this time. */
+const FULL_WITHHOLD_MS = 150;
+/** An endpoint that is unhealthy or does not respond gets no new work for this time. */
+const UNHEALTHY_WITHHOLD_MS = 1000;
 
-/** What is done over the link of one endpoint. */
+/** The effects that are carried out over the link of one endpoint. */
 export type LinkEffect = Extract<BatchEffect, { kind: 'start' | 'stop' | 'pace' | 'ask' }>;
 
 export type EndpointLink = {
   readonly target: OrderTarget;
-  /** The highest end that was applied. */
+  /** Returns the number of the last ended run that was applied; 0 if there is none. */
   readonly takenNumber: () => number;
-  /** Tells that ends up to this number are written. */
+  /** Records that the ended runs up to this number are stored. */
   readonly acknowledge: (number: number) => void;
-  /** Until when a question to this life may be carried out by the next; 0 if none may. */
+  /** Returns until when a list request to this incarnation may reach the next one, in milliseconds; 0 if none may. */
   readonly lateUntilMs: () => number;
+  /** Sends the order of an effect. */
   readonly perform: (effect: LinkEffect) => void;
-  /** Asks until something has been answered, then as long as anything runs there. */
+  /**
+   * Sends list requests until the endpoint has reported, and for as long as it has runs, its domain is suspected or
+   * ended runs of it are not stored yet.
+   */
   readonly watch: () => void;
   readonly close: () => void;
 };
@@ -78,57 +91,69 @@
  * Opens a link to an endpoint.
  *
  * @param target - The endpoint.
- * @param context - The term of the holder.
- * @returns The link.
+ * @param context - The dependencies that the links of the control term share.
+ * @returns The link, which has sent nothing yet.
  */
 export const createEndpointLink = (target: OrderTarget, context: LinkContext): EndpointLink => {
   const { state, orders, endpointLeaseMs, log, metrics, nowMs } = context;
   const { endpointId } = target;
   const clock = createEndpointClock(nowMs);
-  /** The endpoint's own time of the answer that was applied last. */
+  /** The endpoint's clock in the response that was applied last, in milliseconds. */
   let reportClockMs = 0;
-  let taken = 0;
+  /** The number of the last ended run that was applied. */
+  let lastAppliedNumber = 0;
   const acknowledgement = createAcknowledgement(context.nowMs);
   let isWatching = false;
   let isClosed = false;
-  /** Questions without an answer since the last answer. */
+  /** The number of unanswered list requests since the last response. */
   let misses = 0;
-  /** The answer that the clock is to be read from, while one is awaited. */
-  let clockAnswer: Promise<boolean> | undefined;
-  const answerTimes = createEndpointDelayEstimator(context.linkDelay);
+  /** The list request in flight from whose response the clock is read; undefined if there is none. */
+  let pendingClockRequest: Promise<boolean> | undefined;
+  const delayEstimator = createEndpointDelayEstimator(context.linkDelay);
 
   const isResponsive = (): boolean => misses < MISSES_TO_WITHHOLD;
 
-  const endpoint = (): EndpointState | undefined => state.endpoints.get(endpointId);
+  const findEndpoint = (): EndpointState | undefined => state.endpoints.get(endpointId);
 
-  const isSuspect = (): boolean => {
-    const known = endpoint();
-    return known !== undefined && isSuspected(state, known);
+  const isDomainSuspected = (): boolean => {
+    const endpoint = findEndpoint();
+    return endpoint !== undefined && isSuspected(state, endpoint);
   };
 
-  /** Where so many endpoints miss that the cause is this entry's own link, nothing shows about their domains. */
-  const noteSilence = (): void => {
+  /**
+   * Records a missing response as evidence against the endpoint's domains. If so many endpoints do not respond that
+   * this entry's own link is the cause, a missing response says nothing about domains and is not recorded.
+   */
+  const recordNoResponse = (): void => {
     if (context.linkDelay.isLocalFault()) return;
     recordUnanswered(state, endpointId, nowMs());
-    if (isSuspect()) context.poke();
+    if (isDomainSuspected()) context.poke();
   };
 
-  const noteVoice = (): void => {
-    const known = endpoint();
-    if (known) recordAnswered(state, known, nowMs());
+  /** Records that the endpoint responded. */
+  const recordEndpointResponse = (): void => {
+    const endpoint = findEndpoint();
+    if (endpoint) recordAnswered(state, endpoint, nowMs());
   };
 
-  /** A time on the endpoint's clock, and the note of when what it covers has surely ended. */
+  /**
+   * Computes the lease end for the next order on the endpoint's clock, in milliseconds, and records when that lease
+   * has certainly ended. Undefined while the endpoint or its clock is unknown.
+   */
   const keepUntil = (): number | undefined => {
-    const known = endpoint();
+    const endpoint = findEndpoint();
     const untilMs = clock.after(endpointLeaseMs);
-    if (untilMs === undefined || !known) return undefined;
-    const leaseEndsAtMs = nowMs() + endpointLeaseMs * CLOCK_SLACK + CLOCK_MARGIN_MS;
-    known.leaseEndsAtMs = Math.max(known.leaseEndsAtMs, leaseEndsAtMs);
+    if (untilMs === undefined || !endpoint) return undefined;
+    const leaseEndsAtMs = nowMs() + endpointLeaseMs * LEASE_CLOCK_FACTOR + LEASE_MARGIN_MS;
+    endpoint.leaseEndsAtMs = Math.max(endpoint.leaseEndsAtMs, leaseEndsAtMs);
     return untilMs;
   };
 
-  const noteError = (
+  /**
+   * Counts and logs a failed order. Reports a lost fence and a replaced or restarted endpoint to the term, and
+   * withholds new work from an endpoint that is full or unhealthy.
+   */
+  const recordOrderError = (
     order: string,
     error: OrderError,
     fields: Record<string, string | number>,
@@ -138,37 +163,45 @@
     if (error.reason === 'fence') context.onFenceLost();
     if (error.reason === 'other-endpoint') context.onReplaced(endpointId);
     if (error.reason === 'other-life') context.onRestarted(endpointId);
-    const known = endpoint();
-    const withholdMs = { room: FULL_MS, unhealthy: UNHEALTHY_MS }[error.reason as string];
-    if (!known || withholdMs === undefined) return;
-    known.withheldUntilMs = Math.max(known.withheldUntilMs, nowMs() + withholdMs);
-    known.withheldReason = error.reason;
+    const endpoint = findEndpoint();
+    const withholdMs = { room: FULL_WITHHOLD_MS, unhealthy: UNHEALTHY_WITHHOLD_MS }[
+      error.reason as string
+    ];
+    if (!endpoint || withholdMs === undefined) return;
+    endpoint.withheldUntilMs = Math.max(endpoint.withheldUntilMs, nowMs() + withholdMs);
+    endpoint.withheldReason = error.reason;
   };
 
-  /** Sends an order and learns how long its answer takes; a refusal is an answer too. */
-  const timed = async <Answer>(
-    send: (timeoutMs: number) => Promise<Result<Answer, OrderError>>,
-  ): Promise<Result<Answer, OrderError>> => {
+  /**
+   * Sends an order and records the delay of its response. A rejection is a response as well, so it does not count as
+   * a miss.
+   */
+  const sendTimed = async <Value>(
+    send: (timeoutMs: number) => Promise<Result<Value, OrderError>>,
+  ): Promise<Result<Value, OrderError>> => {
     const sentAtMs = nowMs();
-    const answer = await send(answerTimes.timeoutMs());
-    const tookMs = nowMs() - sentAtMs;
-    if (answer.isErr() && answer.error.reason === 'no-answer') {
-      answerTimes.recordMiss(tookMs);
-      noteSilence();
-    } else if (answer.isOk()) {
-      answerTimes.recordResponse(tookMs);
-      noteVoice();
+    const response = await send(delayEstimator.timeoutMs());
+    const durationMs = nowMs() - sentAtMs;
+    if (response.isErr() && response.error.reason === 'no-answer') {
+      delayEstimator.recordMiss(durationMs);
+      recordNoResponse();
+    } else if (response.isOk()) {
+      delayEstimator.recordResponse(durationMs);
+      recordEndpointResponse();
     }
-    return answer;
+    return response;
   };
 
-  /** An endpoint that stood empty was not asked for long: tasks that begin there together wait for one answer. */
+  /**
+   * Reads the clock again if the last reading is too old, as on an endpoint that had no runs and got no list
+   * requests. Tasks that start there together wait for the same response.
+   */
   const refreshClock = async (): Promise<void> => {
     if (!clock.isOld()) return;
-    clockAnswer ??= ask(0).finally(() => {
-      clockAnswer = undefined;
+    pendingClockRequest ??= sendListRequest(0).finally(() => {
+      pendingClockRequest = undefined;
     });
-    await clockAnswer;
+    await pendingClockRequest;
   };
 
   const start = createStartOrders({
@@ -177,19 +210,19 @@
     refreshClock,
     keepUntil: () => keepUntil(),
     noteClock: clock.note,
-    send: timed,
-    noteError: (error, fields) => noteError('start', error, fields),
+    send: sendTimed,
+    noteError: (error, fields) => recordOrderError('start', error, fields),
     isClosed: () => isClosed,
   });
 
   const stop = createStopOrders({
     target,
     context,
-    send: timed,
-    noteError: (error, fields) => noteError('stop', error, fields),
-    // A question that waits for an end does not tell that the run is not there.
+    send: sendTimed,
+    noteError: (error, fields) => recordOrderError('stop', error, fields),
+    // The list request in flight may be waiting for a run to end, and until then does not show that this run is gone.
     onStopped: async ({ task, run }) => {
-      if (endpoint()?.runs.get(task)?.run === run) await ask(0);
+      if (findEndpoint()?.runs.get(task)?.run === run) await sendListRequest(0);
       watch();
     },
     isClosed: () => isClosed,
@@ -203,113 +236,139 @@
   }: Extract<BatchEffect, { kind: 'pace' }>): Promise<void> => {
     if (!context.mayOrder() || isClosed) return;
     log.info('task-paced', { task, run, percent, endpoint: endpointId, reason });
-    const answer = await orders.pace(target, { task, run, percent, fence: state.fence });
-    if (answer.isErr()) noteError('pace', answer.error, { task, run });
+    const response = await orders.pace(target, { task, run, percent, fence: state.fence });
+    if (response.isErr()) recordOrderError('pace', response.error, { task, run });
   };
 
-  const waitMs = (): number => {
-    if (isSuspect() || acknowledgement.written() < taken || !endpoint()?.hasReported) return 0;
-    const runs = Array.from(endpoint()?.runs.values() ?? []);
+  /** Computes for how long the endpoint may hold back the response to the next list request. */
+  const computeListWaitMs = (): number => {
+    if (
+      isDomainSuspected() ||
+      acknowledgement.written() < lastAppliedNumber ||
+      !findEndpoint()?.hasReported
+    )
+      return 0;
+    const runs = Array.from(findEndpoint()?.runs.values() ?? []);
     if (runs.some(({ phase }) => phase === 'stopping')) return 0;
-    // Until a lasting task is seen at work, no other of its step may be taken away.
+    // Until a long-running task is seen to be ready, no other task of its step may be made unavailable.
     if (runs.some(({ step, percent }) => step.spec.isLasting && percent < 100))
-      return WAIT_START_MS;
-    return runs.some(({ step }) => step.spec.fillsGaps) ? WAIT_SHARED_MS : WAIT_MS;
+      return STARTING_LIST_WAIT_MS;
+    return runs.some(({ step }) => step.spec.fillsGaps) ? GAP_FILLING_LIST_WAIT_MS : LIST_WAIT_MS;
   };
 
-  /** One lost answer costs no more than asking again; an endpoint that misses two is withheld. */
-  const noteMiss = (error: OrderError, acknowledged: number): void => {
+  /**
+   * Records an unanswered list request. A single one only costs another request; after two in a row the endpoint gets
+   * no new work for a time.
+   */
+  const recordMiss = (error: OrderError, acknowledged: number): void => {
     misses += 1;
     acknowledgement.noteMiss(acknowledged);
-    noteError('list', error, { misses });
+    recordOrderError('list', error, { misses });
     if (isResponsive()) return;
-    const known = endpoint();
+    const endpoint = findEndpoint();
     if (misses === MISSES_TO_WITHHOLD) {
-      log.warn('endpoint-silent', { endpoint: endpointId, runs: known?.runs.size });
+      log.warn('endpoint-silent', { endpoint: endpointId, runs: endpoint?.runs.size });
     }
-    if (known) known.withheldUntilMs = Math.max(known.withheldUntilMs, nowMs() + UNHEALTHY_MS);
+    if (endpoint)
+      endpoint.withheldUntilMs = Math.max(
+        endpoint.withheldUntilMs,
+        nowMs() + UNHEALTHY_WITHHOLD_MS,
+      );
   };
 
-  /** Asks once. An endpoint that does not answer is asked without keeping what runs there. */
-  const ask = async (patienceMs: number): Promise<boolean> => {
+  /**
+   * Sends one list request and applies the response. If the endpoint does not respond or its domain is suspected, the
+   * request does not extend the lease of its runs.
+   *
+   * @returns True if the endpoint responded while the link was open.
+   */
+  const sendListRequest = async (maxWaitMs: number): Promise<boolean> => {
     const requestedAtMs = nowMs();
-    const keepUntilMs = isResponsive() && !isSuspect() ? keepUntil() : undefined;
-    const acknowledged = acknowledgement.toSend(gatherForMs(context.linkDelay.meanMs()));
+    const keepUntilMs = isResponsive() && !isDomainSuspected() ? keepUntil() : undefined;
+    const acknowledged = acknowledgement.toSend(computeListPauseMs(context.linkDelay.meanMs()));
     const order = {
       fence: state.fence,
       acknowledged,
-      waitMs: misses === 0 ? patienceMs : 0,
+      waitMs: misses === 0 ? maxWaitMs : 0,
       ...(keepUntilMs === undefined ? {} : { keepUntilMs }),
     };
-    const timeoutMs = answerTimes.timeoutMs();
-    const answer = await orders.list(target, order, timeoutMs);
+    const timeoutMs = delayEstimator.timeoutMs();
+    const response = await orders.list(target, order, timeoutMs);
     metrics.count('endpoint_looks');
     if (isClosed) return false;
-    const overMs = nowMs() - requestedAtMs - order.waitMs;
-    if (answer.isErr()) {
-      if (answer.error.reason === 'no-answer') {
-        answerTimes.recordMiss(Math.max(0, overMs));
-        noteSilence();
+    const delayMs = nowMs() - requestedAtMs - order.waitMs;
+    if (response.isErr()) {
+      if (response.error.reason === 'no-answer') {
+        delayEstimator.recordMiss(Math.max(0, delayMs));
+        recordNoResponse();
       }
-      noteMiss(answer.error, acknowledged);
+      recordMiss(response.error, acknowledged);
       return false;
     }
-    // One that came sooner did not wait for its time: how long it was under way is not known.
-    if (overMs >= 0) answerTimes.recordResponse(overMs);
+    // A response before the end of the wait was held back for an unknown time, so its delay on the network is
+    // unknown.
+    if (delayMs >= 0) delayEstimator.recordResponse(delayMs);
     if (!isResponsive()) log.info('endpoint-answers', { endpoint: endpointId });
     misses = 0;
     acknowledgement.noteAnswer(acknowledged);
-    clock.note(answer.value);
-    // Answers on different connections may pass each other, and so may the questions.
-    if (requestedAtMs < (endpoint()?.reportedAtMs ?? 0) || answer.value.clockMs < reportClockMs) {
+    clock.note(response.value);
+    // List requests on different connections may overtake each other, and so may their responses.
+    if (
+      requestedAtMs < (findEndpoint()?.reportedAtMs ?? 0) ||
+      response.value.clockMs < reportClockMs
+    ) {
       return true;
     }
-    reportClockMs = answer.value.clockMs;
-    const { running, ended, hasMoreEnds } = answer.value;
-    const fresh = ended.filter(({ number }) => number > taken);
+    reportClockMs = response.value.clockMs;
+    const { running, ended, hasMoreEnds } = response.value;
+    const newEnds = ended.filter(({ number }) => number > lastAppliedNumber);
     state.clockMs = nowMs();
-    const report = { running, ended: fresh, hasMoreEnds, requestedAtMs, nowMs: nowMs() };
+    const report = { running, ended: newEnds, hasMoreEnds, requestedAtMs, nowMs: nowMs() };
     applyReport(state, endpointId, report);
-    // Only what was applied may be acknowledged.
-    taken = Math.max(taken, ...fresh.map(({ number }) => number));
-    if (taken > acknowledgement.written()) context.wantSave();
+    // Only ended runs that were applied may be acknowledged.
+    lastAppliedNumber = Math.max(lastAppliedNumber, ...newEnds.map(({ number }) => number));
+    if (lastAppliedNumber > acknowledgement.written()) context.wantSave();
     context.poke();
     return true;
   };
 
   const needsWatch = (): boolean => {
-    const known = endpoint();
+    const endpoint = findEndpoint();
     return (
-      known !== undefined &&
-      (known.runs.size > 0 || !known.hasReported || isSuspect() || acknowledgement.written() < taken)
+      endpoint !== undefined &&
+      (endpoint.runs.size > 0 ||
+        !endpoint.hasReported ||
+        isDomainSuspected() ||
+        acknowledgement.written() < lastAppliedNumber)
     );
   };
 
-  const pauseAfter = async (isAnswered: boolean): Promise<void> => {
-    if (!isAnswered) {
+  const pauseAfterRequest = async (hasResponded: boolean): Promise<void> => {
+    if (!hasResponded) {
       if (!isResponsive()) await sleep(RETRY_MS);
       return;
     }
-    const isStopping = Array.from(endpoint()?.runs.values() ?? []).some(
+    const isStopping = Array.from(findEndpoint()?.runs.values() ?? []).some(
       ({ phase }) => phase === 'stopping',
     );
-    const gatherMs = gatherForMs(context.linkDelay.meanMs());
-    await sleep(isStopping ? Math.max(STOPPING_MS, gatherMs) : gatherMs);
-    const untilMs = nowMs() + Math.max(SAVE_PATIENCE_MS, gatherMs);
-    while (acknowledgement.written() < taken && nowMs() < untilMs) await sleep(GATHER_MS);
+    const pauseMs = computeListPauseMs(context.linkDelay.meanMs());
+    await sleep(isStopping ? Math.max(STOPPING_LIST_PAUSE_MS, pauseMs) : pauseMs);
+    const untilMs = nowMs() + Math.max(SAVE_WAIT_MS, pauseMs);
+    while (acknowledgement.written() < lastAppliedNumber && nowMs() < untilMs)
+      await sleep(MIN_LIST_PAUSE_MS);
   };
 
-  const run = async (): Promise<void> => {
+  const runListLoop = async (): Promise<void> => {
     while (!isClosed && needsWatch()) {
       if (!context.mayOrder()) await sleep(RETRY_MS);
-      else await pauseAfter(await ask(waitMs()));
+      else await pauseAfterRequest(await sendListRequest(computeListWaitMs()));
     }
   };
 
   const watch = (): void => {
     if (isWatching || isClosed) return;
     isWatching = true;
-    void run()
+    void runListLoop()
       .catch((error: unknown) => {
         log.error('endpoint-watch-failed', { endpoint: endpointId, detail: String(error) });
       })
@@ -318,27 +377,27 @@
       });
   };
 
-  /** A question that is under way may wait for an end: another one that does not wait is sent beside it. */
-  const askNow = (): void => {
-    if (isWatching && context.mayOrder() && !isClosed) void ask(0);
+  /** Sends a list request that does not wait, next to the one in flight, which may be waiting for a run to end. */
+  const requestReportNow = (): void => {
+    if (isWatching && context.mayOrder() && !isClosed) void sendListRequest(0);
     watch();
   };
 
   return {
     target,
-    takenNumber: () => taken,
+    takenNumber: () => lastAppliedNumber,
     acknowledge: acknowledgement.noteWritten,
     lateUntilMs: acknowledgement.lateUntilMs,
     perform: (effect) => {
       if (effect.kind === 'start') void start(effect).then(watch);
       if (effect.kind === 'stop') void stop(effect);
       if (effect.kind === 'pace') void pace(effect);
-      if (effect.kind === 'ask') askNow();
+      if (effect.kind === 'ask') requestReportNow();
     },
     watch,
     close: () => {
       isClosed = true;
-      answerTimes.close();
+      delayEstimator.close();
       orders.forget(target);
     },
   };
--- a/packages/daemon/src/batch/endpoints/endpoint-lives.test.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-lives.test.ts
@@ -1,4 +1,4 @@
-/** Endpoints that start again under the id that they had, in virtual time. */
+/** Endpoints that restart under the same id, in virtual time. */
 import type { InstanceId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
@@ -12,16 +12,16 @@
   submitLasting,
 } from '../testing/virtual-time.fixtures.js';
 
-/** As long as a long-running task may be away at most before that counts against us. */
-const AWAY_MS = 6000;
+/** The longest time for which a long-running task may be unavailable before that counts as a failure. */
+const MAX_UNAVAILABLE_MS = 6000;
 
-const anyEndpoint = (fleet: SimFleet): InstanceId => {
+const findEndpoint = (fleet: SimFleet): InstanceId => {
   const found = Array.from(fleet.endpoints.values()).find(({ pool }) => pool === 'alpha');
   if (!found) throw new Error('the pool has no endpoint');
   return found.instanceId;
 };
 
-describe('an endpoint that starts again under its id', () => {
+describe('an endpoint that restarts under its id', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -31,56 +31,56 @@
   });
 
   it.each([20, 900, 3000])(
-    'gets its long-running task back after having been down for %i ms',
+    'gets its long-running task back after %i ms of downtime',
     async (downMs) => {
       const fleet = await started();
       const job = submitLasting(fleet, 3);
       await advance(12_000);
-      fleet.crash(anyEndpoint(fleet), downMs);
-      await advance(downMs + AWAY_MS);
+      fleet.crash(findEndpoint(fleet), downMs);
+      await advance(downMs + MAX_UNAVAILABLE_MS);
       expect(runningOf(fleet, job)).toHaveLength(3);
       expect(fleet.broken).toEqual([]);
     },
   );
 
   it.each([20, 900, 3000])(
-    'has the ends of its new life heard after having been down for %i ms, under numbers that the old one had used',
+    'has the ended runs of its new incarnation applied after %i ms of downtime, though the previous one used their numbers',
     async (downMs) => {
       const fleet = await started({ hostsPerPool: 1 });
       const before = fleet.submit({ pool: 'alpha', steps: [{ taskCount: 8 }], runMs: 300 });
       await advance(4000);
-      fleet.crash(anyEndpoint(fleet), downMs);
+      fleet.crash(findEndpoint(fleet), downMs);
       const after = fleet.submit({ pool: 'alpha', steps: [{ taskCount: 4 }], runMs: 300 });
-      await advance(downMs + AWAY_MS);
+      await advance(downMs + MAX_UNAVAILABLE_MS);
       expect([before, after].map((job) => phaseOf(fleet, job))).toEqual(['completed', 'completed']);
       expect(fleet.broken).toEqual([]);
     },
   );
 
-  it('is used again after each of several crashes within a heartbeat', async () => {
+  it('gets work again after several crashes within one heartbeat', async () => {
     const fleet = await started();
     const job = submitLasting(fleet, 3);
     await advance(12_000);
     for (let crash = 0; crash < 3; crash += 1) {
-      fleet.crash(anyEndpoint(fleet), 60);
+      fleet.crash(findEndpoint(fleet), 60);
       await advance(300);
     }
-    await advance(AWAY_MS);
+    await advance(MAX_UNAVAILABLE_MS);
     expect(runningOf(fleet, job)).toHaveLength(3);
     expect(fleet.broken).toEqual([]);
   });
 
   it.each([1, 1000])(
-    'has tasks of %i ms done once that were sent to it before its next life was known',
+    'has tasks of %i ms completed once that were sent to it before its new incarnation was known',
     async (runMs) => {
-      // The list of endpoints is read each 400 ms, and jobs each 500 ms.
+      // The list of endpoints is read every 400 ms, and jobs every 500 ms.
       for (let beforeMs = 0; beforeMs < 1000; beforeMs += 20) {
         const fleet = await started({ hostsPerPool: 2 });
         fleet.submit({ pool: 'alpha', steps: [{ taskCount: 8 }], runMs: 300 });
         await advance(4000);
         const job = fleet.submit({ pool: 'alpha', steps: [{ taskCount: 4 }], runMs });
         await advance(beforeMs);
-        fleet.crash(anyEndpoint(fleet), 3);
+        fleet.crash(findEndpoint(fleet), 3);
         await advance(5000);
         expect(phaseOf(fleet, job)).toBe('completed');
         expect(fleet.broken).toEqual([]);
@@ -89,14 +89,14 @@
     },
   );
 
-  it('is silent for as long as it may keep tasks that were sent by the clock of the life before', async () => {
+  it('has no task started elsewhere while it is unreachable and may keep it by a lease on the clock of its previous incarnation', async () => {
     for (let beforeMs = 0; beforeMs < 1000; beforeMs += 40) {
       const fleet = await started({ hostsPerPool: 2 });
       fleet.submit({ pool: 'alpha', steps: [{ taskCount: 8 }], runMs: 300 });
       await advance(12_000);
       fleet.submit({ pool: 'alpha', steps: [{ taskCount: 4 }], runMs: 30_000 });
       await advance(beforeMs);
-      const restarted = anyEndpoint(fleet);
+      const restarted = findEndpoint(fleet);
       fleet.crash(restarted, 3);
       await advance(700);
       fleet.entries.forEach(({ cutFrom }) => cutFrom.add(restarted));
@@ -107,7 +107,7 @@
   });
 
   it.each([10, 400, 3000])(
-    'is not taken down again and again by one task, being back after %i ms each time',
+    'is not crashed again and again by one task, with %i ms of downtime each time',
     async (downMs) => {
       const fleet = await started({ hostsPerPool: 4 });
       Object.assign(fleet.faults, { crashMs: downMs });
@@ -124,17 +124,17 @@
     },
   );
 
-  it('tells which life is gone, by whose word, and what went with it', async () => {
+  it('has the holder log which incarnation is gone, what showed that, and how many runs it had', async () => {
     const fleet = await started();
     submitLasting(fleet, 3);
     await advance(12_000);
-    fleet.crash(anyEndpoint(fleet), 20);
+    fleet.crash(findEndpoint(fleet), 20);
     await advance(3000);
     const linesOf = (event: string) => fleet.logged.filter((line) => line.event === event);
     const [gone] = linesOf('endpoint-gone').map(({ fields }) => fields as Record<string, unknown>);
     expect(gone).toMatchObject({
       endpoint: expect.stringMatching(/^i-1@[0-9a-z]+$/) as string,
-      reason: 'a later life has its id',
+      reason: 'a later incarnation has its id',
       toldBy: 'answer',
       runs: 1,
       isCrash: true,
--- a/packages/daemon/src/batch/endpoints/endpoint-roster.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-roster.ts
@@ -1,4 +1,4 @@
-/** The endpoints that a term knows: seen, followed, and dropped once nothing can run there. */
+/** Maintains the endpoints that a control term knows: adds them, follows their list, and removes them once gone. */
 import {
   blockUnansweredStarts,
   findEndpointsWithSuccessor,
@@ -23,24 +23,27 @@
   'host-taken': 'the list of hosts names another endpoint on its host',
   'host-ordered': 'its host goes through a move or maintenance',
   replaced: 'another endpoint has its address',
-  restarted: 'a later life has its id',
+  restarted: 'a later incarnation has its id',
   succeeded: 'its lease is over, and another endpoint answers from its host',
   unlisted: 'no longer listed',
 };
 
-/** A lease ends so much later by an endpoint's slow clock and a late answer. */
-const LEASE_SLACK = 1.05;
+/**
+ * A lease may end later than its nominal length by this factor and margin, because the endpoint's clock may be slow
+ * and its response late.
+ */
+const LEASE_CLOCK_FACTOR = 1.05;
 const LEASE_MARGIN_MS = 500;
 
-/** An endpoint whose host never shows again is forgotten after this time: some are lost for good. */
-const AWAIT_END_MS = 60_000;
+/** An endpoint whose host never reappears is removed after this time, because some hosts are lost for good. */
+const MAX_HOST_EVIDENCE_WAIT_MS = 60_000;
 
-/** Why an endpoint counts as gone, and when that held. */
+/** Why an endpoint is considered gone, and when that was established. */
 export type GoneEvidence = {
   readonly reason: GoneCause;
-  /** When the list was asked for, or the other endpoint answered. */
+  /** When the list was requested or the other endpoint responded, on the holder's monotonic clock in milliseconds. */
   readonly atMs: number;
-  /** What told of a later life; left out for other reasons, which name their source. */
+  /** What showed a later incarnation; undefined for other reasons, which themselves name the source. */
   readonly toldBy?: 'endpoint-list' | 'answer';
 };
 
@@ -48,29 +51,35 @@
   readonly state: BatchState;
   readonly feed: EndpointFeed;
   readonly linkContext: Omit<LinkContext, 'onReplaced' | 'onRestarted'>;
-  /** For how long what an earlier holder began may run on an endpoint that is not heard. */
+  /**
+   * For how long runs started by an earlier holder may continue on an endpoint that does not respond, in
+   * milliseconds.
+   */
   readonly inheritedLeasesMs: number;
   readonly isStopped: () => boolean;
 };
 
 export type EndpointRoster = {
-  /** Reads who is there, for recovery; undefined without an answer. */
+  /** Reads the list of endpoints for recovery; undefined if the list could not be read. */
   readonly read: () => Promise<EndpointNews | undefined>;
+  /** Applies changes of the list of endpoints. */
   readonly take: (news: EndpointNews) => void;
-  /** Reads and applies what has changed. */
+  /** Reads and applies the changes of the list, then removes the endpoints that are gone. */
   readonly follow: () => Promise<void>;
+  /** Removes an endpoint that is gone, and gives its runs up. */
   readonly drop: (endpointId: EndpointId, end: GoneEvidence) => void;
+  /** Sends the order of an effect over the link of its endpoint. */
   readonly perform: (effect: LinkEffect) => void;
-  /** Marks the ends applied so far; the answer acknowledges them. */
+  /** Records which ended runs have been applied so far, and returns a function that marks them as stored. */
   readonly mark: () => () => void;
   readonly close: () => void;
 };
 
 /**
- * Builds the roster of a term.
+ * Creates the roster of one control term.
  *
- * @param options - The state, the list of endpoints, and what links need.
- * @returns The roster.
+ * @param options - The state, the list of endpoints, and the dependencies of the links.
+ * @returns The roster, without endpoints.
  */
 export const createEndpointRoster = ({
   state,
@@ -81,35 +90,41 @@
 }: EndpointRosterOptions): EndpointRoster => {
   const { log, nowMs, poke } = linkContext;
   const links = new Map<EndpointId, EndpointLink>();
+  /** The endpoints that the list names. */
   const listed = new Set<EndpointId>();
-  /** A life that is over never comes back: late news of it is passed over. */
-  const goneForGood = new Set<EndpointId>();
-  /** Endpoints of which a life was seen. */
-  const hadLives = new Set<InstanceId>();
-  /** Until when questions to former lives of an endpoint may be carried out by the next. */
-  const lateUntilMs = new Map<InstanceId, number>();
-  /** An order by the clock of the life before names a time that is far ahead here: it is kept for as long as any. */
-  const firstLeaseMs = (endpointId: EndpointId): number =>
-    hadLives.has(instanceIdOf(endpointId))
-      ? Math.max(inheritedLeasesMs, state.longestLeaseMs * LEASE_SLACK + LEASE_MARGIN_MS)
+  /** Incarnations that have ended. They never return, so late list entries of them are ignored. */
+  const endedIncarnations = new Set<EndpointId>();
+  /** Endpoints of which at least one incarnation was seen. */
+  const knownInstances = new Set<InstanceId>();
+  /** Until when list requests to former incarnations of an endpoint may reach the next one. */
+  const lateRequestsUntilMs = new Map<InstanceId, number>();
+  /**
+   * Computes for how long runs may continue on an endpoint when it is added. An order whose lease end was computed on
+   * the clock of the previous incarnation names a time that is far ahead on the new clock, so the new incarnation
+   * keeps the run for the longest lease that an order may grant.
+   */
+  const computeInitialLeaseMs = (endpointId: EndpointId): number =>
+    knownInstances.has(instanceIdOf(endpointId))
+      ? Math.max(inheritedLeasesMs, state.longestLeaseMs * LEASE_CLOCK_FACTOR + LEASE_MARGIN_MS)
       : inheritedLeasesMs;
 
-  const noteLate = (endpointId: EndpointId): void => {
+  /** Records until when list requests to an incarnation that is being removed may reach the next one. */
+  const recordLateRequests = (endpointId: EndpointId): void => {
     const instanceId = instanceIdOf(endpointId);
     const untilMs = links.get(endpointId)?.lateUntilMs() ?? 0;
-    const latestMs = Math.max(untilMs, lateUntilMs.get(instanceId) ?? 0);
-    if (latestMs > nowMs()) lateUntilMs.set(instanceId, latestMs);
-    else lateUntilMs.delete(instanceId);
+    const latestMs = Math.max(untilMs, lateRequestsUntilMs.get(instanceId) ?? 0);
+    if (latestMs > nowMs()) lateRequestsUntilMs.set(instanceId, latestMs);
+    else lateRequestsUntilMs.delete(instanceId);
   };
 
   /**
-   * Keeps a life from new work while a question to the one before may have it forget ends that nobody has read,
-   * or keep what runs there for longer than is counted.
+   * Withholds new work from an incarnation while a late list request to the previous one may reach it. Such a request
+   * could make it delete ended runs that nobody has read, or extend the lease of its runs beyond the recorded end.
    */
-  const withholdFromLate = (endpoint: EndpointState): void => {
-    const untilMs = lateUntilMs.get(instanceIdOf(endpoint.endpointId)) ?? 0;
+  const withholdFromLateRequests = (endpoint: EndpointState): void => {
+    const untilMs = lateRequestsUntilMs.get(instanceIdOf(endpoint.endpointId)) ?? 0;
     if (untilMs <= nowMs()) return;
-    const leaseEndsAtMs = untilMs + state.longestLeaseMs * LEASE_SLACK;
+    const leaseEndsAtMs = untilMs + state.longestLeaseMs * LEASE_CLOCK_FACTOR;
     change(endpoint, {
       withheldUntilMs: untilMs,
       withheldReason: 'late-acknowledgement',
@@ -134,10 +149,10 @@
       soleForMs: remainingSoleHolderMs(state, nowMs()),
     });
     if (isCrash({ endpoint, detail: reason })) linkContext.metrics.count('endpoint_crashes');
-    noteLate(endpointId);
+    recordLateRequests(endpointId);
     links.get(endpointId)?.close();
     links.delete(endpointId);
-    goneForGood.add(endpointId);
+    endedIncarnations.add(endpointId);
     removeEndpoint(state, endpointId, { detail: reason, atMs, nowMs: nowMs() });
     poke();
   };
@@ -152,58 +167,72 @@
   const take = ({ seen, gone }: EndpointNews): void => {
     seen.forEach(({ endpointId }) => listed.add(endpointId));
     gone.forEach((endpointId) => listed.delete(endpointId));
-    seen.forEach((sighting) => {
-      const { endpointId, address, pool, dataCentre } = sighting;
-      if (goneForGood.has(endpointId)) return;
+    seen.forEach((description) => {
+      const { endpointId, address, pool, dataCentre } = description;
+      if (endedIncarnations.has(endpointId)) return;
       const isNew = !state.endpoints.has(endpointId);
-      const lifeBefore = state.currentIncarnations.get(instanceIdOf(endpointId))?.endpointId;
-      if (isNew && lifeBefore) {
-        drop(lifeBefore, { reason: 'restarted', atMs: nowMs(), toldBy: 'endpoint-list' });
+      const previousIncarnation = state.currentIncarnations.get(
+        instanceIdOf(endpointId),
+      )?.endpointId;
+      if (isNew && previousIncarnation) {
+        drop(previousIncarnation, { reason: 'restarted', atMs: nowMs(), toldBy: 'endpoint-list' });
       }
-      const endpoint = upsertEndpoint(state, sighting, nowMs());
+      const endpoint = upsertEndpoint(state, description, nowMs());
       if (!isNew) return;
-      endpoint.leaseEndsAtMs = nowMs() + firstLeaseMs(endpointId);
-      withholdFromLate(endpoint);
-      hadLives.add(instanceIdOf(endpointId));
+      endpoint.leaseEndsAtMs = nowMs() + computeInitialLeaseMs(endpointId);
+      withholdFromLateRequests(endpoint);
+      knownInstances.add(instanceIdOf(endpointId));
       const link = createEndpointLink({ endpointId, address, dataCentre }, context);
       links.set(endpointId, link);
       blockUnansweredStarts(state, endpoint, nowMs());
       const withheldMs = Math.max(0, Math.round(endpoint.withheldUntilMs - nowMs())) || undefined;
-      log.info('endpoint-seen', { endpoint: endpointId, pool, dataCentre, lifeBefore, withheldMs });
+      log.info('endpoint-seen', {
+        endpoint: endpointId,
+        pool,
+        dataCentre,
+        lifeBefore: previousIncarnation,
+        withheldMs,
+      });
       link.watch();
     });
     gone.forEach((endpointId) => {
-      // A silent entry may be of an endpoint that is only cut off: its lease decides.
+      // The entry of an endpoint may vanish while the endpoint is only cut off. It is kept until its lease ends, but
+      // gets no new work.
       const endpoint = state.endpoints.get(endpointId);
       if (endpoint) endpoint.isDraining = true;
     });
     poke();
   };
 
-  const dropSucceeded = (): void => {
+  /** Removes the endpoints on whose host another endpoint has responded after their lease ended. */
+  const dropEndpointsWithSuccessor = (): void => {
     findEndpointsWithSuccessor(state).forEach((endpointId) =>
       drop(endpointId, { reason: 'succeeded', atMs: nowMs() }),
     );
   };
 
-  /** What its end says of its tasks shows once its host is listed or has another endpoint. */
-  const isAwaited = ({ expiredRuns, reportedAtMs }: EndpointState): boolean =>
-    expiredRuns.length > 0 && nowMs() - reportedAtMs < AWAIT_END_MS;
+  /**
+   * True while runs of the endpoint have expired and the cause is still unknown. Whether the endpoint crashed shows
+   * only once its host is listed again or has another endpoint.
+   */
+  const isAwaitingHostEvidence = ({ expiredRuns, reportedAtMs }: EndpointState): boolean =>
+    expiredRuns.length > 0 && nowMs() - reportedAtMs < MAX_HOST_EVIDENCE_WAIT_MS;
 
-  /** Endpoints that are no longer listed go once nothing can be running there. */
+  /** Removes the endpoints that are no longer listed, once nothing can be running on them. */
   const dropUnlisted = (askedAtMs: number): void => {
     Array.from(state.endpoints.values())
-      .filter((endpoint) => !isAwaited(endpoint))
+      .filter((endpoint) => !isAwaitingHostEvidence(endpoint))
       .filter(({ endpointId, pool, runs }) => {
-        // One that was never heard may run what an earlier holder began: its lease decides.
+        // An endpoint that never reported may still run tasks of an earlier holder, so it is kept until its lease
+        // ends.
         const hasNotReported =
           state.pools.get(pool)?.unreportedInstances.has(instanceIdOf(endpointId)) ?? false;
         return !listed.has(endpointId) && runs.size === 0 && !hasNotReported;
       })
       .forEach(({ endpointId }) => {
         drop(endpointId, { reason: 'unlisted', atMs: askedAtMs });
-        // It may only have been silent: it is added again if it is listed again.
-        goneForGood.delete(endpointId);
+        // The endpoint may only have been unreachable, so it is added again if it is listed again.
+        endedIncarnations.delete(endpointId);
       });
   };
 
@@ -219,7 +248,7 @@
       }
       if (isStopped()) return;
       take(news.value);
-      dropSucceeded();
+      dropEndpointsWithSuccessor();
       dropUnlisted(askedAtMs);
     },
     drop,
--- a/packages/daemon/src/batch/endpoints/link-context.ts
+++ b/packages/daemon/src/batch/endpoints/link-context.ts
@@ -1,4 +1,4 @@
-/** What the links of a term share. */
+/** The dependencies that all endpoint links of a control term share. */
 import type { BatchState, SharedDelayEstimator, OrderWindow } from '@valvelatch/core/batch';
 import type { DataCentreId, EndpointId } from '@valvelatch/core/shared/ids';
 
@@ -6,29 +6,32 @@
 import type { Metrics } from '../../observe/metrics.js';
 import type { EndpointOrders } from '../ports.js';
 
-/** What a link needs of the term that it belongs to. */
+/** The state, services and callbacks of the control term that a link belongs to. */
 export type LinkContext = {
   readonly state: BatchState;
   readonly orders: EndpointOrders;
-  /** What delays the answers of all endpoints alike. */
+  /** Estimates the delay that affects the responses of all endpoints. */
   readonly linkDelay: SharedDelayEstimator;
-  /** Starts under way at all endpoints. */
+  /** Limits the start orders in flight to all endpoints. */
   readonly window: OrderWindow;
+  /** For how long an endpoint keeps its runs without contact with the holder, in milliseconds. */
   readonly endpointLeaseMs: number;
   readonly log: Log;
   readonly metrics: Metrics;
+  /** The holder's monotonic clock, in milliseconds. */
   readonly nowMs: () => number;
-  /** True while this entry surely is the holder. */
+  /** True while this entry is certainly the holder. */
   readonly mayOrder: () => boolean;
-  /** True unless a data centre is evacuated, or may be unheard. */
+  /** False if the data centre is evacuated, or may have been evacuated without this entry having learned of it. */
   readonly mayStartIn: (dataCentre: DataCentreId) => boolean;
-  /** Something changed: places may be found. */
+  /** Requests a scheduling cycle, because tasks may be placeable now. */
   readonly poke: () => void;
-  /** Ends were applied and are to be written. */
+  /** Requests that the applied ends of runs are stored. */
   readonly wantSave: () => void;
+  /** An endpoint rejected an order because of its fence: it knows a later holder. */
   readonly onFenceLost: () => void;
-  /** The address belongs to another endpoint, which has answered just now. */
+  /** The address of this endpoint belongs to another one, which has just responded. */
   readonly onReplaced: (endpointId: EndpointId) => void;
-  /** A later life of the endpoint has answered just now. */
+  /** A later incarnation of the endpoint has just responded. */
   readonly onRestarted: (endpointId: EndpointId) => void;
 };
--- a/packages/daemon/src/batch/endpoints/lives-in-any-order.test.ts
+++ b/packages/daemon/src/batch/endpoints/lives-in-any-order.test.ts
@@ -1,4 +1,4 @@
-/** Endpoints that start again under their ids at any time, while orders are late and control changes hands. */
+/** Endpoints that restart under their ids at any time, while orders are late and the holder changes. */
 import type { JobId } from '@valvelatch/core/shared/ids';
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -14,7 +14,7 @@
   submitLasting,
 } from '../testing/virtual-time.fixtures.js';
 
-describe('endpoints that start again under their ids', () => {
+describe('endpoints that restart under their ids', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -23,24 +23,24 @@
     vi.useRealTimers();
   });
 
-  describe('in any order of lives, late orders and changes of holder', () => {
-    type Trouble = {
+  describe('with any sequence of restarts, late orders and changes of holder', () => {
+    type Fault = {
       readonly kind: string;
       readonly atMs: number;
       readonly forMs: number;
       readonly pick: number;
     };
-    const trouble = fc.record({
+    const fault = fc.record({
       kind: fc.constantFrom(
         'restart',
         'restart',
         'restartTwice',
-        'restartUnheard',
+        'restartUnreachable',
         'killHolder',
         'killAll',
         'freezeHolder',
-        'endpointListAway',
-        'hostListAway',
+        'endpointListDown',
+        'hostListDown',
       ),
       atMs: fc.integer({ min: 0, max: 16_000 }),
       forMs: fc.oneof(fc.integer({ min: 10, max: 400 }), fc.integer({ min: 400, max: 6000 })),
@@ -52,61 +52,65 @@
       setTimeout(() => fleet.addEntry(entry.entryId), 700);
     };
 
-    /** For a time, something of an entry is as the changes say. */
-    const disturb = (entry: SimEntry | undefined, changes: Partial<SimEntry>, forMs: number) => {
+    /** Applies changes to an entry for a time, then reverts them. */
+    const applyTemporarily = (
+      entry: SimEntry | undefined,
+      changes: Partial<SimEntry>,
+      forMs: number,
+    ) => {
       if (!entry) return;
       const before = Object.keys(changes).map((name) => [name, entry[name as keyof SimEntry]]);
       Object.assign(entry, changes);
       setTimeout(() => Object.assign(entry, Object.fromEntries(before)), forMs);
     };
 
-    const strike = (fleet: SimFleet, { kind, forMs, pick }: Trouble): void => {
-      const living = Array.from(fleet.endpoints.values()).filter((one) => one.isUp());
-      const { instanceId } = living[pick % living.length] ?? {};
+    const injectFault = (fleet: SimFleet, { kind, forMs, pick }: Fault): void => {
+      const liveEndpoints = Array.from(fleet.endpoints.values()).filter((one) => one.isUp());
+      const { instanceId } = liveEndpoints[pick % liveEndpoints.length] ?? {};
       const restart = (): void => {
         if (instanceId) fleet.crash(instanceId, forMs);
       };
-      const acts: Readonly<Record<string, () => void>> = {
+      const actions: Readonly<Record<string, () => void>> = {
         restart,
         restartTwice: () => {
           restart();
           setTimeout(restart, forMs + 30);
         },
-        restartUnheard: () => {
+        restartUnreachable: () => {
           if (!instanceId) return;
           fleet.entries.forEach(({ cutFrom }) => cutFrom.add(instanceId));
           setTimeout(() => fleet.crash(instanceId, 50), forMs / 2);
-          const heal = (): void =>
+          const reconnect = (): void =>
             fleet.entries.forEach(({ cutFrom }) => cutFrom.delete(instanceId));
-          setTimeout(heal, forMs);
+          setTimeout(reconnect, forMs);
         },
         killHolder: () => {
           const holder = fleet.holder();
           if (holder) restartLater(fleet, holder);
         },
         killAll: () => Array.from(fleet.entries).forEach((entry) => restartLater(fleet, entry)),
-        freezeHolder: () => disturb(fleet.holder(), { isFrozen: true }, forMs),
-        endpointListAway: () =>
-          disturb(fleet.entries[pick % 3], { isCutFromEndpointList: true }, forMs),
-        hostListAway: () => {
+        freezeHolder: () => applyTemporarily(fleet.holder(), { isFrozen: true }, forMs),
+        endpointListDown: () =>
+          applyTemporarily(fleet.entries[pick % 3], { isCutFromEndpointList: true }, forMs),
+        hostListDown: () => {
           Object.assign(fleet.faults, { isHostListDown: true });
           setTimeout(() => Object.assign(fleet.faults, { isHostListDown: false }), forMs);
         },
       };
-      acts[kind]?.();
+      actions[kind]?.();
     };
 
-    const play = async (
+    const simulate = async (
       seed: number,
-      troubles: readonly Trouble[],
+      faults: readonly Fault[],
       noise: number,
       isRelayed: boolean,
     ): Promise<void> => {
       const relays = isRelayed ? { linkBytesPerMs: 40, mayRelayOrders: true } : {};
       const fleet = await started({ hostsPerPool: 4, seed, ...relays });
       Object.assign(fleet.faults, { lostAnswers: noise, lateOrders: noise });
-      troubles.forEach((one) => setTimeout(() => strike(fleet, one), one.atMs));
-      const lasting = submitLasting(fleet, 3);
+      faults.forEach((one) => setTimeout(() => injectFault(fleet, one), one.atMs));
+      const longRunningJob = submitLasting(fleet, 3);
       const random = chance(seed);
       const jobs: JobId[] = [];
       for (let turn = 0; turn < 24; turn += 1) {
@@ -118,33 +122,33 @@
       await advance(45_000);
       expect(fleet.broken).toEqual([]);
       expect(jobs.filter((job) => phaseOf(fleet, job) !== 'completed')).toEqual([]);
-      expect(runningOf(fleet, lasting)).toHaveLength(3);
+      expect(runningOf(fleet, longRunningJob)).toHaveLength(3);
     };
 
-    it('has no task run twice at once or after its noted end, and all of them done', async () => {
+    it('run no task twice at once or after its recorded end, and complete all tasks', async () => {
       await fc.assert(
         fc.asyncProperty(
           fc.integer({ min: 1, max: 1_000_000 }),
-          fc.array(trouble, { minLength: 1, maxLength: 6 }),
+          fc.array(fault, { minLength: 1, maxLength: 6 }),
           fc.constantFrom(0, 0.03, 0.1),
           fc.boolean(),
           async (...drawn) => {
             vi.useRealTimers();
             vi.useFakeTimers({ toFake: [...FAKED] });
-            await play(...drawn);
+            await simulate(...drawn);
           },
         ),
         {
           numRuns: Number(process.env.VALVELATCH_FUZZ_RUNS ?? 25),
           endOnFailure: true,
-          // By hand any seed is played.
+          // The seed is fixed unless VALVELATCH_FUZZ_RUNS is set.
           ...(process.env.VALVELATCH_FUZZ_RUNS === undefined ? { seed: 1 } : {}),
           examples: [
-            // An order to bar a run in the next life had no answer.
+            // An order that blocks a run in the next incarnation got no response.
             [
               7,
               [
-                { kind: 'hostListAway', atMs: 7193, forMs: 3221, pick: 277 },
+                { kind: 'hostListDown', atMs: 7193, forMs: 3221, pick: 277 },
                 { kind: 'restart', atMs: 6545, forMs: 66, pick: 712 },
                 { kind: 'restart', atMs: 15_666, forMs: 277, pick: 665 },
                 { kind: 'restartTwice', atMs: 15_694, forMs: 5434, pick: 671 },
@@ -153,7 +157,7 @@
               0.1,
               true,
             ],
-            // A question to the life before acknowledged, late, what the next had ended.
+            // A late list request to the previous incarnation acknowledged ended runs of the next one.
             [
               13,
               [
@@ -161,7 +165,7 @@
                 { kind: 'killAll', atMs: 4837, forMs: 381, pick: 97 },
                 { kind: 'restart', atMs: 4478, forMs: 348, pick: 938 },
                 { kind: 'restart', atMs: 11_635, forMs: 96, pick: 288 },
-                { kind: 'endpointListAway', atMs: 7886, forMs: 250, pick: 764 },
+                { kind: 'endpointListDown', atMs: 7886, forMs: 250, pick: 764 },
               ],
               0.1,
               true,
@@ -171,25 +175,25 @@
       );
     }, 600_000);
 
-    it('begins no task after its end was noted, beside restarts and one in ten orders late or without an answer', async () => {
-      const troubles = [
-        { kind: 'restartUnheard', atMs: 14_685, forMs: 149, pick: 549 },
+    it('start no task after its end was recorded, beside restarts and with one in ten orders late or unanswered', async () => {
+      const faults = [
+        { kind: 'restartUnreachable', atMs: 14_685, forMs: 149, pick: 549 },
         { kind: 'restart', atMs: 4190, forMs: 91, pick: 969 },
         { kind: 'restartTwice', atMs: 12_897, forMs: 4077, pick: 126 },
       ];
-      await play(11, troubles, 0.1, false);
+      await simulate(11, faults, 0.1, false);
     });
 
-    it('fails no job for an endpoint that crashed after the runs there had ended unheard', async () => {
+    it('fail no job by a crash after the runs there had ended unreported', async () => {
       const restart = { kind: 'restart' };
-      const troubles = [
+      const faults = [
         { ...restart, atMs: 4715, forMs: 64, pick: 189 },
         { ...restart, atMs: 10_918, forMs: 3106, pick: 488 },
         { ...restart, atMs: 7440, forMs: 264, pick: 904 },
-        { kind: 'endpointListAway', atMs: 7323, forMs: 2530, pick: 124 },
+        { kind: 'endpointListDown', atMs: 7323, forMs: 2530, pick: 124 },
         { ...restart, atMs: 9222, forMs: 298, pick: 716 },
       ];
-      await play(799_371, troubles, 0.03, true);
+      await simulate(799_371, faults, 0.03, true);
     });
   });
 });
--- a/packages/daemon/src/batch/endpoints/lost-answers.test.ts
+++ b/packages/daemon/src/batch/endpoints/lost-answers.test.ts
@@ -1,4 +1,4 @@
-/** What callers get while endpoints leave some orders unanswered and carry them out late. */
+/** How many jobs end within their objective while endpoints leave some orders unanswered and carry them out late. */
 import type { JobId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
@@ -16,12 +16,12 @@
     vi.useRealTimers();
   });
 
-  /** Plays jobs of two steps of six tasks of 1 s; counts those that end within their objective. */
+  /** Simulates jobs of two steps with six tasks of 1 s each, and counts those that end within their objective. */
   const countInTime = async (lateOrders: number): Promise<{ inTime: number; broken: string[] }> => {
     const fleet = await started({ hostsPerPool: 6 });
     fleet.faults.lateOrders = lateOrders;
     let inTime = 0;
-    const look = async (jobId: JobId): Promise<void> => {
+    const checkObjective = async (jobId: JobId): Promise<void> => {
       await new Promise((resolve) => {
         setTimeout(resolve, OBJECTIVE_MS);
       });
@@ -29,22 +29,22 @@
     };
     for (let turn = 0; turn < JOBS; turn += 1) {
       const steps = [{ taskCount: 6 }, { taskCount: 6, after: [0] }];
-      void look(fleet.submit({ pool: turn % 2 ? 'alpha' : 'beta', steps, runMs: 1000 }));
+      void checkObjective(fleet.submit({ pool: turn % 2 ? 'alpha' : 'beta', steps, runMs: 1000 }));
       await advance(400);
     }
     await advance(15_000);
     return { inTime, broken: fleet.broken };
   };
 
-  it('cost few jobs their objective: 6 of 100 orders lost, 8 in 10 jobs are in time', async () => {
-    // An order to start was given up after 0.9 s, stopped and begun elsewhere; a question without an
-    // answer withheld its endpoint for 1 s.
+  it('leave at least 8 in 10 jobs within their objective if 5.5 % of the orders are unanswered', async () => {
+    // Guards against two faults: start orders that were given up after 0.9 s, stopped and sent elsewhere, and
+    // endpoints that got no new work for 1 s after a single unanswered list request.
     const { inTime, broken } = await countInTime(0.055);
     expect(broken).toEqual([]);
     expect(inTime).toBeGreaterThanOrEqual(0.8 * JOBS);
   });
 
-  it('are the only thing that costs: without them all jobs are in time', async () => {
+  it('are the only cause of late jobs: without them all jobs end within their objective', async () => {
     expect(await countInTime(0)).toEqual({ inTime: JOBS, broken: [] });
   });
 });
--- a/packages/daemon/src/batch/endpoints/lost-racks.test.ts
+++ b/packages/daemon/src/batch/endpoints/lost-racks.test.ts
@@ -1,12 +1,12 @@
-/** A rack or a data centre that falls silent under load, and false alarms. */
+/** A rack or a data centre that becomes unreachable under load, and false alarms. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { InstanceId, JobId } from '@valvelatch/core/shared/ids';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
 import { advance, FAKED, phaseOf, started } from '../testing/virtual-time.fixtures.js';
 
-const SILENT_MS = 6000;
-const LOOK_MS = 10;
+const DISCONNECTED_MS = 6000;
+const POLL_MS = 10;
 
 describe('a fleet of four data centres with two racks each, under load', () => {
   beforeEach(() => {
@@ -17,17 +17,17 @@
     vi.useRealTimers();
   });
 
-  /** Some 190 of 256 cores are in use by tasks of a second. */
-  const loaded = async (seed = 11) => {
+  /** Starts a fleet on which tasks of 1 s use some 190 of 256 cores. */
+  const startLoadedFleet = async (seed = 11) => {
     const domains = { hostsPerRack: 4, dataCentres: 4 };
     const fleet = await started({ hostsPerPool: 32, domains, accounts: [], seed });
     const jobs: JobId[] = [];
-    const work = setInterval(() => {
+    const submission = setInterval(() => {
       const steps = [{ taskCount: 8, cpuMillis: 1400 }];
       jobs.push(fleet.submit({ pool: 'alpha', steps, runMs: 1000 }));
     }, 60);
     await advance(4000);
-    return { fleet, jobs, endWork: () => clearInterval(work) };
+    return { fleet, jobs, stopLoad: () => clearInterval(submission) };
   };
 
   const instancesIn = (fleet: SimFleet, name: string): ReadonlySet<InstanceId> =>
@@ -37,40 +37,48 @@
         .flatMap(({ instanceId }) => instanceId ?? []),
     );
 
-  const silence = (fleet: SimFleet, lost: ReadonlySet<InstanceId>): void =>
+  const disconnect = (fleet: SimFleet, lost: ReadonlySet<InstanceId>): void =>
     fleet.entries.forEach(({ cutFrom }) => lost.forEach((one) => cutFrom.add(one)));
 
-  const heal = (fleet: SimFleet): void => fleet.entries.forEach(({ cutFrom }) => cutFrom.clear());
+  const reconnect = (fleet: SimFleet): void =>
+    fleet.entries.forEach(({ cutFrom }) => cutFrom.clear());
 
   const linesOf = (fleet: SimFleet, event: string): readonly object[] =>
     fleet.logged.filter((line) => line.event === event).map(({ fields }) => fields);
 
-  /** Waits until a domain is suspected. */
-  const suspected = async (fleet: SimFleet, name: string): Promise<number> => {
+  /** Waits until a domain is suspected, and returns that time. */
+  const waitUntilSuspected = async (fleet: SimFleet, name: string): Promise<number> => {
     const isSuspected = (): boolean =>
       linesOf(fleet, 'domain-suspected').some(
         (fields) => 'domain' in fields && String(fields.domain).endsWith(name),
       );
-    for (let waitedMs = 0; !isSuspected(); waitedMs += LOOK_MS) {
+    for (let waitedMs = 0; !isSuspected(); waitedMs += POLL_MS) {
       expect(waitedMs).toBeLessThan(2000);
-      await advance(LOOK_MS);
+      await advance(POLL_MS);
     }
     return performance.now();
   };
 
-  /** Runs whose first order to start was sent to one of these since then; an order without an answer is sent again. */
-  const startsInto = (fleet: SimFleet, lost: ReadonlySet<InstanceId>, sinceMs: number): number => {
+  /**
+   * Counts the runs whose first start order was sent to one of these instances after the given time. Repeats are
+   * ignored.
+   */
+  const countStartsInto = (
+    fleet: SimFleet,
+    lost: ReadonlySet<InstanceId>,
+    suspectedAtMs: number,
+  ): number => {
     const firstSent = new Map<string, { readonly instanceId: InstanceId; readonly atMs: number }>();
     fleet.startsSent.forEach(({ instanceId, task, run, atMs }) => {
       const key = `${task} ${run}`;
       if (!firstSent.has(key)) firstSent.set(key, { instanceId, atMs });
     });
     return Array.from(firstSent.values()).filter(
-      ({ instanceId, atMs }) => atMs > sinceMs && lost.has(instanceId),
+      ({ instanceId, atMs }) => atMs > suspectedAtMs && lost.has(instanceId),
     ).length;
   };
 
-  const expectAllDone = async (fleet: SimFleet, jobs: readonly JobId[]): Promise<void> => {
+  const expectAllCompleted = async (fleet: SimFleet, jobs: readonly JobId[]): Promise<void> => {
     await advance(20_000);
     const phases = jobs.map((jobId) => phaseOf(fleet, jobId));
     expect(phases.filter((phase) => phase !== 'completed')).toEqual([]);
@@ -78,49 +86,50 @@
   };
 
   ['rack-0', 'rack-2', 'rack-3', 'dc-0', 'dc-1'].forEach((name) =>
-    it(`has no start sent into ${name} once several of its endpoints do not answer`, async () => {
-      // Each endpoint was noticed by itself: starts went to those that were idle, and again to each withheld one.
-      const { fleet, jobs, endWork } = await loaded();
+    it(`has no start order sent into ${name} once several of its endpoints do not respond`, async () => {
+      // Guards against detecting each endpoint only by itself: start orders then go to its idle neighbours, and again
+      // to each endpoint once it is no longer withheld.
+      const { fleet, jobs, stopLoad } = await startLoadedFleet();
       const lost = instancesIn(fleet, name);
       const lostAtMs = performance.now();
-      silence(fleet, lost);
-      const sinceMs = await suspected(fleet, name);
-      expect(sinceMs - lostAtMs).toBeLessThan(1000);
-      await advance(SILENT_MS);
-      expect(startsInto(fleet, lost, sinceMs)).toBe(0);
-      heal(fleet);
+      disconnect(fleet, lost);
+      const suspectedAtMs = await waitUntilSuspected(fleet, name);
+      expect(suspectedAtMs - lostAtMs).toBeLessThan(1000);
+      await advance(DISCONNECTED_MS);
+      expect(countStartsInto(fleet, lost, suspectedAtMs)).toBe(0);
+      reconnect(fleet);
       await advance(2000);
       expect(linesOf(fleet, 'domain-back')).toHaveLength(linesOf(fleet, 'domain-suspected').length);
-      endWork();
-      await expectAllDone(fleet, jobs);
+      stopLoad();
+      await expectAllCompleted(fleet, jobs);
     }),
   );
 
-  it('gives starts to a rack again after the time of one question where the alarm was false', async () => {
-    const { fleet, jobs, endWork } = await loaded();
+  it('starts tasks in a rack again within one list request after a false alarm', async () => {
+    const { fleet, jobs, stopLoad } = await startLoadedFleet();
     const lost = instancesIn(fleet, 'rack-0');
-    silence(fleet, lost);
+    disconnect(fleet, lost);
     await advance(120);
-    heal(fleet);
-    const sinceMs = await suspected(fleet, 'rack-0');
+    reconnect(fleet);
+    const suspectedAtMs = await waitUntilSuspected(fleet, 'rack-0');
     await advance(100);
     expect(linesOf(fleet, 'domain-back')).toMatchObject([
       { domain: 'dc-0/rack-0', relief: 'answered' },
     ]);
     await advance(1000);
-    expect(startsInto(fleet, lost, sinceMs)).toBeGreaterThan(0);
-    endWork();
-    await expectAllDone(fleet, jobs);
+    expect(countStartsInto(fleet, lost, suspectedAtMs)).toBeGreaterThan(0);
+    stopLoad();
+    await expectAllCompleted(fleet, jobs);
   });
 
-  it('suspects no rack as single endpoints miss an answer', async () => {
-    const { fleet, jobs, endWork } = await loaded();
+  it('suspects no rack if a single endpoint does not respond', async () => {
+    const { fleet, jobs, stopLoad } = await startLoadedFleet();
     const [one] = instancesIn(fleet, 'rack-0');
-    silence(fleet, new Set(one ? [one] : []));
-    await advance(SILENT_MS);
-    heal(fleet);
+    disconnect(fleet, new Set(one ? [one] : []));
+    await advance(DISCONNECTED_MS);
+    reconnect(fleet);
     expect(linesOf(fleet, 'domain-suspected')).toEqual([]);
-    endWork();
-    await expectAllDone(fleet, jobs);
+    stopLoad();
+    await expectAllCompleted(fleet, jobs);
   });
 });
--- a/packages/daemon/src/batch/endpoints/placement-policies.test.ts
+++ b/packages/daemon/src/batch/endpoints/placement-policies.test.ts
@@ -1,13 +1,13 @@
-/** How many jobs the loss of a rack touches, by the policy of placement that a fleet is started with. */
+/** How many jobs the loss of a rack affects, depending on the placement policy of the fleet. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { parseTaskKey, type PlacementPolicy } from '@valvelatch/core/batch';
 
 import { advance, FAKED, started } from '../testing/virtual-time.fixtures.js';
 
 const RACKS = 8;
-const LOOKS = 5;
+const SAMPLES = 5;
 
-describe('the policy of placement that a fleet is started with', () => {
+describe('the placement policy of a fleet', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -16,36 +16,36 @@
     vi.useRealTimers();
   });
 
-  /** The jobs with a task in a rack, in the mean over all racks and several looks. */
-  const jobsTouched = async (placementPolicy: PlacementPolicy): Promise<number> => {
+  /** Computes the mean number of jobs with a task in a rack, over all racks and several samples. */
+  const countAffectedJobs = async (placementPolicy: PlacementPolicy): Promise<number> => {
     const domains = { hostsPerRack: 4, dataCentres: 4 };
     const fleet = await started({ hostsPerPool: 32, domains, accounts: [], placementPolicy });
-    const work = setInterval(() => {
+    const submission = setInterval(() => {
       const steps = [{ taskCount: 8, cpuMillis: 1400 }];
       fleet.submit({ pool: 'alpha', steps, runMs: 1000 });
     }, 100);
     await advance(4000);
-    let touched = 0;
-    for (let look = 0; look < LOOKS; look += 1) {
+    let affected = 0;
+    for (let sample = 0; sample < SAMPLES; sample += 1) {
       await advance(500);
       const pairs = Array.from(fleet.endpoints.values())
-        .filter((one) => one.isUp())
+        .filter((endpoint) => endpoint.isUp())
         .flatMap(({ hostId, runs }) =>
           Array.from(runs.keys(), (key) => [
             fleet.hosts.get(hostId)?.labels[0],
             parseTaskKey(key)?.jobId,
           ]),
         );
-      touched += new Set(pairs.map((pair) => pair.join(' '))).size / RACKS / LOOKS;
+      affected += new Set(pairs.map((pair) => pair.join(' '))).size / RACKS / SAMPLES;
     }
-    clearInterval(work);
+    clearInterval(submission);
     expect(fleet.broken).toEqual([]);
-    return touched;
+    return affected;
   };
 
-  it('has the loss of a rack touch fewer jobs together than spread', async () => {
-    const together = await jobsTouched('together');
-    const spread = await jobsTouched('spread');
+  it('has the loss of a rack affect fewer jobs with together than with spread', async () => {
+    const together = await countAffectedJobs('together');
+    const spread = await countAffectedJobs('spread');
     expect(together).toBeLessThan(spread / 2);
   });
 });
--- a/packages/daemon/src/batch/endpoints/run-ends.test.ts
+++ b/packages/daemon/src/batch/endpoints/run-ends.test.ts
@@ -1,4 +1,4 @@
-/** What the log of a holder tells of runs that stop being known, and of tasks that it starts again. */
+/** What a holder logs about runs that end or are given up, and about tasks that it starts again. */
 import type { SimulatedEndpoint } from '@valvelatch/core/batch';
 import type { InstanceId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -11,12 +11,12 @@
 const linesOf = (fleet: SimFleet, event: string): readonly Fields[] =>
   fleet.logged.filter((line) => line.event === event).map(({ fields }) => fields as Fields);
 
-const ended = (fleet: SimFleet): readonly Fields[] => linesOf(fleet, 'run-ended');
+const runEndLines = (fleet: SimFleet): readonly Fields[] => linesOf(fleet, 'run-ended');
 
-const nameOf = ({ task, run }: Fields): string => `${task}/${run}`;
+const runNameOf = ({ task, run }: Fields): string => `${task}/${run}`;
 
 /** The endpoint with the most runs. */
-const busiest = (fleet: SimFleet): SimulatedEndpoint => {
+const findBusiestEndpoint = (fleet: SimFleet): SimulatedEndpoint => {
   const [first] = Array.from(fleet.endpoints.values()).sort(
     (one, other) => other.runs.size - one.runs.size,
   );
@@ -24,16 +24,16 @@
   return first;
 };
 
-/** Nothing of the endpoint is heard any more, also not the answer to a question under way. */
-const silence = (fleet: SimFleet, instanceId: InstanceId): void =>
+/** Cuts the endpoint off: not even the response to a list request in flight is received. */
+const disconnect = (fleet: SimFleet, instanceId: InstanceId): void =>
   fleet.entries.forEach(({ cutFrom }) => cutFrom.add(instanceId));
 
-/** Two tasks that run on one endpoint for 30 s. */
-const running = async () => {
+/** Starts two tasks that run on one endpoint for 30 s. */
+const startTwoTasks = async () => {
   const fleet = await started();
   fleet.submit({ pool: 'alpha', steps: [{ taskCount: 2 }], runMs: 30_000 });
   await advance(1500);
-  const { instanceId, endpointId } = busiest(fleet);
+  const { instanceId, endpointId } = findBusiestEndpoint(fleet);
   return { fleet, instanceId, endpointId };
 };
 
@@ -46,53 +46,53 @@
     vi.useRealTimers();
   });
 
-  it('has one line for each run of a calm day', async () => {
+  it('has one line for each run if nothing fails', async () => {
     const fleet = await started();
     const job = fleet.submit({ pool: 'alpha', steps: [{ taskCount: 40 }] });
     await advance(8000);
     expect(phaseOf(fleet, job)).toBe('completed');
-    const lines = ended(fleet);
-    expect(new Set(lines.map(nameOf)).size).toBe(40);
+    const lines = runEndLines(fleet);
+    expect(new Set(lines.map(runNameOf)).size).toBe(40);
     expect(lines).toHaveLength(40);
     lines.forEach((line) =>
       expect(line).toMatchObject({ cause: 'reported', detail: 'done', next: 'done' }),
     );
   });
 
-  it('names the runs of an endpoint that the list of hosts shows as gone, by the age of the list', async () => {
-    const { fleet, instanceId, endpointId } = await running();
+  it('names the runs of an endpoint that the list of hosts shows as gone, with the age of the list', async () => {
+    const { fleet, instanceId, endpointId } = await startTwoTasks();
     fleet.faults.hostListMs = 300;
-    silence(fleet, instanceId);
+    disconnect(fleet, instanceId);
     fleet.crash(instanceId);
     await advance(4000);
-    const gone = linesOf(fleet, 'endpoint-gone');
-    expect(gone).toMatchObject([{ endpoint: endpointId, runs: 2 }]);
-    const lines = ended(fleet);
+    const goneLines = linesOf(fleet, 'endpoint-gone');
+    expect(goneLines).toMatchObject([{ endpoint: endpointId, runs: 2 }]);
+    const lines = runEndLines(fleet);
     expect(lines).toHaveLength(2);
     lines.forEach((line) => {
       expect(line).toMatchObject({ cause: 'endpoint-gone', detail: 'host-list', next: 'again' });
       expect(line.ageMs).toBeGreaterThanOrEqual(300);
       expect(line.soleForMs).toBeGreaterThan(0);
-      // They are given up in the next cycle, a millisecond later.
-      expect(Number(line.ageMs) - Number(gone[0]?.ageMs)).toBeLessThanOrEqual(1);
+      // The runs are given up in the next cycle, a millisecond later.
+      expect(Number(line.ageMs) - Number(goneLines[0]?.ageMs)).toBeLessThanOrEqual(1);
     });
   });
 
-  describe('of endpoints that crash under a task', () => {
-    /** The endpoint of the only job crashes so many times. */
-    const crashed = async (times: number): Promise<SimFleet> => {
+  describe('of endpoints that crash while they run a task', () => {
+    /** Crashes the endpoint of the only job this many times. */
+    const crashRepeatedly = async (times: number): Promise<SimFleet> => {
       const fleet = await started();
       fleet.submit({ pool: 'alpha', steps: [{}], runMs: 30_000 });
       for (let time = 0; time < times; time += 1) {
         await advance(1500);
-        fleet.crash(busiest(fleet).instanceId);
+        fleet.crash(findBusiestEndpoint(fleet).instanceId);
       }
       await advance(1500);
       return fleet;
     };
 
-    it('tells how many, by whose count, since when, and what is known of the last', async () => {
-      const lines = ended(await crashed(2));
+    it('tells the number of crashes, how they were counted, when the first was, and what is known of the last', async () => {
+      const lines = runEndLines(await crashRepeatedly(2));
       expect(lines).toMatchObject([
         {
           crashes: 1,
@@ -108,38 +108,43 @@
       expect(lines[1]?.firstAgoMs).toBeGreaterThan(1000);
     });
 
-    it('says of each endpoint whether it crashed by itself', async () => {
-      const fleet = await crashed(1);
+    it('tells for each endpoint whether it crashed by itself', async () => {
+      const fleet = await crashRepeatedly(1);
       expect(linesOf(fleet, 'endpoint-gone')).toMatchObject([{ isCrash: true }]);
     });
 
-    it('counts nothing where the host went through maintenance', async () => {
+    it('counts no crash if the host went through maintenance', async () => {
       const fleet = await started({ hostsPerPool: 2 });
       fleet.submit({ pool: 'alpha', steps: [{ isLasting: true, mayMiss: 1 }] });
       await advance(1500);
-      fleet.order({ waveNumber: 1, hosts: [busiest(fleet).hostId], withinMs: 20_000, maximum: 1 });
+      fleet.order({
+        waveNumber: 1,
+        hosts: [findBusiestEndpoint(fleet).hostId],
+        withinMs: 20_000,
+        maximum: 1,
+      });
       await advance(8000);
       expect(fleet.maintained.size).toBe(1);
       linesOf(fleet, 'endpoint-gone').forEach((line) => expect(line.isCrash).toBe(false));
-      ended(fleet).forEach((line) => expect(line.crashes).toBeUndefined());
+      runEndLines(fleet).forEach((line) => expect(line.crashes).toBeUndefined());
     });
   });
 
   it('tells which run a task had before it was started again', async () => {
-    const { fleet, instanceId } = await running();
+    const { fleet, instanceId } = await startTwoTasks();
     fleet.crash(instanceId);
     await advance(4000);
-    const again = linesOf(fleet, 'task-started-again');
-    const before = ended(fleet).map(nameOf);
-    expect(again.map(({ task, runBefore }) => `${task}/${runBefore}`)).toEqual(before);
+    const restartLines = linesOf(fleet, 'task-started-again');
+    const before = runEndLines(fleet).map(runNameOf);
+    expect(restartLines.map(({ task, runBefore }) => `${task}/${runBefore}`)).toEqual(before);
   });
 
-  it('names the runs of a silent endpoint, by the end of its lease', async () => {
-    const { fleet, instanceId, endpointId } = await running();
-    silence(fleet, instanceId);
+  it('names the runs of an unreachable endpoint when its lease ends', async () => {
+    const { fleet, instanceId, endpointId } = await startTwoTasks();
+    disconnect(fleet, instanceId);
     await advance(9000);
     expect(linesOf(fleet, 'endpoint-lease-ended')).toMatchObject([{ endpoint: endpointId }]);
-    const lines = ended(fleet);
+    const lines = runEndLines(fleet);
     expect(lines).toHaveLength(2);
     lines.forEach((line) => {
       expect(line).toMatchObject({ endpoint: endpointId, cause: 'lease-over', next: 'again' });
@@ -150,16 +155,16 @@
     });
   });
 
-  it('counts no run as ended once the term is over, and tells of the endpoint all the same', async () => {
-    const { fleet, instanceId, endpointId } = await running();
+  it('has no line for an ended run after the control term, but still one for the endpoint that is gone', async () => {
+    const { fleet, instanceId, endpointId } = await startTwoTasks();
     fleet.faults.hostListMs = 300;
-    silence(fleet, instanceId);
+    disconnect(fleet, instanceId);
     fleet.crash(instanceId);
     await advance(200);
     const term = holderOf(fleet).control.term();
     await term?.stop();
     await advance(400);
     expect(linesOf(fleet, 'endpoint-gone')).toMatchObject([{ endpoint: endpointId, runs: 2 }]);
-    expect(ended(fleet)).toEqual([]);
+    expect(runEndLines(fleet)).toEqual([]);
   });
 });
--- a/packages/daemon/src/batch/endpoints/spread-steps.test.ts
+++ b/packages/daemon/src/batch/endpoints/spread-steps.test.ts
@@ -1,4 +1,4 @@
-/** What the loss of a rack or of a data centre takes of a long-running step, for each of them in turn. */
+/** How many tasks a long-running step loses with each of its racks and data centres. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { JobId } from '@valvelatch/core/shared/ids';
 
@@ -18,7 +18,7 @@
     vi.useRealTimers();
   });
 
-  const begun = async (): Promise<{ readonly fleet: SimFleet; readonly jobId: JobId }> => {
+  const startStep = async (): Promise<{ readonly fleet: SimFleet; readonly jobId: JobId }> => {
     const domains = { hostsPerRack: 3, dataCentres: DATA_CENTRES };
     const fleet = await started({ hostsPerPool: RACKS * 3, domains, accounts: [] });
     const step = { taskCount: TASKS, isLasting: true, mayMiss: 2, cpuMillis: 1000 };
@@ -28,33 +28,36 @@
     return { fleet, jobId };
   };
 
-  /** The hosts of a rack or of a data centre crash at once. */
-  const lose = (fleet: SimFleet, isIn: (label: string, dataCentre: string) => boolean): void =>
+  /** Crashes the endpoints on all hosts of a rack or of a data centre at once. */
+  const crashDomain = (
+    fleet: SimFleet,
+    isIn: (label: string, dataCentre: string) => boolean,
+  ): void =>
     Array.from(fleet.hosts.values())
       .filter(({ labels, dataCentre }) => isIn(labels[0] ?? '', dataCentre))
       .forEach(({ instanceId }) => instanceId && fleet.crash(instanceId));
 
-  const expectBack = async ({ fleet, jobId }: Awaited<ReturnType<typeof begun>>) => {
+  const expectRecovery = async ({ fleet, jobId }: Awaited<ReturnType<typeof startStep>>) => {
     await advance(8000);
     expect(runningOf(fleet, jobId)).toHaveLength(TASKS);
     expect(fleet.broken).toEqual([]);
   };
 
   Array.from({ length: RACKS }, (_, number) => `rack-${number}`).forEach((rack) =>
-    it(`loses no more than it may miss with ${rack}`, async () => {
-      const { fleet, jobId } = await begun();
-      lose(fleet, (label) => label === rack);
+    it(`loses no more tasks than its mayMiss with ${rack}`, async () => {
+      const { fleet, jobId } = await startStep();
+      crashDomain(fleet, (label) => label === rack);
       expect(runningOf(fleet, jobId).length).toBeGreaterThanOrEqual(TASKS - TASKS / RACKS);
-      await expectBack({ fleet, jobId });
+      await expectRecovery({ fleet, jobId });
     }),
   );
 
   Array.from({ length: DATA_CENTRES }, (_, number) => `dc-${number}`).forEach((lost) =>
-    it(`loses no more than its share with data centre ${lost}`, async () => {
-      const { fleet, jobId } = await begun();
-      lose(fleet, (_, dataCentre) => dataCentre === lost);
+    it(`loses no more than a third of its tasks with data centre ${lost}`, async () => {
+      const { fleet, jobId } = await startStep();
+      crashDomain(fleet, (_, dataCentre) => dataCentre === lost);
       expect(runningOf(fleet, jobId).length).toBeGreaterThanOrEqual(TASKS - TASKS / DATA_CENTRES);
-      await expectBack({ fleet, jobId });
+      await expectRecovery({ fleet, jobId });
     }),
   );
 });
--- a/packages/daemon/src/batch/endpoints/start-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.test.ts
@@ -1,4 +1,4 @@
-/** When an order to start may leave. */
+/** When a start order may be sent. */
 import {
   createBatchState,
   createSharedDelayEstimator,
@@ -28,32 +28,35 @@
 const POOL = brand<PoolName>('alpha');
 const ENDPOINT = brand<EndpointId>('i-1');
 const DATA_CENTRE = brand<DataCentreId>('north');
-const SOLE_UNTIL_MS = 2400;
+const SOLE_HOLDER_UNTIL_MS = 2400;
 
 type SendOptions = {
   readonly mayStartIn?: (dataCentre: DataCentreId) => boolean;
-  /** No order is answered. */
-  readonly isLost?: boolean;
+  /** True if no order gets a response. */
+  readonly isUnanswered?: boolean;
   readonly onSent?: () => void;
 };
 
-/** A holder that heard its one endpoint at a time, places a task there, and gets to send the order at another. */
-const sentAt = async (
+/**
+ * Places a task on an endpoint that last responded at `heardAtMs`, sends the start order at `nowMs`, and returns the
+ * orders that were sent.
+ */
+const sendStartAt = async (
   nowMs: number,
   heardAtMs: number,
-  { mayStartIn = () => true, isLost = false, onSent = () => undefined }: SendOptions = {},
+  { mayStartIn = () => true, isUnanswered = false, onSent = () => undefined }: SendOptions = {},
 ): Promise<readonly StartOrder[]> => {
   const state = createBatchState(2);
-  state.soleHolderUntilMs = SOLE_UNTIL_MS;
+  state.soleHolderUntilMs = SOLE_HOLDER_UNTIL_MS;
   const capacity = { cpuMillis: 8000, memoryMb: 8000, accelerators: 0 };
-  const sighting = {
+  const description = {
     endpointId: ENDPOINT,
     pool: POOL,
     hostId: null,
     address: '',
     dataCentre: DATA_CENTRE,
   };
-  upsertEndpoint(state, { ...sighting, labels: [], capacity, isDraining: false }, 0);
+  upsertEndpoint(state, { ...description, labels: [], capacity, isDraining: false }, 0);
   addJob(state, {
     job: {
       jobId: brand<JobId>('00000000000000aa'),
@@ -70,8 +73,8 @@
     nowMs: 0,
     wallClockMs: 0,
   });
-  const empty = { running: [], ended: [], hasMoreEnds: false };
-  applyReport(state, ENDPOINT, { ...empty, requestedAtMs: heardAtMs, nowMs: heardAtMs });
+  const emptyReport = { running: [], ended: [], hasMoreEnds: false };
+  applyReport(state, ENDPOINT, { ...emptyReport, requestedAtMs: heardAtMs, nowMs: heardAtMs });
   schedulePool(state, POOL, heardAtMs);
   const [start] = takeEffects(state) as readonly Extract<BatchEffect, { kind: 'start' }>[];
   if (!start) throw new Error('nothing was placed');
@@ -84,7 +87,7 @@
         start: async (_: unknown, order: StartOrder) => {
           sent.push(order);
           onSent();
-          return isLost
+          return isUnanswered
             ? Err({ verdict: 'mayHaveRun', reason: 'no-answer', detail: '' })
             : Ok({ clockMs: 1 });
         },
@@ -114,41 +117,41 @@
   return sent;
 };
 
-describe('an order to start', () => {
-  it('leaves while no other entry can hold control, however long its endpoint was not heard', async () => {
-    expect(await sentAt(2300, 100)).toHaveLength(1);
+describe('a start order', () => {
+  it('is sent while no other entry can be the holder, however long ago its endpoint responded', async () => {
+    expect(await sendStartAt(2300, 100)).toHaveLength(1);
   });
 
-  it('leaves later for an endpoint that was heard just now', async () => {
-    expect(await sentAt(2900, 2300)).toHaveLength(1);
+  it('is sent later if its endpoint has responded recently', async () => {
+    expect(await sendStartAt(2900, 2300)).toHaveLength(1);
   });
 
-  it('does not leave for an endpoint that may have started again unheard while another entry took control', async () => {
-    expect(await sentAt(5200, 2300)).toEqual([]);
+  it('is not sent if its endpoint may have restarted unnoticed while another entry became the holder', async () => {
+    expect(await sendStartAt(5200, 2300)).toEqual([]);
   });
 
-  describe('into a data centre that is evacuated after the task was placed there', () => {
-    it('does not leave', async () => {
-      const asked: DataCentreId[] = [];
+  describe('to a data centre that is evacuated after the task was placed there', () => {
+    it('is not sent', async () => {
+      const checkedDataCentres: DataCentreId[] = [];
       const mayStartIn = (dataCentre: DataCentreId): boolean => {
-        asked.push(dataCentre);
+        checkedDataCentres.push(dataCentre);
         return false;
       };
-      expect(await sentAt(2300, 100, { mayStartIn })).toEqual([]);
-      expect(asked).toEqual([DATA_CENTRE]);
+      expect(await sendStartAt(2300, 100, { mayStartIn })).toEqual([]);
+      expect(checkedDataCentres).toEqual([DATA_CENTRE]);
     });
 
-    it('is not sent again there after a first one without an answer', async () => {
+    it('is not repeated after the first one got no response', async () => {
       let isEvacuated = false;
-      const sent = await sentAt(2300, 100, {
-        isLost: true,
+      const sent = await sendStartAt(2300, 100, {
+        isUnanswered: true,
         mayStartIn: () => !isEvacuated,
         onSent: () => {
           isEvacuated = true;
         },
       });
       expect(sent).toHaveLength(1);
-      expect(await sentAt(2300, 100, { isLost: true })).toHaveLength(2);
+      expect(await sendStartAt(2300, 100, { isUnanswered: true })).toHaveLength(2);
     });
   });
 });
--- a/packages/daemon/src/batch/endpoints/start-orders.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.ts
@@ -1,4 +1,4 @@
-/** Orders to start a run at one endpoint: sent, sent again, and what becomes of them. */
+/** Sends start orders to one endpoint, repeats unanswered ones and applies their outcome. */
 import {
   applyStartOutcome,
   recordStartsAnswered,
@@ -17,44 +17,49 @@
 import type { LinkContext } from './link-context.js';
 import type { EndpointOrders, OrderTarget } from '../ports.js';
 
-/** An order is sent again under the same run number before the task goes elsewhere. */
-const START_TRIES = 2;
+/** A start order is repeated with the same run number before the task is started elsewhere. */
+const MAX_START_ATTEMPTS = 2;
 
-/** An endpoint that is there is heard so often at least, also over a link that is full. */
-const RESPONSIVE_MS = 2500;
+/** An endpoint that is up responds at least this often, even over a saturated link. */
+const MAX_RESPONSE_GAP_MS = 2500;
 
-/** What became of the orders for one run. */
-type SentStart = {
+/** The outcome of the start orders for one run. */
+type StartResult = {
   readonly outcome: StartOutcome;
   readonly error?: OrderError;
-  /** One had no answer and may still be carried out. */
-  readonly isOpen: boolean;
+  /** True if one of the orders got no response and may still be carried out. */
+  readonly hasUnansweredOrder: boolean;
 };
 
 export type StartOrdersOptions = {
   readonly target: OrderTarget;
   readonly context: LinkContext;
-  /** Reads the endpoint's clock anew if the last reading is old. */
+  /** Reads the endpoint's clock again if the last reading is too old. */
   readonly refreshClock: () => Promise<void>;
-  /** Gives the time until when the endpoint is to keep what runs there; undefined while its clock is not known. */
+  /**
+   * Computes the time on the endpoint's clock until which it keeps its runs, in milliseconds; undefined while its
+   * clock is unknown.
+   */
   readonly keepUntil: () => number | undefined;
+  /** Records a reading of the endpoint's clock. */
   readonly noteClock: (reading: EndpointClock) => void;
-  /** Sends an order with the time-out of the link. */
-  readonly send: <Answer>(
-    order: (timeoutMs: number) => Promise<Result<Answer, OrderError>>,
-  ) => Promise<Result<Answer, OrderError>>;
+  /** Sends an order with the current timeout of the link. */
+  readonly send: <Value>(
+    order: (timeoutMs: number) => Promise<Result<Value, OrderError>>,
+  ) => Promise<Result<Value, OrderError>>;
+  /** Logs and handles an order that failed; the fields are added to the log line. */
   readonly noteError: (error: OrderError, fields: Record<string, string | number>) => void;
   readonly isClosed: () => boolean;
 };
 
-/** Has an endpoint begin a run. */
+/** Orders the endpoint to start a run, and applies the outcome to the state. */
 export type StartOrders = (effect: Extract<BatchEffect, { kind: 'start' }>) => Promise<void>;
 
 /**
- * Builds the orders to start of a link.
+ * Creates the sender of start orders of a link.
  *
- * @param options - The link.
- * @returns What sends one, and applies what becomes of it.
+ * @param options - The endpoint and the parts of its link that the sender uses.
+ * @returns The function that sends a start order and applies its outcome.
  */
 export const createStartOrders = ({
   target,
@@ -70,70 +75,76 @@
   const { endpointId, dataCentre } = target;
 
   /**
-   * Asked at once before each order leaves, also before one is sent again: what the placement was decided on may be
-   * old by then.
+   * Tells whether a start order may be sent. It is checked immediately before each order, including repeats, because
+   * the state on which the placement was decided may be outdated by then.
    *
-   * An order reaches whichever life has the endpoint's id. Where another entry may hold control, and an endpoint may
-   * have started again unheard, the next life would take an order of this holder before it knows of the next one.
+   * An order reaches whichever incarnation has the endpoint's id. If another entry may be the holder and the endpoint
+   * may have restarted unnoticed, the new incarnation would accept an order of this holder before it knows the next
+   * holder.
    */
   const mayStart = (): boolean => {
     if (!context.mayOrder() || !context.mayStartIn(dataCentre) || isClosed()) return false;
     const heardAtMs = state.endpoints.get(endpointId)?.reportedAtMs ?? -Infinity;
-    return isSoleHolder(state, nowMs()) || nowMs() - heardAtMs < RESPONSIVE_MS;
+    return isSoleHolder(state, nowMs()) || nowMs() - heardAtMs < MAX_RESPONSE_GAP_MS;
   };
 
-  /** Its rack or its data centre may have been lost since the start was decided. */
-  const isHeldBack = (): boolean => {
+  /** The endpoint's rack or data centre may have come under suspicion since the start was decided. */
+  const isDomainSuspected = (): boolean => {
     const endpoint = state.endpoints.get(endpointId);
     return endpoint !== undefined && isSuspected(state, endpoint);
   };
 
-  /** Sends a start as one of those under way. */
-  const sendCounted = async (order: StartOrder): ReturnType<EndpointOrders['start']> => {
+  /** Sends a start order, and counts it as in flight in the order window. */
+  const sendInWindow = async (order: StartOrder): ReturnType<EndpointOrders['start']> => {
     const sentAtMs = nowMs();
     context.window.begin();
-    const answer = await send((timeoutMs) => orders.start(target, order, timeoutMs));
-    const tookMs = nowMs() - sentAtMs;
-    const isLost = answer.isErr() && answer.error.reason === 'no-answer';
-    if (isLost && !context.linkDelay.isLocalFault()) context.window.cancel();
-    else context.window.end(tookMs, nowMs());
-    metrics.time('order_start', tookMs * 1000);
-    return answer;
+    const response = await send((timeoutMs) => orders.start(target, order, timeoutMs));
+    const durationMs = nowMs() - sentAtMs;
+    const isUnanswered = response.isErr() && response.error.reason === 'no-answer';
+    if (isUnanswered && !context.linkDelay.isLocalFault()) context.window.cancel();
+    else context.window.end(durationMs, nowMs());
+    metrics.time('order_start', durationMs * 1000);
+    return response;
   };
 
   /**
-   * Sends a start. One without an answer is sent again: the endpoint begins a run once, however
-   * often it is ordered to, so the task need not be barred here and begun elsewhere.
+   * Sends a start order, and repeats it if it gets no response. The endpoint starts a run only once, however often it
+   * is ordered to, so the run does not have to be blocked here and the task started elsewhere.
    */
-  const sendStart = async (order: StartOrder): Promise<SentStart> => {
-    let isFirstLost = false;
+  const sendStart = async (order: StartOrder): Promise<StartResult> => {
+    let isFirstUnanswered = false;
     for (let attempt = 1; ; attempt += 1) {
       recordStartSent(state, endpointId, order, nowMs());
-      const answer = await sendCounted(order);
-      if (answer.isOk()) {
-        noteClock(answer.value);
-        return { outcome: 'started', isOpen: isFirstLost };
+      const response = await sendInWindow(order);
+      if (response.isOk()) {
+        noteClock(response.value);
+        return { outcome: 'started', hasUnansweredOrder: isFirstUnanswered };
       }
-      const { error } = answer;
+      const { error } = response;
       noteError(error, { task: order.task, run: order.run, attempt });
-      // The run that was begun by the first order has ended already.
-      if (isFirstLost && error.reason === 'old') return { outcome: 'started', isOpen: true };
+      // The first order started the run, which has already ended.
+      if (isFirstUnanswered && error.reason === 'old')
+        return { outcome: 'started', hasUnansweredOrder: true };
       if (error.verdict === 'notRun')
-        return { outcome: isFirstLost ? 'unknown' : 'rejected', error, isOpen: isFirstLost };
-      if (attempt === START_TRIES || !mayStart()) {
-        return { outcome: 'unknown', error, isOpen: true };
+        return {
+          outcome: isFirstUnanswered ? 'unknown' : 'rejected',
+          error,
+          hasUnansweredOrder: isFirstUnanswered,
+        };
+      if (attempt === MAX_START_ATTEMPTS || !mayStart()) {
+        return { outcome: 'unknown', error, hasUnansweredOrder: true };
       }
-      isFirstLost = true;
+      isFirstUnanswered = true;
     }
   };
 
   return async (effect) => {
     const { task, run, spec, checkpoint, ticket } = effect;
     await refreshClock();
-    // It may have been given up while the answer was awaited, and must not begin after that.
+    // The run may have been given up while the clock was read, and must not start after that.
     if (state.endpoints.get(endpointId)?.runs.get(task)?.run !== run) return;
     const keepUntilMs = keepUntil();
-    if (keepUntilMs === undefined || !mayStart() || isHeldBack()) {
+    if (keepUntilMs === undefined || !mayStart() || isDomainSuspected()) {
       const reason = 'not-sent';
       applyStartOutcome(state, endpointId, {
         task,
@@ -145,11 +156,11 @@
       return;
     }
     const order = { task, run, spec, checkpoint, ticket, keepUntilMs, fence: state.fence };
-    const { outcome, error, isOpen } = await sendStart(order);
+    const { outcome, error, hasUnansweredOrder } = await sendStart(order);
     if (error?.reason === 'ticket') removeTicket(state, task, endpointId);
     const reason = error?.reason;
     applyStartOutcome(state, endpointId, { task, run, outcome, reason, nowMs: nowMs() });
-    if (!isOpen) recordStartsAnswered(state, endpointId, order);
+    if (!hasUnansweredOrder) recordStartsAnswered(state, endpointId, order);
     if (outcome !== 'started') {
       context.poke();
       return;
--- a/packages/daemon/src/batch/endpoints/stop-orders.ts
+++ b/packages/daemon/src/batch/endpoints/stop-orders.ts
@@ -1,4 +1,4 @@
-/** Orders to stop a run at one endpoint, sent until one is answered. */
+/** Sends stop orders to one endpoint, and repeats each until it is answered. */
 import { applyStopResponse, type BatchEffect, type OrderError } from '@valvelatch/core/batch';
 import type { Result } from 'ts-results-es';
 
@@ -6,10 +6,13 @@
 import type { LinkContext } from './link-context.js';
 import type { OrderTarget } from '../ports.js';
 
-const STOP_TRIES = 40;
+const MAX_STOP_ATTEMPTS = 40;
 const RETRY_MS = 250;
-/** After these a stop is sent again: without it a run whose start had no answer would never be given up. */
-const STOP_AGAIN: ReadonlySet<OrderError['reason']> = new Set([
+/**
+ * The errors after which a stop order is repeated. Without the repeat, a run whose start order got no response would
+ * never be given up.
+ */
+const RETRIED_REASONS: ReadonlySet<OrderError['reason']> = new Set([
   'no-answer',
   'unreachable',
   'unhealthy',
@@ -20,24 +23,25 @@
 export type StopOrdersOptions = {
   readonly target: OrderTarget;
   readonly context: LinkContext;
-  /** Sends an order with the time-out of the link. */
-  readonly send: <Answer>(
-    order: (timeoutMs: number) => Promise<Result<Answer, OrderError>>,
-  ) => Promise<Result<Answer, OrderError>>;
+  /** Sends an order with the current timeout of the link. */
+  readonly send: <Value>(
+    order: (timeoutMs: number) => Promise<Result<Value, OrderError>>,
+  ) => Promise<Result<Value, OrderError>>;
+  /** Logs and handles an order that failed; the fields are added to the log line. */
   readonly noteError: (error: OrderError, fields: Record<string, string | number>) => void;
-  /** The endpoint has answered an order to stop the run. */
+  /** Called when the endpoint has answered a stop order for the run. */
   readonly onStopped: (effect: StopEffect) => Promise<void>;
   readonly isClosed: () => boolean;
 };
 
-/** Has an endpoint stop a run. */
+/** Orders the endpoint to stop a run, and applies its response to the state. */
 export type StopOrders = (effect: StopEffect) => Promise<void>;
 
 /**
- * Builds the orders to stop of a link.
+ * Creates the sender of stop orders of a link.
  *
- * @param options - The link.
- * @returns What sends one, and applies its answer.
+ * @param options - The endpoint and the parts of its link that the sender uses.
+ * @returns The function that sends a stop order and applies its response.
  */
 export const createStopOrders = ({
   target,
@@ -49,30 +53,34 @@
 }: StopOrdersOptions): StopOrders => {
   const { state, orders, log, nowMs } = context;
   const { endpointId } = target;
-  const underWay = new Set<string>();
+  const inFlight = new Set<string>();
 
   const sendStop = async (effect: StopEffect): Promise<void> => {
     const { task, run, reason } = effect;
     log.info('task-stop', { task, run, endpoint: endpointId, reason });
-    for (let attempt = 0; attempt < STOP_TRIES && !isClosed() && context.mayOrder(); attempt += 1) {
+    for (
+      let attempt = 0;
+      attempt < MAX_STOP_ATTEMPTS && !isClosed() && context.mayOrder();
+      attempt += 1
+    ) {
       const order = { task, run, fence: state.fence };
-      const answer = await send((timeoutMs) => orders.stop(target, order, timeoutMs));
-      if (answer.isOk()) {
+      const response = await send((timeoutMs) => orders.stop(target, order, timeoutMs));
+      if (response.isOk()) {
         applyStopResponse(state, endpointId, task, run, nowMs());
         await onStopped(effect);
         return;
       }
-      noteError(answer.error, { task, run });
-      if (!STOP_AGAIN.has(answer.error.reason)) return;
+      noteError(response.error, { task, run });
+      if (!RETRIED_REASONS.has(response.error.reason)) return;
       await sleep(RETRY_MS);
     }
   };
 
-  /** Each report of a run that is not known here asks for its stop anew: one is under way at most. */
+  /** Each report of an unknown run requests its stop again; at most one stop per run is in flight. */
   return async (effect) => {
-    const name = `${effect.task}/${effect.run}`;
-    if (underWay.has(name)) return;
-    underWay.add(name);
-    await sendStop(effect).finally(() => underWay.delete(name));
+    const key = `${effect.task}/${effect.run}`;
+    if (inFlight.has(key)) return;
+    inFlight.add(key);
+    await sendStop(effect).finally(() => inFlight.delete(key));
   };
 };
