--- a/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
@@ -16,8 +16,8 @@
 const READING: FeedReading = { scope: 'changes', replaced: 0, bytes: 0, arrivingMs: 0 };
 const FEED_TIMEOUT_MS = 1900;
 const FEED_PAUSE_MS = 100;
-const LOOK_MS = 100;
-const QUEUES = 260;
+const TABLE_POLL_MS = 100;
+const QUEUE_COUNT = 260;
 
 const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => {
@@ -26,7 +26,7 @@
 
 const configurationOf = (version: number): BatchConfiguration => ({
   version,
-  queues: Array.from({ length: QUEUES }, (_, index) => ({
+  queues: Array.from({ length: QUEUE_COUNT }, (_, index) => ({
     name: brand(`inspections-${index}`),
     hostName: 'speelveilig.example',
     pathPrefix: `/q${index}/`,
@@ -39,44 +39,48 @@
   accounts: [],
 });
 
-/** An entry whose way to the table can be cut off. */
+/** An entry whose connection to the table can be cut. */
 type Entry = {
   readonly entryId: EntryId;
   readonly keeper: ConfigurationKeeper;
   isCutOff: boolean;
-  /** Neighbours that it has asked. */
+  /** The neighbours that it has asked, in order. */
   readonly asked: EntryId[];
 };
 
 describe('the configuration of an entry', () => {
   let accepted: BatchConfiguration;
   let entries: Entry[];
-  let isOver: boolean;
+  let isStopped: boolean;
 
   const log = createLog({ sink: () => undefined });
 
-  const newsFor = (known: number): OperatorNews => {
-    const isNew = accepted.version > known;
+  const feedAnswerTo = (knownVersion: number): OperatorNews => {
+    const isNew = accepted.version > knownVersion;
     return { waves: [], reading: READING, ...(isNew ? { configuration: accepted } : {}) };
   };
 
   const addEntry = (name: string): Entry => {
-    let read = 0;
+    let readVersion = 0;
     const asked: EntryId[] = [];
     const others = (): readonly Entry[] => entries.filter(({ entryId }) => entryId !== name);
     const keeper = createConfigurationKeeper({
       feed: {
         next: async (waitMs) => {
           const untilMs = performance.now() + waitMs;
-          while (!entry.isCutOff && accepted.version <= read && performance.now() < untilMs) {
-            await sleep(LOOK_MS);
+          while (
+            !entry.isCutOff &&
+            accepted.version <= readVersion &&
+            performance.now() < untilMs
+          ) {
+            await sleep(TABLE_POLL_MS);
           }
           if (entry.isCutOff) {
             await sleep(FEED_TIMEOUT_MS);
             return Err({ kind: 'unknown', detail: 'no answer' });
           }
-          const news = newsFor(read);
-          read = accepted.version;
+          const news = feedAnswerTo(readVersion);
+          readVersion = accepted.version;
           return Ok(news);
         },
       },
@@ -94,7 +98,7 @@
     });
     const entry: Entry = { entryId: brand(name), keeper, isCutOff: false, asked };
     const repeat = async (run: () => Promise<void>, everyMs: number): Promise<void> => {
-      while (!isOver) {
+      while (!isStopped) {
         await run();
         await sleep(everyMs);
       }
@@ -126,7 +130,7 @@
 
   beforeEach(async () => {
     vi.useFakeTimers();
-    isOver = false;
+    isStopped = false;
     accepted = configurationOf(1);
     entries = [];
     ['one', 'two', 'three', 'four'].forEach((name) => entries.push(addEntry(name)));
@@ -134,11 +138,11 @@
   });
 
   afterEach(() => {
-    isOver = true;
+    isStopped = true;
     vi.useRealTimers();
   });
 
-  it('comes from the table alone while that answers', async () => {
+  it('comes from the table only, without questions to neighbours, while the table answers', async () => {
     accepted = configurationOf(2);
     await vi.advanceTimersByTimeAsync(5000);
     expect(entries.map(versionOf)).toEqual([2, 2, 2, 2]);
@@ -146,7 +150,7 @@
   });
 
   it.each([0, 300, 700, 1000, 1300, 1900])(
-    'is in force within 2 s at an entry cut off %i ms before its acceptance',
+    'is in force within 2 s at an entry that lost the table %i ms before its acceptance',
     async (beforeMs) => {
       const [cutOff] = entries as [Entry];
       cutOff.isCutOff = true;
@@ -157,29 +161,29 @@
     },
   );
 
-  it('comes from the one neighbour that the table answers', async () => {
+  it('comes from the only neighbour that can reach the table, which is then asked alone', async () => {
     const [first, second, third] = entries as [Entry, Entry, Entry];
     [first, second, third].forEach((entry) => Object.assign(entry, { isCutOff: true }));
     accepted = configurationOf(2);
     await vi.advanceTimersByTimeAsync(8000);
     expect([first, second, third].map(versionOf)).toEqual([2, 2, 2]);
-    // Once found it is asked alone, twice a second.
-    const before = first.asked.length;
+    // Once found, only this neighbour is asked, twice a second.
+    const askedBefore = first.asked.length;
     await vi.advanceTimersByTimeAsync(2000);
-    const since = first.asked.slice(before);
-    expect(since.length).toBeLessThanOrEqual(4);
-    expect(new Set(since)).toEqual(new Set(['four']));
+    const askedSince = first.asked.slice(askedBefore);
+    expect(askedSince.length).toBeLessThanOrEqual(4);
+    expect(new Set(askedSince)).toEqual(new Set(['four']));
   });
 
-  it('takes a twentieth of its bytes or less on the way between entries', () => {
+  it('is compressed to a twentieth of its size or less when it is sent to another entry', () => {
     const { packed } = (entries[0] as Entry).keeper.answerNeighbour(0);
     const plainBytes = JSON.stringify(accepted).length;
     expect(packed?.length).toBeLessThan(plainBytes / 20);
   });
 
-  it('never goes back, in whatever order the table and neighbours tell it', async () => {
+  it('never returns to a lower version, whatever the order of updates from the table and neighbours', async () => {
     vi.useRealTimers();
-    /** What a neighbour that has this version answers, whatever it was asked with. */
+    /** The answer of a neighbour that has this version, as if it were asked by an entry without one. */
     const answerOf = async (version: number) => {
       const neighbour = keeperOf(async () => version);
       await neighbour.follow();
@@ -189,7 +193,7 @@
       fc.record({ byTable: fc.boolean(), version: fc.integer({ min: 1, max: 9 }) }),
     );
     await fc.assert(
-      fc.asyncProperty(steps, async (told) => {
+      fc.asyncProperty(steps, async (updates) => {
         let version = 0;
         let nowMs = 0;
         let highest = 0;
@@ -198,9 +202,9 @@
           async () => answerOf(version),
           () => nowMs,
         );
-        for (let step = 0; step < told.length; step += 1) {
-          const { byTable, version: toldVersion } = told[step] as (typeof told)[number];
-          version = toldVersion;
+        for (let step = 0; step < updates.length; step += 1) {
+          const { byTable, version: nextVersion } = updates[step] as (typeof updates)[number];
+          version = nextVersion;
           nowMs += 10_000;
           await (byTable ? keeper.follow() : keeper.askNeighbours());
           const inForce = keeper.index()?.configuration.version ?? 0;
@@ -211,14 +215,16 @@
     );
   });
 
-  it('tells the loss of the table and its return once each, however often it was asked', async () => {
-    // 35 entries that a table turned away wrote 2,818 lines in 10 s.
+  it('logs the loss of the table and its return once each, however many reads fail', async () => {
+    // Guards against a log line per failed read: 35 entries that the table rejected wrote 2,818 lines in 10 s.
     const lines: string[] = [];
-    let isAway = true;
+    let isTableDown = true;
     const keeper = createConfigurationKeeper({
       feed: {
         next: async () =>
-          isAway ? Err({ kind: 'unreachable', detail: 'the store answered 503' }) : Ok(newsFor(0)),
+          isTableDown
+            ? Err({ kind: 'unreachable', detail: 'the store answered 503' })
+            : Ok(feedAnswerTo(0)),
       },
       neighbours: () => [],
       ask: async () => undefined,
@@ -226,12 +232,12 @@
       log: createLog({ sink: (line) => lines.push(line) }),
       metrics: createMetrics(),
     });
-    for (let one = 0; one < 90; one += 1) await keeper.follow();
-    isAway = false;
+    for (let attempt = 0; attempt < 90; attempt += 1) await keeper.follow();
+    isTableDown = false;
     await keeper.follow();
-    const told = lines.filter((line) => line.includes('operator-feed'));
-    expect(told).toHaveLength(2);
-    expect(told[0]).toContain('event=operator-feed-lost');
-    expect(told[1]).toContain('failures=90');
+    const feedLines = lines.filter((line) => line.includes('operator-feed'));
+    expect(feedLines).toHaveLength(2);
+    expect(feedLines[0]).toContain('event=operator-feed-lost');
+    expect(feedLines[1]).toContain('failures=90');
   });
 });
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the configuration of an entry in step with the accepted one. The operator's feed brings it;
- * while the feed says nothing, neighbours are asked, since an entry that the table does not reach may
- * well be reached by its clients. The configuration moves only to higher versions, whoever tells it.
+ * Keeps the configuration of an entry up to date with the accepted one. It comes from the operator's feed. While the
+ * feed does not answer, the entry asks its neighbours, since clients may still reach an entry that cannot reach the
+ * table. The version in force never decreases, whichever source a configuration comes from.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 
@@ -25,104 +25,125 @@
   type ToldEvacuations,
 } from './evacuation-keeper.js';
 
-/** A waiting read of the operator's orders: a change is in force within 2 s also if one is lost. */
-const OPERATOR_WAIT_MS = 1000;
 /**
- * A feed that has said nothing for so long is overdue: its answers come each 1.1 s. With the pause
- * between two questions a change is in force 2 s after its acceptance at an entry that is cut off.
+ * How long a read of the operator's feed waits for changes. It is short enough that a change is in force within 2 s even
+ * if one read is lost.
  */
-const OVERDUE_MS = 1300;
+const FEED_WAIT_MS = 1000;
+/**
+ * A feed that has not answered for this time is overdue; a working feed answers every 1.1 s. Together with
+ * `ASK_NEIGHBOURS_EVERY_MS` it must stay below 2 s, so that a change is in force within 2 s of its acceptance at an entry
+ * that cannot reach the table.
+ */
+const FEED_OVERDUE_MS = 1300;
+/** The interval at which an entry with an overdue feed asks its neighbours. */
 export const ASK_NEIGHBOURS_EVERY_MS = 500;
-const ASK_MS = 400;
-/** Requests that are in doubt share the questions of this time. */
-const REFRESH_EVERY_MS = 200;
-/** A cut often takes several entries, and rows of entries that are gone stay. */
-const ASKED_AT_ONCE = 2;
-/** A neighbour that had no answer of the table a longer time ago may have one now. */
-const NEIGHBOURS_AWAY_MS = 2000;
-/** Routes are alike: a tenth of their bytes is left. The best compression takes five times as long. */
-const FASTEST = { level: 1 };
-/** What a packed configuration may grow to: some 100,000 queues. */
-const MOST_BYTES = 32 * 1024 * 1024;
-
-/** The method of the mesh by which entries ask each other. */
+/** How long to wait for the answer of a neighbour. */
+const NEIGHBOUR_TIMEOUT_MS = 400;
+/** Client requests that call for a refresh within this interval share one round of questions to neighbours. */
+const MIN_REFRESH_INTERVAL_MS = 200;
+/**
+ * How many neighbours are asked at once. One is not enough, since a network fault often cuts off several entries and the
+ * rows of entries that no longer exist stay in the table.
+ */
+const NEIGHBOURS_PER_ROUND = 2;
+/**
+ * How long it counts that neighbours could not reach the table either. After this time the table may be answering them
+ * again.
+ */
+const NEIGHBOUR_ANSWERS_VALID_MS = 2000;
+/**
+ * The routes of a configuration are similar, so the fastest level already compresses to a tenth of the size. The best
+ * level takes five times as long.
+ */
+const FASTEST_COMPRESSION = { level: 1 };
+/** The maximum size of an unpacked configuration: enough for about 100,000 queues. */
+const MAX_UNPACKED_BYTES = 32 * 1024 * 1024;
+
+/** The mesh method by which entries ask each other for the configuration. */
 export const CONFIGURATION_METHOD = 'configuration';
 
-/** What an entry tells the neighbour that it asks. */
+/** What an entry sends to a neighbour to ask for a newer configuration. */
 export type NeighbourQuestion = {
-  /** Of the configuration that it has; 0 for none. */
+  /** The version of the configuration in force at the entry that asks; 0 without one. */
   readonly version: number;
+  /** The evacuation view of the entry that asks. */
   readonly evacuations: ToldEvacuations;
 };
 
-/** What a neighbour says of its configuration. */
+/** The answer of a neighbour. */
 export type NeighbourAnswer = {
-  /** The configuration, packed, where it is newer than the one asked with. */
+  /** The compressed configuration of the neighbour; null if it is not newer than the version in the question. */
   readonly packed: Uint8Array | null;
-  /** False if the neighbour's own feed is overdue: others may know more. */
+  /** False if the neighbour's own feed is overdue, so that another entry may have a newer configuration. */
   readonly isUpToDate: boolean;
-  /** Left out by entries of an earlier release. */
+  /** The neighbour's evacuation view; undefined if it runs an earlier release. */
   readonly evacuations?: ToldEvacuations;
 };
 
 export type ConfigurationKeeperOptions = {
   readonly feed: OperatorFeed;
+  /** The entries that can be asked. */
   readonly neighbours: () => readonly EntryId[];
   readonly ask: AskPeer;
+  /** Called with the maintenance waves that the feed delivers. */
   readonly onWaves: (waves: readonly MaintenanceRequest[]) => void;
-  /** Told of evacuations by the same feed and neighbours. */
+  /** Receives the evacuations that the same feed and neighbours deliver. If omitted, their age is not bounded. */
   readonly evacuations?: EvacuationKeeper;
   readonly log: Log;
   readonly metrics: Metrics;
+  /** The monotonic clock. */
   readonly nowMs?: () => number;
   readonly random?: () => number;
 };
 
-/** How far what is in force here can be believed to be the newest. */
+/** How up to date the configuration in force at an entry is. */
 export type Currency = {
+  /** The version in force; 0 without a configuration. */
   readonly version: number;
-  /** Since when a newer one may have come into force unheard of. */
+  /** The time since it was last confirmed that there is no newer version; Infinity if that never happened. */
   readonly ageMs: number;
-  /** The feed is overdue, and so is every neighbour that was asked. */
+  /** True if the feed and every neighbour that was asked are overdue, so that a newer version may be in force. */
   readonly isDoubtful: boolean;
 };
 
 export type ConfigurationKeeper = {
+  /** The configuration in force; undefined before the first one is known. */
   readonly index: () => QueueIndex | undefined;
   readonly currency: () => Currency;
   /**
-   * Asks neighbours now, if the feed is overdue and they were not just asked: for a request that only a newer
-   * configuration may allow.
+   * Asks neighbours at once if the feed is overdue and they were not asked within the last 200 ms. Used for a client
+   * request that the configuration in force does not allow, but a newer one may.
    */
   readonly refresh: () => Promise<void>;
-  /** Waits for what the operator orders; to be called again and again. */
+  /** Reads the operator's feed once, and waits for a change if nothing is missing or too old. Called in a loop. */
   readonly follow: () => Promise<void>;
-  /** Asks neighbours if the feed is overdue; to be called each `ASK_NEIGHBOURS_EVERY_MS`. */
+  /** Asks neighbours if the feed is overdue; called every `ASK_NEIGHBOURS_EVERY_MS`. */
   readonly askNeighbours: () => Promise<void>;
-  /** Answers a neighbour; entries of an earlier release ask with the version alone. */
+  /** Answers a neighbour. Entries of an earlier release send only the version. */
   readonly answerNeighbour: (question: NeighbourQuestion | number) => NeighbourAnswer;
   /**
-   * Has the belief about evacuations confirmed at once: by the feed without waiting for changes, and by neighbours if
-   * that fails. Calls while one is under way share it.
+   * Confirms the evacuation view at once: by a read of the feed that does not wait for changes, or by neighbours if that
+   * read fails. Calls made while a confirmation is in flight share it.
    */
   readonly confirmEvacuations: () => Promise<void>;
-  /** True if neighbours that were asked lately answered, and the table answers none of them. */
+  /** True if neighbours have recently answered, and none of them can reach the table. */
   readonly isAwayForNeighbours: () => boolean;
 };
 
 const pack = (configuration: BatchConfiguration): Uint8Array =>
-  deflateRawSync(JSON.stringify(configuration), FASTEST);
+  deflateRawSync(JSON.stringify(configuration), FASTEST_COMPRESSION);
 
 const unpack = (packed: Uint8Array): BatchConfiguration => {
-  const text = inflateRawSync(packed, { maxOutputLength: MOST_BYTES }).toString('utf8');
+  const text = inflateRawSync(packed, { maxOutputLength: MAX_UNPACKED_BYTES }).toString('utf8');
   return JSON.parse(text) as BatchConfiguration;
 };
 
 /**
- * Builds the keeper.
+ * Creates the configuration keeper of an entry.
  *
- * @param options - The operator's feed, and the neighbours.
- * @returns The keeper, without a configuration at first.
+ * @param options - The operator's feed, access to neighbours, and the evacuation keeper.
+ * @returns The keeper. It has no configuration until the feed or a neighbour has delivered one.
  */
 export const createConfigurationKeeper = ({
   feed,
@@ -136,121 +157,137 @@
   random = Math.random,
 }: ConfigurationKeeperOptions): ConfigurationKeeper => {
   let index: QueueIndex | undefined;
-  let readAtMs = nowMs();
-  /** When the feed, or a neighbour whose feed was up to date, last told that there is nothing newer. */
+  let lastFeedAnswerAtMs = nowMs();
+  /** When the feed, or a neighbour with an up-to-date feed, last confirmed that no newer version exists. */
   let confirmedAtMs = -Infinity;
   let refreshedAtMs = -Infinity;
   let refreshing: Promise<void> | undefined;
-  /** Packed once for all neighbours that ask. */
+  /** The compressed configuration, cached for all neighbours that ask. */
   let packed: { readonly version: number; readonly bytes: Uint8Array } | undefined;
-  /** Readings without an answer since the last answer. */
+  /** How many reads of the feed have failed since the last one that succeeded. */
   let failures = 0;
-  /** Asked again, and alone, while its own feed is up to date. */
-  let goodNeighbour: EntryId | undefined;
-  let neighboursAwayAtMs = -Infinity;
+  /** The neighbour whose feed was up to date in the last round. While that holds, only it is asked. */
+  let upToDateNeighbour: EntryId | undefined;
+  /** When neighbours last answered that they cannot reach the table; -Infinity if one of them can. */
+  let neighboursWithoutTableAtMs = -Infinity;
   let confirming: Promise<void> | undefined;
-  /** The last answer of the feed was a full reading, which may be stale. */
-  let wasWhole = false;
+  /** True if the feed's last answer was a full read, which may be stale. */
+  let wasFullRead = false;
 
   const versionInForce = (): number => index?.configuration.version ?? 0;
 
-  const silentMs = (): number => Math.round(nowMs() - readAtMs);
+  const feedSilentMs = (): number => Math.round(nowMs() - lastFeedAnswerAtMs);
 
-  const isOverdue = (): boolean => silentMs() > OVERDUE_MS;
+  const isFeedOverdue = (): boolean => feedSilentMs() > FEED_OVERDUE_MS;
 
-  const take = (configuration: BatchConfiguration, how: Parameters<Log['info']>[1]): void => {
-    const before = index;
+  const applyConfiguration = (
+    configuration: BatchConfiguration,
+    source: Parameters<Log['info']>[1],
+  ): void => {
+    const previous = index;
     index = newerConfiguration(index, configuration);
     metrics.gauge('configuration_version', versionInForce());
     log.info('configuration-read', {
       version: configuration.version,
       queues: configuration.queues.length,
-      isInForce: index !== before,
-      ...how,
+      isInForce: index !== previous,
+      ...source,
     });
   };
 
-  /** A table that refuses an entry does so nine times a second: the first and the last are logged. */
-  const noteFailure = (error: PlatformError): void => {
+  /** A table that rejects an entry does so nine times a second. Only the first failure and the recovery are logged. */
+  const recordFeedFailure = (error: PlatformError): void => {
     metrics.count('operator_feed_failed');
     failures += 1;
     if (failures > 1) return;
     log.warn('operator-feed-lost', {
       ...error,
       version: versionInForce(),
-      silentMs: silentMs(),
+      silentMs: feedSilentMs(),
     });
   };
 
-  const noteAnswer = (): void => {
+  const recordFeedAnswer = (): void => {
     if (failures === 0) return;
-    log.info('operator-feed-regained', { failures, silentMs: silentMs() });
+    log.info('operator-feed-regained', { failures, silentMs: feedSilentMs() });
     failures = 0;
   };
 
-  /** Reads the feed once; undefined without an answer. */
-  const read = async (waitMs: number): Promise<OperatorNews | undefined> => {
+  /** Reads the feed once; returns undefined if it does not answer. */
+  const readFeed = async (waitMs: number): Promise<OperatorNews | undefined> => {
     const askedAtMs = nowMs();
     const news = await feed.next(waitMs);
     if (news.isErr()) {
-      noteFailure(news.error);
+      recordFeedFailure(news.error);
       return undefined;
     }
-    noteAnswer();
+    recordFeedAnswer();
     const { configuration, faults = [], waves, reading } = news.value;
     metrics.count('operator_feed_bytes', reading.bytes);
     metrics.time('operator_feed_arriving', reading.arrivingMs * 1000);
-    if (configuration) take(configuration, { from: 'table', silentMs: silentMs(), ...reading });
+    if (configuration)
+      applyConfiguration(configuration, { from: 'table', silentMs: feedSilentMs(), ...reading });
     faults.forEach((detail) => log.warn('configuration-fault', { detail }));
-    readAtMs = nowMs();
-    confirmedAtMs = readAtMs;
+    lastFeedAnswerAtMs = nowMs();
+    confirmedAtMs = lastFeedAnswerAtMs;
     if (news.value.evacuations) evacuations.take(news.value.evacuations, askedAtMs);
     if (waves.length > 0) onWaves(waves);
     return news.value;
   };
 
   /**
-   * Reads the feed, and asks for changes at once after a full reading where evacuations are bounded: a full reading
-   * may be stale. While each reading is a full one, since the table has forgotten its history, the next call does.
+   * Reads the feed. If the age of the evacuation view is bounded and the answer is the first full read, reads again at
+   * once for the changes since, because a full read may be stale. If that second answer is also a full read, because the
+   * table no longer has the history, further calls read only once each.
    */
-  const readConfirmed = async (waitMs: number): Promise<OperatorNews | undefined> => {
-    const news = await read(waitMs);
-    const isFirstWhole = !wasWhole && news?.evacuations?.isFullRead === true;
-    wasWhole = news?.evacuations?.isFullRead ?? wasWhole;
-    if (!evacuations.isBounded() || !isFirstWhole) return news;
-    const changes = await read(0);
-    wasWhole = changes?.evacuations?.isFullRead ?? wasWhole;
+  const readFeedAndChanges = async (waitMs: number): Promise<OperatorNews | undefined> => {
+    const news = await readFeed(waitMs);
+    const isFirstFullRead = !wasFullRead && news?.evacuations?.isFullRead === true;
+    wasFullRead = news?.evacuations?.isFullRead ?? wasFullRead;
+    if (!evacuations.isBounded() || !isFirstFullRead) return news;
+    const changes = await readFeed(0);
+    wasFullRead = changes?.evacuations?.isFullRead ?? wasFullRead;
     return changes;
   };
 
   const follow = async (): Promise<void> => {
     const mayWait = index !== undefined && evacuations.isRecent();
-    await readConfirmed(mayWait ? OPERATOR_WAIT_MS : 0);
+    await readFeedAndChanges(mayWait ? FEED_WAIT_MS : 0);
   };
 
+  /** Returns the neighbour that was up to date, or neighbours spread over the list from a random start. */
   const chooseNeighbours = (): readonly EntryId[] => {
     const all = neighbours();
-    if (goodNeighbour !== undefined && all.includes(goodNeighbour)) return [goodNeighbour];
-    const first = Math.floor(random() * all.length);
-    return Array.from({ length: Math.min(ASKED_AT_ONCE, all.length) }, (_, step) => {
-      const chosen = (first + step * Math.ceil(all.length / ASKED_AT_ONCE)) % all.length;
+    if (upToDateNeighbour !== undefined && all.includes(upToDateNeighbour))
+      return [upToDateNeighbour];
+    const start = Math.floor(random() * all.length);
+    return Array.from({ length: Math.min(NEIGHBOURS_PER_ROUND, all.length) }, (_, step) => {
+      const chosen = (start + step * Math.ceil(all.length / NEIGHBOURS_PER_ROUND)) % all.length;
       return all[chosen] as EntryId;
     });
   };
 
-  /** Asks one neighbour; gives whether the table answers it, undefined if it did not say. */
-  const askOne = async (neighbour: EntryId): Promise<boolean | undefined> => {
+  /** Asks one neighbour. Returns whether it can reach the table, or undefined if it did not answer. */
+  const askNeighbour = async (neighbour: EntryId): Promise<boolean | undefined> => {
     metrics.count('configuration_questions');
     const version = versionInForce();
     const askedAtMs = nowMs();
     const question: NeighbourQuestion = { version, evacuations: evacuations.tell() };
     try {
-      const answer = (await ask(neighbour, CONFIGURATION_METHOD, question, ASK_MS)) as
-        NeighbourAnswer | undefined;
-      if (answer?.isUpToDate) goodNeighbour = neighbour;
+      const answer = (await ask(
+        neighbour,
+        CONFIGURATION_METHOD,
+        question,
+        NEIGHBOUR_TIMEOUT_MS,
+      )) as NeighbourAnswer | undefined;
+      if (answer?.isUpToDate) upToDateNeighbour = neighbour;
       if (answer?.packed) {
         const { packed: bytes } = answer;
-        take(unpack(bytes), { from: neighbour, silentMs: silentMs(), bytes: bytes.length });
+        applyConfiguration(unpack(bytes), {
+          from: neighbour,
+          silentMs: feedSilentMs(),
+          bytes: bytes.length,
+        });
       }
       if (answer?.isUpToDate) confirmedAtMs = Math.max(confirmedAtMs, askedAtMs);
       if (answer?.evacuations) evacuations.takeAnswer(answer.evacuations, askedAtMs);
@@ -262,22 +299,22 @@
     }
   };
 
-  const askRound = async (): Promise<void> => {
-    const asked = chooseNeighbours();
-    goodNeighbour = undefined;
-    const served = await Promise.all(asked.map(askOne));
-    if (served.includes(true)) neighboursAwayAtMs = -Infinity;
-    else if (served.includes(false)) neighboursAwayAtMs = nowMs();
+  const askChosenNeighbours = async (): Promise<void> => {
+    const chosen = chooseNeighbours();
+    upToDateNeighbour = undefined;
+    const areUpToDate = await Promise.all(chosen.map(askNeighbour));
+    if (areUpToDate.includes(true)) neighboursWithoutTableAtMs = -Infinity;
+    else if (areUpToDate.includes(false)) neighboursWithoutTableAtMs = nowMs();
   };
 
   const askNeighbours = async (): Promise<void> => {
-    if (isOverdue()) await askRound();
+    if (isFeedOverdue()) await askChosenNeighbours();
   };
 
   const confirm = async (): Promise<void> => {
     const askedAtMs = nowMs();
-    const news = await readConfirmed(0);
-    if (news === undefined && !evacuations.isConfirmedSince(askedAtMs)) await askRound();
+    const news = await readFeedAndChanges(0);
+    if (news === undefined && !evacuations.isConfirmedSince(askedAtMs)) await askChosenNeighbours();
   };
 
   const confirmEvacuations = async (): Promise<void> => {
@@ -288,7 +325,7 @@
   };
 
   const refresh = async (): Promise<void> => {
-    if (!isOverdue() || nowMs() - refreshedAtMs < REFRESH_EVERY_MS) return refreshing;
+    if (!isFeedOverdue() || nowMs() - refreshedAtMs < MIN_REFRESH_INTERVAL_MS) return refreshing;
     refreshedAtMs = nowMs();
     refreshing = askNeighbours();
     return refreshing;
@@ -296,10 +333,10 @@
 
   const currency = (): Currency => {
     const ageMs = Math.round(nowMs() - confirmedAtMs);
-    return { version: versionInForce(), ageMs, isDoubtful: ageMs > OVERDUE_MS };
+    return { version: versionInForce(), ageMs, isDoubtful: ageMs > FEED_OVERDUE_MS };
   };
 
-  const packedNow = ({ configuration }: QueueIndex): Uint8Array => {
+  const packedConfiguration = ({ configuration }: QueueIndex): Uint8Array => {
     const { version } = configuration;
     if (packed?.version !== version) packed = { version, bytes: pack(configuration) };
     return packed.bytes;
@@ -312,16 +349,16 @@
     follow,
     askNeighbours,
     answerNeighbour: (question) => {
-      const isPlain = typeof question === 'number';
-      const version = isPlain ? question : question.version;
-      if (!isPlain) evacuations.takeQuestion(question.evacuations);
+      const isVersionOnly = typeof question === 'number';
+      const version = isVersionOnly ? question : question.version;
+      if (!isVersionOnly) evacuations.takeQuestion(question.evacuations);
       return {
-        packed: index && versionInForce() > version ? packedNow(index) : null,
-        isUpToDate: !isOverdue(),
+        packed: index && versionInForce() > version ? packedConfiguration(index) : null,
+        isUpToDate: !isFeedOverdue(),
         evacuations: evacuations.tell(),
       };
     },
     confirmEvacuations,
-    isAwayForNeighbours: () => nowMs() - neighboursAwayAtMs < NEIGHBOURS_AWAY_MS,
+    isAwayForNeighbours: () => nowMs() - neighboursWithoutTableAtMs < NEIGHBOUR_ANSWERS_VALID_MS,
   };
 };
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
@@ -1,4 +1,7 @@
-/** Guards against starts by an entry that has not heard of an evacuation, and against questions that nothing asks for. */
+/**
+ * Guards against task starts by an entry that does not know of an evacuation, and against unnecessary reads of the feed
+ * and questions to neighbours.
+ */
 import { brand, type DataCentreId, type EntryId } from '@valvelatch/core/shared/ids';
 import { Err, Ok } from 'ts-results-es';
 import { describe, expect, it } from 'vitest';
@@ -18,10 +21,10 @@
 const NORTH = brand<DataCentreId>('north');
 const SOUTH = brand<DataCentreId>('south');
 const BOUND_MS = 5000;
-/** A belief of the bound less this is too old. */
-const ORDER_MS = 1000;
+/** A view whose age reaches the bound minus this time is too old to start tasks by it. */
+const START_IN_FLIGHT_MS = 1000;
 
-const written = (dataCentre: DataCentreId, revision: number) => ({
+const writtenRow = (dataCentre: DataCentreId, revision: number) => ({
   dataCentre,
   revision,
   isDeleted: false,
@@ -34,29 +37,29 @@
   isCurrent: true,
 });
 
-const wholeAt = (revision: number, changes: EvacuationNews['changes'] = []): EvacuationNews => ({
+const fullReadAt = (revision: number, changes: EvacuationNews['changes'] = []): EvacuationNews => ({
   changes,
   revision,
   isFullRead: true,
   isCurrent: false,
 });
 
-const LOST = 'lost' as const;
+const NO_ANSWER = 'lost' as const;
 
-/** An entry with a feed that gives these answers one after the other, and the last one again and again. */
-const entryOf = (
-  answers: readonly (EvacuationNews | typeof LOST)[],
+/** Creates an entry whose feed gives these answers in order, and then repeats the last one. */
+const createEntry = (
+  answers: readonly (EvacuationNews | typeof NO_ANSWER)[],
   {
     isBounded = true,
     neighbour,
   }: { readonly isBounded?: boolean; readonly neighbour?: NeighbourAnswer | undefined } = {},
 ) => {
-  const clock = { ms: 0, tripMs: 0 };
+  const clock = { ms: 0, feedDelayMs: 0 };
   const nowMs = (): number => clock.ms;
   const log = createLog({ sink: () => undefined });
   const waits: number[] = [];
   const questions: NeighbourQuestion[] = [];
-  const away = { isTableAway: false };
+  const table = { isUnavailable: false };
   const evacuations = createEvacuationKeeper({
     evacuateMs: () => (isBounded ? BOUND_MS : undefined),
     log,
@@ -67,8 +70,8 @@
       next: async (waitMs) => {
         const news = answers[Math.min(waits.length, answers.length - 1)];
         waits.push(waitMs);
-        clock.ms += clock.tripMs;
-        if (news === LOST) return Err({ kind: 'unknown', detail: 'no answer' });
+        clock.ms += clock.feedDelayMs;
+        if (news === NO_ANSWER) return Err({ kind: 'unknown', detail: 'no answer' });
         return Ok({ waves: [], reading: READING, evacuations: news });
       },
     },
@@ -87,24 +90,24 @@
   const gate = createStartGate({
     evacuations,
     configuration: keeper,
-    isTableAway: () => away.isTableAway,
+    isTableAway: () => table.isUnavailable,
   });
-  return { clock, waits, questions, evacuations, keeper, gate, away };
+  return { clock, waits, questions, evacuations, keeper, gate, table };
 };
 
-const told = (fields: Partial<ToldEvacuations>): ToldEvacuations => ({
+const evacuationMessage = (fields: Partial<ToldEvacuations>): ToldEvacuations => ({
   revision: 0,
   evacuated: [],
   confirmedAgoMs: null,
   ...fields,
 });
 
-describe('what an entry believes of evacuations', () => {
-  describe('by its feed', () => {
-    it('keeps tasks from an evacuated data centre alone, until that is taken back', async () => {
-      const deleted = { ...written(NORTH, 3), isDeleted: true };
-      const { keeper, gate } = entryOf([
-        changesAt(2, [written(NORTH, 2)]),
+describe('the evacuation view of an entry', () => {
+  describe('read from its feed', () => {
+    it('keeps tasks out of an evacuated data centre only, until the evacuation ends', async () => {
+      const deleted = { ...writtenRow(NORTH, 3), isDeleted: true };
+      const { keeper, gate } = createEntry([
+        changesAt(2, [writtenRow(NORTH, 2)]),
         changesAt(3, [deleted]),
       ]);
       await keeper.follow();
@@ -113,17 +116,21 @@
       expect(gate.mayStartIn(NORTH)).toBe(true);
     });
 
-    it('is as old as the question, not as its answer', async () => {
-      // An entry that is paused while an answer waits in its socket must not take that for news.
-      const { clock, keeper, evacuations } = entryOf([changesAt(1)]);
-      clock.tripMs = 9000;
+    it('has an age that counts from the start of the read, not from its answer', async () => {
+      // An entry that was paused while the answer waited in its socket must not treat it as recent.
+      const { clock, keeper, evacuations } = createEntry([changesAt(1)]);
+      clock.feedDelayMs = 9000;
       await keeper.follow();
       expect(evacuations.ageMs()).toBe(9000);
       expect(evacuations.isRecent()).toBe(false);
     });
 
-    it('is not confirmed by a full reading, and is by the changes that are asked for at once', async () => {
-      const { keeper, waits, evacuations } = entryOf([wholeAt(4), wholeAt(4), changesAt(5)]);
+    it('is not confirmed by a full read, but by the read for changes that follows at once', async () => {
+      const { keeper, waits, evacuations } = createEntry([
+        fullReadAt(4),
+        fullReadAt(4),
+        changesAt(5),
+      ]);
       await keeper.follow();
       expect(waits).toHaveLength(2);
       expect(evacuations.isRecent()).toBe(false);
@@ -131,39 +138,39 @@
       expect(evacuations.isRecent()).toBe(true);
     });
 
-    it('costs one question a call while the table has only full readings', async () => {
-      const { keeper, waits } = entryOf([wholeAt(4)]);
+    it('costs one read per call while the table gives only full reads', async () => {
+      const { keeper, waits } = createEntry([fullReadAt(4)]);
       await keeper.follow();
       await keeper.follow();
       await keeper.follow();
       expect(waits).toHaveLength(4);
     });
 
-    it('is not confirmed by an answer that lags behind what is known', async () => {
-      const { keeper, evacuations } = entryOf([changesAt(3)]);
-      evacuations.takeAnswer(told({ revision: 8, evacuated: [[NORTH, 8]] }), 0);
+    it('is not confirmed by an answer with a revision below a known evacuation', async () => {
+      const { keeper, evacuations } = createEntry([changesAt(3)]);
+      evacuations.takeAnswer(evacuationMessage({ revision: 8, evacuated: [[NORTH, 8]] }), 0);
       await keeper.follow();
       expect(evacuations.isRecent()).toBe(false);
       expect(Array.from(evacuations.evacuated())).toEqual([NORTH]);
     });
   });
 
-  describe('by a feed whose version stands while nothing changes', () => {
-    it('is confirmed though a neighbour has read in full at a higher version', async () => {
-      // Otherwise a holder that a neighbour told during a cut would start nothing until the next change.
-      const { keeper, evacuations, clock } = entryOf([changesAt(3)]);
+  describe('read from a feed whose revision stays the same while nothing changes', () => {
+    it('is confirmed even if a neighbour has sent a view with a higher revision', async () => {
+      // Otherwise a holder that got the view from a neighbour while it was cut off would start no task until the next change.
+      const { keeper, evacuations, clock } = createEntry([changesAt(3)]);
       await keeper.follow();
-      evacuations.takeAnswer(told({ revision: 8 }), 0);
+      evacuations.takeAnswer(evacuationMessage({ revision: 8 }), 0);
       clock.ms = BOUND_MS;
       await keeper.follow();
       expect(evacuations.isRecent()).toBe(true);
     });
   });
 
-  describe('where the deployment sets no bound', () => {
-    it('is obeyed, and lets all else start without a question more', async () => {
-      const { clock, keeper, gate, waits } = entryOf(
-        [wholeAt(4, [written(NORTH, 4)]), changesAt(4)],
+  describe('in a deployment without a bound on its age', () => {
+    it('keeps tasks out of evacuated data centres, and allows all other starts without further reads', async () => {
+      const { clock, keeper, gate, waits } = createEntry(
+        [fullReadAt(4, [writtenRow(NORTH, 4)]), changesAt(4)],
         { isBounded: false },
       );
       expect(gate.mayStartIn(NORTH)).toBe(true);
@@ -175,30 +182,38 @@
     });
   });
 
-  describe('by neighbours', () => {
-    it('is told with the time since it was confirmed', async () => {
-      const evacuations = told({ revision: 7, evacuated: [[NORTH, 7]], confirmedAgoMs: 1200 });
+  describe('received from neighbours', () => {
+    it('is as old as the time since the neighbour confirmed it', async () => {
+      const evacuations = evacuationMessage({
+        revision: 7,
+        evacuated: [[NORTH, 7]],
+        confirmedAgoMs: 1200,
+      });
       const neighbour = { packed: null, isUpToDate: true, evacuations };
-      const { clock, keeper, evacuations: own } = entryOf([LOST], { neighbour });
+      const { clock, keeper, evacuations: own } = createEntry([NO_ANSWER], { neighbour });
       clock.ms = 10_000;
       await keeper.askNeighbours();
       expect(Array.from(own.evacuated())).toEqual([NORTH]);
       expect(own.ageMs()).toBe(1200);
     });
 
-    it('is taken from their questions too, which confirm nothing', () => {
-      const { keeper, evacuations } = entryOf([LOST]);
-      const question = told({ revision: 7, evacuated: [[NORTH, 7]], confirmedAgoMs: 0 });
+    it('is also taken from their questions, without confirming it', () => {
+      const { keeper, evacuations } = createEntry([NO_ANSWER]);
+      const question = evacuationMessage({
+        revision: 7,
+        evacuated: [[NORTH, 7]],
+        confirmedAgoMs: 0,
+      });
       const answer = keeper.answerNeighbour({ version: 0, evacuations: question });
       expect(answer.evacuations).toEqual(
-        told({ revision: 7, evacuated: [[NORTH, 7]], confirmedAgoMs: null }),
+        evacuationMessage({ revision: 7, evacuated: [[NORTH, 7]], confirmedAgoMs: null }),
       );
       expect(evacuations.isRecent()).toBe(false);
     });
 
-    it('survives an answer of an earlier release, which tells nothing of it', async () => {
+    it('stays unconfirmed after an answer of an earlier release, which contains no view', async () => {
       const neighbour = { packed: null, isUpToDate: true };
-      const { clock, keeper, evacuations } = entryOf([LOST], { neighbour });
+      const { clock, keeper, evacuations } = createEntry([NO_ANSWER], { neighbour });
       clock.ms = 10_000;
       await keeper.askNeighbours();
       expect(evacuations.isRecent()).toBe(false);
@@ -206,38 +221,38 @@
     });
   });
 
-  describe('of an entry whose belief is too old', () => {
-    const silentFor = async (neighbour: NeighbourAnswer | undefined) => {
-      const entry = entryOf([changesAt(1), LOST], { neighbour });
+  describe('that is too old', () => {
+    const createEntryWithOldView = async (neighbour: NeighbourAnswer | undefined) => {
+      const entry = createEntry([changesAt(1), NO_ANSWER], { neighbour });
       await entry.keeper.follow();
-      entry.clock.ms = BOUND_MS - ORDER_MS - 1;
+      entry.clock.ms = BOUND_MS - START_IN_FLIGHT_MS - 1;
       expect(entry.gate.mayStartIn(SOUTH)).toBe(true);
       entry.clock.ms += 1;
-      entry.away.isTableAway = true;
+      entry.table.isUnavailable = true;
       await entry.keeper.askNeighbours();
       return entry;
     };
 
-    const overdue = { packed: null, isUpToDate: false, evacuations: told({}) };
+    const overdue = { packed: null, isUpToDate: false, evacuations: evacuationMessage({}) };
 
-    it('lets nothing start where no neighbour is reached: the table may be up for others', async () => {
-      expect((await silentFor(undefined)).gate.mayStartIn(SOUTH)).toBe(false);
+    it('allows no start if no neighbour answers, since the table may be available to others', async () => {
+      expect((await createEntryWithOldView(undefined)).gate.mayStartIn(SOUTH)).toBe(false);
     });
 
-    it('lets starts go on where the table answers no neighbour either', async () => {
-      const { gate, clock, away } = await silentFor(overdue);
+    it('allows starts if the table is unavailable to the neighbours too', async () => {
+      const { gate, clock, table } = await createEntryWithOldView(overdue);
       expect(gate.mayStartIn(SOUTH)).toBe(true);
-      // What neighbours said holds for a short time.
+      // The answers of neighbours count only for a short time.
       clock.ms += 2000;
       expect(gate.mayStartIn(SOUTH)).toBe(false);
       clock.ms -= 2000;
-      away.isTableAway = false;
+      table.isUnavailable = false;
       expect(gate.mayStartIn(SOUTH)).toBe(false);
     });
 
-    it('is asked for without waiting, and of neighbours where the feed fails', async () => {
-      const evacuations = told({ revision: 1, confirmedAgoMs: 0 });
-      const { gate, waits, questions } = await silentFor({
+    it('is confirmed by a read that does not wait, and by neighbours if the read fails', async () => {
+      const evacuations = evacuationMessage({ revision: 1, confirmedAgoMs: 0 });
+      const { gate, waits, questions } = await createEntryWithOldView({
         packed: null,
         isUpToDate: true,
         evacuations,
@@ -248,8 +263,8 @@
       expect(gate.mayStartIn(SOUTH)).toBe(true);
     });
 
-    it('is confirmed by one question however many ask for it', async () => {
-      const { gate, waits } = entryOf([changesAt(1)]);
+    it('is confirmed by one read for all concurrent callers', async () => {
+      const { gate, waits } = createEntry([changesAt(1)]);
       await Promise.all([gate.confirm(), gate.confirm(), gate.confirm()]);
       expect(waits).toEqual([0]);
       expect(gate.isConfirmedSince(0)).toBe(true);
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what an entry believes of the operator's evacuations, and when that was last confirmed. It is fed by the
- * operator's feed and by neighbours, through the keeper of the configuration.
+ * Keeps an entry's view of the operator's evacuations, and when that view was last confirmed. Updates come from the
+ * operator's feed and from neighbours, through the configuration keeper.
  */
 import {
   applyEvacuationUpdate,
@@ -13,86 +13,96 @@
 import type { Log } from '../../observe/log.js';
 import type { EvacuationNews } from '../ports.js';
 
-/** An order to start may be under way for so long after the last check. */
-const ORDER_MS = 1000;
+/** How long a start order may be in flight after the last check of the view. */
+const MAX_START_IN_FLIGHT_MS = 1000;
 
-/** A belief as entries tell it to each other. */
+/** An evacuation view as entries send it to each other. */
 export type ToldEvacuations = {
+  /** The table's revision up to which the view is complete; -1 before the first read. */
   readonly revision: number;
+  /** Each evacuated data centre with the revision at which its row was written. */
   readonly evacuated: readonly (readonly [DataCentreId, number])[];
-  /** How long ago it was confirmed; null if it never was. */
+  /** The time since the view was confirmed; null if it never was. */
   readonly confirmedAgoMs: number | null;
 };
 
 export type EvacuationKeeperOptions = {
-  /** How long after an evacuation was ordered the last task may begin there; undefined without a bound. */
+  /** The maximum time between an evacuation order and the last task start there; undefined without a bound. */
   readonly evacuateMs: () => number | undefined;
   readonly log: Log;
+  /** The monotonic clock. */
   readonly nowMs?: () => number;
 };
 
 export type EvacuationKeeper = {
   readonly belief: () => EvacuationView;
+  /** The evacuated data centres. */
   readonly evacuated: () => ReadonlySet<DataCentreId>;
-  /** For how long a newer evacuation may have gone unheard; Infinity before the first confirmation. */
+  /** The time since the view was last confirmed; Infinity before the first confirmation. */
   readonly ageMs: () => number;
-  /** True where the deployment bounds how long an evacuation may go unheard. */
+  /** True if the deployment sets a maximum for the time until an evacuation takes effect. */
   readonly isBounded: () => boolean;
-  /** True if the belief is recent enough for starts, or need not be. */
+  /** True if the view is recent enough to start tasks by it, or the deployment sets no bound. */
   readonly isRecent: () => boolean;
-  /** True if the belief was confirmed by a question that was asked at this time or later. */
+  /** True if the view was confirmed by a read or question that was sent at this time or later. */
   readonly isConfirmedSince: (sinceMs: number) => boolean;
-  /** Takes in what the operator's feed answered to a question of this time. */
+  /** Applies what the operator's feed answered to a read that began at `askedAtMs`. */
   readonly take: (news: EvacuationNews, askedAtMs: number) => void;
-  /** Takes in what a neighbour answered to a question of this time. */
+  /** Merges the view in a neighbour's answer to a question that was sent at `askedAtMs`. */
   readonly takeAnswer: (told: ToldEvacuations, askedAtMs: number) => void;
-  /** Takes in what a neighbour told with its question; that was under way for an unknown time and confirms nothing. */
+  /**
+   * Merges the view that a neighbour sent with its question. It does not confirm the view, since it is not known how long
+   * the question was in flight.
+   */
   readonly takeQuestion: (told: ToldEvacuations) => void;
+  /** Returns the view as it is sent to other entries. */
   readonly tell: () => ToldEvacuations;
 };
 
-const toBelief = ({ revision, evacuated }: ToldEvacuations): EvacuationView => ({
+const toView = ({ revision, evacuated }: ToldEvacuations): EvacuationView => ({
   revision,
   evacuated: new Map(evacuated),
 });
 
 /**
- * Builds the keeper.
+ * Creates the evacuation keeper of an entry.
  *
  * @param options - The bound, the log and the clock.
- * @returns The keeper; it believes in no evacuation, and that is not confirmed.
+ * @returns The keeper. Its view is empty and unconfirmed.
  */
 export const createEvacuationKeeper = ({
   evacuateMs,
   log,
   nowMs = () => performance.now(),
 }: EvacuationKeeperOptions): EvacuationKeeper => {
-  let belief = UNREAD_EVACUATION_VIEW;
+  let view = UNREAD_EVACUATION_VIEW;
   let evacuated: ReadonlySet<DataCentreId> = new Set();
   let confirmedAtMs = -Infinity;
-  /** The highest version that the own feed has told. */
+  /** The highest revision that this entry's own feed has reported; -1 before the first read. */
   let feedRevision = -1;
 
   const ageMs = (): number => nowMs() - confirmedAtMs;
 
   const isRecent = (): boolean => {
     const boundMs = evacuateMs();
-    return boundMs === undefined || ageMs() < boundMs - ORDER_MS;
+    return boundMs === undefined || ageMs() < boundMs - MAX_START_IN_FLIGHT_MS;
   };
 
   /**
-   * An answer of a part of the table that lags behind says nothing about now. The revision of a neighbour's belief does
-   * not show that: a table need not raise the version of a feed without changes.
+   * True if an answer comes from a replica of the table that lags behind, so that it does not confirm the view. The
+   * revision of a view received from a neighbour can't be used to detect this, since the table need not raise the
+   * revision of a feed without changes.
    */
   const isLagging = (revision: number): boolean =>
-    revision < Math.max(feedRevision, ...belief.evacuated.values());
+    revision < Math.max(feedRevision, ...view.evacuated.values());
 
-  const believe = (next: EvacuationView, source: string): void => {
-    const before = evacuated;
-    belief = next;
+  const updateView = (next: EvacuationView, source: string): void => {
+    const previous = evacuated;
+    view = next;
     evacuated = new Set(next.evacuated.keys());
     const isSame =
-      before.size === evacuated.size && Array.from(before).every((one) => evacuated.has(one));
+      previous.size === evacuated.size &&
+      Array.from(previous).every((dataCentre) => evacuated.has(dataCentre));
     if (isSame) return;
     log.info('evacuations-read', {
       revision: next.revision,
@@ -101,31 +111,31 @@
     });
   };
 
-  const confirm = (atMs: number): void => {
+  const recordConfirmation = (atMs: number): void => {
     confirmedAtMs = Math.max(confirmedAtMs, atMs);
   };
 
   return {
-    belief: () => belief,
+    belief: () => view,
     evacuated: () => evacuated,
     ageMs,
     isBounded: () => evacuateMs() !== undefined,
     isRecent,
     isConfirmedSince: (sinceMs) => confirmedAtMs >= sinceMs,
     take: (news, askedAtMs) => {
-      const isNews = news.isCurrent && !isLagging(news.revision);
+      const isConfirmation = news.isCurrent && !isLagging(news.revision);
       feedRevision = Math.max(feedRevision, news.revision);
-      believe(applyEvacuationUpdate(belief, news), 'table');
-      if (isNews) confirm(askedAtMs);
+      updateView(applyEvacuationUpdate(view, news), 'table');
+      if (isConfirmation) recordConfirmation(askedAtMs);
     },
     takeAnswer: (told, askedAtMs) => {
-      believe(mergeEvacuationViews(belief, toBelief(told)), 'neighbour');
-      if (told.confirmedAgoMs !== null) confirm(askedAtMs - told.confirmedAgoMs);
+      updateView(mergeEvacuationViews(view, toView(told)), 'neighbour');
+      if (told.confirmedAgoMs !== null) recordConfirmation(askedAtMs - told.confirmedAgoMs);
     },
-    takeQuestion: (told) => believe(mergeEvacuationViews(belief, toBelief(told)), 'neighbour'),
+    takeQuestion: (told) => updateView(mergeEvacuationViews(view, toView(told)), 'neighbour'),
     tell: () => ({
-      revision: belief.revision,
-      evacuated: Array.from(belief.evacuated),
+      revision: view.revision,
+      evacuated: Array.from(view.evacuated),
       confirmedAgoMs: confirmedAtMs === -Infinity ? null : ageMs(),
     }),
   };
--- a/packages/daemon/src/batch/configuration/start-gate.ts
+++ b/packages/daemon/src/batch/configuration/start-gate.ts
@@ -1,4 +1,4 @@
-/** Whether orders to start may leave an entry, by what it believes of the operator's evacuations. */
+/** Decides by an entry's view of the operator's evacuations whether it may send start orders. */
 import { UNREAD_EVACUATION_VIEW, type EvacuationView } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
@@ -8,26 +8,26 @@
 export type StartGateOptions = {
   readonly evacuations: EvacuationKeeper;
   readonly configuration: Pick<ConfigurationKeeper, 'confirmEvacuations' | 'isAwayForNeighbours'>;
-  /** The table answers neither this entry nor the neighbours that it asks. */
+  /** True if the table does not answer this entry, neither directly nor through its neighbours. */
   readonly isTableAway: () => boolean;
 };
 
 export type StartGate = {
   readonly belief: () => EvacuationView;
   readonly evacuated: () => ReadonlySet<DataCentreId>;
-  /** For how long a newer evacuation may have gone unheard. */
+  /** The time since the view was last confirmed; a newer evacuation may exist for as long. Infinity before the first. */
   readonly ageMs: () => number;
-  /** False while a newer evacuation may have gone unheard for too long: nothing may start anywhere. */
+  /** False while the view is older than the deployment allows, so that no task may start in any data centre. */
   readonly isOpen: () => boolean;
-  /** True if the belief was confirmed since this time, or need not be. */
+  /** True if the view was confirmed by a read or question sent since this time, or the deployment sets no bound. */
   readonly isConfirmedSince: (sinceMs: number) => boolean;
-  /** True if a task may start in a data centre now. */
+  /** True if a task may start in this data centre now. */
   readonly mayStartIn: (dataCentre: DataCentreId) => boolean;
-  /** Has the belief confirmed without waiting for the next reading of the feed. */
+  /** Confirms the view at once, without waiting for the next read of the feed. */
   readonly confirm: () => Promise<void>;
 };
 
-/** The gate of an entry without evacuations. */
+/** A gate that allows every start, for an entry without evacuations. */
 export const OPEN_GATE: StartGate = {
   belief: () => UNREAD_EVACUATION_VIEW,
   evacuated: () => new Set(),
@@ -39,9 +39,9 @@
 };
 
 /**
- * Builds the gate of an entry.
+ * Creates the start gate of an entry.
  *
- * @param options - What is believed, how it is confirmed, and whether the table is away.
+ * @param options - The evacuation view, how to confirm it, and whether the table is unavailable.
  * @returns The gate.
  */
 export const createStartGate = ({
@@ -50,12 +50,14 @@
   isTableAway,
 }: StartGateOptions): StartGate => {
   /**
-   * While the table is away for all, no operator is answered. An entry that reaches neither the table nor a neighbour
-   * cannot tell that from a cut of its own.
+   * True if the table is unavailable to this entry and to its neighbours. Starts may then go on, since no operator can
+   * order an evacuation either. It is false for an entry that reaches neither the table nor a neighbour: the entry itself
+   * may be cut off while the table accepts orders.
    */
-  const isAwayForAll = (): boolean => isTableAway() && configuration.isAwayForNeighbours();
+  const isTableUnavailableForAll = (): boolean =>
+    isTableAway() && configuration.isAwayForNeighbours();
 
-  const isOpen = (): boolean => evacuations.isRecent() || isAwayForAll();
+  const isOpen = (): boolean => evacuations.isRecent() || isTableUnavailableForAll();
 
   return {
     belief: evacuations.belief,
