--- a/packages/daemon/src/batch/hosts/completed-waves.test.ts
+++ b/packages/daemon/src/batch/hosts/completed-waves.test.ts
@@ -1,14 +1,11 @@
 /**
- * The story. The operator was told that a wave of maintenance was completed, and all 17 hosts of it
- * went down afterwards. The wave had just been ordered when the holder of control was replaced, and
- * the platform's list of hosts was away at that moment. The new holder's first reading of the list
- * failed, and it went on with what it had: no hosts. A host that the list does not have counted as
- * gone for good, so that each host of the wave was accounted for, 0.2 s after the holder had recovered.
- *
- * The evidence. With the list away (resetting, silent, slow or answering 503) and the holder replaced,
- * four plays of four reported the wave so; with either of the two alone none did. The holder's log
- * says `host-list-lost listAgeMs=never` and `wave-reported state=completed done=0 unlisted=17 listed=0`.
- * Once the list was back the same holder reported the wave as running and took its hosts down.
+ * Guards against a maintenance wave that is reported as completed while its hosts have yet to go down. It happened if the
+ * control holder was replaced just after the wave was ordered, while the platform's list of hosts was unavailable
+ * (connections reset, no answer, slow or 503). The new holder could not read the list, so its inventory was empty, and a
+ * host that is not listed counted as gone for good. 0.2 s after its recovery it reported the wave as completed; the log
+ * had `host-list-lost listAgeMs=never` and `wave-reported state=completed done=0 unlisted=17 listed=0`. Once the list was
+ * back, it reported the wave as running and took all 17 hosts down. Four of four runs with both faults failed this way,
+ * and none with only one of them.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId } from '@valvelatch/core/shared/ids';
@@ -19,7 +16,7 @@
 const WITHIN_MS = 40_000;
 const MAXIMUM = 2;
 
-describe('a wave that is reported as completed', () => {
+describe('the report that a wave is completed', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -44,8 +41,8 @@
       .filter(({ event }) => event === 'wave-reported')
       .map(({ fields }) => (fields as { state: string }).state);
 
-  describe('by a holder that cannot read the list of hosts', () => {
-    it('is not, while the list has never been read: none of its hosts has gone down', async () => {
+  describe('by a new holder that cannot read the list of hosts', () => {
+    it('is not sent before the list has been read, as no host has gone down', async () => {
       const fleet = await started({ hostsPerPool: 6 });
       await advance(2000);
       fleet.faults.isHostListDown = true;
@@ -61,9 +58,9 @@
     });
   });
 
-  describe('by a list that leaves out a host that stays', () => {
-    it('is not, before the host has gone down like all others', async () => {
-      // A list of several pages is no picture of one moment: what moves between pages is left out.
+  describe('with a list that omits a host that still exists', () => {
+    it('is not sent before that host has gone down too', async () => {
+      // A list of several pages is not a consistent snapshot: a host that moves between pages may be omitted.
       const fleet = await started({ hostsPerPool: 6 });
       await advance(2000);
       const hosts = orderWave(fleet, 1);
@@ -78,9 +75,9 @@
     });
   });
 
-  describe('by orders that the platform refuses', () => {
-    it('is not, and they are sent again until the hosts have gone down', async () => {
-      // The platform refuses an order of a wave that it has not read yet.
+  describe('with orders that the platform refuses', () => {
+    it('is not sent, and the orders are repeated until the hosts have gone down', async () => {
+      // The platform refuses an order for a wave that it has not read yet.
       const fleet = await started({ hostsPerPool: 6 });
       await advance(2000);
       const hosts = orderWave(fleet);
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -1,4 +1,4 @@
-/** Orders to hosts, by the holder alone: moves between pools, and maintenance of waves. */
+/** Sends orders to hosts: moves between pools, and maintenance for waves. Runs only at the control holder. */
 import {
   applyOrderOutcome,
   DEFAULT_POOL_POLICY,
@@ -31,54 +31,66 @@
 import type { BatchPlatform } from '../ports.js';
 import { createWaveKeeper, type KnownWave } from './wave-keeper.js';
 
-/** Pause between cycles: a wave of 26 s over 15 hosts leaves no second idle. */
+/** The pause between cycles. It is short because a wave over 15 hosts within 26 s has no second to spare. */
 const CYCLE_MS = 250;
-/** The list is read at least so often; while hosts change, at each cycle. */
-const LIST_EVERY_MS = 1000;
-const LIST_BUSY_MS = 400;
-/** The platform's list of hosts may lag. */
-const LIST_LAG_MS = 300;
-const NOTE_POOLS_MS = 1000;
-/** A host that was ordered to move is left alone for so long. */
-const MOVE_SETTLES_MS = 3000;
+/** The age at which the list of hosts is read again. */
+const LIST_INTERVAL_MS = 1000;
+/** The age at which it is read again while hosts are being moved or maintained. */
+const BUSY_LIST_INTERVAL_MS = 400;
+/** How far the platform's list of hosts may lag behind the state of the hosts. */
+const MAX_LIST_LAG_MS = 300;
+/** The interval at which the state of the pools is logged. */
+const POOL_LOG_INTERVAL_MS = 1000;
+/** A host that was ordered to move is not planned for another move for this time. */
+const MOVE_SETTLE_MS = 3000;
 
 export type FleetCycleOptions = {
   readonly self: EntryId;
+  /** The fencing token of the term, sent with every order. */
   readonly fence: number;
+  /** The condition under which rows are written, so that a former holder writes nothing. */
   readonly fenceCheck: RowCheck;
   readonly platform: BatchPlatform;
   readonly state: BatchState;
   readonly log: Log;
   readonly metrics: Metrics;
+  /** The monotonic clock. */
   readonly nowMs: () => number;
+  /** The wall clock. */
   readonly todayMs: () => number;
+  /** True while this entry may send orders. */
   readonly mayOrder: () => boolean;
-  /** No order is sent before this time of the term. */
+  /** No order is sent until this time has passed since the start of the term. */
   readonly orderAfterMs: number;
   readonly configuration: () => QueueIndex | undefined;
+  /** Removes an endpoint that the list of hosts shows to be gone. */
   readonly dropEndpoint: (endpointId: EndpointId, evidence: GoneEvidence) => void;
 };
 
 export type FleetCycle = {
+  /** The pause between calls of `run`. */
   readonly everyMs: number;
-  /** Orders what is due of moves and waves. */
+  /** Reads the list of hosts if it is old, and sends the orders that are due for waves and pool moves. */
   readonly run: () => Promise<void>;
-  /** Reads and writes how waves stand; apart from `run`, which must not wait for the table. */
+  /** Reads and writes the state of waves. Separate from `run`, which must not wait for the table. */
   readonly follow: () => Promise<void>;
+  /** Reads the list of hosts. */
   readonly refreshHosts: () => Promise<void>;
+  /** Adds waves that this entry has learned of; those already known are ignored. */
   readonly takeWaves: (known: readonly KnownWave[]) => void;
-  /** How long no host has been ordered. */
+  /** The time since the last order to a host, or since the start of the term if it has sent none. */
   readonly idleMs: () => number;
+  /** The hosts as of the last list. */
   readonly inventory: () => HostInventory;
   readonly waves: () => readonly MaintenanceWave[];
-  /** True if each host of a wave has been down and is back, or has left for good. */
+  /** True if every host of the wave has been down and is back, or has left the fleet for good. */
   readonly isComplete: (wave: MaintenanceWave) => boolean;
 };
 
 /**
- * Builds the cycle over hosts of one term.
+ * Creates the fleet cycle of one term.
  *
- * @param options - The term.
+ * @param options - The term, its state and the platform.
  * @returns The cycle.
  */
 export const createFleetCycle = ({
@@ -96,13 +108,15 @@
   configuration,
   dropEndpoint,
 }: FleetCycleOptions): FleetCycle => {
-  const bornAtMs = nowMs();
+  const termStartedAtMs = nowMs();
   const orderer = { holder: self, fence };
+  /** When each host was last ordered to move. */
   const movedAtMs = new Map<HostId, number>();
-  const unsettled = new Map<HostId, PoolMove>();
-  let notedPoolsAtMs = -Infinity;
-  /** Before the first order of this term, that of an earlier one may be as recent. */
-  let lastOrderAtMs = bornAtMs;
+  /** The moves whose order got no answer, so that they may still be carried out. */
+  const movesWithoutAnswer = new Map<HostId, PoolMove>();
+  let poolsLoggedAtMs = -Infinity;
+  /** Starts at the beginning of the term, since an earlier holder may have sent an order just before. */
+  let lastOrderAtMs = termStartedAtMs;
 
   const roster = createHostRoster({
     port: platform.hosts,
@@ -119,10 +133,10 @@
   };
 
   const isBusy = (): boolean =>
-    Array.from(movedAtMs.values()).some((atMs) => nowMs() - atMs < MOVE_SETTLES_MS) ||
+    Array.from(movedAtMs.values()).some((atMs) => nowMs() - atMs < MOVE_SETTLE_MS) ||
     waveKeeper.waves().some((wave) => !waveKeeper.isComplete(wave));
 
-  const poolWorld = (): PoolPlanInput => ({
+  const poolPlanInput = (): PoolPlanInput => ({
     state,
     hosts: roster.inventory().hosts,
     pools: configuration()?.configuration.pools ?? [],
@@ -130,20 +144,31 @@
     nowMs: nowMs(),
   });
 
-  const sight = (): KnownHosts => ({
+  const knownHosts = (): KnownHosts => ({
     inventory: roster.inventory(),
-    downMs: platform.bounds().maintenanceMs + LIST_LAG_MS,
+    downMs: platform.bounds().maintenanceMs + MAX_LIST_LAG_MS,
   });
 
-  const waveKeeper = createWaveKeeper({ platform, fenceCheck, sight, log, nowMs, todayMs });
+  const waveKeeper = createWaveKeeper({
+    platform,
+    fenceCheck,
+    sight: knownHosts,
+    log,
+    nowMs,
+    todayMs,
+  });
 
-  const world = (): UpkeepWorld => ({
-    ...sight(),
+  const maintenanceInput = (): UpkeepWorld => ({
+    ...knownHosts(),
     state,
-    isCapacityShort: isAnyPoolShort(poolWorld()),
+    isCapacityShort: isAnyPoolShort(poolPlanInput()),
   });
 
-  const take = async ({ wave, hostId, reason }: HostMaintenanceOrder): Promise<void> => {
+  const orderMaintenance = async ({
+    wave,
+    hostId,
+    reason,
+  }: HostMaintenanceOrder): Promise<void> => {
     const { waveNumber } = wave.request;
     lastOrderAtMs = nowMs();
     const { outcome, detail } = await platform.hosts.maintain(orderer, { hostId, waveNumber });
@@ -152,21 +177,21 @@
     applyOrderOutcome(wave, hostId, outcome, nowMs());
   };
 
-  const move = async ({ hostId, fromPool, toPool, reason }: PoolMove): Promise<void> => {
+  const orderMove = async ({ hostId, fromPool, toPool, reason }: PoolMove): Promise<void> => {
     lastOrderAtMs = nowMs();
     movedAtMs.set(hostId, nowMs());
     const endpoint = endpointOn(hostId);
-    // Nothing may be placed there between the order and its effect, which may come late.
+    // The order may take effect late, and no task may be placed on the host until then.
     if (endpoint) endpoint.isCordoned = true;
     const { outcome, detail } = await platform.hosts.move(orderer, { hostId, toPool });
     metrics.count(`host_move_${outcome}`);
     log.info('host-moved', { host: hostId, fromPool, toPool, outcome, detail, reason });
-    if (outcome === 'unknown') unsettled.set(hostId, { hostId, fromPool, toPool, reason });
-    else unsettled.delete(hostId);
+    if (outcome === 'unknown') movesWithoutAnswer.set(hostId, { hostId, fromPool, toPool, reason });
+    else movesWithoutAnswer.delete(hostId);
     if (endpoint && (outcome === 'busy' || outcome === 'refused')) endpoint.isCordoned = false;
   };
 
-  /** Hosts of waves that are not through: a move would only delay them. */
+  /** The hosts that are not moved: those being maintained, which a move would only delay, and those being moved. */
   const busyHosts = (): ReadonlySet<HostId> => {
     const inWaves = waveKeeper.waves().flatMap((wave) =>
       Array.from(wave.hosts)
@@ -174,16 +199,16 @@
         .map(([hostId]) => hostId),
     );
     const moving = Array.from(movedAtMs)
-      .filter(([, atMs]) => nowMs() - atMs < MOVE_SETTLES_MS)
+      .filter(([, atMs]) => nowMs() - atMs < MOVE_SETTLE_MS)
       .map(([hostId]) => hostId);
-    return new Set([...inWaves, ...moving, ...unsettled.keys()]);
+    return new Set([...inWaves, ...moving, ...movesWithoutAnswer.keys()]);
   };
 
-  /** Tells once a second what each pool has and needs. */
-  const notePools = (): void => {
-    if (nowMs() - notedPoolsAtMs < NOTE_POOLS_MS) return;
-    notedPoolsAtMs = nowMs();
-    computePoolNeeds(poolWorld()).forEach((need) => {
+  /** Logs the capacity and the demand of each pool once a second. */
+  const logPools = (): void => {
+    if (nowMs() - poolsLoggedAtMs < POOL_LOG_INTERVAL_MS) return;
+    poolsLoggedAtMs = nowMs();
+    computePoolNeeds(poolPlanInput()).forEach((need) => {
       const cores = (cpuMillis: number): number => Math.round(cpuMillis / 100) / 10;
       log.debug('pool-state', {
         pool: need.name,
@@ -198,32 +223,32 @@
     });
   };
 
-  /** Moves hosts; true if any order was sent. */
+  /** Moves hosts between pools; returns true if it sent any order. */
   const moveHosts = async (): Promise<boolean> => {
     if (!configuration()) return false;
-    notePools();
-    const pools = poolWorld();
-    const needs = computePoolNeeds(pools);
-    change(state, { reclaimedEndpoints: planReclaims(pools, DEFAULT_POOL_POLICY, needs) });
-    updatePoolForecasts(pools, DEFAULT_POOL_POLICY, needs);
-    const planned = planMoves(pools, DEFAULT_POOL_POLICY, needs);
-    // An order without an answer is repeated: it may be carried out late, whatever is decided now.
-    const moves = [...Array.from(unsettled.values()), ...planned];
-    await Promise.all(moves.map(move));
+    logPools();
+    const input = poolPlanInput();
+    const needs = computePoolNeeds(input);
+    change(state, { reclaimedEndpoints: planReclaims(input, DEFAULT_POOL_POLICY, needs) });
+    updatePoolForecasts(input, DEFAULT_POOL_POLICY, needs);
+    const planned = planMoves(input, DEFAULT_POOL_POLICY, needs);
+    // An order without an answer is repeated, since it may still be carried out whatever the current plan is.
+    const moves = [...Array.from(movesWithoutAnswer.values()), ...planned];
+    await Promise.all(moves.map(orderMove));
     return moves.length > 0;
   };
 
   const run = async (): Promise<void> => {
     const ageMs = nowMs() - roster.inventory().lastRequestedAtMs;
-    if (ageMs > (isBusy() ? LIST_BUSY_MS : LIST_EVERY_MS)) await roster.refresh();
-    observePeaks(poolWorld()).forEach((pool) => log.info('peak-begun', { pool }));
-    if (!mayOrder() || nowMs() - bornAtMs < orderAfterMs) return;
+    if (ageMs > (isBusy() ? BUSY_LIST_INTERVAL_MS : LIST_INTERVAL_MS)) await roster.refresh();
+    observePeaks(poolPlanInput()).forEach((pool) => log.info('peak-begun', { pool }));
+    if (!mayOrder() || nowMs() - termStartedAtMs < orderAfterMs) return;
     Object.assign(state, { clockMs: nowMs() });
-    const steps = planMaintenance(world(), waveKeeper.waves(), nowMs());
+    const orders = planMaintenance(maintenanceInput(), waveKeeper.waves(), nowMs());
     waveKeeper.noteReasons();
-    await Promise.all(steps.map(take));
-    // An order to a host that was ordered so before is answered alike: the list shows what it did.
-    if (steps.length > 0) await roster.refresh();
+    await Promise.all(orders.map(orderMaintenance));
+    // A repeated order gets the same answer as the first one; only the list of hosts shows its effect.
+    if (orders.length > 0) await roster.refresh();
     if (mayOrder() && (await moveHosts())) await roster.refresh();
   };
 
--- a/packages/daemon/src/batch/hosts/host-roster.ts
+++ b/packages/daemon/src/batch/hosts/host-roster.ts
@@ -1,4 +1,4 @@
-/** The hosts that a term knows, by the platform's list. */
+/** Keeps the hosts known in a term, as of the platform's list of hosts. */
 import {
   createHostInventory,
   dropUnlistedPendingReports,
@@ -21,40 +21,43 @@
 import type { GoneEvidence } from '../endpoints/endpoint-roster.js';
 import type { HostPort } from '../ports.js';
 
-/** A line names so many hosts at most: whole racks come and go at once. */
-const MOST_NAMED = 12;
+/** The maximum number of hosts named in a log line, since whole racks may appear or disappear at once. */
+const MAX_LOGGED_HOSTS = 12;
 
 export type HostRosterOptions = {
   readonly port: Pick<HostPort, 'list'>;
   readonly state: BatchState;
   readonly log: Log;
   readonly metrics: Metrics;
+  /** The monotonic clock. */
   readonly nowMs: () => number;
+  /** Removes an endpoint that the list shows to be gone. */
   readonly dropEndpoint: (endpointId: EndpointId, evidence: GoneEvidence) => void;
 };
 
 export type HostRoster = {
-  /** Reads the list; without an answer what was known stays as it is, with its age. */
+  /** Reads the list. If the platform does not answer, the inventory keeps its content and age. */
   readonly refresh: () => Promise<void>;
   readonly inventory: () => HostInventory;
 };
 
 /**
- * Writes the age of the list for a log.
+ * Formats the age of the list of hosts for a log line.
  *
- * @param ageMs - The age in milliseconds; Infinity if it was never read.
- * @returns The age, or `never`.
+ * @param ageMs - The age in milliseconds; Infinity if the list was never read.
+ * @returns The age in whole milliseconds, or `never`.
  */
 export const ageText = (ageMs: number): number | string =>
   ageMs === Infinity ? 'never' : Math.round(ageMs);
 
-const nameSome = (hostIds: readonly HostId[]): string => hostIds.slice(0, MOST_NAMED).join(',');
+const formatHostIds = (hostIds: readonly HostId[]): string =>
+  hostIds.slice(0, MAX_LOGGED_HOSTS).join(',');
 
 /**
- * Builds the roster of a term.
+ * Creates the host roster of a term.
  *
- * @param options - The list, and what follows from it.
- * @returns The roster, which has read nothing yet.
+ * @param options - The source of the list, and the state that is updated from it.
+ * @returns The roster. Its inventory is empty until the list has been read.
  */
 export const createHostRoster = ({
   port,
@@ -65,12 +68,13 @@
   dropEndpoint,
 }: HostRosterOptions): HostRoster => {
   const inventory = createHostInventory();
+  /** The endpoints in the first list of the term. */
   let expected: readonly HostedEndpoint[] = [];
-  /** Readings without an answer since the last answer. */
+  /** How many reads of the list have failed since the last one that succeeded. */
   let failures = 0;
 
-  /** While the list is away it is asked four times a second: the first and the last are logged. */
-  const noteFailure = (error: PlatformError): void => {
+  /** An unavailable list is read again four times a second; only the first failure and the recovery are logged. */
+  const recordListFailure = (error: PlatformError): void => {
     metrics.count('host_list_failed');
     failures += 1;
     if (failures > 1) return;
@@ -82,44 +86,44 @@
     });
   };
 
-  const noteAnswer = (): void => {
+  const recordListAnswer = (): void => {
     if (failures === 0) return;
     log.info('host-list-regained', { failures, hosts: inventory.hosts.size });
     failures = 0;
   };
 
-  /** A host that leaves the list or comes changes what waves wait for. */
-  const noteChanges = ({ added, missing }: InventoryChange, isFirst: boolean): void => {
+  /** Logs which hosts were added to the list or are missing from it, since waves depend on them. */
+  const logChanges = ({ added, missing }: InventoryChange, isFirst: boolean): void => {
     if (added.length + missing.length === 0) return;
     log.info('hosts-listed', {
       hosts: inventory.hosts.size,
       added: added.length,
       missing: missing.length,
-      // Nobody asks which hosts a holder found there first.
-      addedHosts: isFirst ? undefined : nameSome(added),
-      missingHosts: isFirst ? undefined : nameSome(missing),
+      // The hosts of the first list are not named: all of them are new to this term.
+      addedHosts: isFirst ? undefined : formatHostIds(added),
+      missingHosts: isFirst ? undefined : formatHostIds(missing),
     });
   };
 
-  /** Endpoints on the hosts of the first reading may run what an earlier holder began. */
-  const expectEndpoints = (list: readonly ListedHost[]): void => {
-    const living = list.flatMap(({ instanceId, hostId, pool }) =>
+  /** Records that endpoints on the hosts of the first list may run tasks that an earlier holder started. */
+  const recordExpectedEndpoints = (list: readonly ListedHost[]): void => {
+    const running = list.flatMap(({ instanceId, hostId, pool }) =>
       instanceId === null ? [] : [{ instanceId, hostId, pool }],
     );
-    expected = living;
-    addPendingReports(state, living);
+    expected = running;
+    addPendingReports(state, running);
     markPoolsWithDownHosts(state, list);
     change(state, { isHostListAwaited: false });
   };
 
-  const take = (list: readonly ListedHost[], askedAtMs: number): void => {
+  const applyList = (list: readonly ListedHost[], askedAtMs: number): void => {
     const isFirst = inventory.lastRequestedAtMs === -Infinity;
-    noteChanges(applyHostList(inventory, list, askedAtMs), isFirst);
+    logChanges(applyHostList(inventory, list, askedAtMs), isFirst);
     list.forEach(({ hostId, instanceId }) => {
       const endpoint = instanceId && state.currentIncarnations.get(instanceId);
       if (endpoint) endpoint.hostId = hostId;
     });
-    if (state.isHostListAwaited) expectEndpoints(list);
+    if (state.isHostListAwaited) recordExpectedEndpoints(list);
     dropUnlistedPendingReports(state, expected, inventory.hosts, nowMs());
     findDeadEndpoints(state, inventory.hosts, askedAtMs).forEach(({ endpointId, cause }) =>
       dropEndpoint(endpointId, { reason: cause, atMs: askedAtMs }),
@@ -131,11 +135,11 @@
     const list = await port.list();
     metrics.count('host_lists');
     if (list.isErr()) {
-      noteFailure(list.error);
+      recordListFailure(list.error);
       return;
     }
-    take(list.value, askedAtMs);
-    noteAnswer();
+    applyList(list.value, askedAtMs);
+    recordListAnswer();
     metrics.gauge('hosts_listed', inventory.hosts.size);
   };
 
--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -1,4 +1,4 @@
-/** The waves of a term: their rows, reports to the operator, and why hosts wait. */
+/** Keeps the maintenance waves of a term: their rows, the reports to the operator, and why hosts wait. */
 import {
   createMaintenanceWave,
   isWaveComplete,
@@ -15,42 +15,51 @@
 import { batchKey } from '../keys.js';
 import type { BatchPlatform } from '../ports.js';
 
-/** A wave as this entry learned of it. */
+/** A maintenance wave that this entry has learned of. */
 export type KnownWave = {
   readonly order: MaintenanceRequest;
-  /** By this entry's monotonic clock. */
+  /** When this entry first saw the wave, by its monotonic clock. */
   readonly seenAtMs: number;
 };
 
-/** `takenAtTodayMs` is by the time of day: entries share no other clock. */
-type WaveRow = { readonly done: readonly HostId[]; readonly takenAtTodayMs?: number };
+/** The stored row of a wave. */
+type WaveRow = {
+  /** The hosts that are down for the wave or have been. */
+  readonly done: readonly HostId[];
+  /** When the wave was first seen, by the wall clock, since entries share no other clock. */
+  readonly takenAtTodayMs?: number;
+};
 
 export type WaveKeeperOptions = {
   readonly platform: Pick<BatchPlatform, 'table' | 'hosts'>;
-  /** Writes depend on this row: a deposed holder writes nothing. */
+  /** Every write checks this row, so that a former holder writes nothing. */
   readonly fenceCheck: RowCheck;
+  /** What is known about hosts. */
   readonly sight: () => KnownHosts;
   readonly log: Log;
+  /** The monotonic clock. */
   readonly nowMs: () => number;
+  /** The wall clock. */
   readonly todayMs: () => number;
 };
 
 export type WaveKeeper = {
+  /** Adds waves; those already known are ignored. */
   readonly take: (known: readonly KnownWave[]) => void;
-  /** Reads and writes how waves stand. */
+  /** Reads the rows of new waves, saves the progress of all waves and reports it to the operator. */
   readonly follow: () => Promise<void>;
   readonly waves: () => readonly MaintenanceWave[];
-  /** True if each host of a wave has been down and is back, or has left for good. */
+  /** True if every host of the wave has been down and is back, or has left the fleet for good. */
   readonly isComplete: (wave: MaintenanceWave) => boolean;
-  /** Logs what hosts wait for, once for each reason, and once which wave cannot be in time. */
+  /** Logs why each host waits when the reason changes, and once for each wave that it is expected to be late. */
   readonly noteReasons: () => void;
 };
 
 /**
- * Builds the keeper of a term.
+ * Creates the wave keeper of a term.
  *
- * @param options - The rows, and what is known of hosts.
- * @returns The keeper, without waves at first.
+ * @param options - Access to rows and hosts, and what is known about hosts.
+ * @returns The keeper. It has no waves yet.
  */
 export const createWaveKeeper = ({
   platform,
@@ -61,29 +70,37 @@
   todayMs,
 }: WaveKeeperOptions): WaveKeeper => {
   const waves = new Map<number, MaintenanceWave>();
-  const waiting = new Map<number, KnownWave>();
-  const reported = new Map<number, 'running' | 'completed'>();
-  const savedDone = new Map<number, number>();
+  /** The waves whose rows have not been read yet, by number. */
+  const unopenedWaves = new Map<number, KnownWave>();
+  /** The state last reported to the operator, by wave number. */
+  const reportedStates = new Map<number, 'running' | 'completed'>();
+  /** How many hosts the stored row has as done, by wave number. */
+  const savedDoneCounts = new Map<number, number>();
   const loggedReasons = new Map<string, string>();
-  const expectedLate = new Set<number>();
+  /** The waves that were logged as expected to be late. */
+  const wavesExpectedLate = new Set<number>();
 
   const isComplete = (wave: MaintenanceWave): boolean => isWaveComplete(sight(), wave);
 
-  /** When the wave was ordered: as this entry saw it, or earlier by the row of the first holder. */
-  const orderedAtMs = ({ order, seenAtMs }: KnownWave, row: WaveRow | undefined): number => {
+  /**
+   * Returns when the wave was ordered, by the monotonic clock: when this entry first saw it, or earlier if the row that an
+   * earlier holder wrote says so.
+   */
+  const computeOrderedAtMs = ({ order, seenAtMs }: KnownWave, row: WaveRow | undefined): number => {
     if (row?.takenAtTodayMs === undefined) return seenAtMs;
-    // The time of day jumps on some hosts: what it says is believed within the wave's own time.
+    // The wall clock jumps on some hosts, so the age from the row is limited to the time that the wave has.
     const ageMs = Math.max(0, Math.min(order.withinMs, todayMs() - row.takenAtTodayMs));
     return Math.min(seenAtMs, nowMs() - ageMs);
   };
 
-  const open = async (known: KnownWave): Promise<void> => {
+  /** Reads the row of a wave and adds the wave. If the table does not answer, the next call tries again. */
+  const openWave = async (known: KnownWave): Promise<void> => {
     const { order } = known;
     const rows = await platform.table.read([batchKey.wave(order.waveNumber)]);
     if (rows.isErr()) return;
     const row = (rows.value[0]?.value ?? undefined) as WaveRow | undefined;
-    waiting.delete(order.waveNumber);
-    const wave = createMaintenanceWave(order, row?.done ?? [], orderedAtMs(known, row));
+    unopenedWaves.delete(order.waveNumber);
+    const wave = createMaintenanceWave(order, row?.done ?? [], computeOrderedAtMs(known, row));
     waves.set(order.waveNumber, wave);
     log.info('wave-taken', {
       wave: order.waveNumber,
@@ -95,28 +112,29 @@
     });
   };
 
+  /** Saves which hosts of a wave are done or down; returns whether the row is up to date. */
   const saveDone = async (wave: MaintenanceWave): Promise<boolean> => {
     const { waveNumber } = wave.request;
     const done = Array.from(wave.hosts)
       .filter(([, { phase }]) => phase === 'done' || phase === 'down')
       .map(([hostId]) => hostId);
-    if (savedDone.get(waveNumber) === done.length) return true;
+    if (savedDoneCounts.get(waveNumber) === done.length) return true;
     const row: WaveRow = { done, takenAtTodayMs: todayMs() - (nowMs() - wave.firstSeenAtMs) };
     const outcome = await platform.table.transact({
       checks: [fenceCheck],
       writes: [{ key: batchKey.wave(waveNumber), value: row }],
     });
     const isSaved = outcome.isOk() && outcome.value.kind === 'committed';
-    if (isSaved) savedDone.set(waveNumber, done.length);
+    if (isSaved) savedDoneCounts.set(waveNumber, done.length);
     return isSaved;
   };
 
-  /** On what a report rests: how many hosts are in which phase, and which list that was judged by. */
-  const groundsOf = ({ hosts: inWave }: MaintenanceWave): LogFields => {
+  /** Returns what a report is based on: how many hosts are in each phase, and the size and age of the list of hosts. */
+  const describeWave = ({ hosts: inWave }: MaintenanceWave): LogFields => {
     const { hosts: listed, lastRequestedAtMs } = sight().inventory;
     const phases = Array.from(inWave.values(), ({ phase }) => phase);
-    const count = (wanted: MaintenanceHost['phase']): number =>
-      phases.filter((phase) => phase === wanted).length;
+    const count = (counted: MaintenanceHost['phase']): number =>
+      phases.filter((phase) => phase === counted).length;
     return {
       hosts: inWave.size,
       done: count('done'),
@@ -131,30 +149,30 @@
 
   const report = async (wave: MaintenanceWave): Promise<void> => {
     const { waveNumber } = wave.request;
-    const now = isComplete(wave) ? 'completed' : 'running';
+    const state = isComplete(wave) ? 'completed' : 'running';
     const isSaved = await saveDone(wave);
-    if (reported.get(waveNumber) === now || (now === 'completed' && !isSaved)) return;
-    const answer = await platform.hosts.reportWave(waveNumber, now);
-    if (answer.isOk()) reported.set(waveNumber, now);
+    if (reportedStates.get(waveNumber) === state || (state === 'completed' && !isSaved)) return;
+    const answer = await platform.hosts.reportWave(waveNumber, state);
+    if (answer.isOk()) reportedStates.set(waveNumber, state);
     log.info('wave-reported', {
       wave: waveNumber,
-      state: now,
+      state,
       isWritten: answer.isOk(),
-      ...groundsOf(wave),
+      ...describeWave(wave),
     });
   };
 
-  const noteReason = (waveNumber: number, hostId: HostId, reason: string): void => {
+  const logWaitReason = (waveNumber: number, hostId: HostId, reason: string): void => {
     const subject = `${waveNumber}/${hostId}`;
     if (loggedReasons.get(subject) === reason) return;
     loggedReasons.set(subject, reason);
     if (reason !== '') log.info('host-waits', { wave: waveNumber, host: hostId, reason });
   };
 
-  const noteOutlook = ({ request: { waveNumber }, forecast }: MaintenanceWave): void => {
+  const logLateForecast = ({ request: { waveNumber }, forecast }: MaintenanceWave): void => {
     const { lateHosts, reason } = forecast;
-    if (lateHosts === 0 || expectedLate.has(waveNumber)) return;
-    expectedLate.add(waveNumber);
+    if (lateHosts === 0 || wavesExpectedLate.has(waveNumber)) return;
+    wavesExpectedLate.add(waveNumber);
     log.warn('wave-late-expected', { wave: waveNumber, lateHosts, reason });
   };
 
@@ -162,18 +180,18 @@
     take: (known) =>
       known
         .filter(({ order }) => !waves.has(order.waveNumber))
-        .forEach((wave) => waiting.set(wave.order.waveNumber, wave)),
+        .forEach((wave) => unopenedWaves.set(wave.order.waveNumber, wave)),
     follow: async () => {
-      await Promise.all(Array.from(waiting.values()).map(open));
+      await Promise.all(Array.from(unopenedWaves.values()).map(openWave));
       await Promise.all(Array.from(waves.values()).map(report));
     },
     waves: () => Array.from(waves.values()),
     isComplete,
     noteReasons: () =>
       waves.forEach((wave) => {
-        noteOutlook(wave);
+        logLateForecast(wave);
         const { waveNumber } = wave.request;
-        wave.hosts.forEach(({ reason }, hostId) => noteReason(waveNumber, hostId, reason));
+        wave.hosts.forEach(({ reason }, hostId) => logWaitReason(waveNumber, hostId, reason));
       }),
   };
 };
--- a/packages/daemon/src/batch/hosts/waves-in-time.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-in-time.test.ts
@@ -1,7 +1,8 @@
 /**
- * Maintenance of hosts that carry tasks of a lasting step, one task a host, while short work keeps the pools short of
- * room by turns. Guards against hosts that waited for time or room until the step's allowance could not let them go
- * one after the other any more: with one task that may be missed, 24 such hosts took 32.5 s of the 26 s.
+ * Maintenance of hosts that run one task each of a long-running step, while short tasks use up the free capacity of the
+ * pools in turn. Guards against hosts that wait for time or capacity for so long that the step's limit on unavailable
+ * tasks (`mayMiss`) no longer lets them go down one after the other in time: with a limit of one task, 24 such hosts took
+ * 32.5 s where 26 s were allowed.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId, JobId } from '@valvelatch/core/shared/ids';
@@ -13,14 +14,17 @@
 const POOLS = ['alpha', 'beta'];
 const HOSTS_PER_POOL = 24;
 const HOSTS_PER_RACK = 6;
-const LASTING_TASKS = 12;
+const LONG_RUNNING_TASKS = 12;
 const PEAK_MS = 4000;
 const SUBMIT_MS = 200;
-/** Two of these fit on a host beside a lasting task; 10 at a time are more than a pool of 24 can do. */
+/**
+ * Short tasks per submission to the pool at its peak. Two of them fit on a host beside a long-running task, so 10
+ * per submission are already more than a pool of 24 hosts can run.
+ */
 const PEAK_TASKS = 13;
 const QUIET_TASKS = 3;
 
-describe('a wave over hosts with tasks of a lasting step', () => {
+describe('a wave over hosts with tasks of a long-running step', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -29,13 +33,13 @@
     vi.useRealTimers();
   });
 
-  const submitLasting = (fleet: SimFleet, mayMiss: number): readonly JobId[] =>
+  const submitLongRunningJobs = (fleet: SimFleet, mayMiss: number): readonly JobId[] =>
     POOLS.map((pool) =>
       fleet.submit({
         pool,
         steps: [
           {
-            taskCount: LASTING_TASKS,
+            taskCount: LONG_RUNNING_TASKS,
             isLasting: true,
             mostPerEndpoint: 1,
             cpuMillis: 2000,
@@ -46,8 +50,8 @@
       }),
     );
 
-  /** Short work of one pool after the other. */
-  const keepBusy = (fleet: SimFleet): NodeJS.Timeout => {
+  /** Submits short tasks continually, with a peak in one pool after the other. */
+  const submitShortTasks = (fleet: SimFleet): NodeJS.Timeout => {
     const beganAtMs = performance.now();
     return setInterval(() => {
       const turn = Math.floor((performance.now() - beganAtMs) / PEAK_MS);
@@ -76,17 +80,17 @@
       hostsPerPool: HOSTS_PER_POOL,
       domains: { hostsPerRack: HOSTS_PER_RACK, dataCentres: 2 },
     });
-    const jobIds = submitLasting(fleet, mayMiss);
+    const jobIds = submitLongRunningJobs(fleet, mayMiss);
     await advance(3000);
-    const work = keepBusy(fleet);
+    const work = submitShortTasks(fleet);
     await advance(4000);
     return { fleet, jobIds, work };
   };
 
-  /** Waits until all waves are completed, and tells how long that took. */
-  const completion = async (fleet: SimFleet, waves: readonly number[]): Promise<number> => {
+  /** Waits until all waves are completed, and returns the time that took in ms. */
+  const waitForCompletion = async (fleet: SimFleet, waves: readonly number[]): Promise<number> => {
     const beganAtMs = performance.now();
-    const isOpen = (): boolean => waves.some((one) => fleet.waveStatus.get(one) !== 'completed');
+    const isOpen = (): boolean => waves.some((wave) => fleet.waveStatus.get(wave) !== 'completed');
     while (isOpen() && performance.now() - beganAtMs < 2 * WITHIN_MS) await advance(100);
     return performance.now() - beganAtMs;
   };
@@ -96,35 +100,35 @@
     { mayMiss: 1, maximum: 12 },
     { mayMiss: 2, maximum: 12 },
   ])(
-    'is in time where every host has such a task, $mayMiss may be missed and $maximum may be down',
+    'is in time if every host has such a task, $mayMiss may be unavailable and $maximum hosts down',
     async ({ mayMiss, maximum }) => {
       const { fleet, jobIds, work } = await busyFleet(mayMiss);
       const hosts = hostsCarrying(fleet, jobIds);
-      expect(hosts).toHaveLength(POOLS.length * LASTING_TASKS);
+      expect(hosts).toHaveLength(POOLS.length * LONG_RUNNING_TASKS);
       fleet.order({ waveNumber: 1, hosts, withinMs: WITHIN_MS, maximum });
-      const tookMs = await completion(fleet, [1]);
+      const tookMs = await waitForCompletion(fleet, [1]);
       clearInterval(work);
       expect(fleet.broken).toEqual([]);
       expect(tookMs).toBeLessThan(WITHIN_MS);
     },
   );
 
-  it('is in time over half of the fleet, rack by rack', async () => {
+  it('is in time over half of the fleet, ordered by racks', async () => {
     const { fleet, work } = await busyFleet(1);
     const hosts = hostsInRacks(fleet, ['rack-0', 'rack-1']);
     expect(hosts).toHaveLength(HOSTS_PER_POOL);
     fleet.order({ waveNumber: 1, hosts, withinMs: WITHIN_MS, maximum: 6 });
-    const tookMs = await completion(fleet, [1]);
+    const tookMs = await waitForCompletion(fleet, [1]);
     clearInterval(work);
     expect(fleet.broken).toEqual([]);
     expect(tookMs).toBeLessThan(WITHIN_MS);
   });
 
-  it('moves each task once, onto hosts without maintenance ahead', async () => {
+  it('moves each task once, to a host without upcoming maintenance', async () => {
     const { fleet, jobIds, work } = await busyFleet(1);
     const hosts = hostsInRacks(fleet, ['rack-0', 'rack-1']);
     fleet.order({ waveNumber: 1, hosts, withinMs: WITHIN_MS, maximum: 6 });
-    await completion(fleet, [1]);
+    await waitForCompletion(fleet, [1]);
     clearInterval(work);
     const moved = fleet.logged
       .filter(({ event, fields }) => event === 'task-stop' && 'reason' in fields)
@@ -138,7 +142,7 @@
     );
   });
 
-  it('is within the allowance beside another wave that shares the step', async () => {
+  it('keeps the limit on unavailable tasks beside another wave over the same step', async () => {
     const { fleet, work } = await busyFleet(1);
     ['rack-0', 'rack-1'].forEach((rack, index) =>
       fleet.order({
@@ -148,33 +152,33 @@
         maximum: 12,
       }),
     );
-    const tookMs = await completion(fleet, [1, 2]);
+    const tookMs = await waitForCompletion(fleet, [1, 2]);
     clearInterval(work);
     expect(fleet.broken).toEqual([]);
     expect(tookMs).toBeLessThan(WITHIN_MS);
   });
 
-  it('is called late at once, and once, where its time cannot be enough', async () => {
-    // Guards against a wave that is found late only after its end.
+  it('is logged as late once, and at once, if it cannot be in time', async () => {
+    // Guards against a wave that is found to be late only after its time is over.
     const { fleet, jobIds, work } = await busyFleet(1);
     const hosts = hostsCarrying(fleet, jobIds);
     fleet.order({ waveNumber: 1, hosts, withinMs: 10_000, maximum: 12 });
     await advance(500);
     clearInterval(work);
-    const told = () => fleet.logged.filter(({ event }) => event === 'wave-late-expected');
-    expect(told()).toHaveLength(1);
-    expect(told()[0]?.fields).toMatchObject({ wave: 1, lateHosts: 6 });
+    const lateWarnings = () => fleet.logged.filter(({ event }) => event === 'wave-late-expected');
+    expect(lateWarnings()).toHaveLength(1);
+    expect(lateWarnings()[0]?.fields).toMatchObject({ wave: 1, lateHosts: 6 });
     await advance(3000);
-    expect(told()).toHaveLength(1);
+    expect(lateWarnings()).toHaveLength(1);
   });
 
-  it('is in time where its holder is replaced in between', async () => {
+  it('is in time if the holder is replaced during the wave', async () => {
     const { fleet, jobIds, work } = await busyFleet(2);
     const hosts = hostsCarrying(fleet, jobIds);
     fleet.order({ waveNumber: 1, hosts, withinMs: WITHIN_MS, maximum: 6 });
     await advance(4000);
     fleet.kill(holderOf(fleet));
-    const tookMs = 4000 + (await completion(fleet, [1]));
+    const tookMs = 4000 + (await waitForCompletion(fleet, [1]));
     clearInterval(work);
     expect(fleet.broken).toEqual([]);
     expect(tookMs).toBeLessThan(WITHIN_MS);
--- a/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
@@ -1,6 +1,7 @@
 /**
- * Two waves that share lasting steps, under faults: no order may end a task at work beyond its step's allowance, and
- * each wave gets to its end. Held from the start; single faults of this kind are in `upkeep-rules.test.ts`.
+ * Two waves over hosts of the same long-running steps, under faults. No order may make more tasks of a step unavailable
+ * than its limit (`mayMiss`) allows, and each wave must complete. Single faults of this kind are tested in
+ * `upkeep-rules.test.ts`.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId } from '@valvelatch/core/shared/ids';
@@ -10,16 +11,14 @@
 
 const POOLS = ['alpha', 'beta'];
 const HOSTS_PER_POOL = 10;
-const LONGEST_MS = 60_000;
+const MAX_COMPLETION_MS = 60_000;
 
 const faults: Readonly<Record<string, (fleet: SimFleet) => void>> = {
-  'answers of endpoints that are lost': (fleet) =>
-    Object.assign(fleet.faults, { lostAnswers: 0.03 }),
-  'orders to hosts that are lost or late': (fleet) =>
-    Object.assign(fleet.faults, { lostWrites: 0.05 }),
-  'orders to hosts that are under way for long': (fleet) =>
+  'lost answers of endpoints': (fleet) => Object.assign(fleet.faults, { lostAnswers: 0.03 }),
+  'lost or late orders to hosts': (fleet) => Object.assign(fleet.faults, { lostWrites: 0.05 }),
+  'orders to hosts that are in flight for long': (fleet) =>
     Object.assign(fleet.faults, { hostOrderMs: 700 }),
-  'a holder that is replaced': (fleet) => {
+  'a replaced holder': (fleet) => {
     setTimeout(() => {
       fleet.kill(holderOf(fleet));
       fleet.addEntry('d');
@@ -28,7 +27,7 @@
   },
 };
 
-describe('two waves that share lasting steps', () => {
+describe('two waves over hosts of the same long-running steps', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -48,8 +47,14 @@
       domains: { hostsPerRack: 3, dataCentres: 2 },
       seed,
     });
-    const lasting = { taskCount: 6, isLasting: true, mostPerEndpoint: 1, cpuMillis: 2000, mayMiss };
-    POOLS.forEach((pool) => fleet.submit({ pool, steps: [lasting], startMs: 1000 }));
+    const longRunningStep = {
+      taskCount: 6,
+      isLasting: true,
+      mostPerEndpoint: 1,
+      cpuMillis: 2000,
+      mayMiss,
+    };
+    POOLS.forEach((pool) => fleet.submit({ pool, steps: [longRunningStep], startMs: 1000 }));
     await advance(7000);
     const work = setInterval(() => {
       const peak = Math.floor(performance.now() / 3000) % POOLS.length;
@@ -62,9 +67,9 @@
     return { fleet, work };
   };
 
-  const completion = async (fleet: SimFleet): Promise<void> => {
-    const endsAtMs = performance.now() + LONGEST_MS;
-    const isOpen = (): boolean => [1, 2].some((one) => fleet.waveStatus.get(one) !== 'completed');
+  const waitForCompletion = async (fleet: SimFleet): Promise<void> => {
+    const endsAtMs = performance.now() + MAX_COMPLETION_MS;
+    const isOpen = (): boolean => [1, 2].some((wave) => fleet.waveStatus.get(wave) !== 'completed');
     while (isOpen() && performance.now() < endsAtMs) await advance(500);
   };
 
@@ -73,11 +78,11 @@
   );
 
   it.each(cases)(
-    'keep its allowance of $mayMiss beside $fault, seed $seed',
+    'keep the limit of $mayMiss unavailable tasks and complete with $fault, seed $seed',
     async ({ fault, mayMiss, seed }) => {
       const { fleet, work } = await busyFleet(seed, mayMiss);
       faults[fault]?.(fleet);
-      // The simulated platform counts what is down for all waves together.
+      // The simulated platform counts the hosts that are down for all waves together, so the maximum is the whole fleet.
       const waves = [['rack-0', 'rack-2'], ['rack-1']].map((racks, index) => ({
         waveNumber: index + 1,
         hosts: hostsInRacks(fleet, racks),
@@ -85,7 +90,7 @@
         maximum: POOLS.length * HOSTS_PER_POOL,
       }));
       waves.forEach(fleet.order);
-      await completion(fleet);
+      await waitForCompletion(fleet);
       clearInterval(work);
       expect(fleet.broken).toEqual([]);
       waves.forEach(({ waveNumber }) => expect(fleet.waveStatus.get(waveNumber)).toBe('completed'));
