--- a/packages/daemon/src/batch/entry/access.test.ts
+++ b/packages/daemon/src/batch/entry/access.test.ts
@@ -1,4 +1,4 @@
-/** Who gets in by which key, and what an entry says that cannot know. */
+/** Which keys give access, and what an entry answers if its configuration may be out of date. */
 import { createHash } from 'node:crypto';
 
 import {
@@ -15,12 +15,12 @@
 import { createAccess, type AccessRequest } from './access.js';
 import type { Currency } from '../configuration/configuration-keeper.js';
 
-const digestOf = (key: string): KeyDigest =>
+const hashKey = (key: string): KeyDigest =>
   brand<KeyDigest>(createHash('sha256').update(key).digest('base64'));
 
 const accountOf = (name: string, ...keys: readonly string[]): ClientAccount => ({
   name: brand(name),
-  keyDigests: keys.map(digestOf),
+  keyDigests: keys.map(hashKey),
   priority: 0,
   weight: 1,
   maximum: NO_LIMIT,
@@ -49,16 +49,16 @@
 
 type Options = {
   readonly index?: QueueIndex | undefined;
-  /** What a question to neighbours brings. */
+  /** The configuration that neighbours give when they are asked; none if undefined. */
   readonly refreshed?: QueueIndex;
   readonly currency?: Partial<Currency>;
 };
 
-const accessWith = ({ index, refreshed, currency = {} }: Options) => {
+const createTestAccess = ({ index, refreshed, currency = {} }: Options) => {
   let inForce = index;
   let refreshes = 0;
   const lines: string[] = [];
-  const note = (event: string, fields?: object): void => {
+  const recordLine = (event: string, fields?: object): void => {
     lines.push(`${event} ${JSON.stringify(fields)}`);
   };
   const access = createAccess({
@@ -70,14 +70,14 @@
         inForce = refreshed ?? inForce;
       },
     },
-    log: { debug: note, info: note, warn: note, error: note },
+    log: { debug: recordLine, info: recordLine, warn: recordLine, error: recordLine },
     metrics: createMetrics(),
   });
   const admit = (key?: string, path = '/keyed/00000000000000aa') => {
     const request: AccessRequest = {
       hostName: 'h',
       path,
-      keyDigest: key === undefined ? undefined : digestOf(key),
+      keyDigest: key === undefined ? undefined : hashKey(key),
     };
     return access.admit(request);
   };
@@ -85,17 +85,17 @@
 };
 
 describe('a request to a queue that needs a key', () => {
-  it('gets in for the account that has the key', async () => {
-    const { admit, refreshes } = accessWith({ index: BEFORE });
+  it('is allowed for the account that has the key', async () => {
+    const { admit, refreshes } = createTestAccess({ index: BEFORE });
     const admitted = await admit('south-key');
     expect(admitted).toMatchObject({ kind: 'admitted', caller: 'south', name: '00000000000000aa' });
     expect(refreshes()).toBe(0);
   });
 
   it.each([undefined, '', 'no-key', 'south-ke', 'south-key '])(
-    'is refused with 401 as not run with the key %j',
+    'is refused as not run, with status 401, with the key %j',
     async (key) => {
-      const { admit } = accessWith({ index: BEFORE });
+      const { admit } = createTestAccess({ index: BEFORE });
       expect(await admit(key)).toMatchObject({
         status: 401,
         verdict: 'notRun',
@@ -104,18 +104,21 @@
     },
   );
 
-  it('gets in with a key that a neighbour has heard of first', async () => {
-    const { admit } = accessWith({ index: BEFORE, refreshed: AFTER });
+  it("is allowed with a key that only a neighbour's newer configuration has", async () => {
+    const { admit } = createTestAccess({ index: BEFORE, refreshed: AFTER });
     expect(await admit('new-key')).toMatchObject({ kind: 'admitted', caller: 'north' });
   });
 
-  it('is refused with the key that a newer version took away', async () => {
-    const { admit } = accessWith({ index: AFTER });
+  it('is refused with a key that a newer version has removed', async () => {
+    const { admit } = createTestAccess({ index: AFTER });
     expect(await admit('old-key')).toMatchObject({ status: 401, reason: 'unknown-key' });
   });
 
-  it('is sent away, not refused for good, by an entry that cannot know of a newer version', async () => {
-    const { admit } = accessWith({ index: BEFORE, currency: { ageMs: 9000, isDoubtful: true } });
+  it('is to be retried, not refused for good, at an entry that may have missed a newer version', async () => {
+    const { admit } = createTestAccess({
+      index: BEFORE,
+      currency: { ageMs: 9000, isDoubtful: true },
+    });
     expect(await admit('new-key')).toMatchObject({
       status: 503,
       verdict: 'notRun',
@@ -124,13 +127,13 @@
     });
   });
 
-  it('gets in by what is known at an entry that cannot know of a newer version', async () => {
-    const { admit } = accessWith({ index: BEFORE, currency: { isDoubtful: true } });
+  it('is allowed by the version in force at an entry that may have missed a newer one', async () => {
+    const { admit } = createTestAccess({ index: BEFORE, currency: { isDoubtful: true } });
     expect(await admit('old-key')).toMatchObject({ kind: 'admitted', caller: 'north' });
   });
 
-  it('leaves no key in a line of the log', async () => {
-    const { admit, lines } = accessWith({ index: BEFORE });
+  it('leaves no key in the log', async () => {
+    const { admit, lines } = createTestAccess({ index: BEFORE });
     await admit('secret-of-nobody');
     expect(lines).toHaveLength(1);
     expect(lines.join()).not.toContain('secret-of-nobody');
@@ -139,27 +142,27 @@
 
 describe('a request to a queue that is open to all', () => {
   it.each([undefined, 'no-key', 'south-key'])(
-    'gets in for no account with the key %j',
+    'is allowed without an account, with the key %j',
     async (key) => {
-      const { admit } = accessWith({ index: BEFORE });
+      const { admit } = createTestAccess({ index: BEFORE });
       expect(await admit(key, '/open/1')).toMatchObject({ kind: 'admitted', caller: null });
     },
   );
 });
 
-describe('a request for a queue that is not there', () => {
-  it('is refused with 404 by an entry that is up to date, and sent away by one that cannot know', async () => {
-    const known = accessWith({ index: BEFORE });
+describe('a request for a queue that does not exist', () => {
+  it('is refused with 404 by an up-to-date entry, with 503 by one that may have missed a newer version', async () => {
+    const known = createTestAccess({ index: BEFORE });
     expect(await known.admit(undefined, '/none/1')).toMatchObject({ status: 404 });
-    const doubtful = accessWith({ index: BEFORE, currency: { isDoubtful: true } });
+    const doubtful = createTestAccess({ index: BEFORE, currency: { isDoubtful: true } });
     expect(await doubtful.admit(undefined, '/none/1')).toMatchObject({ status: 503 });
   });
 });
 
-describe('a key of two accounts', () => {
-  it('stays with the first', async () => {
+describe('a key that two accounts have', () => {
+  it('counts for the first account', async () => {
     const index = indexOf(1, [accountOf('first', 'key'), accountOf('second', 'key')]);
-    const { admit } = accessWith({ index });
+    const { admit } = createTestAccess({ index });
     expect(await admit('key')).toMatchObject({ caller: 'first' as AccountName });
   });
 });
--- a/packages/daemon/src/batch/entry/access.ts
+++ b/packages/daemon/src/batch/entry/access.ts
@@ -1,6 +1,7 @@
 /**
- * Who gets in: which queue a request names, and for which client account it is made. What a newer configuration may
- * allow is refused for good only by an entry whose own is up to date; one that cannot know has the client come back.
+ * Access control: which queue a request addresses, and for which client account it is made. A request that only a newer
+ * configuration may allow is refused for good only by an entry whose configuration is up to date. An entry that cannot
+ * know whether there is a newer one asks the client to retry.
  */
 import type { Caller, KeyDigest, QueueIndex, DeclaredQueue } from '@valvelatch/core/batch';
 
@@ -9,24 +10,26 @@
 import type { ConfigurationKeeper } from '../configuration/configuration-keeper.js';
 import { refuse, type IntakeAnswer } from '../jobs/intake.js';
 
-/** What a request shows of itself before its body is read. */
+/** The parts of a request that access depends on, known before its body is read. */
 export type AccessRequest = {
   readonly hostName: string;
   readonly path: string;
-  /** Undefined for a request without a key. */
+  /** The digest of the client's key; undefined for a request without a key. */
   readonly keyDigest: KeyDigest | undefined;
 };
 
-/** A request that gets in. */
+/** A request that is allowed. */
 export type Admitted = {
   readonly kind: 'admitted';
   readonly queue: DeclaredQueue;
+  /** The client account; null for a queue that is open to all. */
   readonly caller: Caller;
-  /** What the path names behind the prefix of the queue. */
+  /** The rest of the path after the prefix of the queue. */
   readonly name: string;
 };
 
 export type Access = {
+  /** Allows or refuses a request. Asks neighbours for a newer configuration before it refuses. */
   readonly admit: (request: AccessRequest) => Promise<Admitted | IntakeAnswer>;
 };
 
@@ -36,9 +39,10 @@
   readonly metrics: Metrics;
 };
 
+/** Why the configuration in force does not allow a request. */
 type Denial = { readonly reason: 'unknown-queue' | 'unknown-key'; readonly detail: string };
 
-const judge = (
+const findAccess = (
   { findQueue, accounts }: QueueIndex,
   { hostName, path, keyDigest }: AccessRequest,
 ): Admitted | Denial => {
@@ -54,10 +58,10 @@
 };
 
 /**
- * Builds the check of an entry.
+ * Creates the access control of an entry.
  *
- * @param options - The configuration.
- * @returns The check.
+ * @param options - The configuration keeper, the log and the metrics.
+ * @returns The access control.
  */
 export const createAccess = ({ configuration, log, metrics }: AccessOptions): Access => {
   const deny = (request: AccessRequest, { reason, detail }: Denial): IntakeAnswer => {
@@ -71,23 +75,24 @@
       ageMs,
       isDoubtful,
     });
-    const judgedBy = `at version ${version}, ${ageMs} ms old`;
-    if (!isDoubtful) return refuse('notRun', reason, `${detail} ${judgedBy}`);
-    const doubt = `${detail} ${judgedBy}, and a newer one may be in force`;
-    return refuse('notRun', 'configuration-doubtful', doubt);
+    const basis = `at version ${version}, ${ageMs} ms old`;
+    if (!isDoubtful) return refuse('notRun', reason, `${detail} ${basis}`);
+    const doubtfulDetail = `${detail} ${basis}, and a newer one may be in force`;
+    return refuse('notRun', 'configuration-doubtful', doubtfulDetail);
   };
 
-  const judgeNow = (request: AccessRequest): Admitted | Denial | undefined => {
+  /** Checks a request against the configuration in force; returns undefined if there is none. */
+  const findAccessNow = (request: AccessRequest): Admitted | Denial | undefined => {
     const index = configuration.index();
-    return index && judge(index, request);
+    return index && findAccess(index, request);
   };
 
   return {
     admit: async (request) => {
-      const first = judgeNow(request);
+      const first = findAccessNow(request);
       if (first && 'kind' in first) return first;
       await configuration.refresh();
-      const last = judgeNow(request);
+      const last = findAccessNow(request);
       if (!last) {
         return refuse('notRun', 'no-configuration', 'the configuration is not known here yet');
       }
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -1,8 +1,12 @@
 /**
- * One entry of a fleet that runs batch work: takes jobs from clients, and holds control of the
- * fleet while it has the lease. All entries are alike and keep nothing.
+ * One entry of a fleet that runs batch work. It accepts jobs from clients, and is the control holder while it has the
+ * control lease. All entries are equal and store nothing themselves.
  */
-import { TABLE_UNAVAILABLE_MS, type PlacementPolicy, type QueueIndex } from '@valvelatch/core/batch';
+import {
+  TABLE_UNAVAILABLE_MS,
+  type PlacementPolicy,
+  type QueueIndex,
+} from '@valvelatch/core/batch';
 import type { DataCentreId, EntryId } from '@valvelatch/core/shared/ids';
 import { createGroupCommit } from '@valvelatch/platform/group-commit';
 
@@ -36,27 +40,36 @@
   type RelayCall,
 } from '../relays/relayed-table.js';
 
-const LEASE_TICK_MS = 400;
-const OPERATOR_RETRY_MS = 100;
-const PEERS_MS = 5000;
-/** A stronger entry that takes longer to say whether it would take control is no better off. */
-const WILLING_MS = 500;
-/** Submissions that come within this time share a transaction. */
-const GROUP_MS = 4;
-const GROUP_SIZE = 30;
-/** A list of a whole fleet takes the holder some hundred milliseconds. */
-const OPERATORS_MS = 3000;
+/** The interval at which this entry tries to acquire or renew the control lease. */
+const LEASE_TICK_INTERVAL_MS = 400;
+/** The pause between reads of the operator's feed. */
+const FEED_PAUSE_MS = 100;
+/** The interval at which the list of entries is read. */
+const PEERS_REFRESH_INTERVAL_MS = 5000;
+/**
+ * How long to wait for a stronger entry to answer whether it would take control. One that takes longer is no better
+ * choice.
+ */
+const WILLING_TIMEOUT_MS = 500;
+/** Submissions that arrive within this time share a transaction. */
+const GROUP_COMMIT_WINDOW_MS = 4;
+/** The maximum number of submissions in a transaction. */
+const MAX_GROUP_COMMIT_SIZE = 30;
+/**
+ * How long to wait for the holder's answer to an operator. To list a whole fleet takes it a few hundred milliseconds.
+ */
+const OPERATOR_TIMEOUT_MS = 3000;
 
 export type BatchEntryOptions = {
   readonly self: EntryId;
   readonly dataCentre: DataCentreId;
-  /** How many cores this entry may use: the strongest entries hold control. */
+  /** How many cores this entry may use. Control goes to the strongest entries. */
   readonly cores: number;
-  /** What its link carries each way. */
+  /** The capacity of its network link in each direction. */
   readonly linkBytesPerS: number;
-  /** True if a holder whose link is busy may have others carry its orders. */
+  /** True if a holder whose link is busy may send its orders through other entries. */
   readonly mayRelayOrders: boolean;
-  /** Where tasks of short steps go. */
+  /** How endpoints are chosen for tasks of short steps. */
   readonly placementPolicy: PlacementPolicy;
   readonly meshHost: string;
   readonly meshPort: number;
@@ -67,15 +80,16 @@
 };
 
 export type BatchEntry = {
+  /** The configuration in force; undefined before the first one is known. */
   readonly configuration: () => QueueIndex | undefined;
   readonly access: Access;
   readonly intake: Intake;
   readonly control: Control;
-  /** Answers an operator, through the holder of control. */
+  /** Answers an operator, through the control holder if that is another entry. */
   readonly askOperators: (question: OperatorQuestion) => Promise<OperatorResult>;
-  /** True if new clients should be sent here. */
+  /** True if new clients should be routed to this entry. */
   readonly isReady: () => boolean;
-  /** Gives up control at once and takes no new clients; those connected are served on. */
+  /** Gives up control at once and stops being ready for new clients. Connected clients are still served. */
   readonly drain: () => Promise<void>;
   readonly stop: () => Promise<void>;
 };
@@ -83,9 +97,9 @@
 /**
  * Starts an entry.
  *
- * @param options - Its name, its place, its platform.
+ * @param options - The identity, size and location of the entry, and its platform.
  * @returns The entry.
- * @throws Where the mesh address cannot be listened on.
+ * @throws If it cannot listen on the mesh address.
  */
 export const startBatchEntry = async ({
   self,
@@ -148,7 +162,7 @@
     log,
     metrics,
   });
-  const agent = createOrderAgent(platform.orders, metrics, startGate);
+  const orderAgent = createOrderAgent(platform.orders, metrics, startGate);
 
   const control = createControl({
     self,
@@ -163,20 +177,21 @@
     standing: createStanding({
       strength: strengthOf(cores, linkBytesPerS),
       othersStrength: () => peers?.strengths(),
-      ask: async (entryId) => peers?.ask(entryId, CONTROL_METHOD.willing, null, WILLING_MS),
+      ask: async (entryId) => peers?.ask(entryId, CONTROL_METHOD.willing, null, WILLING_TIMEOUT_MS),
     }),
   });
 
-  const answerHere = (question: OperatorQuestion): OperatorResult | undefined =>
+  /** Answers an operator at this entry; returns undefined if it is not the control holder. */
+  const answerAsHolder = (question: OperatorQuestion): OperatorResult | undefined =>
     answerOperator(control, question, configuration.index()?.configuration.version ?? 0);
 
   const askOperators = async (question: OperatorQuestion): Promise<OperatorResult> => {
-    const own = answerHere(question);
+    const ownAnswer = answerAsHolder(question);
     const holder = control.holder();
-    if (own) return own;
+    if (ownAnswer) return ownAnswer;
     try {
       if (!peers || holder === null) throw new Error('nobody holds control');
-      const answer = await peers.ask(holder, OPERATORS_METHOD, question, OPERATORS_MS);
+      const answer = await peers.ask(holder, OPERATORS_METHOD, question, OPERATOR_TIMEOUT_MS);
       if (answer) return answer as OperatorResult;
       throw new Error(`${holder} does not hold control any more`);
     } catch (error) {
@@ -195,12 +210,12 @@
     log,
     onFrame: platform.noteMeshFrame,
     answer: async (method, payload) => {
-      if (method === ORDER_METHOD) return agent.answer(payload);
+      if (method === ORDER_METHOD) return orderAgent.answer(payload);
       if (method === RELAY_METHOD) return table.answerNeighbour(payload as RelayCall);
       if (method === CONFIGURATION_METHOD) {
         return configuration.answerNeighbour(payload as NeighbourQuestion | number);
       }
-      if (method === OPERATORS_METHOD) return answerHere(payload as OperatorQuestion) ?? null;
+      if (method === OPERATORS_METHOD) return answerAsHolder(payload as OperatorQuestion) ?? null;
       return control.answer(method, payload);
     },
   });
@@ -211,18 +226,26 @@
   const intake = createIntake({
     onRefused: refusedJobs.add,
     table,
-    group: createGroupCommit({ table, windowMs: GROUP_MS, mostPerGroup: GROUP_SIZE }),
+    group: createGroupCommit({
+      table,
+      windowMs: GROUP_COMMIT_WINDOW_MS,
+      mostPerGroup: MAX_GROUP_COMMIT_SIZE,
+    }),
     control,
     log,
     metrics,
   });
 
-  /** Who else is there is read before control is taken for the first time: see `Standing`. */
+  /**
+   * Tries to acquire or renew the control lease. The other entries are read before that, since a weaker entry leaves
+   * control to a stronger one: see `Standing`.
+   */
   const keepControl = async (): Promise<void> => {
     if (openPeers.strengths() === undefined) await openPeers.refresh(table);
     await control.tick();
   };
 
+  /** Reads the list of entries again; the first read is left to `keepControl`. */
   const refreshPeers = async (): Promise<void> => {
     if (openPeers.strengths() !== undefined) await openPeers.refresh(table);
   };
@@ -233,16 +256,16 @@
 
   const loops: RunningLoops = startLoops(
     [
-      { name: 'operator', everyMs: OPERATOR_RETRY_MS, run: configuration.follow },
+      { name: 'operator', everyMs: FEED_PAUSE_MS, run: configuration.follow },
       {
         name: 'configuration',
         everyMs: ASK_NEIGHBOURS_EVERY_MS,
         run: configuration.askNeighbours,
       },
-      { name: 'lease', everyMs: LEASE_TICK_MS, run: keepControl },
+      { name: 'lease', everyMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
       { name: 'relays', everyMs: RELAYS_EVERY_MS, run: refreshRelays },
       { name: 'refused', everyMs: TELL_REFUSED_EVERY_MS, run: refusedJobs.tell },
-      { name: 'peers', everyMs: PEERS_MS, run: refreshPeers },
+      { name: 'peers', everyMs: PEERS_REFRESH_INTERVAL_MS, run: refreshPeers },
       { name: 'beat', everyMs: BEAT_MS, run: async () => openPeers.beat() },
       { name: 'probe', everyMs: PROBE_EVERY_MS, run: async () => table.probe() },
     ],
--- a/packages/daemon/src/batch/entry/peers.ts
+++ b/packages/daemon/src/batch/entry/peers.ts
@@ -1,4 +1,4 @@
-/** The other entries: found in the table, asked over the mesh. Nothing safe depends on them. */
+/** The other entries: listed in the table, asked over the mesh. Correctness does not depend on this list. */
 import type { Member } from '@valvelatch/core/membership/membership';
 import { brand, type DataCentreId, type EntryId } from '@valvelatch/core/shared/ids';
 import { createMesh, type Mesh } from '@valvelatch/mesh';
@@ -8,25 +8,26 @@
 import type { BatchTable } from '../ports.js';
 import { strengthOf } from '../control/standing.js';
 
-/** An entry's row. */
+/** The stored row of an entry. */
 type EntryRow = {
   readonly meshUrl: string;
   readonly dataCentre: DataCentreId;
+  /** When the entry's process started, by the wall clock. */
   readonly startedAtMs: number;
   /** How many cores the entry may use. */
   readonly cores: number;
-  /** What its link carries each way; not in rows of entries that do not know it. */
+  /** The capacity of its network link in each direction; undefined in rows of entries that do not know it. */
   readonly linkBytesPerS?: number;
 };
 
-/** Of an entry whose row has not been read. */
+/** The data centre of an entry whose row has not been read. */
 const UNKNOWN_DATA_CENTRE = brand<DataCentreId>('');
 
-/** Another entry. */
+/** Another entry, as seen by this one. */
 export type PeerView = {
   readonly entryId: EntryId;
   readonly dataCentre: DataCentreId;
-  /** How much it can carry, by `strengthOf`. */
+  /** How much of a holder's work it can do, in cores: see `strengthOf`. */
   readonly strength: number;
 };
 
@@ -39,13 +40,13 @@
   readonly port: number;
   readonly meshKey: string;
   readonly log: Log;
-  /** Answers questions of other entries, by method. */
+  /** Answers questions of other entries by method. */
   readonly answer: (method: string, payload: unknown) => Promise<unknown>;
-  /** Told what the mesh puts on the link. */
+  /** Called with the size of each frame that the mesh sends or receives. */
   readonly onFrame?: (direction: 'sent' | 'received', bytes: number) => void;
 };
 
-/** Asks another entry by method; rejects without an answer in time. */
+/** Asks another entry by method; rejects if it does not answer within `ms`. */
 export type AskPeer = (
   entryId: EntryId,
   method: string,
@@ -54,38 +55,42 @@
 ) => Promise<unknown>;
 
 export type Peers = {
-  /** Writes this entry's own row and reads the others'; to be called now and then. */
+  /** Writes this entry's own row if that is still to be done, and reads the others' rows. Called at intervals. */
   readonly refresh: (table: Pick<BatchTable, 'scan' | 'transact'>) => Promise<void>;
   readonly ask: AskPeer;
-  /** Keeps a link open to an entry that is asked often. */
+  /** Opens a link to an entry that is asked often, if there is none. */
   readonly keepLink: (entryId: EntryId) => void;
-  /** Other entries, those of the own data centre first. */
+  /** The other entries, those in the same data centre first. */
   readonly others: () => readonly EntryId[];
-  /** How strong each other entry is; undefined until they were read. */
+  /** The strength of each other entry; undefined until their rows have been read. */
   readonly strengths: () => ReadonlyMap<EntryId, number> | undefined;
+  /** The other entries with a row in the last read; empty before the first. */
   readonly members: () => readonly PeerView[];
+  /** True if the entry can be asked. */
   readonly knows: (entryId: EntryId) => boolean;
-  /** How long a linked entry has been silent; each says something every second. */
+  /** The time since a linked entry was last heard; Infinity if it never was. Entries send heartbeats over each link. */
   readonly silentForMs: (entryId: EntryId) => number;
+  /** Sends a heartbeat over each link and closes links that have been silent for too long. */
   readonly beat: () => void;
   readonly close: () => Promise<void>;
 };
 
-/** Pause between two words on each link. */
+/** The interval between heartbeats on each link. */
 export const BEAT_MS = 500;
 /**
- * Connections may go silent for good while new ones work. Three words missed in a row end a link;
- * it is dialled again when its peer is next asked. A slowed entry misses one or two.
+ * A link that has been silent for this time is closed, and opened again when its peer is next asked, since a
+ * connection may stay silent for good while new ones work. It allows for three missed heartbeats, because a slow
+ * entry may miss one or two in a row.
  */
-const LINK_SILENT_MS = 3 * BEAT_MS + 100;
+const LINK_SILENCE_TIMEOUT_MS = 3 * BEAT_MS + 100;
 
 const withTimeout = async <Value>(promise: Promise<Value>, ms: number): Promise<Value> => {
   let timer: NodeJS.Timeout | undefined;
-  const late = new Promise<never>((_, reject) => {
+  const timeout = new Promise<never>((_, reject) => {
     timer = setTimeout(() => reject(new Error(`no answer in ${ms} ms`)), ms);
   });
   try {
-    return await Promise.race([promise, late]);
+    return await Promise.race([promise, timeout]);
   } finally {
     clearTimeout(timer);
   }
@@ -94,9 +99,9 @@
 /**
  * Opens the mesh.
  *
- * @param options - Where to listen and how questions are answered.
+ * @param options - The address to listen on, and how questions are answered.
  * @returns The peers.
- * @throws Where the address cannot be listened on.
+ * @throws If it cannot listen on the address.
  */
 export const createPeers = async ({
   self,
@@ -115,7 +120,7 @@
   const startedAtMs = Date.now();
   let isRegistered = false;
 
-  const memberOf = (entryId: EntryId, { meshUrl, ...row }: EntryRow): Member => ({
+  const toMember = (entryId: EntryId, { meshUrl, ...row }: EntryRow): Member => ({
     entryId,
     dataCentre: row.dataCentre,
     incarnation: row.startedAtMs,
@@ -137,8 +142,8 @@
     host,
     port,
     key: meshKey,
-    self: () => memberOf(self, ownRow),
-    silentAfterMs: LINK_SILENT_MS,
+    self: () => toMember(self, ownRow),
+    silentAfterMs: LINK_SILENCE_TIMEOUT_MS,
     handlers: {
       onMessage: () => undefined,
       onPeer: (member) => {
@@ -171,7 +176,7 @@
           ({ key, value }) => [key.slice('entry/'.length) as EntryId, value as EntryRow] as const,
         )
         .filter(([entryId]) => entryId !== self);
-      others.forEach(([entryId, row]) => members.set(entryId, memberOf(entryId, row)));
+      others.forEach(([entryId, row]) => members.set(entryId, toMember(entryId, row)));
       strengths = new Map(
         others.map(([entryId, row]) => [
           entryId,
