--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -26,14 +26,14 @@
 } from './evacuation-keeper.js';
 
 /**
- * How long a read of the operator's feed waits for changes. It is short enough that a change is in force within 2 s even
- * if one read is lost.
+ * How long a read of the operator's feed waits for changes. It is short enough that a change is in force within 2 s
+ * even if one read is lost.
  */
 const FEED_WAIT_MS = 1000;
 /**
  * A feed that has not answered for this time is overdue; a working feed answers every 1.1 s. Together with
- * `ASK_NEIGHBOURS_EVERY_MS` it must stay below 2 s, so that a change is in force within 2 s of its acceptance at an entry
- * that cannot reach the table.
+ * `ASK_NEIGHBOURS_EVERY_MS` it must stay below 2 s, so that a change is in force within 2 s of its acceptance at an
+ * entry that cannot reach the table.
  */
 const FEED_OVERDUE_MS = 1300;
 /** The interval at which an entry with an overdue feed asks its neighbours. */
@@ -43,13 +43,13 @@
 /** Client requests that call for a refresh within this interval share one round of questions to neighbours. */
 const MIN_REFRESH_INTERVAL_MS = 200;
 /**
- * How many neighbours are asked at once. One is not enough, since a network fault often cuts off several entries and the
- * rows of entries that no longer exist stay in the table.
+ * How many neighbours are asked at once. One is not enough, since a network fault often cuts off several entries and
+ * the rows of entries that no longer exist stay in the table.
  */
 const NEIGHBOURS_PER_ROUND = 2;
 /**
- * How long it counts that neighbours could not reach the table either. After this time the table may be answering them
- * again.
+ * How long neighbours' answers that the table is unavailable to them stay valid. After this time the table may be
+ * answering them again.
  */
 const NEIGHBOUR_ANSWERS_VALID_MS = 2000;
 /**
@@ -116,15 +116,18 @@
    * request that the configuration in force does not allow, but a newer one may.
    */
   readonly refresh: () => Promise<void>;
-  /** Reads the operator's feed once, and waits for a change if nothing is missing or too old. Called in a loop. */
+  /**
+   * Reads the operator's feed once. Waits for a change, unless there is no configuration yet or the evacuation view
+   * is too old. Called in a loop.
+   */
   readonly follow: () => Promise<void>;
   /** Asks neighbours if the feed is overdue; called every `ASK_NEIGHBOURS_EVERY_MS`. */
   readonly askNeighbours: () => Promise<void>;
   /** Answers a neighbour. Entries of an earlier release send only the version. */
   readonly answerNeighbour: (question: NeighbourQuestion | number) => NeighbourAnswer;
   /**
-   * Confirms the evacuation view at once: by a read of the feed that does not wait for changes, or by neighbours if that
-   * read fails. Calls made while a confirmation is in flight share it.
+   * Confirms the evacuation view at once: by a read of the feed that does not wait for changes, or by neighbours if
+   * that read fails. Calls made while a confirmation is in flight share it.
    */
   readonly confirmEvacuations: () => Promise<void>;
   /** True if neighbours have recently answered, and none of them can reach the table. */
@@ -236,9 +239,9 @@
   };
 
   /**
-   * Reads the feed. If the age of the evacuation view is bounded and the answer is the first full read, reads again at
-   * once for the changes since, because a full read may be stale. If that second answer is also a full read, because the
-   * table no longer has the history, further calls read only once each.
+   * Reads the feed. If the age of the evacuation view is bounded and the answer is the first full read, reads again
+   * at once for the changes since, because a full read may be stale. If that second answer is also a full read,
+   * because the table no longer has the history, further calls read only once each.
    */
   const readFeedAndChanges = async (waitMs: number): Promise<OperatorNews | undefined> => {
     const news = await readFeed(waitMs);
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
@@ -157,7 +157,8 @@
 
   describe('read from a feed whose revision stays the same while nothing changes', () => {
     it('is confirmed even if a neighbour has sent a view with a higher revision', async () => {
-      // Otherwise a holder that got the view from a neighbour while it was cut off would start no task until the next change.
+      // Otherwise a holder that got the view from a neighbour while it was cut off would start no task until the next
+      // change.
       const { keeper, evacuations, clock } = createEntry([changesAt(3)]);
       await keeper.follow();
       evacuations.takeAnswer(evacuationMessage({ revision: 8 }), 0);
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.ts
@@ -51,8 +51,8 @@
   /** Merges the view in a neighbour's answer to a question that was sent at `askedAtMs`. */
   readonly takeAnswer: (told: ToldEvacuations, askedAtMs: number) => void;
   /**
-   * Merges the view that a neighbour sent with its question. It does not confirm the view, since it is not known how long
-   * the question was in flight.
+   * Merges the view that a neighbour sent with its question. It does not confirm the view, since it is not known how
+   * long the question was in flight.
    */
   readonly takeQuestion: (told: ToldEvacuations) => void;
   /** Returns the view as it is sent to other entries. */
--- a/packages/daemon/src/batch/configuration/start-gate.ts
+++ b/packages/daemon/src/batch/configuration/start-gate.ts
@@ -15,7 +15,9 @@
 export type StartGate = {
   readonly belief: () => EvacuationView;
   readonly evacuated: () => ReadonlySet<DataCentreId>;
-  /** The time since the view was last confirmed; a newer evacuation may exist for as long. Infinity before the first. */
+  /**
+   * The time since the view was last confirmed; a newer evacuation may exist for as long. Infinity before the first.
+   */
   readonly ageMs: () => number;
   /** False while the view is older than the deployment allows, so that no task may start in any data centre. */
   readonly isOpen: () => boolean;
@@ -50,9 +52,9 @@
   isTableAway,
 }: StartGateOptions): StartGate => {
   /**
-   * True if the table is unavailable to this entry and to its neighbours. Starts may then go on, since no operator can
-   * order an evacuation either. It is false for an entry that reaches neither the table nor a neighbour: the entry itself
-   * may be cut off while the table accepts orders.
+   * True if the table is unavailable to this entry and to its neighbours. Starts may then go on, since no operator
+   * can order an evacuation either. It is false for an entry that reaches neither the table nor a neighbour: the
+   * entry itself may be cut off while the table accepts orders.
    */
   const isTableUnavailableForAll = (): boolean =>
     isTableAway() && configuration.isAwayForNeighbours();
--- a/packages/daemon/src/batch/hosts/completed-waves.test.ts
+++ b/packages/daemon/src/batch/hosts/completed-waves.test.ts
@@ -1,11 +1,11 @@
 /**
- * Guards against a maintenance wave that is reported as completed while its hosts have yet to go down. It happened if the
- * control holder was replaced just after the wave was ordered, while the platform's list of hosts was unavailable
- * (connections reset, no answer, slow or 503). The new holder could not read the list, so its inventory was empty, and a
- * host that is not listed counted as gone for good. 0.2 s after its recovery it reported the wave as completed; the log
- * had `host-list-lost listAgeMs=never` and `wave-reported state=completed done=0 unlisted=17 listed=0`. Once the list was
- * back, it reported the wave as running and took all 17 hosts down. Four of four runs with both faults failed this way,
- * and none with only one of them.
+ * Guards against a maintenance wave that is reported as completed while its hosts have yet to go down. It happened if
+ * the control holder was replaced just after the wave was ordered, while the platform's list of hosts was unavailable
+ * (connections reset, no answer, slow or 503). The new holder could not read the list, so its inventory was empty,
+ * and a host that is not listed counted as gone for good. 0.2 s after its recovery it reported the wave as completed;
+ * the log had `host-list-lost listAgeMs=never` and `wave-reported state=completed done=0 unlisted=17 listed=0`. Once
+ * the list was back, it reported the wave as running and took all 17 hosts down. Four of four runs with both faults
+ * failed this way, and none with only one of them.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId } from '@valvelatch/core/shared/ids';
--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -83,8 +83,8 @@
   const isComplete = (wave: MaintenanceWave): boolean => isWaveComplete(sight(), wave);
 
   /**
-   * Returns when the wave was ordered, by the monotonic clock: when this entry first saw it, or earlier if the row that an
-   * earlier holder wrote says so.
+   * Returns when the wave was ordered, by the monotonic clock: when this entry first saw it, or earlier if the row
+   * that an earlier holder wrote says so.
    */
   const computeOrderedAtMs = ({ order, seenAtMs }: KnownWave, row: WaveRow | undefined): number => {
     if (row?.takenAtTodayMs === undefined) return seenAtMs;
--- a/packages/daemon/src/batch/hosts/waves-in-time.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-in-time.test.ts
@@ -1,8 +1,8 @@
 /**
- * Maintenance of hosts that run one task each of a long-running step, while short tasks use up the free capacity of the
- * pools in turn. Guards against hosts that wait for time or capacity for so long that the step's limit on unavailable
- * tasks (`mayMiss`) no longer lets them go down one after the other in time: with a limit of one task, 24 such hosts took
- * 32.5 s where 26 s were allowed.
+ * Maintenance of hosts that run one task each of a long-running step, while short tasks use up the free capacity of
+ * the pools in turn. Guards against hosts that wait for time or capacity for so long that the step's limit on
+ * unavailable tasks (`mayMiss`) no longer lets them go down one after the other in time: with a limit of one task, 24
+ * such hosts took 32.5 s where 26 s were allowed.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId, JobId } from '@valvelatch/core/shared/ids';
--- a/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
@@ -82,7 +82,8 @@
     async ({ fault, mayMiss, seed }) => {
       const { fleet, work } = await busyFleet(seed, mayMiss);
       faults[fault]?.(fleet);
-      // The simulated platform counts the hosts that are down for all waves together, so the maximum is the whole fleet.
+      // The simulated platform counts the hosts that are down for all waves together, so the maximum is the whole
+      // fleet.
       const waves = [['rack-0', 'rack-2'], ['rack-1']].map((racks, index) => ({
         waveNumber: index + 1,
         hosts: hostsInRacks(fleet, racks),
