--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -95,18 +95,18 @@
 
   /** Reads the row of a wave and adds the wave. If the table does not answer, the next call tries again. */
   const openWave = async (known: KnownWave): Promise<void> => {
-    const { order } = known;
-    const rows = await platform.table.read([batchKey.wave(order.waveNumber)]);
+    const { order: request } = known;
+    const rows = await platform.table.read([batchKey.wave(request.waveNumber)]);
     if (rows.isErr()) return;
     const row = (rows.value[0]?.value ?? undefined) as WaveRow | undefined;
-    unopenedWaves.delete(order.waveNumber);
-    const wave = createMaintenanceWave(order, row?.done ?? [], computeOrderedAtMs(known, row));
-    waves.set(order.waveNumber, wave);
+    unopenedWaves.delete(request.waveNumber);
+    const wave = createMaintenanceWave(request, row?.done ?? [], computeOrderedAtMs(known, row));
+    waves.set(request.waveNumber, wave);
     log.info('wave-taken', {
-      wave: order.waveNumber,
-      hosts: order.hosts.length,
-      maximum: order.maximum,
-      withinMs: order.withinMs,
+      wave: request.waveNumber,
+      hosts: request.hosts.length,
+      maximum: request.maximum,
+      withinMs: request.withinMs,
       done: row?.done.length ?? 0,
       ageMs: Math.round(nowMs() - wave.firstSeenAtMs),
     });
@@ -179,7 +179,7 @@
   return {
     take: (known) =>
       known
-        .filter(({ order }) => !waves.has(order.waveNumber))
+        .filter(({ order: request }) => !waves.has(request.waveNumber))
         .forEach((wave) => unopenedWaves.set(wave.order.waveNumber, wave)),
     follow: async () => {
       await Promise.all(Array.from(unopenedWaves.values()).map(openWave));
