--- a/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
@@ -42,7 +42,7 @@
 /** An entry whose connection to the table can be cut. */
 type Entry = {
   readonly entryId: EntryId;
-  readonly keeper: ConfigurationKeeper;
+  readonly sync: ConfigurationKeeper;
   isCutOff: boolean;
   /** The neighbours that it has asked, in order. */
   readonly asked: EntryId[];
@@ -64,7 +64,7 @@
     let readVersion = 0;
     const asked: EntryId[] = [];
     const others = (): readonly Entry[] => entries.filter(({ entryId }) => entryId !== name);
-    const keeper = createConfigurationKeeper({
+    const sync = createConfigurationKeeper({
       feed: {
         next: async (waitMs) => {
           const untilMs = performance.now() + waitMs;
@@ -90,25 +90,25 @@
         await sleep(1);
         return others()
           .find((other) => other.entryId === entryId)
-          ?.keeper.answerNeighbour(payload as number);
+          ?.sync.answerNeighbour(payload as number);
       },
       onWaves: () => undefined,
       log,
       metrics: createMetrics(),
     });
-    const entry: Entry = { entryId: brand(name), keeper, isCutOff: false, asked };
+    const entry: Entry = { entryId: brand(name), sync, isCutOff: false, asked };
     const repeat = async (run: () => Promise<void>, everyMs: number): Promise<void> => {
       while (!isStopped) {
         await run();
         await sleep(everyMs);
       }
     };
-    void repeat(keeper.follow, FEED_PAUSE_MS);
-    void repeat(keeper.askNeighbours, ASK_NEIGHBOURS_EVERY_MS);
+    void repeat(sync.follow, FEED_PAUSE_MS);
+    void repeat(sync.askNeighbours, ASK_NEIGHBOURS_EVERY_MS);
     return entry;
   };
 
-  const keeperOf = (
+  const createTestSync = (
     read: () => Promise<number>,
     ask: () => Promise<unknown> = async () => undefined,
     nowMs?: () => number,
@@ -126,7 +126,7 @@
       nowMs,
     });
 
-  const versionOf = ({ keeper }: Entry): number => keeper.index()?.configuration.version ?? 0;
+  const versionOf = ({ sync }: Entry): number => sync.index()?.configuration.version ?? 0;
 
   beforeEach(async () => {
     vi.useFakeTimers();
@@ -176,7 +176,7 @@
   });
 
   it('is compressed to a twentieth of its size or less when it is sent to another entry', () => {
-    const { packed } = (entries[0] as Entry).keeper.answerNeighbour(0);
+    const { packed } = (entries[0] as Entry).sync.answerNeighbour(0);
     const plainBytes = JSON.stringify(accepted).length;
     expect(packed?.length).toBeLessThan(plainBytes / 20);
   });
@@ -185,7 +185,7 @@
     vi.useRealTimers();
     /** The answer of a neighbour that has this version, as if it were asked by an entry without one. */
     const answerOf = async (version: number) => {
-      const neighbour = keeperOf(async () => version);
+      const neighbour = createTestSync(async () => version);
       await neighbour.follow();
       return neighbour.answerNeighbour(0);
     };
@@ -197,7 +197,7 @@
         let version = 0;
         let nowMs = 0;
         let highest = 0;
-        const keeper = keeperOf(
+        const sync = createTestSync(
           async () => version,
           async () => answerOf(version),
           () => nowMs,
@@ -206,8 +206,8 @@
           const { byTable, version: nextVersion } = updates[step] as (typeof updates)[number];
           version = nextVersion;
           nowMs += 10_000;
-          await (byTable ? keeper.follow() : keeper.askNeighbours());
-          const inForce = keeper.index()?.configuration.version ?? 0;
+          await (byTable ? sync.follow() : sync.askNeighbours());
+          const inForce = sync.index()?.configuration.version ?? 0;
           expect(inForce).toBe(Math.max(highest, version));
           highest = inForce;
         }
@@ -219,7 +219,7 @@
     // Guards against a log line per failed read: 35 entries that the table rejected wrote 2,818 lines in 10 s.
     const lines: string[] = [];
     let isTableDown = true;
-    const keeper = createConfigurationKeeper({
+    const sync = createConfigurationKeeper({
       feed: {
         next: async () =>
           isTableDown
@@ -232,9 +232,9 @@
       log: createLog({ sink: (line) => lines.push(line) }),
       metrics: createMetrics(),
     });
-    for (let attempt = 0; attempt < 90; attempt += 1) await keeper.follow();
+    for (let attempt = 0; attempt < 90; attempt += 1) await sync.follow();
     isTableDown = false;
-    await keeper.follow();
+    await sync.follow();
     const feedLines = lines.filter((line) => line.includes('operator-feed'));
     expect(feedLines).toHaveLength(2);
     expect(feedLines[0]).toContain('event=operator-feed-lost');
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -32,7 +32,7 @@
 const FEED_WAIT_MS = 1000;
 /**
  * A feed that has not answered for this time is overdue; a working feed answers every 1.1 s. Together with
- * `ASK_NEIGHBOURS_EVERY_MS` it must stay below 2 s, so that a change is in force within 2 s of its acceptance at an
+ * `NEIGHBOUR_POLL_INTERVAL_MS` it must stay below 2 s, so that a change is in force within 2 s of its acceptance at an
  * entry that cannot reach the table.
  */
 const FEED_OVERDUE_MS = 1300;
@@ -121,7 +121,7 @@
    * is too old. Called in a loop.
    */
   readonly follow: () => Promise<void>;
-  /** Asks neighbours if the feed is overdue; called every `ASK_NEIGHBOURS_EVERY_MS`. */
+  /** Asks neighbours if the feed is overdue; called every `NEIGHBOUR_POLL_INTERVAL_MS`. */
   readonly askNeighbours: () => Promise<void>;
   /** Answers a neighbour. Entries of an earlier release send only the version. */
   readonly answerNeighbour: (question: NeighbourQuestion | number) => NeighbourAnswer;
@@ -143,10 +143,10 @@
 };
 
 /**
- * Creates the configuration keeper of an entry.
+ * Creates the configuration sync of an entry.
  *
- * @param options - The operator's feed, access to neighbours, and the evacuation keeper.
- * @returns The keeper. It has no configuration until the feed or a neighbour has delivered one.
+ * @param options - The operator's feed, access to neighbours, and the evacuation tracker.
+ * @returns The configuration sync. It has no configuration until the feed or a neighbour has delivered one.
  */
 export const createConfigurationKeeper = ({
   feed,
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
@@ -65,7 +65,7 @@
     log,
     nowMs,
   });
-  const keeper = createConfigurationKeeper({
+  const sync = createConfigurationKeeper({
     feed: {
       next: async (waitMs) => {
         const news = answers[Math.min(waits.length, answers.length - 1)];
@@ -89,10 +89,10 @@
   });
   const gate = createStartGate({
     evacuations,
-    configuration: keeper,
+    configuration: sync,
     isTableAway: () => table.isUnavailable,
   });
-  return { clock, waits, questions, evacuations, keeper, gate, table };
+  return { clock, waits, questions, evacuations, sync, gate, table };
 };
 
 const evacuationMessage = (fields: Partial<ToldEvacuations>): ToldEvacuations => ({
@@ -106,50 +106,50 @@
   describe('read from its feed', () => {
     it('keeps tasks out of an evacuated data centre only, until the evacuation ends', async () => {
       const deleted = { ...writtenRow(NORTH, 3), isDeleted: true };
-      const { keeper, gate } = createEntry([
+      const { sync, gate } = createEntry([
         changesAt(2, [writtenRow(NORTH, 2)]),
         changesAt(3, [deleted]),
       ]);
-      await keeper.follow();
+      await sync.follow();
       expect([gate.mayStartIn(NORTH), gate.mayStartIn(SOUTH)]).toEqual([false, true]);
-      await keeper.follow();
+      await sync.follow();
       expect(gate.mayStartIn(NORTH)).toBe(true);
     });
 
     it('has an age that counts from the start of the read, not from its answer', async () => {
       // An entry that was paused while the answer waited in its socket must not treat it as recent.
-      const { clock, keeper, evacuations } = createEntry([changesAt(1)]);
+      const { clock, sync, evacuations } = createEntry([changesAt(1)]);
       clock.feedDelayMs = 9000;
-      await keeper.follow();
+      await sync.follow();
       expect(evacuations.ageMs()).toBe(9000);
       expect(evacuations.isRecent()).toBe(false);
     });
 
     it('is not confirmed by a full read, but by the read for changes that follows at once', async () => {
-      const { keeper, waits, evacuations } = createEntry([
+      const { sync, waits, evacuations } = createEntry([
         fullReadAt(4),
         fullReadAt(4),
         changesAt(5),
       ]);
-      await keeper.follow();
+      await sync.follow();
       expect(waits).toHaveLength(2);
       expect(evacuations.isRecent()).toBe(false);
-      await keeper.follow();
+      await sync.follow();
       expect(evacuations.isRecent()).toBe(true);
     });
 
     it('costs one read per call while the table gives only full reads', async () => {
-      const { keeper, waits } = createEntry([fullReadAt(4)]);
-      await keeper.follow();
-      await keeper.follow();
-      await keeper.follow();
+      const { sync, waits } = createEntry([fullReadAt(4)]);
+      await sync.follow();
+      await sync.follow();
+      await sync.follow();
       expect(waits).toHaveLength(4);
     });
 
     it('is not confirmed by an answer with a revision below a known evacuation', async () => {
-      const { keeper, evacuations } = createEntry([changesAt(3)]);
+      const { sync, evacuations } = createEntry([changesAt(3)]);
       evacuations.takeAnswer(evacuationMessage({ revision: 8, evacuated: [[NORTH, 8]] }), 0);
-      await keeper.follow();
+      await sync.follow();
       expect(evacuations.isRecent()).toBe(false);
       expect(Array.from(evacuations.evacuated())).toEqual([NORTH]);
     });
@@ -159,23 +159,23 @@
     it('is confirmed even if a neighbour has sent a view with a higher revision', async () => {
       // Otherwise a holder that got the view from a neighbour while it was cut off would start no task until the next
       // change.
-      const { keeper, evacuations, clock } = createEntry([changesAt(3)]);
-      await keeper.follow();
+      const { sync, evacuations, clock } = createEntry([changesAt(3)]);
+      await sync.follow();
       evacuations.takeAnswer(evacuationMessage({ revision: 8 }), 0);
       clock.ms = BOUND_MS;
-      await keeper.follow();
+      await sync.follow();
       expect(evacuations.isRecent()).toBe(true);
     });
   });
 
   describe('in a deployment without a bound on its age', () => {
     it('keeps tasks out of evacuated data centres, and allows all other starts without further reads', async () => {
-      const { clock, keeper, gate, waits } = createEntry(
+      const { clock, sync, gate, waits } = createEntry(
         [fullReadAt(4, [writtenRow(NORTH, 4)]), changesAt(4)],
         { isBounded: false },
       );
       expect(gate.mayStartIn(NORTH)).toBe(true);
-      await keeper.follow();
+      await sync.follow();
       expect(waits).toHaveLength(1);
       clock.ms += 60_000;
       expect([gate.mayStartIn(NORTH), gate.mayStartIn(SOUTH)]).toEqual([false, true]);
@@ -191,21 +191,21 @@
         confirmedAgoMs: 1200,
       });
       const neighbour = { packed: null, isUpToDate: true, evacuations };
-      const { clock, keeper, evacuations: own } = createEntry([NO_ANSWER], { neighbour });
+      const { clock, sync, evacuations: own } = createEntry([NO_ANSWER], { neighbour });
       clock.ms = 10_000;
-      await keeper.askNeighbours();
+      await sync.askNeighbours();
       expect(Array.from(own.evacuated())).toEqual([NORTH]);
       expect(own.ageMs()).toBe(1200);
     });
 
     it('is also taken from their questions, without confirming it', () => {
-      const { keeper, evacuations } = createEntry([NO_ANSWER]);
+      const { sync, evacuations } = createEntry([NO_ANSWER]);
       const question = evacuationMessage({
         revision: 7,
         evacuated: [[NORTH, 7]],
         confirmedAgoMs: 0,
       });
-      const answer = keeper.answerNeighbour({ version: 0, evacuations: question });
+      const answer = sync.answerNeighbour({ version: 0, evacuations: question });
       expect(answer.evacuations).toEqual(
         evacuationMessage({ revision: 7, evacuated: [[NORTH, 7]], confirmedAgoMs: null }),
       );
@@ -214,23 +214,23 @@
 
     it('stays unconfirmed after an answer of an earlier release, which contains no view', async () => {
       const neighbour = { packed: null, isUpToDate: true };
-      const { clock, keeper, evacuations } = createEntry([NO_ANSWER], { neighbour });
+      const { clock, sync, evacuations } = createEntry([NO_ANSWER], { neighbour });
       clock.ms = 10_000;
-      await keeper.askNeighbours();
+      await sync.askNeighbours();
       expect(evacuations.isRecent()).toBe(false);
-      expect(keeper.answerNeighbour(0).isUpToDate).toBe(false);
+      expect(sync.answerNeighbour(0).isUpToDate).toBe(false);
     });
   });
 
   describe('that is too old', () => {
     const createEntryWithOldView = async (neighbour: NeighbourAnswer | undefined) => {
       const entry = createEntry([changesAt(1), NO_ANSWER], { neighbour });
-      await entry.keeper.follow();
+      await entry.sync.follow();
       entry.clock.ms = BOUND_MS - START_IN_FLIGHT_MS - 1;
       expect(entry.gate.mayStartIn(SOUTH)).toBe(true);
       entry.clock.ms += 1;
       entry.table.isUnavailable = true;
-      await entry.keeper.askNeighbours();
+      await entry.sync.askNeighbours();
       return entry;
     };
 
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps an entry's view of the operator's evacuations, and when that view was last confirmed. Updates come from the
- * operator's feed and from neighbours, through the configuration keeper.
+ * operator's feed and from neighbours, through the configuration sync.
  */
 import {
   applyEvacuationUpdate,
@@ -49,12 +49,12 @@
   /** Applies what the operator's feed answered to a read that began at `askedAtMs`. */
   readonly take: (news: EvacuationNews, askedAtMs: number) => void;
   /** Merges the view in a neighbour's answer to a question that was sent at `askedAtMs`. */
-  readonly takeAnswer: (told: ToldEvacuations, askedAtMs: number) => void;
+  readonly takeAnswer: (message: ToldEvacuations, askedAtMs: number) => void;
   /**
    * Merges the view that a neighbour sent with its question. It does not confirm the view, since it is not known how
    * long the question was in flight.
    */
-  readonly takeQuestion: (told: ToldEvacuations) => void;
+  readonly takeQuestion: (message: ToldEvacuations) => void;
   /** Returns the view as it is sent to other entries. */
   readonly tell: () => ToldEvacuations;
 };
@@ -65,10 +65,10 @@
 });
 
 /**
- * Creates the evacuation keeper of an entry.
+ * Creates the evacuation tracker of an entry.
  *
  * @param options - The bound, the log and the clock.
- * @returns The keeper. Its view is empty and unconfirmed.
+ * @returns The tracker. Its view is empty and unconfirmed.
  */
 export const createEvacuationKeeper = ({
   evacuateMs,
@@ -128,11 +128,11 @@
       updateView(applyEvacuationUpdate(view, news), 'table');
       if (isConfirmation) recordConfirmation(askedAtMs);
     },
-    takeAnswer: (told, askedAtMs) => {
-      updateView(mergeEvacuationViews(view, toView(told)), 'neighbour');
-      if (told.confirmedAgoMs !== null) recordConfirmation(askedAtMs - told.confirmedAgoMs);
+    takeAnswer: (message, askedAtMs) => {
+      updateView(mergeEvacuationViews(view, toView(message)), 'neighbour');
+      if (message.confirmedAgoMs !== null) recordConfirmation(askedAtMs - message.confirmedAgoMs);
     },
-    takeQuestion: (told) => updateView(mergeEvacuationViews(view, toView(told)), 'neighbour'),
+    takeQuestion: (message) => updateView(mergeEvacuationViews(view, toView(message)), 'neighbour'),
     tell: () => ({
       revision: view.revision,
       evacuated: Array.from(view.evacuated),
--- a/packages/daemon/src/batch/entry/access.ts
+++ b/packages/daemon/src/batch/entry/access.ts
@@ -60,7 +60,7 @@
 /**
  * Creates the access control of an entry.
  *
- * @param options - The configuration keeper, the log and the metrics.
+ * @param options - The configuration sync, the log and the metrics.
  * @returns The access control.
  */
 export const createAccess = ({ configuration, log, metrics }: AccessOptions): Access => {
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -134,7 +134,7 @@
 
   const isBusy = (): boolean =>
     Array.from(movedAtMs.values()).some((atMs) => nowMs() - atMs < MOVE_SETTLE_MS) ||
-    waveKeeper.waves().some((wave) => !waveKeeper.isComplete(wave));
+    waveTracker.waves().some((wave) => !waveTracker.isComplete(wave));
 
   const poolPlanInput = (): PoolPlanInput => ({
     state,
@@ -149,7 +149,7 @@
     downMs: platform.bounds().maintenanceMs + MAX_LIST_LAG_MS,
   });
 
-  const waveKeeper = createWaveKeeper({
+  const waveTracker = createWaveKeeper({
     platform,
     fenceCheck,
     sight: knownHosts,
@@ -193,7 +193,7 @@
 
   /** The hosts that are not moved: those being maintained, which a move would only delay, and those being moved. */
   const busyHosts = (): ReadonlySet<HostId> => {
-    const inWaves = waveKeeper.waves().flatMap((wave) =>
+    const inWaves = waveTracker.waves().flatMap((wave) =>
       Array.from(wave.hosts)
         .filter(([, { phase }]) => phase === 'closing' || phase === 'asked' || phase === 'down')
         .map(([hostId]) => hostId),
@@ -244,8 +244,8 @@
     observePeaks(poolPlanInput()).forEach((pool) => log.info('peak-begun', { pool }));
     if (!mayOrder() || nowMs() - termStartedAtMs < orderAfterMs) return;
     Object.assign(state, { clockMs: nowMs() });
-    const orders = planMaintenance(maintenanceInput(), waveKeeper.waves(), nowMs());
-    waveKeeper.noteReasons();
+    const orders = planMaintenance(maintenanceInput(), waveTracker.waves(), nowMs());
+    waveTracker.noteReasons();
     await Promise.all(orders.map(orderMaintenance));
     // A repeated order gets the same answer as the first one; only the list of hosts shows its effect.
     if (orders.length > 0) await roster.refresh();
@@ -255,12 +255,12 @@
   return {
     everyMs: CYCLE_MS,
     run,
-    follow: waveKeeper.follow,
+    follow: waveTracker.follow,
     refreshHosts: roster.refresh,
-    takeWaves: waveKeeper.take,
+    takeWaves: waveTracker.take,
     idleMs: () => nowMs() - lastOrderAtMs,
     inventory: roster.inventory,
-    waves: waveKeeper.waves,
-    isComplete: waveKeeper.isComplete,
+    waves: waveTracker.waves,
+    isComplete: waveTracker.isComplete,
   };
 };
--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -56,10 +56,10 @@
 };
 
 /**
- * Creates the wave keeper of a term.
+ * Creates the wave tracker of a term.
  *
  * @param options - Access to rows and hosts, and what is known about hosts.
- * @returns The keeper. It has no waves yet.
+ * @returns The tracker. It has no waves yet.
  */
 export const createWaveKeeper = ({
   platform,
