--- a/packages/daemon/src/batch/relays/first-answered.ts
+++ b/packages/daemon/src/batch/relays/first-answered.ts
@@ -1,20 +1,23 @@
-/** One call over several routes, of which the first answer counts. */
+/** Makes one call over several routes and uses the first answer. */
 import type { PlatformError } from '@valvelatch/platform';
 import { Err, type Result } from 'ts-results-es';
 
 export type AnyResult = Result<unknown, PlatformError>;
 
 /**
- * Tells whether the platform has answered a call.
+ * Tells whether the platform answered a call.
  *
- * @param result - What became of the call.
- * @returns True also where the answer refuses the call for good.
+ * @param result - The result of the call.
+ * @returns True for a success and for an answer that rejects the call permanently (`rejected`).
  */
 export const isAnswered = (result: AnyResult): boolean =>
   result.isOk() || result.error.kind === 'rejected';
 
-/** Of two failures, one whose call may have been carried out decides. */
-const join = (first: AnyResult, second: AnyResult): AnyResult => {
+/**
+ * Combines the results of two attempts at one call. An answer in the second result takes precedence. Two failures are
+ * `unknown` if either call may have been carried out, else `unreachable`.
+ */
+const combineFailures = (first: AnyResult, second: AnyResult): AnyResult => {
   if (isAnswered(second) || first.isOk() || second.isOk()) return second;
   const isUnknown = first.error.kind === 'unknown' || second.error.kind === 'unknown';
   return Err({
@@ -24,45 +27,45 @@
 };
 
 /**
- * Makes several tries at one call and takes the first answer. The next try begins once the one
- * before has failed, or has had its time.
+ * Attempts one call over several routes and returns the first answer. The next attempt starts when the
+ * latest one has failed or has gone unanswered for `staggerMs`; earlier attempts keep running.
  *
- * @param tries - The calls in their order; they must be safe to make twice.
- * @param staggerMs - How long each has before the next one begins beside it.
- * @returns The first answer, or what the failures together say.
+ * @param attempts - The attempts in the order in which to start them; the call must be safe to make more than once.
+ * @param staggerMs - How long to wait for the latest attempt before the next one starts in parallel, in milliseconds.
+ * @returns The first answer, or all failures combined if no attempt was answered.
  */
 export const firstAnswered = (
-  tries: readonly (() => Promise<AnyResult>)[],
+  attempts: readonly (() => Promise<AnyResult>)[],
   staggerMs: number,
 ): Promise<AnyResult> =>
   new Promise((resolve) => {
-    let begun = 0;
+    let startedCount = 0;
     let pending = 0;
     let isDone = false;
-    let failed: AnyResult | undefined;
+    let combinedFailure: AnyResult | undefined;
     let timer: NodeJS.Timeout | undefined;
 
-    const settle = (result: AnyResult): void => {
+    const finish = (result: AnyResult): void => {
       isDone = true;
       clearTimeout(timer);
       resolve(result);
     };
 
-    const begin = (): void => {
+    const startNext = (): void => {
       clearTimeout(timer);
-      const call = tries[begun];
+      const call = attempts[startedCount];
       if (!call || isDone) return;
-      begun += 1;
+      startedCount += 1;
       pending += 1;
-      timer = setTimeout(begin, staggerMs);
+      timer = setTimeout(startNext, staggerMs);
       void call().then((result) => {
         pending -= 1;
         if (isDone) return;
-        failed = failed ? join(failed, result) : result;
-        if (isAnswered(result)) settle(result);
-        else if (begun < tries.length) begin();
-        else if (pending === 0) settle(failed);
+        combinedFailure = combinedFailure ? combineFailures(combinedFailure, result) : result;
+        if (isAnswered(result)) finish(result);
+        else if (startedCount < attempts.length) startNext();
+        else if (pending === 0) finish(combinedFailure);
       });
     };
-    begin();
+    startNext();
   });
--- a/packages/daemon/src/batch/relays/order-agent.test.ts
+++ b/packages/daemon/src/batch/relays/order-agent.test.ts
@@ -1,4 +1,7 @@
-/** Guards against starts that a relay sends into a data centre that it knows to be evacuated. */
+/**
+ * Guards against a relay that forwards a start into a data centre that it knows is evacuated, or while its evacuation
+ * view is outdated.
+ */
 import { brand, type DataCentreId, type EndpointId } from '@valvelatch/core/shared/ids';
 import type { TaskKey } from '@valvelatch/core/batch';
 import { Ok } from 'ts-results-es';
@@ -32,14 +35,17 @@
   order: { task: TASK, run: 1, fence: 1 },
 });
 
-/** A relay that knows of an evacuation that the holder has not heard of, or has not heard of any for too long. */
+/**
+ * Has a relay answer an order. It knows that the north data centre is evacuated, which the holder does not know yet. With
+ * `isOpen` false, its evacuation view is too old to allow any start.
+ */
 const answerOf = async (carried: CarriedOrder, isOpen = true) => {
   const sent: string[] = [];
-  const note = (kind: string) => async () => {
+  const recordSent = (kind: string) => async () => {
     sent.push(kind);
     return Ok({ clockMs: 1 });
   };
-  const orders = { start: note('start'), stop: note('stop') } as never;
+  const orders = { start: recordSent('start'), stop: recordSent('stop') } as never;
   const gate = {
     isOpen: () => isOpen,
     mayStartIn: (dataCentre: DataCentreId) => isOpen && dataCentre !== NORTH,
@@ -48,8 +54,8 @@
   return { answer: decodeAnswer(await agent.answer(encodeOrder(carried))), sent };
 };
 
-describe('a relay that knows of an evacuation', () => {
-  it('refuses a start there, which has not run', async () => {
+describe('a relay that knows that a data centre is evacuated', () => {
+  it('refuses a start there and answers that the task was not run', async () => {
     const { answer, sent } = await answerOf(startIn(NORTH));
     expect(sent).toEqual([]);
     expect(answer.isErr() && answer.error).toMatchObject({
@@ -58,15 +64,15 @@
     });
   });
 
-  it('carries stops there, and starts elsewhere', async () => {
+  it('forwards stops to that data centre and starts to others', async () => {
     expect((await answerOf(stopIn(NORTH))).sent).toEqual(['stop']);
     expect((await answerOf(startIn(SOUTH))).sent).toEqual(['start']);
   });
 });
 
-describe('a relay that has not heard of evacuations for too long', () => {
-  it('sends no start, and has the holder send the next one itself', async () => {
-    // One that was paused would send what the holder decided seconds before.
+describe('a relay whose evacuation view is too old', () => {
+  it('forwards no start and answers so that the holder sends the next order directly', async () => {
+    // A relay whose process was paused would otherwise forward a start that the holder decided on seconds earlier.
     const { answer, sent } = await answerOf(startIn(SOUTH), false);
     expect(sent).toEqual([]);
     expect(answer.isErr() && answer.error).toMatchObject({
--- a/packages/daemon/src/batch/relays/order-agent.ts
+++ b/packages/daemon/src/batch/relays/order-agent.ts
@@ -1,4 +1,7 @@
-/** Sends orders for the holder of control, and answers with what the endpoint answered. */
+/**
+ * The relay side of relayed orders: forwards orders of the control holder to endpoints and returns the endpoints'
+ * answers.
+ */
 import { parseTaskKey, type OrderError } from '@valvelatch/core/batch';
 import { Err } from 'ts-results-es';
 
@@ -7,47 +10,54 @@
 import { decodeOrder, encodeAnswer, SPEC_MISSING, type CarriedOrder } from './order-message.js';
 import type { EndpointOrders } from '../ports.js';
 
-/** Texts of jobs that are kept: of 4 KB at most, and a job's starts come within seconds. */
-const MOST_SPECS = 500;
+/** Maximum number of job specs in the cache. A spec has 4 KB at most, and all starts of a job arrive within seconds. */
+const MAX_CACHED_SPECS = 500;
 
-const EVACUATED: OrderError = {
+const DATA_CENTRE_EVACUATED: OrderError = {
   verdict: 'notRun',
   reason: 'evacuated',
   detail: 'by what the relay knows, the data centre is evacuated',
 };
 
-/** The holder sends the next order itself: the relay cannot tell what is evacuated, and the holder may. */
-const OUTDATED: OrderError = {
+/**
+ * The reason `unreachable` makes the holder send its next order to the endpoint directly: this relay cannot tell which
+ * data centres are evacuated, while the holder may know.
+ */
+const EVACUATION_VIEW_OUTDATED: OrderError = {
   verdict: 'notRun',
   reason: 'unreachable',
   detail: 'the relay has not heard of evacuations for too long',
 };
 
 export type OrderAgent = {
-  /** Sends an order; the answer of the mesh. */
+  /**
+   * Decodes an order, sends it to its endpoint and returns the encoded answer, which the mesh sends back to the holder.
+   * Throws if the payload is not an order.
+   */
   readonly answer: (payload: unknown) => Promise<unknown>;
 };
 
 /**
- * Builds the agent. It keeps nothing that matters: the order carries its fence and its time.
+ * Creates the handler of relayed orders. Its only state is a cache of job specs, which may be lost: each order carries
+ * its own fence and deadline.
  *
  * @param orders - Sends orders to the endpoints.
- * @param metrics - Counts what was carried.
- * @param gate - Whether starts may leave this entry: it may know of an evacuation before the holder does, and one
- * that was paused may send an order seconds after the holder's check.
- * @returns The agent.
+ * @param metrics - Counts the relayed orders by kind.
+ * @param gate - Tells whether this entry may send starts. The relay checks this itself since it may know of an evacuation
+ * before the holder does, and a relay whose process was paused may send an order seconds after the holder's check.
+ * @returns The handler.
  */
 export const createOrderAgent = (
   orders: EndpointOrders,
   metrics: Metrics,
   gate: Pick<StartGate, 'mayStartIn' | 'isOpen'> = OPEN_GATE,
 ): OrderAgent => {
-  const specs = new Map<string, string>();
+  const cachedSpecs = new Map<string, string>();
 
-  const keepSpec = (jobId: string, spec: string): void => {
-    specs.set(jobId, spec);
-    const [oldest] = specs.keys();
-    if (specs.size > MOST_SPECS && oldest !== undefined) specs.delete(oldest);
+  const cacheSpec = (jobId: string, spec: string): void => {
+    cachedSpecs.set(jobId, spec);
+    const [oldest] = cachedSpecs.keys();
+    if (cachedSpecs.size > MAX_CACHED_SPECS && oldest !== undefined) cachedSpecs.delete(oldest);
   };
 
   const start = async ({
@@ -56,11 +66,11 @@
     order,
   }: Extract<CarriedOrder, { kind: 'start' }>): Promise<unknown> => {
     const jobId = parseTaskKey(order.task)?.jobId ?? '';
-    if (order.spec !== null) keepSpec(jobId, order.spec);
-    const spec = specs.get(jobId);
+    if (order.spec !== null) cacheSpec(jobId, order.spec);
+    const spec = cachedSpecs.get(jobId);
     if (spec === undefined) return SPEC_MISSING;
-    if (!gate.isOpen()) return encodeAnswer(Err(OUTDATED));
-    if (!gate.mayStartIn(target.dataCentre)) return encodeAnswer(Err(EVACUATED));
+    if (!gate.isOpen()) return encodeAnswer(Err(EVACUATION_VIEW_OUTDATED));
+    if (!gate.mayStartIn(target.dataCentre)) return encodeAnswer(Err(DATA_CENTRE_EVACUATED));
     return encodeAnswer(await orders.start(target, { ...order, spec }, timeoutMs));
   };
 
@@ -81,7 +91,7 @@
       const carried = decodeOrder(payload);
       if (!carried) throw new Error('this is no order');
       metrics.count(`carried_${carried.kind}`);
-      const handle = handlers[carried.kind] as (one: CarriedOrder) => Promise<unknown>;
+      const handle = handlers[carried.kind] as (order: CarriedOrder) => Promise<unknown>;
       return handle(carried);
     },
   };
--- a/packages/daemon/src/batch/relays/order-message.ts
+++ b/packages/daemon/src/batch/relays/order-message.ts
@@ -1,4 +1,7 @@
-/** Orders as entries pass them on, and their answers: rows without field names, one message each. */
+/**
+ * The mesh messages of relayed orders and their answers. Each is one message: an array of values in a fixed order, without
+ * field names.
+ */
 import type {
   RunEndKind,
   EndpointClock,
@@ -15,25 +18,27 @@
 
 import type { OrderTarget } from '../ports.js';
 
-/** A start without the text of its job, which goes once to each relay. */
+/** A start order. `spec` is the job's spec, or null if the relay has received it with an earlier start of the job. */
 export type CarriedStart = Omit<StartOrder, 'spec'> & { readonly spec: string | null };
 
-/** An order that another entry is to send. */
+/** An order that another entry is to send to its endpoint. */
 export type CarriedOrder = { readonly target: OrderTarget; readonly timeoutMs: number } & (
   | { readonly kind: 'list'; readonly order: ListOrder }
   | { readonly kind: 'start'; readonly order: CarriedStart }
   | { readonly kind: 'stop'; readonly order: StopOrder }
 );
 
-/** What a list answers. */
+/** An endpoint's answer to a list order. */
 export type ListAnswer = EndpointClock & Pick<EndpointReport, 'running' | 'ended' | 'hasMoreEnds'>;
 
-/** Each kind's letter and fields, in the order of the row. */
-const KIND = { list: 'l', start: 's', stop: 'x' } as const;
+/** The letter that stands for each kind of order in a message. */
+const KIND_CODE = { list: 'l', start: 's', stop: 'x' } as const;
 
+/** A message, or the part of it that holds an order's own fields. */
 type Row = readonly unknown[];
 
-const orderRow = {
+/** Encode the fields of each kind of order, in the order of the message. */
+const orderEncoders = {
   list: ({ fence, acknowledged, waitMs, keepUntilMs }: ListOrder): Row => [
     fence,
     acknowledged,
@@ -56,17 +61,24 @@
  * Encodes an order.
  *
  * @param carried - The order.
- * @returns A row.
+ * @returns The message.
  */
 export const encodeOrder = (carried: CarriedOrder): Row => {
   const { kind, target, timeoutMs, order } = carried;
   const { endpointId, address, dataCentre } = target;
-  const toRow = orderRow[kind] as (one: CarriedOrder['order']) => Row;
-  return [KIND[kind], endpointId, address, dataCentre, Math.round(timeoutMs), ...toRow(order)];
+  const encodeFields = orderEncoders[kind] as (one: CarriedOrder['order']) => Row;
+  return [
+    KIND_CODE[kind],
+    endpointId,
+    address,
+    dataCentre,
+    Math.round(timeoutMs),
+    ...encodeFields(order),
+  ];
 };
 
 const decoders: Readonly<Record<string, (row: Row) => Pick<CarriedOrder, 'kind' | 'order'>>> = {
-  [KIND.list]: ([fence, acknowledged, waitMs, keepUntilMs]) => ({
+  [KIND_CODE.list]: ([fence, acknowledged, waitMs, keepUntilMs]) => ({
     kind: 'list',
     order: {
       fence: fence as number,
@@ -75,7 +87,7 @@
       ...(keepUntilMs === null ? {} : { keepUntilMs: keepUntilMs as number }),
     },
   }),
-  [KIND.start]: ([fence, task, run, keepUntilMs, checkpoint, ticket, spec]) => ({
+  [KIND_CODE.start]: ([fence, task, run, keepUntilMs, checkpoint, ticket, spec]) => ({
     kind: 'start',
     order: {
       fence: fence as number,
@@ -87,7 +99,7 @@
       spec: spec as string | null,
     },
   }),
-  [KIND.stop]: ([fence, task, run]) => ({
+  [KIND_CODE.stop]: ([fence, task, run]) => ({
     kind: 'stop',
     order: { fence: fence as number, task: task as TaskKey, run: run as number },
   }),
@@ -96,26 +108,27 @@
 /**
  * Decodes an order.
  *
- * @param payload - What came in.
- * @returns The order; undefined for what is none.
+ * @param payload - The received message.
+ * @returns The order; undefined if the message is not an order.
  */
 export const decodeOrder = (payload: unknown): CarriedOrder | undefined => {
   if (!Array.isArray(payload)) return undefined;
-  const [letter, endpointId, address, dataCentre, timeoutMs, ...row] = payload as Row;
-  const decode = decoders[String(letter)];
-  if (!decode) return undefined;
+  const [kindCode, endpointId, address, dataCentre, timeoutMs, ...row] = payload as Row;
+  const decodeFields = decoders[String(kindCode)];
+  if (!decodeFields) return undefined;
   const target = {
     endpointId: brand(String(endpointId)),
     address: String(address),
     dataCentre: String(dataCentre),
   } as OrderTarget;
-  return { target, timeoutMs: Number(timeoutMs), ...decode(row) } as CarriedOrder;
+  return { target, timeoutMs: Number(timeoutMs), ...decodeFields(row) } as CarriedOrder;
 };
 
-/** The relay does not have the text of the job. */
+/** The answer to a start without a spec if the relay does not have the job's spec. */
 export const SPEC_MISSING = 'spec-missing';
 
-const SHORT: Readonly<Record<RunEndKind, number>> = {
+/** The number that stands for each kind of end in a message; also its index in `END_KINDS`. */
+const END_KIND_CODE: Readonly<Record<RunEndKind, number>> = {
   done: 0,
   failed: 1,
   stopped: 2,
@@ -123,13 +136,13 @@
   broken: 4,
   alone: 5,
 };
-const KINDS = Object.keys(SHORT) as readonly RunEndKind[];
+const END_KINDS = Object.keys(END_KIND_CODE) as readonly RunEndKind[];
 
 /**
  * Encodes an answer.
  *
- * @param result - What the endpoint answered, or how the order failed.
- * @returns A row.
+ * @param result - The endpoint's answer, or the error of the order.
+ * @returns The message.
  */
 export const encodeAnswer = (result: Result<EndpointClock | ListAnswer, OrderError>): Row => {
   if (result.isErr()) {
@@ -153,7 +166,7 @@
       number,
       task,
       run,
-      SHORT[kind],
+      END_KIND_CODE[kind],
       checkpoint,
     ]),
     hasMoreEnds,
@@ -166,8 +179,8 @@
 /**
  * Decodes an answer.
  *
- * @param payload - What came in.
- * @returns The endpoint's answer; lists are empty in the answer to a start or a stop.
+ * @param payload - The received message.
+ * @returns The endpoint's answer, or the error of the order. The lists are empty in the answer to a start or a stop.
  */
 export const decodeAnswer = (payload: unknown): Result<ListAnswer, OrderError> => {
   const [isOk, ...row] = payload as Row;
@@ -194,7 +207,7 @@
       number,
       task,
       run,
-      kind: KINDS[kind] ?? 'failed',
+      kind: END_KINDS[kind] ?? 'failed',
       checkpoint,
     })),
     hasMoreEnds,
--- a/packages/daemon/src/batch/relays/relayed-orders.ts
+++ b/packages/daemon/src/batch/relays/relayed-orders.ts
@@ -1,7 +1,8 @@
 /**
- * Orders to endpoints, carried by other entries once the holder's own link is busy. One that a relay
- * does not answer counts as unanswered by the endpoint, and the next goes directly: what is safe for
- * a lost answer is safe for a lost relay.
+ * Sends the holder's orders to endpoints through other entries (relays) while the holder's own link is
+ * busy. An order that a relay does not answer is handled like one that the endpoint did not answer, and
+ * the next order does not use that relay. No further safeguard is needed, since orders are safe when an
+ * endpoint's answer is lost.
  */
 import {
   createRelayAssignment,
@@ -27,27 +28,36 @@
 import type { Peers } from '../entry/peers.js';
 import type { EndpointOrders, OrderTarget } from '../ports.js';
 
-/** The mesh method by which entries are asked to carry an order. */
+/** The mesh method that asks another entry to relay an order. */
 export const ORDER_METHOD = 'order';
 
-/** A relay that has been silent for longer gets no orders: entries say something each 0.5 s. */
-const RELAY_SILENT_MS = 1200;
-/** A relay that did not answer is passed over for so long, and so is the relay of an endpoint that did not. */
-const PASS_OVER_MS = 3000;
-/** What the trip to a relay and back takes on top of its own call. */
-const HOP_MS = 150;
-/** Links are kept to more entries than are used, so that the loss of one needs no new link. */
-const LINKED_PER_DATA_CENTRE = 5;
-/** How often the relays are chosen anew. */
+/** A relay that has sent nothing for this long gets no orders. Entries send each other a message every 0.5 s. */
+const MAX_RELAY_SILENCE_MS = 1200;
+/**
+ * How long a relay that did not answer gets no orders, and how long an endpoint that its relay could not reach gets its
+ * orders directly.
+ */
+const FAILURE_COOLDOWN_MS = 3000;
+/** Time allowed for the round trip to a relay, in addition to the time-out of the relay's own call to the endpoint. */
+const RELAY_ROUND_TRIP_MS = 150;
+/** Links are kept open to more entries than serve as relays, so that replacing a lost relay needs no new link. */
+const LINKS_PER_DATA_CENTRE = 5;
+/** How often the relays are selected again. */
 export const RELAYS_EVERY_MS = 400;
-/** Jobs whose text a relay is known to have; as many as it keeps. */
-const MOST_SPECS = 400;
+/**
+ * Maximum number of jobs for which the holder remembers, per relay, that the relay has the spec. It must not exceed the
+ * number of specs that a relay caches (`MAX_CACHED_SPECS` in order-agent.ts): otherwise starts would be sent without a spec
+ * that the relay has dropped, and each of them would have to be sent twice.
+ */
+const MAX_TRACKED_SPECS = 400;
 
 export type RelayedOrdersOptions = {
   readonly orders: EndpointOrders;
+  /** Returns the other entries; undefined while they are not known yet. */
   readonly peers: () => Pick<Peers, 'ask' | 'keepLink' | 'members' | 'silentForMs'> | undefined;
+  /** Returns how many bytes this entry's link has transferred so far, and its capacity. */
   readonly linkUse: () => LinkUsage;
-  /** False: all orders go directly, however busy the link is. */
+  /** False if all orders are to be sent directly, however busy the link is. */
   readonly isAllowed: boolean;
   readonly log: Log;
   readonly metrics: Metrics;
@@ -55,15 +65,18 @@
 };
 
 export type RelayedOrders = EndpointOrders & {
-  /** Looks at the link and at the relays; to be called by the holder each `RELAYS_EVERY_MS`. */
+  /**
+   * Decides from the load of the link whether to relay orders, and selects the relays. The holder must call this every
+   * `RELAYS_EVERY_MS`.
+   */
   readonly refresh: () => void;
 };
 
 /**
- * Builds orders that may go over relays.
+ * Creates the sender of orders, which sends them directly or through relays.
  *
- * @param options - The direct route, the other entries, and what the own link carries.
- * @returns The orders.
+ * @param options - The direct route, the other entries, and the load of this entry's link.
+ * @returns The sender.
  */
 export const createRelayedOrders = ({
   orders,
@@ -74,7 +87,7 @@
   metrics,
   nowMs = () => performance.now(),
 }: RelayedOrdersOptions): RelayedOrders => {
-  const isNeeded = createRelayDecision();
+  const isRelayingNeeded = createRelayDecision();
   const assignment = createRelayAssignment();
   const failedUntilMs = new Map<EntryId, number>();
   const directUntilMs = new Map<EndpointId, number>();
@@ -82,29 +95,29 @@
   let relays: ReadonlyMap<string, readonly RelayCandidate[]> = new Map();
   let isRelaying = false;
 
-  const candidates = (): readonly RelayCandidate[] => {
+  const listCandidates = (): readonly RelayCandidate[] => {
     const known = peers();
     return (known?.members() ?? []).map(({ entryId, dataCentre, strength }) => ({
       entryId,
       dataCentre,
       relativeCapacity: strength,
       isUsable:
-        (known?.silentForMs(entryId) ?? Infinity) < RELAY_SILENT_MS &&
+        (known?.silentForMs(entryId) ?? Infinity) < MAX_RELAY_SILENCE_MS &&
         nowMs() >= (failedUntilMs.get(entryId) ?? 0),
     }));
   };
 
   const refresh = (): void => {
     const wasRelaying = isRelaying;
-    isRelaying = isAllowed && isNeeded(linkUse(), nowMs());
+    isRelaying = isAllowed && isRelayingNeeded(linkUse(), nowMs());
     if (!isRelaying) return;
     if (!wasRelaying) log.info('orders-relayed', { reason: 'the link of the holder is busy' });
-    const all = candidates();
+    const all = listCandidates();
     const linkable = all.map((one) => ({
       ...one,
       isUsable: nowMs() >= (failedUntilMs.get(one.entryId) ?? 0),
     }));
-    selectRelays(linkable, LINKED_PER_DATA_CENTRE).forEach((chosen) =>
+    selectRelays(linkable, LINKS_PER_DATA_CENTRE).forEach((chosen) =>
       chosen.forEach(({ entryId }) => peers()?.keepLink(entryId)),
     );
     relays = selectRelays(all);
@@ -116,27 +129,33 @@
     return relay !== undefined && nowMs() >= (failedUntilMs.get(relay) ?? 0) ? relay : undefined;
   };
 
-  const noteFailure = (relay: EntryId, detail: string): OrderError => {
-    failedUntilMs.set(relay, nowMs() + PASS_OVER_MS);
+  const recordFailure = (relay: EntryId, detail: string): OrderError => {
+    failedUntilMs.set(relay, nowMs() + FAILURE_COOLDOWN_MS);
     sentSpecs.delete(relay);
     metrics.count('relay_unanswered');
     log.info('relay-unanswered', { relay, detail });
     return { verdict: 'mayHaveRun', reason: 'no-answer', detail: `relay ${relay}: ${detail}` };
   };
 
-  const carry = async (relay: EntryId, carried: CarriedOrder, waitMs: number): Promise<unknown> => {
+  const sendToRelay = async (
+    relay: EntryId,
+    carried: CarriedOrder,
+    waitMs: number,
+  ): Promise<unknown> => {
     metrics.count(`relayed_${carried.kind}`);
-    return peers()?.ask(relay, ORDER_METHOD, encodeOrder(carried), waitMs + HOP_MS);
+    return peers()?.ask(relay, ORDER_METHOD, encodeOrder(carried), waitMs + RELAY_ROUND_TRIP_MS);
   };
 
-  /** An endpoint that a relay cannot reach is asked directly for a while. */
-  const readAnswer = (
+  /**
+   * Decodes an answer. An endpoint that the relay could not reach gets its orders directly for `FAILURE_COOLDOWN_MS`.
+   */
+  const handleAnswer = (
     { endpointId }: OrderTarget,
     payload: unknown,
   ): Result<ListAnswer, OrderError> => {
     const answer = decodeAnswer(payload);
     const isLost = answer.isErr() && ['no-answer', 'unreachable'].includes(answer.error.reason);
-    if (isLost) directUntilMs.set(endpointId, nowMs() + PASS_OVER_MS);
+    if (isLost) directUntilMs.set(endpointId, nowMs() + FAILURE_COOLDOWN_MS);
     return answer;
   };
 
@@ -146,18 +165,22 @@
     waitMs: number,
   ): Promise<Result<ListAnswer, OrderError>> => {
     try {
-      return readAnswer(carried.target, await carry(relay, carried, waitMs));
+      return handleAnswer(carried.target, await sendToRelay(relay, carried, waitMs));
     } catch (error) {
-      return Err(noteFailure(relay, String(error)));
+      return Err(recordFailure(relay, String(error)));
     }
   };
 
-  const noteSpec = (relay: EntryId, jobId: string): boolean => {
+  /**
+   * Records that a relay is sent the spec of a job. Returns true if it was not recorded before, so that the spec must
+   * be sent.
+   */
+  const recordSentSpec = (relay: EntryId, jobId: string): boolean => {
     const known = sentSpecs.get(relay) ?? new Set<string>();
     const isNew = !known.has(jobId);
     known.add(jobId);
     const [oldest] = known;
-    if (known.size > MOST_SPECS && oldest !== undefined) known.delete(oldest);
+    if (known.size > MAX_TRACKED_SPECS && oldest !== undefined) known.delete(oldest);
     sentSpecs.set(relay, known);
     return isNew;
   };
@@ -165,20 +188,20 @@
   const start: EndpointOrders['start'] = async (target, order, timeoutMs) => {
     const relay = relayFor(target);
     if (relay === undefined) return orders.start(target, order, timeoutMs);
-    const isNew = noteSpec(relay, parseTaskKey(order.task)?.jobId ?? '');
-    const carried = (spec: string | null): CarriedOrder => ({
+    const isNew = recordSentSpec(relay, parseTaskKey(order.task)?.jobId ?? '');
+    const withSpec = (spec: string | null): CarriedOrder => ({
       kind: 'start',
       target,
       timeoutMs,
       order: { ...order, spec },
     });
     try {
-      const first = await carry(relay, carried(isNew ? order.spec : null), timeoutMs);
+      const first = await sendToRelay(relay, withSpec(isNew ? order.spec : null), timeoutMs);
       const answer =
-        first === SPEC_MISSING ? await carry(relay, carried(order.spec), timeoutMs) : first;
-      return readAnswer(target, answer);
+        first === SPEC_MISSING ? await sendToRelay(relay, withSpec(order.spec), timeoutMs) : first;
+      return handleAnswer(target, answer);
     } catch (error) {
-      return Err(noteFailure(relay, String(error)));
+      return Err(recordFailure(relay, String(error)));
     }
   };
 
--- a/packages/daemon/src/batch/relays/relayed-table.test.ts
+++ b/packages/daemon/src/batch/relays/relayed-table.test.ts
@@ -1,4 +1,4 @@
-/** The table through neighbours, while the platform turns some entries away. */
+/** Access to the table through neighbours while the platform refuses calls of some entries. */
 import { brand, type EntryId } from '@valvelatch/core/shared/ids';
 import { Err, Ok } from 'ts-results-es';
 import { describe, expect, it } from 'vitest';
@@ -8,22 +8,22 @@
 import { createRelayedTable } from './relayed-table.js';
 
 const log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
-const AWAY = { kind: 'unreachable', detail: 'the store answered 503' } as const;
+const UNREACHABLE = { kind: 'unreachable', detail: 'the store answered 503' } as const;
 
-const turnedAway: BatchTable = {
-  read: async () => Err(AWAY),
-  scan: async () => Err(AWAY),
-  transact: async () => Err(AWAY),
-  feed: () => ({ next: async () => Err(AWAY) }),
+const unreachableTable: BatchTable = {
+  read: async () => Err(UNREACHABLE),
+  scan: async () => Err(UNREACHABLE),
+  transact: async () => Err(UNREACHABLE),
+  feed: () => ({ next: async () => Err(UNREACHABLE) }),
 };
 
-const served = { isOk: true, value: { kind: 'committed', version: 7 } };
-const refused = { isOk: false, value: AWAY };
+const servedAnswer = { isOk: true, value: { kind: 'committed', version: 7 } };
+const refusedAnswer = { isOk: false, value: UNREACHABLE };
 
-const relayed = (answers: Readonly<Record<string, object>>, nowMs = () => 1000) => {
+const createTable = (answers: Readonly<Record<string, object>>, nowMs = () => 1000) => {
   const asked: string[] = [];
   const table = createRelayedTable({
-    table: turnedAway,
+    table: unreachableTable,
     neighbours: () => Object.keys(answers).map((name) => brand<EntryId>(name)),
     ask: async (entryId) => {
       asked.push(entryId);
@@ -38,61 +38,66 @@
 
 const write = { checks: [], writes: [] };
 
-describe('a table that turns this entry away', () => {
-  it('is reached through the next neighbour where the first is turned away too', async () => {
-    // With one neighbour asked, control lapsed where that one was turned away as well.
-    const { table } = relayed({ b: refused, c: served, d: served });
+describe('a table that refuses the calls of this entry', () => {
+  it('is reached through the second neighbour if it also refuses the first', async () => {
+    // If only one neighbour were asked, the control lease would expire whenever the table also refused that neighbour.
+    const { table } = createTable({ b: refusedAnswer, c: servedAnswer, d: servedAnswer });
     const outcome = await table.transact(write);
     expect(outcome.isOk() && outcome.value).toEqual({ kind: 'committed', version: 7 });
   });
 
-  it('is next asked through the neighbour that was served', async () => {
-    const { table, asked } = relayed({ b: refused, c: served });
+  it('is asked first through the neighbour whose last call succeeded', async () => {
+    const { table, asked } = createTable({ b: refusedAnswer, c: servedAnswer });
     await table.transact(write);
     asked.length = 0;
     await table.transact(write);
     expect(asked[0]).toBe('c');
   });
 
-  it('is left alone for a while where all that were asked are turned away', async () => {
-    const { table, asked } = relayed({ b: refused, c: refused, d: refused, e: refused });
+  it('is not asked through neighbours for a while after it refused all that were asked', async () => {
+    const { table, asked } = createTable({
+      b: refusedAnswer,
+      c: refusedAnswer,
+      d: refusedAnswer,
+      e: refusedAnswer,
+    });
     await table.transact(write);
     const first = asked.length;
     await table.transact(write);
     expect(asked).toHaveLength(first);
   });
 
-  it('keeps a lease alive through a neighbour before the own way has timed out', async () => {
-    const slow = new Promise<never>(() => {});
+  it('is asked to renew a lease through a neighbour before the direct call has timed out', async () => {
+    const unanswered = new Promise<never>(() => {});
     const table = createRelayedTable({
-      table: { ...turnedAway, transact: () => slow },
+      table: { ...unreachableTable, transact: () => unanswered },
       neighbours: () => ['b', 'c'].map((name) => brand<EntryId>(name)),
-      ask: (entryId) => (entryId === 'b' ? slow : Promise.resolve(served)),
+      ask: (entryId) => (entryId === 'b' ? unanswered : Promise.resolve(servedAnswer)),
       log,
       metrics: createMetrics(),
       random: () => 0,
     });
-    const beganAtMs = performance.now();
+    const startedAtMs = performance.now();
     const outcome = await table.transact({
       checks: [],
       writes: [{ key: 'lease/control', value: {} }],
     });
     expect(outcome.isOk()).toBe(true);
-    expect(performance.now() - beganAtMs).toBeLessThan(1500);
+    expect(performance.now() - startedAtMs).toBeLessThan(1500);
   });
 
-  it('answers neighbours at once while it is turned away itself', async () => {
+  it('is not asked again on behalf of a neighbour just after it refused this entry', async () => {
     let calls = 0;
     const table = createRelayedTable({
       table: {
-        ...turnedAway,
+        ...unreachableTable,
         read: async () => {
           calls += 1;
-          return Err(AWAY);
+          return Err(UNREACHABLE);
         },
       },
       neighbours: () => [],
-      ask: async () => served,
+      ask: async () => servedAnswer,
       log,
       metrics: createMetrics(),
       nowMs: () => 1000,
@@ -102,10 +107,10 @@
     expect([answer.isOk, calls]).toEqual([false, 1]);
   });
 
-  it('is unknown in its outcome where one neighbour did not answer', async () => {
-    const { table } = relayed({ b: refused });
+  it('gives an unknown outcome if a neighbour did not answer, and unreachable if all refused', async () => {
+    const { table } = createTable({ b: refusedAnswer });
     const failing = createRelayedTable({
-      table: turnedAway,
+      table: unreachableTable,
       neighbours: () => [brand<EntryId>('b')],
       ask: async () => {
         throw new Error('no answer');
@@ -121,16 +126,16 @@
   });
 });
 
-describe('the silence of a table', () => {
+describe('the time without an answer of the table', () => {
   const silentTable = (isAnswering: () => boolean) => {
     const clock = { nowMs: 1000 };
     const table = createRelayedTable({
       table: {
-        ...turnedAway,
+        ...unreachableTable,
         read: () => (isAnswering() ? Promise.resolve(Ok([])) : new Promise(() => {})),
       },
       neighbours: () => [],
-      ask: async () => refused,
+      ask: async () => refusedAnswer,
       log,
       metrics: createMetrics(),
       nowMs: () => clock.nowMs,
@@ -138,7 +143,7 @@
     return { table, clock };
   };
 
-  it('is counted from the first call without an answer, before its time-out', async () => {
+  it('is counted from the first unanswered call on, before that call times out', async () => {
     const { table, clock } = silentTable(() => false);
     expect(table.silentForMs()).toBe(0);
     void table.read(['lease/control']);
@@ -146,7 +151,7 @@
     expect(table.silentForMs()).toBe(700);
   });
 
-  it('ends with a probe that is answered while earlier calls still wait', async () => {
+  it('ends when a probe is answered, even if earlier calls are still unanswered', async () => {
     let isAnswering = false;
     const { table, clock } = silentTable(() => isAnswering);
     void table.read(['lease/control']);
--- a/packages/daemon/src/batch/relays/relayed-table.ts
+++ b/packages/daemon/src/batch/relays/relayed-table.ts
@@ -1,6 +1,6 @@
 /**
- * The table, also through a neighbour: the platform may refuse one entry while it serves the
- * others. All calls here are safe to repeat: a transaction carries its own conditions.
+ * Access to the table directly or through a neighbour, which is another entry: the platform may refuse the calls of one
+ * entry while it serves the others. All calls here are safe to repeat, since a transaction carries its own conditions.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 import type { EntryId } from '@valvelatch/core/shared/ids';
@@ -15,44 +15,54 @@
 import type { BatchTable } from '../ports.js';
 
 /**
- * After a failure the neighbours are asked first for this time: an entry that is refused in
- * silence loses a time-out with each try, and a lease with a few of them.
+ * How long neighbours are asked first after a direct call has failed. An entry whose calls the platform drops without an
+ * answer waits for a whole time-out on each direct attempt, and a few of those lose a lease.
  */
 const NEIGHBOURS_FIRST_MS = 1500;
-const RELAY_MS = 1000;
-/** Where control hangs on it, the next neighbour is asked too after this: a served one takes 20 ms. */
+/** Time-out of a call through a neighbour. */
+const RELAY_TIMEOUT_MS = 1000;
+/**
+ * If a call on a lease is not answered by a neighbour within this time, the next neighbour is asked as well. A neighbour
+ * that the table serves answers in 20 ms.
+ */
 const STAGGER_MS = 250;
 /**
- * A lease of 4 s is lost with two time-outs, so what keeps control takes both routes after this time.
- * A slow table takes up to 610 ms, and only control's few calls may be made twice there.
+ * If a call on a lease is not answered within this time on the first route, it is also made on the other route: two
+ * time-outs lose a lease of 4 s. A slow table answers within 610 ms, so this must be longer, or every lease call would be
+ * made twice on a slow table. Other calls are never hedged, because only the few lease calls may add to its load.
  */
 const HEDGE_MS = 700;
-const NEVER_MS = 2 ** 31 - 1;
-/** So many neighbours are asked before a call is given up. */
-const MOST_NEIGHBOURS = 3;
+/** A stagger that never ends, for calls that are not hedged: the longest delay that a Node.js timer accepts. */
+const NO_STAGGER_MS = 2 ** 31 - 1;
+/** Maximum number of neighbours that are asked before a call fails. */
+const MAX_NEIGHBOURS = 3;
 /**
- * Neighbours that are refused as well show that the table is overloaded or away for all: more
- * calls would only add to that. They are not asked for this time.
+ * How long no neighbour is asked after the calls of all that were asked have failed. In that case the table is overloaded
+ * or unavailable to every entry, and more calls would only add to its load.
  */
-const ALL_AWAY_MS = 1000;
+const NEIGHBOURS_BACKOFF_MS = 1000;
 
 /**
- * A table that has been silent for so long is asked again and again, beside the calls that wait for
- * their time-outs, so that submissions are admitted again within `PROBE_EVERY_MS` of its return.
+ * A table that has not answered for this long is probed every `PROBE_EVERY_MS`, while earlier calls still wait for their
+ * time-outs, so that submissions are admitted again within `PROBE_EVERY_MS` of the table's return.
  */
 const PROBE_AFTER_MS = 400;
 export const PROBE_EVERY_MS = 200;
-const MOST_PROBES = 4;
+const MAX_PROBES_IN_FLIGHT = 4;
 const PROBE_KEY = `${LEASE_PREFIX}control`;
 
-/** The calls that neighbours make for each other. */
+/** A table call that an entry makes on behalf of a neighbour. */
 export type RelayCall =
   | { readonly kind: 'read'; readonly keys: readonly string[] }
   | { readonly kind: 'scan'; readonly prefix: string }
   | { readonly kind: 'transact'; readonly transaction: TableTransaction };
 
+/**
+ * The result of a `RelayCall` as sent between entries: `value` is the call's value, or a `PlatformError` if not `isOk`.
+ */
 type RelayAnswer = { readonly isOk: boolean; readonly value: unknown };
 
+/** The mesh method that asks a neighbour to make a table call. */
 export const RELAY_METHOD = 'table';
 
 export type RelayedTableOptions = {
@@ -66,30 +76,48 @@
 };
 
 export type RelayedTable = Pick<BatchTable, 'read' | 'scan' | 'transact'> & {
-  /** When the table answered last, directly or through a neighbour. */
+  /**
+   * When the table last answered, directly or through a neighbour, by the monotonic clock; -Infinity before the first
+   * answer.
+   */
   readonly answeredAtMs: () => number;
-  /** Answers a neighbour's call, at once if the table refuses this entry as well. */
+  /**
+   * Makes a call on behalf of a neighbour. Fails at once, without a call, if this entry's last direct call failed
+   * recently.
+   */
   readonly answerNeighbour: (call: RelayCall) => Promise<RelayAnswer>;
-  /** For how long nothing that was asked has been answered, directly or through a neighbour. */
+  /**
+   * Milliseconds since the first direct call after the last answer, if nothing has been answered since, directly or
+   * through a neighbour; else 0.
+   */
   readonly silentForMs: () => number;
-  /** While nothing is answered, asks again so that the table's return is seen at once. */
+  /**
+   * Reads a row while the table is not answering, so that its return is noticed quickly. To be called every
+   * `PROBE_EVERY_MS`.
+   */
   readonly probe: () => void;
-  /** True if the last call on the direct route was answered. */
+  /** True if the last direct call that has ended was answered, or if none has ended yet. */
   readonly isServed: () => boolean;
-  /** Since when the direct route has not been answered; Infinity while it is. */
+  /**
+   * When the first of the current run of failed direct calls failed, by the monotonic clock; Infinity if the last one
+   * was answered.
+   */
   readonly lostSinceMs: () => number;
 };
 
-const REFUSED_TOO: PlatformError = {
+const ALSO_REFUSED: PlatformError = {
   kind: 'unreachable',
   detail: 'the table turns this neighbour away too',
 };
 
-/** Stands before those that were never asked, which stand before those that failed. */
-const SERVED = -1;
+/**
+ * Stands for the failure time of a neighbour whose last call succeeded. It sorts before 0, which stands for neighbours
+ * that were never asked, and both sort before the times of failures.
+ */
+const LAST_CALL_SUCCEEDED = -1;
 
-/** Calls that a lease hangs on. */
-const keepsControl = (call: RelayCall): boolean => {
+/** Tells whether a call reads or writes a lease row; a lease may be lost if such a call is late. */
+const touchesLease = (call: RelayCall): boolean => {
   const keys = {
     read: () => (call.kind === 'read' ? call.keys : []),
     scan: () => [],
@@ -105,10 +133,10 @@
 };
 
 /**
- * Puts neighbours beside the direct route to the table.
+ * Creates access to the table over two routes: directly and through neighbours.
  *
  * @param options - The table and the neighbours.
- * @returns The table.
+ * @returns The table over both routes.
  */
 export const createRelayedTable = ({
   table,
@@ -119,34 +147,34 @@
   nowMs = () => performance.now(),
   random = Math.random,
 }: RelayedTableOptions): RelayedTable => {
-  let failures = 0;
+  let consecutiveFailures = 0;
   let lostSinceMs = Infinity;
   let neighboursFirstUntilMs = 0;
-  let allAwayUntilMs = 0;
+  let neighboursBackoffUntilMs = 0;
   const failedAtMs = new Map<EntryId, number>();
   let answeredAtMs = -Infinity;
-  /** When the first of the calls that were not answered since the last answer was made. */
+  /** When the first direct call after the last answer was made; Infinity if there was none. */
   let unansweredSinceMs = Infinity;
-  let probes = 0;
+  let probesInFlight = 0;
 
-  const direct = async (call: RelayCall): Promise<AnyResult> => {
+  const callTable = async (call: RelayCall): Promise<AnyResult> => {
     unansweredSinceMs = Math.min(unansweredSinceMs, nowMs());
     const result = await callDirectly(table, call);
     if (result.isOk() || result.error.kind === 'rejected') {
-      if (failures > 0) log.info('table-regained', {});
-      failures = 0;
+      if (consecutiveFailures > 0) log.info('table-regained', {});
+      consecutiveFailures = 0;
       lostSinceMs = Infinity;
-      noteAnswer();
+      recordAnswer();
       return result;
     }
-    failures += 1;
-    if (failures === 1) lostSinceMs = nowMs();
-    if (failures === 1) log.warn('table-lost', { detail: result.error.detail });
+    consecutiveFailures += 1;
+    if (consecutiveFailures === 1) lostSinceMs = nowMs();
+    if (consecutiveFailures === 1) log.warn('table-lost', { detail: result.error.detail });
     neighboursFirstUntilMs = nowMs() + NEIGHBOURS_FIRST_MS;
     return result;
   };
 
-  const noteAnswer = (): void => {
+  const recordAnswer = (): void => {
     answeredAtMs = nowMs();
     unansweredSinceMs = Infinity;
   };
@@ -154,23 +182,23 @@
   const silentForMs = (): number => Math.max(0, nowMs() - unansweredSinceMs);
 
   const probe = (): void => {
-    if (silentForMs() < PROBE_AFTER_MS || probes >= MOST_PROBES) return;
-    probes += 1;
-    void direct({ kind: 'read', keys: [PROBE_KEY] }).then(() => {
-      probes -= 1;
+    if (silentForMs() < PROBE_AFTER_MS || probesInFlight >= MAX_PROBES_IN_FLIGHT) return;
+    probesInFlight += 1;
+    void callTable({ kind: 'read', keys: [PROBE_KEY] }).then(() => {
+      probesInFlight -= 1;
     });
   };
 
-  const relayBy = async (neighbour: EntryId, call: RelayCall): Promise<AnyResult> => {
+  const callThroughNeighbour = async (neighbour: EntryId, call: RelayCall): Promise<AnyResult> => {
     metrics.count('table_relays');
     try {
-      const answer = (await ask(neighbour, RELAY_METHOD, call, RELAY_MS)) as RelayAnswer;
+      const answer = (await ask(neighbour, RELAY_METHOD, call, RELAY_TIMEOUT_MS)) as RelayAnswer;
       if (!answer.isOk) {
         failedAtMs.set(neighbour, nowMs());
         return Err(answer.value as PlatformError);
       }
-      failedAtMs.set(neighbour, SERVED);
-      noteAnswer();
+      failedAtMs.set(neighbour, LAST_CALL_SUCCEEDED);
+      recordAnswer();
       return Ok(answer.value);
     } catch (error) {
       failedAtMs.set(neighbour, nowMs());
@@ -179,39 +207,51 @@
   };
 
   /**
-   * Neighbours that were served last come before those that failed last, and of equal ones any: a
-   * cut often takes all entries of one data centre.
+   * Selects the neighbours to ask: first those whose last call succeeded, then those never asked, then those that failed,
+   * the least recent failure first. Ties are broken at random, because a network cut often affects all entries of one data
+   * centre.
    */
-  const byTrust = (): readonly EntryId[] =>
+  const rankNeighbours = (): readonly EntryId[] =>
     neighbours()
-      .map((entryId) => ({ entryId, failedMs: failedAtMs.get(entryId) ?? 0, chance: random() }))
-      .sort((left, right) => left.failedMs - right.failedMs || left.chance - right.chance)
-      .slice(0, MOST_NEIGHBOURS)
+      .map((entryId) => ({
+        entryId,
+        lastFailedAtMs: failedAtMs.get(entryId) ?? 0,
+        tieBreaker: random(),
+      }))
+      .sort(
+        (left, right) =>
+          left.lastFailedAtMs - right.lastFailedAtMs || left.tieBreaker - right.tieBreaker,
+      )
+      .slice(0, MAX_NEIGHBOURS)
       .map(({ entryId }) => entryId);
 
-  const relay = async (call: RelayCall): Promise<AnyResult> => {
-    if (nowMs() < allAwayUntilMs) {
+  const callThroughNeighbours = async (call: RelayCall): Promise<AnyResult> => {
+    if (nowMs() < neighboursBackoffUntilMs) {
       return Err({ kind: 'unreachable', detail: 'neighbours are turned away too' });
     }
-    const tries = byTrust().map((neighbour) => () => relayBy(neighbour, call));
-    if (tries.length === 0) return Err({ kind: 'unreachable', detail: 'no neighbour' });
-    const result = await firstAnswered(tries, keepsControl(call) ? STAGGER_MS : NEVER_MS);
-    if (!isAnswered(result)) allAwayUntilMs = nowMs() + ALL_AWAY_MS;
+    const attempts = rankNeighbours().map(
+      (neighbour) => () => callThroughNeighbour(neighbour, call),
+    );
+    if (attempts.length === 0) return Err({ kind: 'unreachable', detail: 'no neighbour' });
+    const result = await firstAnswered(attempts, touchesLease(call) ? STAGGER_MS : NO_STAGGER_MS);
+    if (!isAnswered(result)) neighboursBackoffUntilMs = nowMs() + NEIGHBOURS_BACKOFF_MS;
     return result;
   };
 
-  const call = async (one: RelayCall): Promise<AnyResult> => {
-    const isRefused = nowMs() < neighboursFirstUntilMs;
-    const routes = isRefused ? [relay, direct] : [direct, relay];
-    const staggerMs = keepsControl(one) ? HEDGE_MS : NEVER_MS;
+  const callByEitherRoute = async (call: RelayCall): Promise<AnyResult> => {
+    const isNeighboursFirst = nowMs() < neighboursFirstUntilMs;
+    const routes = isNeighboursFirst
+      ? [callThroughNeighbours, callTable]
+      : [callTable, callThroughNeighbours];
+    const staggerMs = touchesLease(call) ? HEDGE_MS : NO_STAGGER_MS;
     return firstAnswered(
-      routes.map((route) => () => route(one)),
+      routes.map((route) => () => route(call)),
       staggerMs,
     );
   };
 
-  const answerNeighbour = async (one: RelayCall): Promise<RelayAnswer> => {
-    const result = nowMs() < neighboursFirstUntilMs ? Err(REFUSED_TOO) : await direct(one);
+  const answerNeighbour = async (call: RelayCall): Promise<RelayAnswer> => {
+    const result = nowMs() < neighboursFirstUntilMs ? Err(ALSO_REFUSED) : await callTable(call);
     return result.isOk()
       ? { isOk: true, value: result.value }
       : { isOk: false, value: result.error };
@@ -220,15 +260,21 @@
   return {
     answerNeighbour,
     read: (keys) =>
-      call({ kind: 'read', keys }) as Promise<Result<readonly TableRow[], PlatformError>>,
+      callByEitherRoute({ kind: 'read', keys }) as Promise<
+        Result<readonly TableRow[], PlatformError>
+      >,
     scan: (prefix) =>
-      call({ kind: 'scan', prefix }) as Promise<Result<readonly TableRow[], PlatformError>>,
+      callByEitherRoute({ kind: 'scan', prefix }) as Promise<
+        Result<readonly TableRow[], PlatformError>
+      >,
     transact: (transaction) =>
-      call({ kind: 'transact', transaction }) as Promise<Result<TransactionOutcome, PlatformError>>,
+      callByEitherRoute({ kind: 'transact', transaction }) as Promise<
+        Result<TransactionOutcome, PlatformError>
+      >,
     answeredAtMs: () => answeredAtMs,
     silentForMs,
     probe,
-    isServed: () => failures === 0,
+    isServed: () => consecutiveFailures === 0,
     lostSinceMs: () => lostSinceMs,
   };
 };
