--- a/packages/daemon/src/batch/operators/data-centre-views.ts
+++ b/packages/daemon/src/batch/operators/data-centre-views.ts
@@ -1,4 +1,6 @@
-/** What operators are told of data centres: evacuated or not, what runs there, and what waits because of it. */
+/**
+ * The operators' views of data centres: whether they are evacuated, what runs there, and what waits because of that.
+ */
 import {
   evacuationsBlocking,
   isFinal,
@@ -11,16 +13,23 @@
 
 import type { Term } from '../control/term.js';
 
-const MILLIS = 1000;
-/** A list for people. */
-const MOST_ROWS = 1000;
+const MILLIS_PER_CORE = 1000;
+/** Maximum number of reasons in an explanation, which is read by people. */
+const MAX_REASONS = 1000;
 
-const freeCoresOutside = (state: BatchState, dataCentre: DataCentreId, nowMs: number): number =>
+/** Sums up the free cores of all schedulable endpoints outside a data centre. */
+const computeFreeCoresOutside = (
+  state: BatchState,
+  dataCentre: DataCentreId,
+  nowMs: number,
+): number =>
   Array.from(state.endpoints.values())
     .filter((one) => one.dataCentre !== dataCentre && isSchedulable(state, one, nowMs))
-    .reduce((sum, { capacity, used }) => sum + capacity.cpuMillis - used.cpuMillis, 0) / MILLIS;
+    .reduce((sum, { capacity, used }) => sum + capacity.cpuMillis - used.cpuMillis, 0) /
+  MILLIS_PER_CORE;
 
-const knownDataCentres = (term: Term): readonly DataCentreId[] =>
+/** Lists the data centres that a host, an endpoint or an evacuation names. */
+const listDataCentres = (term: Term): readonly DataCentreId[] =>
   Array.from(
     new Set([
       ...Array.from(term.fleet.inventory().hosts.values(), ({ dataCentre }) => dataCentre),
@@ -29,76 +38,86 @@
     ]),
   ).sort();
 
-/** The age of what is believed, or `never` if it was not confirmed yet. */
-const ageOf = ({ evacuations }: Term): number | string =>
+/** The age of the evacuation view in milliseconds, or `never` if the view has not been confirmed yet. */
+const evacuationAgeOf = ({ evacuations }: Term): number | string =>
   Number.isFinite(evacuations.ageMs()) ? evacuations.ageMs() : 'never';
 
 /**
  * Lists the data centres.
  *
- * @param term - The term of the holder.
- * @returns One row each.
+ * @param term - The control term of the holder.
+ * @returns One row for each data centre.
  */
 export const dataCentreRows = (term: Term): readonly object[] => {
   const hosts = Array.from(term.fleet.inventory().hosts.values());
-  return knownDataCentres(term).map((dataCentre) => {
+  return listDataCentres(term).map((dataCentre) => {
     const { shortRuns, longRuns } = countRunsInDataCentre(term.state, dataCentre);
     const evacuation = term.evacuations.evacuations().get(dataCentre);
     return {
       dataCentre,
       evacuatedSince: evacuation ? new Date(evacuation.knownSinceDay).toISOString() : '',
-      ageMs: ageOf(term),
+      ageMs: evacuationAgeOf(term),
       revision: term.evacuations.revision(),
       hosts: hosts.filter((host) => host.dataCentre === dataCentre).length,
       shortRuns,
       longRuns,
-      freeCoresElsewhere: freeCoresOutside(term.state, dataCentre, performance.now()),
+      freeCoresElsewhere: computeFreeCoresOutside(term.state, dataCentre, performance.now()),
     };
   });
 };
 
-const openSteps = ({ jobs }: BatchState): readonly StepRun[] =>
+const listOpenSteps = ({ jobs }: BatchState): readonly StepRun[] =>
   Array.from(jobs.values())
     .filter(({ phase }) => !isFinal(phase))
     .flatMap(({ occurrences }) => Array.from(occurrences.values()).flatMap(({ steps }) => steps))
     .filter(({ isOpen }) => isOpen);
 
-const outcomeOf = (term: Term, dataCentre: DataCentreId): string => {
+/**
+ * Describes whether a data centre is evacuated, how many runs it still has, and when its last short run is expected to
+ * end.
+ */
+const describeDataCentre = (term: Term, dataCentre: DataCentreId): string => {
   const { shortRuns, longRuns, lastExpectedEndMs } = countRunsInDataCentre(term.state, dataCentre);
   const evacuation = term.evacuations.evacuations().get(dataCentre);
-  const left = `${shortRuns} short runs and ${longRuns} long-running tasks`;
-  if (!evacuation) return `in service: ${left}`;
-  const inMs = Math.max(0, Math.round((lastExpectedEndMs ?? 0) - performance.now()));
-  const end = lastExpectedEndMs === undefined ? 'no short run is left' : `the last ends in some ${inMs} ms`;
-  return `evacuated since ${new Date(evacuation.knownSinceDay).toISOString()}: ${left} there, ${end}`;
+  const remaining = `${shortRuns} short runs and ${longRuns} long-running tasks`;
+  if (!evacuation) return `in service: ${remaining}`;
+  const remainingMs = Math.max(0, Math.round((lastExpectedEndMs ?? 0) - performance.now()));
+  const lastEnd =
+    lastExpectedEndMs === undefined
+      ? 'no short run is left'
+      : `the last ends in about ${remainingMs} ms`;
+  return `evacuated since ${new Date(evacuation.knownSinceDay).toISOString()}: ${remaining} there, ${lastEnd}`;
 };
 
 /**
  * Explains a data centre.
  *
- * @param term - The term of the holder.
- * @param name - The data centre.
- * @returns Who still runs there, until when, and what waits because of it; undefined for one that is not known.
+ * @param term - The control term of the holder.
+ * @param name - The name of the data centre.
+ * @returns What still runs there, when the last short run is expected to end, and which steps wait because of the
+ * evacuation; undefined if the data centre is not known.
  */
 export const explainDataCentre = (term: Term, name: string): object | undefined => {
   const dataCentre = name as DataCentreId;
-  if (!knownDataCentres(term).includes(dataCentre)) return undefined;
+  if (!listDataCentres(term).includes(dataCentre)) return undefined;
   const runs = Array.from(term.state.endpoints.values())
     .filter((one) => one.dataCentre === dataCentre)
-    .flatMap((one) => Array.from(one.runs.values(), (run) => ({ ...run, on: one.endpointId })))
-    .map(({ task, step, on }) => ({
+    .flatMap((one) =>
+      Array.from(one.runs.values(), (run) => ({ ...run, endpointId: one.endpointId })),
+    )
+    .map(({ task, step, endpointId }) => ({
       of: `task ${task.key}`,
-      reason: `queue=${step.job.job.queue} ${step.spec.isLasting ? 'long-running' : 'short'}, on endpoint ${on}`,
+      reason: `queue=${step.job.job.queue} ${step.spec.isLasting ? 'long-running' : 'short'}, on endpoint ${endpointId}`,
     }));
-  const waiting = openSteps(term.state)
+  const waiting = listOpenSteps(term.state)
     .filter((step) => evacuationsBlocking(term.state, step).includes(dataCentre))
     .map((step) => ({
       of: `job ${step.job.job.jobId} step ${step.number}`,
       reason: `${step.waiting.length} tasks wait: only endpoints here could run them`,
     }));
   return {
-    outcome: outcomeOf(term, dataCentre),
-    reason: `revision ${term.evacuations.revision()}, confirmed ${ageOf(term)} ms ago`,
-    reasons: [...waiting, ...runs].slice(0, MOST_ROWS),
+    outcome: describeDataCentre(term, dataCentre),
+    reason: `revision ${term.evacuations.revision()}, confirmed ${evacuationAgeOf(term)} ms ago`,
+    reasons: [...waiting, ...runs].slice(0, MAX_REASONS),
   };
 };
--- a/packages/daemon/src/batch/operators/domain-views.test.ts
+++ b/packages/daemon/src/batch/operators/domain-views.test.ts
@@ -1,4 +1,4 @@
-/** What operators are told of racks and data centres. */
+/** The operators' views of racks and data centres, on a simulated fleet in virtual time. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { recordUnanswered } from '@valvelatch/core/batch';
 
@@ -8,7 +8,7 @@
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
 import { advance, FAKED, holderOf, started } from '../testing/virtual-time.fixtures.js';
 
-describe('an operator who asks about domains', () => {
+describe('an operator who queries failure domains', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -20,8 +20,11 @@
   const ask = (fleet: SimFleet, method: string, kind: string, name = '') =>
     answerOperator(holderOf(fleet).control, { method, body: { kind, name } }, 1);
 
-  /** Two racks in two data centres, with two hosts of each pool, and a long-running step on both. */
-  const begun = async () => {
+  /**
+   * Starts a fleet with two data centres of one rack each. Each rack has two hosts of each pool, and a long-running step runs
+   * on both racks.
+   */
+  const startFleet = async () => {
     const domains = { hostsPerRack: 2, dataCentres: 2 };
     const fleet = await started({ hostsPerPool: 4, domains, accounts: [] });
     const step = { taskCount: 4, isLasting: true, mayMiss: 1, cpuMillis: 1000 };
@@ -30,8 +33,8 @@
     return { fleet, jobId };
   };
 
-  /** All endpoints of a rack leave a question unanswered at this moment. */
-  const suspect = (fleet: SimFleet): void => {
+  /** Records that all endpoints of the second rack have just left a request unanswered. */
+  const suspectRack = (fleet: SimFleet): void => {
     const state = holderOf(fleet).control.term()?.state;
     if (!state) throw new Error('nobody holds control');
     state.endpoints.forEach(({ endpointId, labels }) => {
@@ -39,8 +42,8 @@
     });
   };
 
-  it('is told the hosts and runs of each, by the label of the rack wherever it stands', async () => {
-    const { fleet } = await begun();
+  it('gets the hosts and runs of each, and the rack label of each host', async () => {
+    const { fleet } = await startFleet();
     expect(ask(fleet, 'get', 'domains')).toEqual({
       kind: 'ok',
       value: [
@@ -62,8 +65,8 @@
     expect(ask(fleet, 'get', 'hosts')).toMatchObject({ value: racks });
   });
 
-  it('is told what the loss of one would take, against what may be missed', async () => {
-    const { fleet, jobId } = await begun();
+  it('gets what the loss of a domain would affect, and how many tasks may be missed', async () => {
+    const { fleet, jobId } = await startFleet();
     const answer = {
       value: {
         outcome: 'rack dc-1/rack-1: 4 hosts, 2 runs',
@@ -86,8 +89,8 @@
     expect(ask(fleet, 'explain', 'domain', 'rack-7')?.kind).toBe('not-found');
   });
 
-  it('is told of a job how its long-running step is spread, and that it cannot be spread further', async () => {
-    const { fleet, jobId } = await begun();
+  it('gets for a job how its long-running step is spread, and that there are too few racks to spread it further', async () => {
+    const { fleet, jobId } = await startFleet();
     const spread =
       'spread over 2 racks, at most 2 in one (dc-0/rack-0), and 1 may be missed: 2 racks are too few for that';
     expect(ask(fleet, 'explain', 'job', jobId)).toMatchObject({
@@ -95,9 +98,9 @@
     });
   });
 
-  it('is told what is suspected, and since when', async () => {
-    const { fleet } = await begun();
-    suspect(fleet);
+  it('gets which domain is suspected, and for how long', async () => {
+    const { fleet } = await startFleet();
+    suspectRack(fleet);
     const reason = 'suspected for 0 ms: 4 of 4 endpoints have not answered since';
     const rows = ask(fleet, 'get', 'domains');
     expect(rows).toMatchObject({
@@ -106,13 +109,13 @@
     expect(ask(fleet, 'explain', 'domain', 'rack-1')).toMatchObject({ value: { reason } });
   });
 
-  it('finds the suspected endpoints of a data centre in a gauge, and 0 after the term', async () => {
-    const { fleet } = await begun();
+  it('gets the suspected endpoints of a data centre from a gauge, which is 0 after the term', async () => {
+    const { fleet } = await startFleet();
     const state = holderOf(fleet).control.term()?.state;
     if (!state) throw new Error('nobody holds control');
     const metrics = createMetrics();
     const gauges = createDomainGauges(state, metrics);
-    suspect(fleet);
+    suspectRack(fleet);
     gauges.note();
     expect(metrics.text()).toContain('valvelatch_suspected_endpoints{data_centre="dc-0"} 0\n');
     expect(metrics.text()).toContain('valvelatch_suspected_endpoints{data_centre="dc-1"} 4\n');
--- a/packages/daemon/src/batch/operators/domain-views.ts
+++ b/packages/daemon/src/batch/operators/domain-views.ts
@@ -1,4 +1,6 @@
-/** What operators are told of failure domains: what stands in each, and what its loss would take. */
+/**
+ * The operators' views of failure domains (racks and data centres): what each contains, and what its loss would affect.
+ */
 import {
   domainName,
   domainsOf,
@@ -13,18 +15,19 @@
 } from '@valvelatch/core/batch';
 import type { DomainId } from '@valvelatch/core/shared/ids';
 
-const MILLIS = 1000;
-/** A list for people; a fleet has more racks than anybody reads. */
-const MOST_DOMAINS = 1000;
-const KIND_WORDS: Readonly<Record<DomainKind, string>> = {
+const MILLIS_PER_CORE = 1000;
+/** Maximum number of domains in the list, which is read by people: a fleet may have many more racks. */
+const MAX_ROWS = 1000;
+const KIND_LABELS: Readonly<Record<DomainKind, string>> = {
   rack: 'rack',
   dataCentre: 'data centre',
 };
 
-/** What the views are made of. */
+/** The data from which the views are built. */
 export type DomainSight = {
   readonly state: BatchState;
   readonly hosts: Iterable<ListedHost>;
+  /** The current time by the monotonic clock. */
   readonly nowMs: number;
 };
 
@@ -35,10 +38,13 @@
   readonly endpoints: readonly EndpointState[];
 };
 
-/** All domains that a host or an endpoint stands in, data centres first, by name. */
-const viewsOf = ({ state, hosts }: DomainSight): readonly DomainView[] => {
+/**
+ * Builds a view of each domain that contains a host or an endpoint, sorted by domain id: data centres first, then by
+ * name.
+ */
+const buildDomainViews = ({ state, hosts }: DomainSight): readonly DomainView[] => {
   const views = new Map<DomainId, DomainView>();
-  const viewOf = ({ domainId, kind }: Pick<DomainView, 'domainId' | 'kind'>): DomainView => {
+  const findOrAddView = ({ domainId, kind }: Pick<DomainView, 'domainId' | 'kind'>): DomainView => {
     const known = views.get(domainId);
     if (known) return known;
     const endpoints = Array.from(state.domains.get(domainId)?.members ?? []);
@@ -46,10 +52,10 @@
     views.set(domainId, built);
     return built;
   };
-  state.domains.forEach(viewOf);
+  state.domains.forEach(findOrAddView);
   Array.from(hosts).forEach((host) =>
     namedDomains(domainsOf(host.dataCentre, rackOf(host))).forEach((domain) =>
-      viewOf(domain).hosts.push(host),
+      findOrAddView(domain).hosts.push(host),
     ),
   );
   return Array.from(views.values()).sort((left, right) =>
@@ -57,7 +63,7 @@
   );
 };
 
-const countBy = <Item>(items: readonly Item[], keyOf: (item: Item) => string) => {
+const countByKey = <Item>(items: readonly Item[], keyOf: (item: Item) => string) => {
   const counts = new Map<string, number>();
   items.forEach((item) => counts.set(keyOf(item), (counts.get(keyOf(item)) ?? 0) + 1));
   return counts;
@@ -66,7 +72,8 @@
 const runsOf = (endpoints: readonly EndpointState[]) =>
   endpoints.flatMap(({ runs }) => Array.from(runs.values()));
 
-const suspicionOf = ({ state, nowMs }: DomainSight, domainId: DomainId): string => {
+/** Describes for how long and by how many endpoints a domain has been suspected; '' if it is not. */
+const describeSuspicion = ({ state, nowMs }: DomainSight, domainId: DomainId): string => {
   const suspected = state.suspectedDomains.get(domainId);
   if (!suspected) return '';
   const { unansweringEndpoints, endpointCount, sinceMs } = suspected;
@@ -76,40 +83,40 @@
 /**
  * Lists the racks and data centres.
  *
- * @param sight - What the holder knows, and the hosts by the platform's list.
- * @returns A row for each: its hosts by pool, its runs, and whether it is suspected.
+ * @param source - The scheduler's state, and the hosts in the platform's list.
+ * @returns A row for each: its hosts by pool, its runs, and whether it is suspected to be lost.
  */
-export const domainRows = (sight: DomainSight): readonly object[] =>
-  viewsOf(sight)
-    .slice(0, MOST_DOMAINS)
+export const domainRows = (source: DomainSight): readonly object[] =>
+  buildDomainViews(source)
+    .slice(0, MAX_ROWS)
     .map(({ domainId, kind, hosts, endpoints }) => ({
       domain: domainName(domainId),
-      kind: KIND_WORDS[kind],
+      kind: KIND_LABELS[kind],
       hosts: hosts.length,
       pools: Array.from(
-        countBy(hosts, ({ pool }) => pool),
+        countByKey(hosts, ({ pool }) => pool),
         ([pool, count]) => `${pool} ${count}`,
       ).join(', '),
       runs: runsOf(endpoints).length,
-      phase: sight.state.suspectedDomains.has(domainId) ? 'suspected' : 'up',
-      reason: suspicionOf(sight, domainId),
+      phase: source.state.suspectedDomains.has(domainId) ? 'suspected' : 'up',
+      reason: describeSuspicion(source, domainId),
     }));
 
 type Reason = { readonly of: string; readonly reason: string };
 
-const cores = (endpoints: readonly EndpointState[], of: 'capacity' | 'used'): number =>
-  endpoints.reduce((sum, endpoint) => sum + endpoint[of].cpuMillis, 0) / MILLIS;
+const sumCores = (endpoints: readonly EndpointState[], resource: 'capacity' | 'used'): number =>
+  endpoints.reduce((sum, endpoint) => sum + endpoint[resource].cpuMillis, 0) / MILLIS_PER_CORE;
 
 const poolReasons = (endpoints: readonly EndpointState[]): readonly Reason[] =>
   Array.from(new Set(endpoints.map(({ pool }) => pool)), (pool) => {
     const inPool = endpoints.filter((endpoint) => endpoint.pool === pool);
     return {
       of: `pool ${pool}`,
-      reason: `its loss takes ${cores(inPool, 'capacity')} cores on ${inPool.length} endpoints, ${cores(inPool, 'used')} of them in use`,
+      reason: `its loss takes ${sumCores(inPool, 'capacity')} cores on ${inPool.length} endpoints, ${sumCores(inPool, 'used')} of them in use`,
     };
   });
 
-const lastingReasons = (endpoints: readonly EndpointState[]): readonly Reason[] => {
+const longRunningReasons = (endpoints: readonly EndpointState[]): readonly Reason[] => {
   const counts = new Map<StepRun, number>();
   runsOf(endpoints)
     .filter(({ step }) => step.spec.isLasting)
@@ -117,43 +124,44 @@
   return Array.from(counts, ([{ spec, job, number }, count]) => ({
     of: `job ${job.job.jobId} step ${number}`,
     reason: `its loss takes ${count} of ${spec.taskCount} long-running tasks, ${
-      spec.mayMiss > 0 ? `${spec.mayMiss} may be missed` : 'without a bound on what may be missed'
+      spec.mayMiss > 0 ? `${spec.mayMiss} may be missed` : 'with no limit on how many may be missed'
     }`,
   }));
 };
 
 /**
- * Explains what the loss of a rack or a data centre would take now.
+ * Explains what the loss of a rack or a data centre would affect now.
  *
- * @param sight - What the holder knows, and the hosts by the platform's list.
- * @param name - `DATA-CENTRE` or `DATA-CENTRE/RACK`; the label of a rack alone if no other data centre has one of it.
- * @returns The explanation; undefined for a name that nothing or more than one domain has.
+ * @param source - The scheduler's state, and the hosts in the platform's list.
+ * @param name - `DATA-CENTRE`, `DATA-CENTRE/RACK`, or just the label of a rack if only one data centre has a rack with that
+ * label.
+ * @returns The explanation; undefined if no domain or more than one has the name.
  */
-export const explainDomain = (sight: DomainSight, name: string): object | undefined => {
-  const views = viewsOf(sight);
-  const exact = views.find(({ domainId }) => domainName(domainId) === name);
-  const labelled = views.filter(
+export const explainDomain = (source: DomainSight, name: string): object | undefined => {
+  const views = buildDomainViews(source);
+  const byFullName = views.find(({ domainId }) => domainName(domainId) === name);
+  const byRackLabel = views.filter(
     ({ domainId, kind }) => kind === 'rack' && domainName(domainId).endsWith(`/${name}`),
   );
-  const found = exact ?? (labelled.length === 1 ? labelled[0] : undefined);
+  const found = byFullName ?? (byRackLabel.length === 1 ? byRackLabel[0] : undefined);
   if (!found) return undefined;
   const { domainId, kind, hosts, endpoints } = found;
-  const suspicion = suspicionOf(sight, domainId);
+  const suspicion = describeSuspicion(source, domainId);
   return {
-    outcome: `${KIND_WORDS[kind]} ${domainName(domainId)}: ${hosts.length} hosts, ${runsOf(endpoints).length} runs`,
+    outcome: `${KIND_LABELS[kind]} ${domainName(domainId)}: ${hosts.length} hosts, ${runsOf(endpoints).length} runs`,
     reason: suspicion === '' ? 'it is not suspected' : suspicion,
-    reasons: [...poolReasons(endpoints), ...lastingReasons(endpoints)],
+    reasons: [...poolReasons(endpoints), ...longRunningReasons(endpoints)],
   };
 };
 
-/** A data centre with how many of its endpoints get no new work as it, or a rack of it, is suspected. */
+/** A data centre, and how many of its endpoints get no new work because it or their rack is suspected to be lost. */
 export type SuspectCount = { readonly dataCentre: string; readonly suspected: number };
 
 /**
- * Counts the endpoints that are suspected by data centre.
+ * Counts, for each data centre, the endpoints that are suspected to be lost.
  *
- * @param state - All that is known.
- * @returns The counts, also those that are 0.
+ * @param state - The scheduler's state.
+ * @returns The count for each data centre, including counts of 0.
  */
 export const countSuspects = (state: BatchState): readonly SuspectCount[] =>
   Array.from(state.domains.values())
--- a/packages/daemon/src/batch/operators/operators-http.ts
+++ b/packages/daemon/src/batch/operators/operators-http.ts
@@ -1,6 +1,7 @@
 /**
- * The port towards operators where batch work runs: metrics for all who reach it, questions for
- * those with the key. Node's own server: a library would be loaded at each start.
+ * The HTTP server for operators of batch work. Metrics are served to anyone who reaches the port; queries
+ * need the operator key. It uses Node's own server, because every start of the process would have to load a
+ * library.
  */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server } from 'node:http';
@@ -9,7 +10,7 @@
 import type { OperatorResult } from '../../operators/operator-result.js';
 import type { OperatorQuestion } from './operators.js';
 
-const STATUS: Record<OperatorResult['kind'], number> = {
+const STATUS_CODES: Record<OperatorResult['kind'], number> = {
   ok: 200,
   invalid: 422,
   conflict: 409,
@@ -17,23 +18,25 @@
   unavailable: 503,
 };
 const UNAUTHORIZED = 401;
-const METHOD = /^\/v1\/([a-z-]+)$/;
-const MOST_BODY_CHARACTERS = 64 * 1024;
+const METHOD_PATH = /^\/v1\/([a-z-]+)$/;
+const MAX_BODY_CHARACTERS = 64 * 1024;
 
 export type OperatorsHttpOptions = {
-  /** The secret that operators show; without one, only metrics are served. */
+  /** The bearer token that operators must send; if undefined, only metrics are served. */
   readonly operatorKey: string | undefined;
   readonly metrics: Metrics;
+  /** Answers a query, here or at the holder. */
   readonly ask: (question: OperatorQuestion) => Promise<OperatorResult>;
 };
 
+/** Hashes a text, so that texts of different lengths can be compared in constant time. */
 const digest = (text: string): Buffer => createHash('sha256').update(text).digest();
 
 const readText = async (request: IncomingMessage): Promise<string> => {
   let text = '';
   request.setEncoding('utf8');
   request.on('data', (chunk: string) => {
-    if (text.length < MOST_BODY_CHARACTERS) text += chunk;
+    if (text.length < MAX_BODY_CHARACTERS) text += chunk;
   });
   await new Promise((resolve, reject) => {
     request.on('end', resolve);
@@ -52,9 +55,9 @@
 };
 
 /**
- * Builds the server; it does not listen yet.
+ * Creates the server; it does not listen yet.
  *
- * @param options - The key, the metrics, and who answers.
+ * @param options - The operator key, the metrics, and the function that answers queries.
  * @returns The server.
  */
 export const createOperatorsHttp = ({
@@ -67,7 +70,7 @@
     timingSafeEqual(digest(headers.authorization ?? ''), digest(`Bearer ${operatorKey}`));
 
   const answer = async (request: IncomingMessage): Promise<readonly [number, object]> => {
-    const method = METHOD.exec(request.url ?? '')?.[1];
+    const method = METHOD_PATH.exec(request.url ?? '')?.[1];
     if (!isAllowed(request)) {
       return [
         UNAUTHORIZED,
@@ -75,9 +78,10 @@
       ];
     }
     const body = parseBody(await readText(request));
-    if (!method || !body) return [STATUS.invalid, { kind: 'invalid', detail: 'not a question' }];
+    if (!method || !body)
+      return [STATUS_CODES.invalid, { kind: 'invalid', detail: 'not a question' }];
     const result = await ask({ method, body });
-    return [STATUS[result.kind], result];
+    return [STATUS_CODES[result.kind], result];
   };
 
   return createServer((request, response) => {
--- a/packages/daemon/src/batch/operators/operators.test.ts
+++ b/packages/daemon/src/batch/operators/operators.test.ts
@@ -1,4 +1,7 @@
-/** What operators are told of hosts and waves by a holder that cannot read the list of hosts. */
+/**
+ * Operators' queries on a simulated fleet in virtual time: to a holder that has not read the list of hosts, and about late
+ * waves, waiting and refused jobs, and evacuated data centres.
+ */
 import { DEFAULT_STEP, type BatchJobRow } from '@valvelatch/core/batch';
 import { brand, type DataCentreId, type JobId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -9,7 +12,7 @@
 import { SIM_POLICY } from '../testing/sim-world.fixtures.js';
 import { advance, FAKED, holderOf, started } from '../testing/virtual-time.fixtures.js';
 
-describe('an operator who asks', () => {
+describe('an operator who queries', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: [...FAKED] });
   });
@@ -22,7 +25,7 @@
     answerOperator(holderOf(fleet).control, { method, body: { kind, name } }, 1);
 
   describe('a holder that has never read the list of hosts', () => {
-    const withoutList = async (): Promise<SimFleet> => {
+    const startWithoutHostList = async (): Promise<SimFleet> => {
       const fleet = await started({ hostsPerPool: 3 });
       const hosts = Array.from(fleet.hosts.keys()).slice(0, 2);
       fleet.order({ waveNumber: 1, hosts, withinMs: 40_000, maximum: 1 });
@@ -32,9 +35,9 @@
       return fleet;
     };
 
-    it('is told that nothing can be said, not that there are no hosts', async () => {
-      // An empty list reads like a fleet that is gone.
-      const fleet = await withoutList();
+    it('gets the answer that the list is unavailable rather than an empty list', async () => {
+      // An empty list would look like a fleet without hosts.
+      const fleet = await startWithoutHostList();
       const detail = 'the list of hosts has not been read yet';
       expect(ask(fleet, 'get', 'hosts')).toEqual({ kind: 'unavailable', detail });
       expect(ask(fleet, 'get', 'pools')).toEqual({ kind: 'unavailable', detail });
@@ -42,8 +45,8 @@
       expect(ask(fleet, 'get', 'jobs')?.kind).toBe('ok');
     });
 
-    it('is told the wave as running, and why each host waits', async () => {
-      const fleet = await withoutList();
+    it('gets the wave as running, and the reason why each host waits', async () => {
+      const fleet = await startWithoutHostList();
       expect(ask(fleet, 'get', 'waves')).toMatchObject({ value: [{ phase: 'running' }] });
       expect(ask(fleet, 'explain', 'wave', '1')).toMatchObject({
         value: {
@@ -55,8 +58,8 @@
       });
     });
 
-    it('is answered once the list has been read', async () => {
-      const fleet = await withoutList();
+    it('gets the hosts once the list has been read', async () => {
+      const fleet = await startWithoutHostList();
       fleet.faults.isHostListDown = false;
       await advance(1000);
       expect(ask(fleet, 'get', 'hosts')?.kind).toBe('ok');
@@ -64,8 +67,8 @@
     });
   });
 
-  describe('a wave that cannot be in time', () => {
-    it('is told how many hosts are expected late and why', async () => {
+  describe('a wave that cannot end in time', () => {
+    it('gets how many hosts are forecast to be late and why', async () => {
       const fleet = await started({ hostsPerPool: 3 });
       const hosts = Array.from(fleet.hosts.keys());
       await advance(8000);
@@ -79,8 +82,8 @@
   });
 
   describe('why a job waits', () => {
-    /** One task of the account's job runs, which is all that it may have. */
-    const beyondQuota = async () => {
+    /** Starts a job with three tasks of an account whose quota allows one of them to run. */
+    const startBeyondQuota = async () => {
       const accounts = [simAccount('client-a', 1000)];
       const fleet = await started({ hostsPerPool: 3, accounts });
       const step = { taskCount: 3, cpuMillis: 1000 };
@@ -89,8 +92,8 @@
       return { fleet, jobId };
     };
 
-    it('is told that it is its quota, with the figures, from the job on to its account', async () => {
-      const { fleet, jobId } = await beyondQuota();
+    it('gets the quota as the reason, with its figures, for the job and for its account', async () => {
+      const { fleet, jobId } = await startBeyondQuota();
       const quota =
         '2 wait for quota: account=client-a has 1 cores, 100 MB running and may have 1 cores';
       expect(ask(fleet, 'explain', 'job', jobId)).toMatchObject({
@@ -113,8 +116,8 @@
       });
     });
 
-    it('is told of an account that the configuration has lost with a job in hand', async () => {
-      const { fleet } = await beyondQuota();
+    it('gets an account that was removed from the configuration while it had an unfinished job', async () => {
+      const { fleet } = await startBeyondQuota();
       fleet.declare([]);
       await advance(4000);
       expect(ask(fleet, 'get', 'accounts')).toMatchObject({
@@ -126,20 +129,20 @@
   });
 
   describe('about an evacuated data centre', () => {
-    const evacuated = async (isHeld = false) => {
+    const startEvacuation = async (isSouthToo = false) => {
       const fleet = await started({ hostsPerPool: 4, evacuateMs: 5000 });
       const [north, south] = SIM_DATA_CENTRES as [DataCentreId, DataCentreId];
       const step = { taskCount: 8, mostPerEndpoint: 2, cpuMillis: 2000 };
       const before = fleet.submit({ pool: 'alpha', steps: [step], runMs: 3000 });
       await advance(1000);
       fleet.evacuate(north);
-      if (isHeld) fleet.evacuate(south);
+      if (isSouthToo) fleet.evacuate(south);
       await advance(300);
       return { fleet, before, north };
     };
 
-    it('is told who still runs there, that nobody does, and when it was taken back', async () => {
-      const { fleet, north } = await evacuated();
+    it('gets how many runs are left there, and the log tells when it begins, is empty and ends', async () => {
+      const { fleet, north } = await startEvacuation();
       const outcome = expect.stringMatching(
         /^evacuated since .*: 4 short runs and 0 long-running tasks there, the last ends/u,
       ) as string;
@@ -167,8 +170,8 @@
       expect(events[0]?.fields).toMatchObject({ dataCentre: north, revision: 1, shortRuns: 4 });
     });
 
-    it('is told which job waits because of it', async () => {
-      const { fleet, north } = await evacuated(true);
+    it('gets which job waits because of the evacuation', async () => {
+      const { fleet, north } = await startEvacuation(true);
       const job = fleet.submit({ pool: 'alpha', steps: [{ taskCount: 2 }] });
       await advance(1000);
       const reason = '2 wait for room: data centre dc-0, dc-1 is evacuated';
@@ -184,18 +187,20 @@
       });
     });
 
-    it('is told once of a name that no endpoint has', async () => {
+    it('finds one log event for a data centre name that no endpoint has', async () => {
       const fleet = await started({ hostsPerPool: 3 });
       fleet.evacuate('nroth' as DataCentreId);
       await advance(5000);
-      const told = fleet.logged.filter(({ event }) => event.startsWith('evacuation-'));
-      expect(told).toMatchObject([{ event: 'evacuation-begun', fields: { endpoints: 0 } }]);
+      const evacuationEvents = fleet.logged.filter(({ event }) => event.startsWith('evacuation-'));
+      expect(evacuationEvents).toMatchObject([
+        { event: 'evacuation-begun', fields: { endpoints: 0 } },
+      ]);
     });
   });
 
   describe('why a job was refused', () => {
-    /** A backlog of minutes, and one more job that an entry without control hands to the holder. */
-    const overloaded = async () => {
+    /** Queues a backlog of minutes; then an entry that does not hold control passes one more job to the holder. */
+    const overloadFleet = async () => {
       const account = simAccount('client-a', 0);
       const fleet = await started({ hostsPerPool: 3, accounts: [account] });
       await advance(3000);
@@ -222,13 +227,13 @@
         },
         policy: SIM_POLICY,
       };
-      const asked = entry?.control.accept(row);
+      const accepted = entry?.control.accept(row);
       await advance(500);
-      return { fleet, jobId, outcome: await asked };
+      return { fleet, jobId, outcome: await accepted };
     };
 
-    it('is told the forecast; the entry that asked is, too, and nothing of the job is written', async () => {
-      const { fleet, jobId, outcome } = await overloaded();
+    it('gets the forecast as the reason; the entry that passed the job on is told that it was refused, and no row is written', async () => {
+      const { fleet, jobId, outcome } = await overloadFleet();
       expect(outcome).toMatchObject({ kind: 'refused' });
       expect(fleet.rowOf(jobId)).toBeUndefined();
       expect(ask(fleet, 'explain', 'job', jobId)).toMatchObject({
--- a/packages/daemon/src/batch/operators/operators.ts
+++ b/packages/daemon/src/batch/operators/operators.ts
@@ -1,6 +1,6 @@
 /**
- * What operators may ask about batch work, at any entry: the holder of control answers, in the
- * operator's own names. The answers have the shapes that the command line shows.
+ * Answers operators' queries about batch work. A query may be sent to any entry; the control holder answers it, using the
+ * names that the operator gave to hosts, pools and queues. The answers have the shapes that the command line displays.
  */
 import {
   describeSpread,
@@ -24,56 +24,61 @@
 import type { Term } from '../control/term.js';
 
 type Body = { readonly kind?: string; readonly name?: string };
+/** Builds the rows of one kind of list. */
 type View = (term: Term) => readonly object[];
 
-const MILLIS = 1000;
-/** A list for people; a fleet has more jobs than anybody reads. */
-const MOST_ROWS = 1000;
+const MILLIS_PER_CORE = 1000;
+/** Maximum number of jobs or placements in a list, which is read by people: a fleet may have many more. */
+const MAX_ROWS = 1000;
 
-const endpointOn = (term: Term, hostId: HostId): EndpointState | undefined => {
+/** Finds the current endpoint on a host; undefined if there is none. */
+const findEndpointOn = (term: Term, hostId: HostId): EndpointState | undefined => {
   const instanceId = term.fleet.inventory().hosts.get(hostId)?.instanceId;
   return instanceId ? term.state.currentIncarnations.get(instanceId) : undefined;
 };
 
-const domainSight = ({ state, fleet }: Term): DomainSight => ({
+const domainViewSource = ({ state, fleet }: Term): DomainSight => ({
   state,
   hosts: fleet.inventory().hosts.values(),
   nowMs: performance.now(),
 });
 
-/** Why a host is withheld from something, or ''. */
-const hostReason = (term: Term, hostId: HostId): string => {
-  const waiting = term.fleet
+/** Explains why a host gets no new work; if it may get some, tells how many tasks run on it. */
+const describeHost = (term: Term, hostId: HostId): string => {
+  const pendingMaintenance = term.fleet
     .waves()
     .map(({ request, hosts }) => ({ wave: request.waveNumber, host: hosts.get(hostId) }))
     .find(({ host }) => host && host.phase !== 'done');
-  if (waiting?.host) {
-    const { phase, reason } = waiting.host;
-    return `wave ${waiting.wave}: ${phase}${reason === '' ? '' : `, ${reason}`}`;
+  if (pendingMaintenance?.host) {
+    const { phase, reason } = pendingMaintenance.host;
+    return `wave ${pendingMaintenance.wave}: ${phase}${reason === '' ? '' : `, ${reason}`}`;
   }
-  const endpoint = endpointOn(term, hostId);
-  if (!endpoint) return 'no endpoint lives on it';
+  const endpoint = findEndpointOn(term, hostId);
+  if (!endpoint) return 'no endpoint runs on it';
   if (!endpoint.hasReported) return 'its endpoint has not answered this holder yet';
   if (term.state.evacuatedDataCentres.has(endpoint.dataCentre)) {
     return `data centre ${endpoint.dataCentre} is evacuated, ${endpoint.runs.size} tasks run on it`;
   }
-  if (endpoint.isDraining) return 'its endpoint leaves or is not listed any more';
+  if (endpoint.isDraining) return 'its endpoint is leaving or no longer listed';
   if (isSuspected(term.state, endpoint))
     return 'its rack or its data centre is suspected to be lost';
   if (endpoint.withheldUntilMs > performance.now()) return `withheld: ${endpoint.withheldReason}`;
   return `${endpoint.runs.size} tasks run on it`;
 };
 
-const jobReason = (job: JobState): string =>
+const describeJob = (job: JobState): string =>
   job.phase === 'running' ? `queue=${job.job.queue}: tasks run` : job.reason;
 
+/** The lists by kind. */
 const views: Readonly<Record<string, View>> = {
   pools: (term) =>
     Array.from(term.state.pools.values(), ({ name, openSteps }) => {
       const hosts = Array.from(term.fleet.inventory().hosts.values()).filter(
         ({ pool }) => pool === name,
       );
-      const inUse = hosts.filter(({ hostId }) => (endpointOn(term, hostId)?.runs.size ?? 0) > 0);
+      const inUse = hosts.filter(
+        ({ hostId }) => (findEndpointOn(term, hostId)?.runs.size ?? 0) > 0,
+      );
       return { pool: name, hosts: hosts.length, inUse: inUse.length, waitingSteps: openSteps.size };
     }),
   hosts: (term) =>
@@ -83,19 +88,19 @@
       phase: host.state,
       dataCentre: host.dataCentre,
       rack: rackOf(host),
-      cores: host.capacity.cpuMillis / MILLIS,
-      reason: hostReason(term, host.hostId),
+      cores: host.capacity.cpuMillis / MILLIS_PER_CORE,
+      reason: describeHost(term, host.hostId),
     })),
   jobs: (term) =>
     Array.from(term.state.jobs.values())
-      .slice(0, MOST_ROWS)
+      .slice(0, MAX_ROWS)
       .map((job) => ({
         name: job.job.jobId,
         pool: job.job.pool,
         team: job.job.queue,
         account: job.job.owner?.account,
         phase: job.phase,
-        reason: jobReason(job),
+        reason: describeJob(job),
       })),
   placements: (term) =>
     Array.from(term.state.endpoints.values())
@@ -109,10 +114,10 @@
           reason: `${percent} % on endpoint ${endpoint.endpointId}`,
         })),
       )
-      .slice(0, MOST_ROWS),
+      .slice(0, MAX_ROWS),
   accounts: (term) => accountRows(term, performance.now()),
   'data-centres': dataCentreRows,
-  domains: (term) => domainRows(domainSight(term)),
+  domains: (term) => domainRows(domainViewSource(term)),
   waves: (term) =>
     term.fleet.waves().map((wave) => {
       const { request, hosts } = wave;
@@ -126,34 +131,39 @@
     }),
 };
 
-const waitReason = (term: Term, step: StepRun): string => {
-  const awaited = evacuationsBlocking(term.state, step);
-  if (awaited.length === 0) return waitsFor(term.state, step, performance.now());
-  return `room: data centre ${awaited.join(', ')} is evacuated`;
+/**
+ * Describes what the waiting tasks of a step wait for: the evacuated data centres if only endpoints there could run them,
+ * otherwise what `waitsFor` returns.
+ */
+const describeWait = (term: Term, step: StepRun): string => {
+  const evacuated = evacuationsBlocking(term.state, step);
+  if (evacuated.length === 0) return waitsFor(term.state, step, performance.now());
+  return `room: data centre ${evacuated.join(', ')} is evacuated`;
 };
 
-const stepReason = (term: Term, step: StepRun): string => {
+const describeStep = (term: Term, step: StepRun): string => {
   const { spec, waiting, doneCount, isOpen } = step;
-  const places = Array.from(step.perEndpoint.keys()).map((id) => {
+  const locations = Array.from(step.perEndpoint.keys()).map((id) => {
     const endpoint = term.state.endpoints.get(id);
     return `host=${endpoint?.hostId ?? 'unknown'} rack=${endpoint ? rackOf(endpoint) : ''}`;
   });
   const state = isOpen
-    ? `${waiting.length} wait for ${waitReason(term, step)}`
+    ? `${waiting.length} wait for ${describeWait(term, step)}`
     : `waits for steps ${spec.after.join(',')}`;
-  const needs = `${spec.cpuMillis / MILLIS} cores, ${spec.memoryMb} MB`;
+  const needs = `${spec.cpuMillis / MILLIS_PER_CORE} cores, ${spec.memoryMb} MB`;
   const spread = describeSpread(term.state, step);
   return [
     `${doneCount} of ${spec.taskCount} done, ${state} (${needs} each)`,
     ...(spread === '' ? [] : [`spread ${spread}`]),
-    ...(places.length > 0 ? [`on ${places.join('; ')}`] : []),
+    ...(locations.length > 0 ? [`on ${locations.join('; ')}`] : []),
   ].join(', ');
 };
 
-/** What is expected of a wave that cannot be in time. */
-const lateText = ({ lateHosts, reason }: WaveForecast): string =>
+/** Describes how many hosts of a wave are forecast to be late and why; '' if none is. */
+const describeLateHosts = ({ lateHosts, reason }: WaveForecast): string =>
   lateHosts === 0 ? '' : `, ${lateHosts} of them expected late: ${reason}`;
 
+/** Explain one object of each kind; undefined if there is no object with the name. */
 const explainers: Readonly<Record<string, (term: Term, name: string) => object | undefined>> = {
   account: (term, name) => {
     const rows = accountRows(term, performance.now()) as readonly Record<string, unknown>[];
@@ -174,28 +184,28 @@
       return { outcome: 'refused', reason: explainRefusal(refusal) };
     }
     if (!job) return status && { outcome: status.phase, reason: status.reason };
-    const steps = Array.from(job.occurrences.values()).flatMap((one) => one.steps);
+    const steps = Array.from(job.occurrences.values()).flatMap((occurrence) => occurrence.steps);
     return {
       outcome: job.phase,
-      reason: jobReason(job),
+      reason: describeJob(job),
       reasons: isFinal(job.phase)
         ? []
         : steps.map((step) => ({
             of: `occurrence ${step.occurrence.number} step ${step.number}`,
-            reason: stepReason(term, step),
+            reason: describeStep(term, step),
           })),
     };
   },
-  domain: (term, name) => explainDomain(domainSight(term), name),
+  domain: (term, name) => explainDomain(domainViewSource(term), name),
   host: (term, name) => {
     const host = term.fleet.inventory().hosts.get(name as HostId);
-    return host && { outcome: host.state, reason: hostReason(term, host.hostId) };
+    return host && { outcome: host.state, reason: describeHost(term, host.hostId) };
   },
   wave: (term, name) => {
     const wave = term.fleet.waves().find(({ request }) => String(request.waveNumber) === name);
     return (
       wave && {
-        outcome: `${wave.request.hosts.length} hosts${lateText(wave.forecast)}`,
+        outcome: `${wave.request.hosts.length} hosts${describeLateHosts(wave.forecast)}`,
         reasons: Array.from(wave.hosts, ([hostId, { phase, reason }]) => ({
           of: `host ${hostId}`,
           reason: reason === '' ? phase : `${phase}: ${reason}`,
@@ -207,8 +217,8 @@
 
 type Handler = (term: Term, body: Body, version: number) => OperatorResult;
 
-/** What is answered from the list of hosts. */
-const HOST_KINDS: ReadonlySet<string> = new Set([
+/** The kinds of queries that are answered from the platform's list of hosts. */
+const HOST_LIST_KINDS: ReadonlySet<string> = new Set([
   'data-centre',
   'data-centres',
   'domain',
@@ -218,14 +228,17 @@
   'pools',
 ]);
 
-/** A list that was not read says nothing: it must not look like a fleet without hosts. */
-const isUnreadable = (term: Term, { kind = '' }: Body): boolean =>
-  HOST_KINDS.has(kind) && term.fleet.inventory().lastRequestedAtMs === -Infinity;
+/**
+ * Tells whether a query needs the list of hosts while this holder has not read it yet. Such a query is refused, because
+ * the answer would look like that of a fleet without hosts.
+ */
+const needsUnreadHostList = (term: Term, { kind = '' }: Body): boolean =>
+  HOST_LIST_KINDS.has(kind) && term.fleet.inventory().lastRequestedAtMs === -Infinity;
 
 const handlers: Readonly<Record<string, Handler>> = {
   get: (term, { kind = '' }) => {
     const view = views[kind];
-    if (!view) return { kind: 'not-found', detail: `nothing named '${kind}' is kept here` };
+    if (!view) return { kind: 'not-found', detail: `there is no list named '${kind}'` };
     return { kind: 'ok', value: view(term) };
   },
   explain: (term, { kind = '', name = '' }, version) => {
@@ -249,19 +262,19 @@
   }),
 };
 
-/** The method of the mesh by which entries pass operators' questions to the holder. */
+/** The mesh method by which entries forward operators' queries to the holder. */
 export const OPERATORS_METHOD = 'operators';
 
-/** A question of an operator. */
+/** An operator's query: `get`, `explain` or `status`, and the kind and the name that it is about. */
 export type OperatorQuestion = { readonly method: string; readonly body: Body };
 
 /**
- * Answers an operator where control is held.
+ * Answers an operator's query if this entry holds control.
  *
  * @param control - The control of this entry.
- * @param question - The method and its body.
+ * @param question - The method and the body of the query.
  * @param version - The version of the configuration in force.
- * @returns The answer, or undefined where control is not held.
+ * @returns The answer; undefined if this entry does not hold control.
  */
 export const answerOperator = (
   control: Pick<Control, 'term'>,
@@ -272,7 +285,7 @@
   if (!term) return undefined;
   const handler = handlers[method];
   if (!handler) return { kind: 'not-found', detail: `no method '${method}'` };
-  if (isUnreadable(term, body)) {
+  if (needsUnreadHostList(term, body)) {
     return { kind: 'unavailable', detail: 'the list of hosts has not been read yet' };
   }
   return handler(term, body, version);
