--- a/packages/daemon/src/batch/operators/account-views.ts
+++ b/packages/daemon/src/batch/operators/account-views.ts
@@ -60,7 +60,7 @@
   return `share: account=${account} submitted more than its ${limits?.weight ?? 0} jobs per second, other jobs go first`;
 };
 
-/** The number of an account's unfinished jobs, and of their waiting tasks by what they wait for (see `waitsFor`). */
+/** The number of an account's unfinished jobs, and of their waiting tasks by what they wait for. */
 type Backlog = { jobs: number; quota: number; share: number; room: number };
 
 const computeBacklogs = (state: BatchState, nowMs: number): ReadonlyMap<AccountName, Backlog> => {
--- a/packages/daemon/src/batch/operators/domain-views.test.ts
+++ b/packages/daemon/src/batch/operators/domain-views.test.ts
@@ -21,8 +21,8 @@
     answerOperator(holderOf(fleet).control, { method, body: { kind, name } }, 1);
 
   /**
-   * Starts a fleet with two data centres of one rack each. Each rack has two hosts of each pool, and a long-running step runs
-   * on both racks.
+   * Starts a fleet with two data centres of one rack each. Each rack has two hosts of each pool, and a long-running step
+   * runs on both racks.
    */
   const startFleet = async () => {
     const domains = { hostsPerRack: 2, dataCentres: 2 };
--- a/packages/daemon/src/batch/operators/domain-views.ts
+++ b/packages/daemon/src/batch/operators/domain-views.ts
@@ -133,8 +133,8 @@
  * Explains what the loss of a rack or a data centre would affect now.
  *
  * @param source - The scheduler's state, and the hosts in the platform's list.
- * @param name - `DATA-CENTRE`, `DATA-CENTRE/RACK`, or just the label of a rack if only one data centre has a rack with that
- * label.
+ * @param name - `DATA-CENTRE`, `DATA-CENTRE/RACK`, or just the label of a rack if only one data centre has a rack with
+ * that label.
  * @returns The explanation; undefined if no domain or more than one has the name.
  */
 export const explainDomain = (source: DomainSight, name: string): object | undefined => {
--- a/packages/daemon/src/batch/operators/operators.ts
+++ b/packages/daemon/src/batch/operators/operators.ts
@@ -133,7 +133,7 @@
 
 /**
  * Describes what the waiting tasks of a step wait for: the evacuated data centres if only endpoints there could run them,
- * otherwise what `waitsFor` returns.
+ * otherwise the quota, the share or free capacity.
  */
 const describeWait = (term: Term, step: StepRun): string => {
   const evacuated = evacuationsBlocking(term.state, step);
--- a/packages/daemon/src/batch/relays/relayed-orders.ts
+++ b/packages/daemon/src/batch/relays/relayed-orders.ts
@@ -46,8 +46,8 @@
 export const RELAYS_EVERY_MS = 400;
 /**
  * Maximum number of jobs for which the holder remembers, per relay, that the relay has the spec. It must not exceed the
- * number of specs that a relay caches (`MAX_CACHED_SPECS` in order-agent.ts): otherwise starts would be sent without a spec
- * that the relay has dropped, and each of them would have to be sent twice.
+ * number of specs that a relay caches (`MAX_CACHED_SPECS`): otherwise starts would be sent without a spec that the relay
+ * has dropped, and each of them would have to be sent twice.
  */
 const MAX_TRACKED_SPECS = 400;
 
--- a/packages/daemon/src/batch/relays/relayed-table.ts
+++ b/packages/daemon/src/batch/relays/relayed-table.ts
@@ -58,7 +58,7 @@
   | { readonly kind: 'transact'; readonly transaction: TableTransaction };
 
 /**
- * The result of a `RelayCall` as sent between entries: `value` is the call's value, or a `PlatformError` if not `isOk`.
+ * The result of a table call as sent between entries: `value` is the call's value, or a `PlatformError` if not `isOk`.
  */
 type RelayAnswer = { readonly isOk: boolean; readonly value: unknown };
 
