--- a/packages/core/src/batch/accounts/pool-shares.test.ts
+++ b/packages/core/src/batch/accounts/pool-shares.test.ts
@@ -87,9 +87,9 @@
   return withHeavyLoad.map((ratio, index) => ratio / (baseline[index] ?? 0));
 };
 
-// Guards against moving hosts to the pool with the largest backlog regardless of whether that backlog is owed. With
-// this fault, and the heavy account at 20 times its weight, the other pools completed only 0.51, 0.75 and 0.93 as many
-// jobs in time as without that account.
+// Guards against moving hosts to the pool with the largest backlog regardless of whether that backlog is within the
+// accounts' shares. With this fault, and the heavy account at 20 times its weight, the other pools completed only 0.51,
+// 0.75 and 0.93 as many jobs in time as without that account.
 describe('an account that submits many times its weight to one of four pools', () => {
   it.each([5, 20])(
     'at %s times its weight leaves the other accounts at least 0.88 of their jobs in time in each pool',
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -201,7 +201,7 @@
     expect(runsOf(state, JOBS[1])).toBe(2);
   });
 
-  it('count in full until the list of hosts is known', () => {
+  it('count in full until the host list is known', () => {
     const state = stateWithTwoEndpoints();
     state.isHostListAwaited = true;
     state.inheritedLeasesEndAtMs = 9000;
--- a/packages/core/src/batch/accounts/quota.ts
+++ b/packages/core/src/batch/accounts/quota.ts
@@ -213,7 +213,7 @@
 /**
  * Updates the estimate of the usage by runs that an earlier control holder started and no endpoint has reported yet:
  * the waiting tasks of inherited jobs, but no more than fits on the endpoints that have not reported. The limit by
- * capacity applies only once the list of hosts is known.
+ * capacity applies only once the host list is known.
  *
  * @param state - The state, changed in place.
  * @param nowMs - The current time by the monotonic clock.
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-play.fixtures.ts
@@ -48,7 +48,7 @@
  * Simulates a load.
  *
  * @param play - The order of the queue, the accounts, the endpoints and the duration.
- * @returns For each account the number of jobs completed in time, relative to the jobs that it is owed.
+ * @returns For each account the number of jobs completed in time, relative to the jobs within its share.
  */
 export const simulateShares = ({
   queueOrder,
@@ -124,14 +124,14 @@
       if (effect.kind === 'start') scheduleEnd(effect.endpointId, effect.task, effect.run, nowMs);
     });
   }
-  const owedJobsOf = ({ name, weight }: SimulatedAccount): number => {
+  const jobsWithinShareOf = ({ name, weight }: SimulatedAccount): number => {
     const submitted = Array.from(submissions.values()).filter((entry) => entry.name === name);
     return Math.min(submitted.length, (weight * durationMs) / 1000);
   };
   return new Map(
     accounts.map((account) => [
       account.name,
-      (inTime.get(account.name) ?? 0) / Math.max(1, owedJobsOf(account)),
+      (inTime.get(account.name) ?? 0) / Math.max(1, jobsWithinShareOf(account)),
     ]),
   );
 };
--- a/packages/core/src/batch/accounts/shares.ts
+++ b/packages/core/src/batch/accounts/shares.ts
@@ -1,16 +1,19 @@
 /**
- * Fair shares of client accounts. The weight of an account is its guaranteed rate in jobs a second: jobs within this
- * rate are owed to the account. While capacity is scarce, jobs beyond it wait behind the owed jobs of all accounts;
- * they get the capacity that owed jobs leave unused.
+ * The shares of client accounts. The weight of an account is its guaranteed rate in jobs a second: jobs up to this rate
+ * are within the account's share. While capacity is scarce, jobs beyond their account's share wait behind the jobs of
+ * all accounts that are within it; they get the capacity that those jobs leave unused.
  */
 import type { AccountName } from '../../shared/ids.js';
 import { WITHIN_SHARE, type AccountShare, type JobShare } from '../model/share.js';
 import { limitsOf } from './quota.js';
 import type { BatchState, JobState } from '../model/state.js';
 
-/** A job beyond the guaranteed rate waits behind owed jobs for at most this long, so that it is never starved. */
+/**
+ * A job beyond its account's share waits behind the jobs within a share for at most this long, so that it is never
+ * starved.
+ */
 const MAX_DEFERRAL_MS = 20_000;
-/** Burst allowance: an idle account saves up the owed jobs of at most this many seconds. */
+/** Burst allowance: an idle account saves up the jobs within its share of at most this many seconds. */
 const BURST_ALLOWANCE_S = 1;
 const MS_PER_S = 1000;
 
@@ -55,7 +58,7 @@
  * @param state - The state.
  * @param account - The account of the job; undefined for a job without an account.
  * @param nowMs - The current time by the monotonic clock.
- * @returns Its rank; a job without an account, or of an account without a weight, counts as owed.
+ * @returns Its rank; a job without an account, or of an account without a weight, counts as within the share.
  */
 export const previewShare = (
   state: BatchState,
@@ -73,7 +76,8 @@
  * @param state - The state, changed in place.
  * @param account - The account of the job; undefined for a job without an account.
  * @param nowMs - The current time by the monotonic clock.
- * @returns The rank of the job; a job without an account, or of an account without a weight, counts as owed.
+ * @returns The rank of the job; a job without an account, or of an account without a weight, counts as within the
+ *   share.
  */
 export const chargeShare = (
   state: BatchState,
@@ -89,11 +93,12 @@
 };
 
 /**
- * Tells whether a job is ordered among the owed jobs.
+ * Tells whether a job is ordered among the jobs within their account's share.
  *
  * @param job - The job.
  * @param nowMs - The current time by the monotonic clock.
- * @returns True for an owed job, and for any other job that has waited longer than `MAX_DEFERRAL_MS`.
+ * @returns True for a job within its account's share, and for any other job that has waited longer than
+ *   `MAX_DEFERRAL_MS`.
  */
 export const isRankedWithinShare = ({ share, submittedAtMs }: JobState, nowMs: number): boolean =>
   share.isWithinShare || nowMs - submittedAtMs > MAX_DEFERRAL_MS;
--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -34,8 +34,8 @@
  */
 const EXPLAINED_CRASH_LIMIT = 2;
 /**
- * A job is also given up after this many crashes of any kind under one of its tasks. The limit is one less than five, the
- * most endpoints that a task may crash in total, because one crash may go uncounted if the leader is lost before writing it.
+ * A job is also given up after this many crashes of any kind under one of its tasks. A task may crash five endpoints in
+ * total; the limit is one less, because one crash may go uncounted if the control holder is lost before writing it.
  */
 const CRASH_LIMIT = 4;
 /**
@@ -64,7 +64,7 @@
  * Tells whether an endpoint crashed, as opposed to being shut down.
  *
  * @param gone - The endpoint, with the evidence that it is gone.
- * @returns False if the endpoint announced its end, was closed because of an order to its host, or may only be
+ * @returns False if the endpoint announced its end, was cordoned because of an order to its host, or may only be
  *   unresponsive.
  */
 export const isCrash = ({ endpoint, detail }: Pick<GoneEndpoint, 'endpoint' | 'detail'>): boolean =>
@@ -172,7 +172,7 @@
  * Records that endpoints crashed. Must be called for all of them before the crashes are attributed to their runs,
  * because a whole rack may be lost at once.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param gone - The endpoints that are gone; those that did not crash are ignored.
  * @param nowMs - The current time.
  */
@@ -222,7 +222,7 @@
 /**
  * Evaluates what the loss of an endpoint implies about a run that was on it.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param gone - The endpoint, with all runs that were on it.
  * @param run - The run.
  * @param nowMs - The current time.
@@ -252,10 +252,10 @@
 
 /**
  * Records a crash against a task. The task is not started again until the record has been written to its job's row, so
- * that no leader starts the task without knowing all recorded crashes. A long-running task that its endpoint has been
+ * that no holder starts the task without knowing all recorded crashes. A long-running task that its endpoint has been
  * alive with for long enough is cleared of all earlier crashes instead.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param run - The run that was on the endpoint.
  * @param crash - What the crash implies about the run.
  */
@@ -277,21 +277,21 @@
  *
  * @param task - The task, with the last crash recorded.
  * @param endpoint - The endpoint that crashed last.
- * @param todayMs - The time of day, in ms.
- * @returns The number of crashes, the fencing tokens of the leaders that recorded them, the age of the first one, and the
- *   details of the last; no fields if there was no crash.
+ * @param wallClockMs - The wall-clock time, in ms.
+ * @returns The number of crashes, the fencing tokens of the holders that recorded them, the age of the first one, and
+ *   the details of the last; no fields if there was no crash.
  */
 export const crashLogFields = (
   { crashes }: Pick<Task, 'crashes'>,
   endpoint: EndpointState,
-  todayMs: number,
+  wallClockMs: number,
 ): LogFields => {
   const last = crashes.at(-1);
   if (!last) return {};
   return {
     crashes: crashes.length,
     countedBy: crashes.map(({ fence }) => fence).join(','),
-    firstAgoMs: Math.round(todayMs - (crashes[0]?.countedAtMs ?? todayMs)),
+    firstAgoMs: Math.round(wallClockMs - (crashes[0]?.countedAtMs ?? wallClockMs)),
     livedMs: last.livedMs,
     isConfirmed: last.isConfirmed,
     isSuspected: last.isSuspected,
--- a/packages/core/src/batch/crashes/inherited-losses.ts
+++ b/packages/core/src/batch/crashes/inherited-losses.ts
@@ -1,8 +1,9 @@
 /**
- * Detects pools in which endpoints may have crashed shortly before a change of the leader. The previous leader may have
- * been lost before it could record the crash against the tasks on the endpoint, and ordinary starts are not persisted.
- * So in such a pool, the new leader records the first start of each inherited task in its job's row before ordering it.
- * If this leader is lost as well, together with the next endpoint, its successor counts that start as a crash.
+ * Detects pools in which endpoints may have crashed shortly before a change of the control holder. The previous holder
+ * may have been lost before it could record the crash against the tasks on the endpoint, and ordinary starts are not
+ * persisted. So in such a pool, the new holder announces the first start of each inherited task: it writes the start to
+ * the job's row before ordering it. If this holder is lost as well, together with the next endpoint, its successor
+ * counts that start as a crash.
  */
 import type { ListedHost } from '../pools/hosts.js';
 import { incarnationStartMs } from '../model/endpoint-life.js';
@@ -17,7 +18,7 @@
 import { firstRunNumber } from '../endpoints/runs.js';
 
 /**
- * How far back before a takeover crashes are looked for: a host is back some seconds after a crash, and a takeover
+ * Crashes are looked for up to this long before a takeover: a host is back some seconds after a crash, and a takeover
  * takes up to 8.5 s.
  */
 const LOOKBACK_MS = 12_000;
@@ -25,7 +26,7 @@
 /**
  * Records which pools have hosts that are down in the first read of the host list.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param hosts - The host list.
  */
 export const markPoolsWithDownHosts = (state: BatchState, hosts: readonly ListedHost[]): void =>
@@ -42,14 +43,14 @@
 ): boolean => {
   const atMs = incarnationStartMs(endpointId);
   if (atMs === undefined) return false;
-  const takenOverTodayMs = takenOverAtMs + wallClockOffsetMs;
-  return atMs > takenOverTodayMs - LOOKBACK_MS && atMs < takenOverTodayMs;
+  const takenOverWallClockMs = takenOverAtMs + wallClockOffsetMs;
+  return atMs > takenOverWallClockMs - LOOKBACK_MS && atMs < takenOverWallClockMs;
 };
 
 /**
- * Tells whether an endpoint of a pool may have crashed shortly before this leader took over.
+ * Tells whether an endpoint of a pool may have crashed shortly before this holder took over.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param pool - The pool.
  * @param endpoints - Its endpoints.
  * @returns True if a host of the pool was down in the first read of the host list, or if an endpoint had just started.
@@ -63,13 +64,13 @@
   endpoints.some((endpoint) => hasStartedBeforeTakeover(state, endpoint));
 
 /**
- * Tells whether the next start of a task is the first one by this leader, and an earlier leader may have started the
+ * Tells whether the next start of a task is the first one by this holder, and an earlier holder may have started the
  * task before.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param step - The task's step.
  * @param task - The task.
- * @returns True if the start must be recorded first, provided that the pool may have lost an endpoint before the
+ * @returns True if the start must be announced first, provided that the pool may have lost an endpoint before the
  *   takeover.
  */
 export const isFirstStartOfInheritedTask = (
--- a/packages/core/src/batch/crashes/isolation.test.ts
+++ b/packages/core/src/batch/crashes/isolation.test.ts
@@ -1,4 +1,6 @@
-/** Tests of which endpoints are reserved for tasks under which endpoints crashed, and of what may start there. */
+/**
+ * Tests which endpoints are isolated for suspects, the tasks under which endpoints crashed, and what may start there.
+ */
 import { describe, expect, it } from 'vitest';
 
 import { change } from '../../shared/change.js';
@@ -128,7 +130,7 @@
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
-  it('is started only after its trial start has been written, too', () => {
+  it('is started only after its announced start has been written, too', () => {
     const state = afterCrash();
     markRowsWritten(state);
     schedulePool(state, POOL, 1010);
@@ -138,7 +140,7 @@
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
-  describe('and whose trial start a lost leader had announced', () => {
+  describe('and whose start a lost holder had announced', () => {
     const takeOver = (): BatchState => {
       const before = afterCrash();
       markRowsWritten(before);
@@ -157,7 +159,7 @@
       return state;
     };
 
-    it('has the trial start counted as a crash if no endpoint reports the run', () => {
+    it('has the announced start counted as a crash if no endpoint reports the run', () => {
       const state = takeOver();
       scheduleAfterWrites(state, 2020);
       expect(tasksOf(state, SUSPECT)[0]?.crashes).toMatchObject([
@@ -246,7 +248,7 @@
     expect(placesOf(state, SUSPECT)).toHaveLength(1);
   });
 
-  it('keeps the endpoint reserved for it while placement of its step is not retried', () => {
+  it('keeps the endpoint isolated for it while placement of its step is not retried', () => {
     // The ninth task of the step had not started when the endpoint crashed, so it needs no isolation, and it cannot
     // be placed.
     const state = inFullPool({ taskCount: 9 });
@@ -320,7 +322,7 @@
     expect([isSoleSuspectAfter(600), isSoleSuspectAfter(2000)]).toEqual([false, true]);
   });
 
-  it('does not make a run a suspect that had started under an earlier leader', () => {
+  it('does not make a run a suspect that had started under an earlier holder', () => {
     const state = createBatchState(2);
     change(state, { takenOverAtMs: 0 });
     submit(state, OTHER, {}, 10);
--- a/packages/core/src/batch/crashes/isolation.ts
+++ b/packages/core/src/batch/crashes/isolation.ts
@@ -18,13 +18,14 @@
 } from '../model/state.js';
 
 /**
- * At most this share of a pool's endpoints is reserved for suspects, so that many suspects at once do not stop the pool's
- * other work. At least one endpoint may be reserved; otherwise suspects would wait forever in a pool that is always full.
+ * At most this share of a pool's endpoints is isolated for suspects, so that many suspects at once do not stop the
+ * pool's other work. At least one endpoint may be isolated; otherwise suspects would wait forever in a pool that is
+ * always full.
  */
-const MAX_RESERVED_SHARE = 0.25;
+const MAX_ISOLATED_SHARE = 0.25;
 /**
- * Up to this share of the pool may be reserved if the endpoints are empty. Otherwise suspects that caused no crash would
- * wait for a long time in a pool with little load.
+ * Up to this share of the pool may be isolated if the endpoints are empty. Otherwise suspects that caused no crash
+ * would wait for a long time in a pool with little load.
  */
 const MAX_EMPTY_SHARE = 0.5;
 /**
@@ -36,13 +37,13 @@
 /** Reserved endpoints, each with the only job whose tasks may start on it. */
 export type IsolatedEndpoints = ReadonlyMap<EndpointId, JobState>;
 
-/** No endpoint is reserved. */
+/** No endpoint is isolated. */
 export const NO_ISOLATED_ENDPOINTS: IsolatedEndpoints = new Map();
 
 /**
  * Lists the tasks of a step that are waiting to be started in isolation.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param step - The step.
  * @returns The tasks; for a gang with a waiting suspect, all waiting members, because they run together.
  */
@@ -94,7 +95,7 @@
     left.seenAtMs - right.seenAtMs;
 
 /**
- * Lists what keeps running on an endpoint reserved for a job: the job's own tasks, and long-running tasks of other
+ * Lists what keeps running on an endpoint isolated for a job: the job's own tasks, and long-running tasks of other
  * jobs.
  */
 const remainingSpecs = ({ runs }: EndpointState, job: JobState): readonly StepSpec[] =>
@@ -133,29 +134,29 @@
 const haveCapacity = (chosen: readonly EndpointState[], step: StepRun, tasks: number): boolean =>
   chosen.reduce((sum, endpoint) => sum + countStartable(endpoint, step), 0) >= tasks;
 
-/** A waiting step with suspects, and the endpoints that could be reserved for it. */
+/** A waiting step with suspects, and the endpoints that could be isolated for it. */
 export type IsolationRequest = {
   readonly step: StepRun;
-  /** The endpoints of the pool that accept new work and may run the step. */
+  /** The schedulable endpoints of the pool that may run the step. */
   readonly eligible: readonly EndpointState[];
 };
 
-/** Returns how many endpoints of a pool may be reserved at once. */
-const maxReservedEndpoints = (endpoints: readonly EndpointState[]): number => {
+/** Returns how many endpoints of a pool may be isolated at once. */
+const maxIsolatedEndpoints = (endpoints: readonly EndpointState[]): number => {
   const empty = endpoints.filter(({ runs }) => runs.size === 0).length;
   return Math.max(
-    Math.ceil(endpoints.length * MAX_RESERVED_SHARE),
+    Math.ceil(endpoints.length * MAX_ISOLATED_SHARE),
     Math.min(empty, Math.floor(endpoints.length * MAX_EMPTY_SHARE)),
   );
 };
 
 /**
- * Decides which endpoints of a pool are reserved for suspects.
+ * Decides which endpoints of a pool are isolated for suspects.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param requests - The open steps with suspects, in order of priority.
- * @param endpoints - The endpoints of the pool that accept new work.
- * @returns The reserved endpoints, including those with a running suspect that has not yet survived the observation
+ * @param endpoints - The schedulable endpoints of the pool.
+ * @returns The isolated endpoints, including those with a running suspect that has not yet survived the observation
  *   period.
  */
 export const planIsolation = (
@@ -164,7 +165,7 @@
   endpoints: readonly EndpointState[],
 ): IsolatedEndpoints => {
   const isolated = endpointsWithUnprovenRuns(state);
-  const most = maxReservedEndpoints(endpoints);
+  const maxEndpoints = maxIsolatedEndpoints(endpoints);
   requests.forEach(({ step, eligible }) => {
     const { job } = step;
     const { length: waiting } = waitingSuspects(state, step);
@@ -173,12 +174,12 @@
     const free = eligible
       .filter((one) => !isolated.has(one.endpointId) && countStartable(one, step) > 0)
       .sort(byFewestOtherRuns(job));
-    // A gang must get all the endpoints that it needs at once. If nothing else is reserved, it may exceed the share.
+    // A gang must get all the endpoints that it needs at once. If nothing else is isolated, it may exceed the share.
     const mayExceed = step.spec.isGang && isolated.size === 0;
     while (
       !haveCapacity(chosen, step, waiting) &&
       free.length > 0 &&
-      (mayExceed || isolated.size < most)
+      (mayExceed || isolated.size < maxEndpoints)
     ) {
       const next = free.shift() as EndpointState;
       chosen.push(next);
@@ -191,10 +192,10 @@
 /**
  * Lists the endpoints on which the waiting suspects of a step may be started now.
  *
- * @param isolated - The reserved endpoints.
+ * @param isolated - The isolated endpoints.
  * @param request - The step, and the endpoints that may run it.
  * @param nowMs - The current time.
- * @returns The endpoints reserved for the step's job that run only tasks of the job and settled long-running tasks of
+ * @returns The endpoints isolated for the step's job that run only tasks of the job and settled long-running tasks of
  *   others, or, after a waiting time, settled tasks of any kind.
  */
 export const findIsolatedEndpoints = (
--- a/packages/core/src/batch/crashes/trials.ts
+++ b/packages/core/src/batch/crashes/trials.ts
@@ -1,7 +1,8 @@
 /**
- * Trial starts: starts of tasks under which endpoints crashed. Each is written to the job's row before it is ordered. If
- * the leader is lost before it can record that the next endpoint crashed as well, the row still holds the trial start,
- * and the next leader counts it as a crash unless an endpoint reports what became of the run.
+ * Announced starts, which the code calls trials: starts of tasks under which endpoints crashed or may have crashed.
+ * Each is written to the job's row before it is ordered. If the control holder is lost before it can record that the
+ * next endpoint crashed as well, the row still holds the announced start, and the next holder counts it as a crash
+ * unless an endpoint reports what became of the run.
  */
 import { change } from '../../shared/change.js';
 import { hasSurvivedObservation } from './endpoint-crashes.js';
@@ -20,10 +21,10 @@
   (lastEnd?.run ?? 0) >= run || crashes.some((crash) => crash.run >= run);
 
 /**
- * Returns the trial start of a task if the end of its run is not known.
+ * Returns the announced start of a task if the end of its run is not known.
  *
  * @param task - The task.
- * @returns The run number; undefined if no trial start is open.
+ * @returns The run number; undefined if there is no such start.
  */
 export const findOpenTrialRun = (
   task: Pick<Task, 'trial' | 'lastEnd' | 'crashes'>,
@@ -31,16 +32,17 @@
   task.trial && !hasKnownEnd(task as Task, task.trial.run) ? task.trial.run : undefined;
 
 /**
- * Returns the run under which a task may be started because this leader announced it as a trial start.
+ * Returns the run under which a task may be started because this holder announced the start.
  *
  * @param task - The task.
- * @returns The run number; undefined if a trial start must be announced first.
+ * @returns The run number; undefined if the start must be announced first.
  */
 export const findAnnouncedRun = (task: Task): number | undefined =>
   task.trial?.isInherited === false ? findOpenTrialRun(task) : undefined;
 
 /**
- * Tells whether all recorded crashes and trial starts are in the job's row, so that the next leader will know of them.
+ * Tells whether all recorded crashes and announced starts are in the job's row, so that the next holder will know of
+ * them.
  *
  * @param job - The job.
  * @returns False while a write is pending.
@@ -51,10 +53,9 @@
 }: JobState): boolean => writtenCrashRecordRevision >= crashRecordRevision;
 
 /**
- * Announces the next start of tasks as a trial start in the row of their job. The tasks are not started until the row
- * has been written.
+ * Announces the next start of tasks in the row of their job. The tasks are not started until the row has been written.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param step - Their step.
  * @param tasks - The tasks. All get the same run number, as the members of a gang must.
  */
@@ -67,7 +68,7 @@
 };
 
 /**
- * Restores a trial start that an earlier leader announced.
+ * Restores a start that an earlier holder announced.
  *
  * @param task - The task, changed in place.
  * @param run - The run number.
@@ -76,10 +77,10 @@
   change(task, { trial: { run, isInherited: true }, lastRun: Math.max(task.lastRun, run) });
 
 /**
- * Counts the inherited trial starts of a step that no endpoint reports as crashes, because the endpoint that started
- * the run must be gone. To be called only after all endpoints that may run the step have answered.
+ * Counts as crashes those inherited announced starts of a step that no endpoint reports, because the endpoint that
+ * started the run must be gone. To be called only after all endpoints that may run the step have answered.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param step - The step.
  * @param nowMs - The current time.
  */
@@ -113,10 +114,10 @@
 };
 
 /**
- * Closes the trial start of a run once its endpoint has been alive with it for the observation period: a later crash is
- * no longer conclusive.
+ * Removes the announced start of a run once its endpoint has been alive with it for the observation period: a later
+ * crash is no longer conclusive.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param endpoint - The endpoint that runs it.
  * @param run - The run.
  */
--- a/packages/core/src/batch/domains/domains.ts
+++ b/packages/core/src/batch/domains/domains.ts
@@ -68,7 +68,7 @@
 /**
  * Adds an endpoint to the members of its domains.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param endpoint - The endpoint.
  */
 export const addToDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
@@ -81,7 +81,7 @@
 /**
  * Removes an endpoint from the members of its domains, and removes domains without members.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param endpoint - The endpoint.
  */
 export const removeFromDomains = ({ domains }: BatchState, endpoint: EndpointState): void =>
--- a/packages/core/src/batch/domains/outage.ts
+++ b/packages/core/src/batch/domains/outage.ts
@@ -97,7 +97,7 @@
 /**
  * Records that an endpoint has left a request or an order unanswered past its time-out.
  *
- * @param state - The scheduler's state, changed in place: the endpoint's rack and data centre may become suspected.
+ * @param state - The batch state, changed in place: the endpoint's rack and data centre may become suspected.
  * @param endpointId - The endpoint.
  * @param nowMs - The time in milliseconds.
  */
@@ -152,7 +152,7 @@
 /**
  * Records that an endpoint has answered a request or an order.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param endpoint - The endpoint, which is no longer suspected.
  * @param nowMs - The time in milliseconds.
  */
@@ -164,7 +164,7 @@
 /**
  * Stops awaiting an answer of an endpoint that is gone.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param endpoint - The endpoint.
  * @param nowMs - The time in milliseconds.
  */
@@ -175,7 +175,7 @@
  * Ends suspicions that have reached the longest time. Endpoints that still do not answer are counted afresh from their
  * next unanswered request.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param nowMs - The time in milliseconds.
  */
 export const expireSuspicions = (state: BatchState, nowMs: number): void =>
@@ -191,7 +191,7 @@
 /**
  * Tells whether an endpoint is in a suspected rack or data centre and has not answered since the suspicion began.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param endpoint - The endpoint.
  * @returns True if it must not get new work.
  */
--- a/packages/core/src/batch/domains/spread.ts
+++ b/packages/core/src/batch/domains/spread.ts
@@ -14,7 +14,7 @@
 /**
  * Finds the domain whose loss would stop the most tasks of a step.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param step - The step.
  * @param kind - Racks or data centres.
  * @returns The domain, the first one of equals; undefined if the step has no task in a domain of the kind.
@@ -65,7 +65,7 @@
 /**
  * Describes to operators how a long-running step is spread.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param step - The step.
  * @returns The spread over racks and data centres, and whether the loss of one would exceed the step's `mayMiss`; ''
  * for a step that is not long-running, or that has no task in any domain.
--- a/packages/core/src/batch/endpoints/endpoint-model.ts
+++ b/packages/core/src/batch/endpoints/endpoint-model.ts
@@ -23,7 +23,7 @@
   readonly memoryMb: number;
   readonly runMs: number;
   readonly isLasting: boolean;
-  /** How long a lasting task takes to become ready; `DEFAULT_START_MS` if undefined. */
+  /** How long a long-running task takes to become ready; `DEFAULT_START_MS` if undefined. */
   readonly startMs?: number | undefined;
   readonly fails: boolean;
   /** How long after its start the task crashes the endpoint; undefined if it doesn't crash it. */
--- a/packages/core/src/batch/endpoints/endpoints.ts
+++ b/packages/core/src/batch/endpoints/endpoints.ts
@@ -1,4 +1,4 @@
-/** Registers and updates endpoints from the platform's list of endpoints. */
+/** Registers and updates endpoints from the platform's endpoint list. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
 import { domainsOf, addToDomains } from '../domains/domains.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
@@ -68,7 +68,7 @@
     hasMaintenanceAhead: false,
     leaseEndsAtMs: 0,
     idleSinceMs: nowMs,
-    roomRevision: 0,
+    freeCapacityRevision: 0,
     seenAtMs: nowMs,
     reportedAtMs: 0,
     unansweredSinceMs: Infinity,
@@ -106,10 +106,10 @@
   });
 };
 
-/** An endpoint from the list of hosts, with the host that it was on. */
+/** An endpoint from the host list, with the host that it was on. */
 export type HostedEndpoint = { readonly instanceId: InstanceId; readonly hostId: HostId };
 
-/** True if no list of endpoints has named the endpoint. Otherwise its end is handled together with its runs. */
+/** True if no endpoint list has named the endpoint. Otherwise its end is handled together with its runs. */
 const wasNeverListed = (
   { currentIncarnations, goneEndpoints }: BatchState,
   instanceId: InstanceId,
@@ -118,12 +118,12 @@
   !Array.from(goneEndpoints.keys()).some((endpointId) => instanceIdOf(endpointId) === instanceId);
 
 /**
- * Stops waiting for reports of endpoints that no list of endpoints has named, once a later list of hosts shows their
- * host without them. Another holder may have received the results of their runs, so this is done only while this
- * entry is certainly the only holder.
+ * Stops waiting for reports of endpoints that no endpoint list has named, once a later host list shows their host
+ * without them. Another holder may have received the results of their runs, so this is done only while this entry is
+ * certainly the only holder.
  *
  * @param state - The holder's batch state, modified in place.
- * @param expected - The endpoints in the first list of hosts.
+ * @param expected - The endpoints in the first host list.
  * @param hosts - The hosts in a later list.
  * @param nowMs - The current time.
  */
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -25,7 +25,7 @@
   'replaced',
   'succeeded',
 ]);
-/** Causes that show that no incarnation was running when the list of hosts was requested. */
+/** Causes that show that no incarnation was running when the host list was requested. */
 const CAUSES_WITH_NONE_RUNNING: ReadonlySet<GoneCause> = new Set(['host-list', 'host-ordered']);
 /** Allows for an endpoint clock that is 2 % slow and for the time that a response is in transit. */
 const LEASE_MARGIN_FACTOR = 1.05;
@@ -50,7 +50,7 @@
 ): boolean => !isListed && nowMs < confirmedAtMs + longestLeaseMs * LEASE_MARGIN_FACTOR;
 
 /**
- * Returns whether a run on a silent endpoint may be in a later incarnation that has not been heard from either.
+ * Returns whether a run on a silent endpoint may be in a later incarnation that has not answered either.
  *
  * @param state - The holder's batch state.
  * @param endpoint - The endpoint, whose lease has ended.
--- a/packages/core/src/batch/endpoints/gone-endpoints.test.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.test.ts
@@ -94,17 +94,17 @@
     });
 
     it('keeps inherited tasks waiting that may run in its next incarnation', () => {
-      const life = endpointIdOf('i-0000000001', 1);
+      const incarnation = endpointIdOf('i-0000000001', 1);
       const next = endpointIdOf('i-0000000001', 2);
       const state = stateWith({ isInherited: true });
       Object.assign(state, { inheritedLeasesEndAtMs: 9000, soleHolderUntilMs: Infinity });
-      [life, SECOND].forEach((endpointId) => addEndpoint(state, endpointId));
+      [incarnation, SECOND].forEach((endpointId) => addEndpoint(state, endpointId));
       addPendingReports(state, [
-        { instanceId: instanceIdOf(life), pool: POOL },
+        { instanceId: instanceIdOf(incarnation), pool: POOL },
         { instanceId: instanceIdOf(SECOND), pool: POOL },
       ]);
       respond(state, SECOND, 30);
-      removeEndpoint(state, life, { detail: 'restarted', atMs: 100, nowMs: 100 });
+      removeEndpoint(state, incarnation, { detail: 'restarted', atMs: 100, nowMs: 100 });
       runCycle(state, 100);
       expect(endpointsOf(state, taskOf(state))).toEqual([]);
       addEndpoint(state, next, 200);
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -84,8 +84,8 @@
     return crash ? [{ run, crash }] : [];
   });
   judged.forEach(({ run, crash }) => recordCrash(state, run, crash));
-  const todayMs = nowMs + state.wallClockOffsetMs;
-  return new Map(judged.map(({ run }) => [run, crashLogFields(run.task, endpoint, todayMs)]));
+  const wallClockMs = nowMs + state.wallClockOffsetMs;
+  return new Map(judged.map(({ run }) => [run, crashLogFields(run.task, endpoint, wallClockMs)]));
 };
 
 /** Logs the end of the endpoint also for a run that was given up earlier, when the endpoint's lease ended. */
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -31,7 +31,7 @@
   readonly task: TaskKey;
   readonly run: number;
   readonly checkpoint: string;
-  /** Progress of the work; a lasting task is ready at 100. */
+  /** Progress of the work; a long-running task is ready at 100. */
   readonly percent: number;
   /** For a task that serves requests: tail response time in milliseconds. For others: number of processors in use. */
   readonly figure: number;
@@ -249,7 +249,7 @@
   }
   ended.forEach((end) => applyEnd(state, endpoint, end, times));
   const listed = new Set<TaskKey>();
-  const strays = running.flatMap((report) => {
+  const unexpectedRuns = running.flatMap((report) => {
     listed.add(report.task);
     const run = endpoint.runs.get(report.task);
     if (!run) return applyUnknownRun(state, endpoint, report, times) ?? [];
@@ -259,7 +259,7 @@
     }
     return [];
   });
-  chargeUnexpectedRuns(state, endpoint, strays);
+  chargeUnexpectedRuns(state, endpoint, unexpectedRuns);
   if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
   recordAnswered(state, endpoint, nowMs);
   change(endpoint, { hasReported: true, reportedAtMs: requestedAtMs, expiredRuns: [] });
--- a/packages/core/src/batch/endpoints/run-end.ts
+++ b/packages/core/src/batch/endpoints/run-end.ts
@@ -22,7 +22,7 @@
   readonly cause: 'reported' | 'not-listed' | 'lease-over' | 'endpoint-gone' | 'start-refused';
   /**
    * When the evidence held, by the holder's monotonic clock: when the endpoint's list was requested, when the lease
-   * ended, when the list of hosts was requested, when the other endpoint responded, or when the refusal arrived.
+   * ended, when the host list was requested, when the other endpoint responded, or when the refusal arrived.
    */
   readonly atMs: number;
   /** The kind of end, or the reason for the drop or refusal. A single word, to keep the log line short. */
--- a/packages/core/src/batch/endpoints/runs.ts
+++ b/packages/core/src/batch/endpoints/runs.ts
@@ -67,9 +67,9 @@
 
 const freeCapacity = (state: BatchState, endpoint: EndpointState, spec: StepSpec): void => {
   changeUsed(endpoint, spec, -1);
-  const roomRevision = state.roomRevision + 1;
-  change(state, { roomRevision });
-  change(endpoint, { roomRevision });
+  const freeCapacityRevision = state.freeCapacityRevision + 1;
+  change(state, { freeCapacityRevision });
+  change(endpoint, { freeCapacityRevision });
 };
 
 const changeCount = <Key>(counts: Map<Key, number>, key: Key, by: 1 | -1): void => {
--- a/packages/core/src/batch/endpoints/sound-endpoints.ts
+++ b/packages/core/src/batch/endpoints/sound-endpoints.ts
@@ -1,4 +1,7 @@
-/** Determines which endpoints take new work, and whether an endpoint may hold a task of a step. */
+/**
+ * Determines which endpoints are schedulable, that is, may get new work, and whether an endpoint may hold a task of a
+ * step.
+ */
 import type { InstanceId, PoolName } from '../../shared/ids.js';
 import { isSuspected } from '../domains/outage.js';
 import { instanceIdOf } from '../model/endpoint-life.js';
@@ -17,7 +20,7 @@
 ): boolean => seenAtMs < soleHolderUntilMs;
 
 /**
- * Returns whether an endpoint can take new work: it has responded, is not about to leave, and is not withheld.
+ * Tells whether an endpoint is schedulable: it has responded, is not about to leave, and is not withheld.
  *
  * @param state - The holder's batch state.
  * @param endpoint - The endpoint.
@@ -34,7 +37,7 @@
   endpoint.withheldUntilMs <= nowMs;
 
 /**
- * Lists the endpoints of a pool that take new work.
+ * Lists the schedulable endpoints of a pool.
  *
  * @param state - The holder's batch state.
  * @param pool - The pool.
--- a/packages/core/src/batch/endpoints/watch-runs.ts
+++ b/packages/core/src/batch/endpoints/watch-runs.ts
@@ -99,7 +99,7 @@
   );
 
 /**
- * Finds crashed endpoints that nothing but the end of their leases has shown, as the list of hosts may be unavailable.
+ * Finds crashed endpoints that nothing but the end of their leases has shown, as the host list may be unavailable.
  *
  * @param state - The holder's batch state.
  * @returns The endpoints. No runs are known to be there any more.
--- a/packages/core/src/batch/evacuation/evacuated-runs.ts
+++ b/packages/core/src/batch/evacuation/evacuated-runs.ts
@@ -12,7 +12,7 @@
   readonly shortRuns: number;
   /** Runs of long-running tasks; an evacuation does not move them. */
   readonly longRuns: number;
-  /** When the last short run is expected to end, by the lease holder's clock; undefined if there is no short run. */
+  /** When the last short run is expected to end, by the holder's clock; undefined if there is no short run. */
   readonly lastExpectedEndMs: number | undefined;
 };
 
@@ -24,7 +24,7 @@
 /**
  * Counts the runs in a data centre.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param dataCentre - The data centre.
  * @returns The number of its endpoints, of their runs by kind, and the expected end of the last short run.
  */
@@ -61,7 +61,7 @@
 /**
  * Finds the evacuated data centres whose return to service a step waits for, because only endpoints there could run it.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param step - An open step.
  * @returns The data centres; empty if an endpoint elsewhere could run the step, or if no endpoint could.
  */
--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -92,7 +92,7 @@
     const state = stateWithBacklog(40);
     expect(refusalIn(state)).toBeDefined();
     const pool = state.pools.get(POOL);
-    Object.assign(pool ?? {}, { forecast: { comingCpu: 80_000, freeCpu: 0, reclaimedCpu: 0 } });
+    Object.assign(pool ?? {}, { forecast: { joiningCpu: 80_000, freeCpu: 0, reclaimedCpu: 0 } });
     expect(refusalIn(state)).toBeUndefined();
   });
 
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -106,7 +106,7 @@
 };
 
 /** The estimated work of a job: in total, and the duration of its longest chain of steps. */
-type JobWork = { readonly coreMs: number; readonly chainMs: number };
+type JobWork = { readonly coreMs: number; readonly criticalPathMs: number };
 
 const jobWorkOf = (state: BatchState, { steps, queue }: BatchJob): JobWork => {
   const timeOf = (spec: StepSpec): number =>
@@ -117,7 +117,10 @@
     ends.push(startMs + timeOf(spec));
   });
   const stepWorks = steps.map((spec) => (spec.taskCount * spec.cpuMillis * timeOf(spec)) / MILLIS);
-  return { coreMs: stepWorks.reduce((sum, one) => sum + one, 0), chainMs: Math.max(0, ...ends) };
+  return {
+    coreMs: stepWorks.reduce((sum, one) => sum + one, 0),
+    criticalPathMs: Math.max(0, ...ends),
+  };
 };
 
 /** Whether queued work runs before a new job with this share and policy. */
@@ -190,7 +193,7 @@
     return loads.get(pool);
   };
 
-  const outlookOf = (
+  const forecastInputOf = (
     { job, policy }: JobSubmission,
     share: JobShare,
     jobWork: JobWork,
@@ -214,7 +217,7 @@
         load.endpointsCpuMillis.map((capacityCpu) => usableCores(capacityCpu, taskCpu)),
       ),
       arrivingCapacity: [
-        { cores: coresOf(forecast.comingCpu), delayMs: MOVING_HOST_MS },
+        { cores: coresOf(forecast.joiningCpu), delayMs: MOVING_HOST_MS },
         { cores: coresOf(forecast.freeCpu), delayMs: FREE_HOST_MS },
         {
           cores: share.isWithinShare ? coresOf(forecast.reclaimedCpu) : 0,
@@ -223,13 +226,15 @@
       ],
       overtakingCores: share.isWithinShare ? 0 : demand.withinShareRates(nowMs).slowCores,
       jobCoreMs: jobWork.coreMs,
-      criticalPathMs: jobWork.chainMs,
+      criticalPathMs: jobWork.criticalPathMs,
     };
   };
 
-  /** The outlook of a job that will be late: every later arrival that can still meet its objective overtakes it. */
-  const lateOutlookOf = (
-    outlook: ForecastInput,
+  /**
+   * The forecast input of a job that will be late: every later arrival that can still meet its objective overtakes it.
+   */
+  const lateForecastInputOf = (
+    forecastInput: ForecastInput,
     pool: PoolName,
     { isWithinShare }: JobShare,
     nowMs: number,
@@ -238,7 +243,7 @@
     const { fastCores, slowCores } = isWithinShare
       ? demand.withinShareRates(nowMs)
       : demand.rates(nowMs);
-    return { ...outlook, overtakingCores: Math.max(fastCores, slowCores) };
+    return { ...forecastInput, overtakingCores: Math.max(fastCores, slowCores) };
   };
 
   const mayRefuse = ({ job }: JobSubmission, nowMs: number): boolean =>
@@ -259,19 +264,19 @@
     const account = job.owner?.account;
     if (account === undefined || !mayRefuse(submitted, nowMs)) return undefined;
     const jobWork = jobWorkOf(state, job);
-    const objectiveMs = policy.stretch * jobWork.chainMs + policy.targetLatencyMs;
+    const objectiveMs = policy.stretch * jobWork.criticalPathMs + policy.targetLatencyMs;
     const elapsedMs = Math.max(0, nowMs - (state.firstAttempts.get(job.jobId) ?? nowMs));
     const timeToObjectiveMs = objectiveMs - elapsedMs;
     const limitMs = LATE_SUCCESS_FACTOR * objectiveMs - elapsedMs;
     const share =
-      timeToObjectiveMs < jobWork.chainMs ? LAST_SHARE : previewShare(state, account, nowMs);
-    const outlook = outlookOf(submitted, share, jobWork, nowMs);
-    if (!outlook) return undefined;
-    const onTimeForecast = forecastJob(outlook);
+      timeToObjectiveMs < jobWork.criticalPathMs ? LAST_SHARE : previewShare(state, account, nowMs);
+    const forecastInput = forecastInputOf(submitted, share, jobWork, nowMs);
+    if (!forecastInput) return undefined;
+    const onTimeForecast = forecastJob(forecastInput);
     if (onTimeForecast.backlogMs < MIN_BACKLOG_MS || onTimeForecast.doneMs <= timeToObjectiveMs)
       return undefined;
-    const lateOutlook = lateOutlookOf(outlook, job.pool, share, nowMs);
-    const forecast = forecastJob(lateOutlook);
+    const lateForecastInput = lateForecastInputOf(forecastInput, job.pool, share, nowMs);
+    const forecast = forecastJob(lateForecastInput);
     if (forecast.doneMs <= limitMs) return undefined;
     return {
       jobId: job.jobId,
@@ -280,7 +285,7 @@
       isOwed: share.isWithinShare,
       atMs: nowMs,
       forecast,
-      workAheadCoreMs: workBeforeOf(lateOutlook, forecast),
+      workAheadCoreMs: workBeforeOf(lateForecastInput, forecast),
       limitMs,
       retryAfterMs: retryAfterMsOf(onTimeForecast),
     };
@@ -302,11 +307,11 @@
     if (refused % REFUSALS_PER_SAMPLE !== 0 || trackedRefusals.length >= MAX_SAMPLES) return;
     const { forecast, workAheadCoreMs, limitMs, atMs } = refusal;
     if (!Number.isFinite(forecast.backlogMs)) return;
-    const chainMs = Math.max(0, forecast.doneMs - forecast.backlogMs);
+    const durationMs = Math.max(0, forecast.doneMs - forecast.backlogMs);
     const startsAtCoreMs = poolOf(state, pool).doneCoreMs + workAheadCoreMs;
     trackedRefusals = [
       ...trackedRefusals,
-      { refusal, pool, startsAtCoreMs, startDeadlineMs: atMs + limitMs - chainMs },
+      { refusal, pool, startsAtCoreMs, startDeadlineMs: atMs + limitMs - durationMs },
     ];
   };
 
--- a/packages/core/src/batch/jobs/forecast.ts
+++ b/packages/core/src/batch/jobs/forecast.ts
@@ -6,7 +6,7 @@
 /** Capacity that a pool gains after a delay. */
 export type ArrivingCapacity = { readonly cores: number; readonly delayMs: number };
 
-/** The input of a forecast: the state of the pool as far as it affects the job, and the job's own work. */
+/** The input of a forecast: the part of the pool's state that affects the job, and the job's own work. */
 export type ForecastInput = {
   /** Queued work that runs before the job. */
   readonly queuedAheadCoreMs: number;
@@ -60,14 +60,14 @@
 /**
  * Forecasts when a job would start and complete.
  *
- * @param outlook - The state of its pool and its own work.
+ * @param input - The state of its pool and its own work.
  * @returns The times from now, in milliseconds.
  */
-export const forecastJob = (outlook: ForecastInput): Forecast => {
-  const { queuedAheadCoreMs, jobCoreMs, criticalPathMs } = outlook;
-  const backlogMs = processingTimeMs(queuedAheadCoreMs, outlook);
+export const forecastJob = (input: ForecastInput): Forecast => {
+  const { queuedAheadCoreMs, jobCoreMs, criticalPathMs } = input;
+  const backlogMs = processingTimeMs(queuedAheadCoreMs, input);
   const doneMs = Math.max(
-    processingTimeMs(queuedAheadCoreMs + jobCoreMs, outlook),
+    processingTimeMs(queuedAheadCoreMs + jobCoreMs, input),
     backlogMs + criticalPathMs,
   );
   return { backlogMs, doneMs };
--- a/packages/core/src/batch/jobs/run-times.ts
+++ b/packages/core/src/batch/jobs/run-times.ts
@@ -1,5 +1,5 @@
 /**
- * Run times learned from completed tasks, by kind of task. The estimates of clients can be off by any factor, so an
+ * Run times recorded from completed tasks, by kind of task. The estimates of clients can be off by any factor, so an
  * exponential moving average of the measured run times replaces them as soon as there are enough measurements.
  */
 
@@ -10,7 +10,7 @@
 
 type LearnedRunTime = { meanMs: number; completions: number };
 
-/** The learned run times by kind of task. */
+/** The recorded run times by kind of task. */
 export type RunTimes = { readonly byKind: Map<string, LearnedRunTime> };
 
 /**
@@ -23,31 +23,29 @@
 /**
  * Records the run time of a completed task.
  *
- * @param times - The learned run times, changed in place.
+ * @param times - The recorded run times, changed in place.
  * @param kind - The kind of the task, see `taskKindOf`.
  * @param runTimeMs - The run time in milliseconds.
  */
 export const recordRunTime = (times: RunTimes, kind: string, runTimeMs: number): void => {
-  const learned = times.byKind.get(kind);
-  if (!learned) {
+  const known = times.byKind.get(kind);
+  if (!known) {
     times.byKind.set(kind, { meanMs: runTimeMs, completions: 1 });
     return;
   }
-  learned.completions += 1;
-  learned.meanMs += (runTimeMs - learned.meanMs) * Math.max(SAMPLE_WEIGHT, 1 / learned.completions);
+  known.completions += 1;
+  known.meanMs += (runTimeMs - known.meanMs) * Math.max(SAMPLE_WEIGHT, 1 / known.completions);
 };
 
 /**
  * Estimates the run time of a task.
  *
- * @param times - The learned run times.
+ * @param times - The recorded run times.
  * @param kind - The kind of the task, see `taskKindOf`.
  * @param estimateMs - The client's estimate.
  * @returns The average of the kind, or the client's estimate while too few tasks have completed; in milliseconds.
  */
 export const estimateRunTime = (times: RunTimes, kind: string, estimateMs: number): number => {
-  const learned = times.byKind.get(kind);
-  return learned && learned.completions >= MIN_COMPLETIONS
-    ? learned.meanMs
-    : Math.max(1, estimateMs);
+  const known = times.byKind.get(kind);
+  return known && known.completions >= MIN_COMPLETIONS ? known.meanMs : Math.max(1, estimateMs);
 };
--- a/packages/core/src/batch/jobs/step-times.ts
+++ b/packages/core/src/batch/jobs/step-times.ts
@@ -1,4 +1,4 @@
-/** Estimates the run time and the work of a step from the learned run times of its kind of task. */
+/** Estimates the run time and the work of a step from the recorded run times of its kind of task. */
 import { estimateRunTime } from './run-times.js';
 import type { QueueName, StepSpec } from '../model/job.js';
 import type { BatchState, StepRun } from '../model/state.js';
@@ -15,7 +15,7 @@
 /**
  * Estimates the run time of each task of a step.
  *
- * @param state - The learned run times.
+ * @param state - The recorded run times.
  * @param step - The step.
  * @returns The run time in milliseconds.
  */
@@ -27,7 +27,7 @@
 /**
  * Estimates the work of all tasks of a step.
  *
- * @param state - The learned run times.
+ * @param state - The recorded run times.
  * @param step - The step.
  * @returns The work in core-milliseconds; 0 for a step of long-running tasks.
  */
--- a/packages/core/src/batch/maintenance/candidate-order.ts
+++ b/packages/core/src/batch/maintenance/candidate-order.ts
@@ -25,8 +25,8 @@
 const estimateLossCost = ({ endpoint }: Candidate): number => {
   if (!endpoint || endpoint.runs.size === 0) return 0;
   const { used, capacity, runs } = endpoint;
-  const lasting = Array.from(runs.values()).filter(({ step }) => step.spec.isLasting).length;
-  return 1 + lasting + used.cpuMillis / Math.max(1, capacity.cpuMillis);
+  const longRunning = Array.from(runs.values()).filter(({ step }) => step.spec.isLasting).length;
+  return 1 + longRunning + used.cpuMillis / Math.max(1, capacity.cpuMillis);
 };
 
 const trueFirst = Ord.reverse(B.Ord);
--- a/packages/core/src/batch/maintenance/early-moves.test.ts
+++ b/packages/core/src/batch/maintenance/early-moves.test.ts
@@ -7,7 +7,7 @@
 
 /** Too short for 4 hosts with tasks of one step: they take 10 s, and 12 s are reserved before the deadline. */
 const TIGHT_MS = 14_000;
-const LASTING = { isLasting: true, mayMiss: 1, mostPerEndpoint: 1 };
+const LONG_RUNNING = { isLasting: true, mayMiss: 1, mostPerEndpoint: 1 };
 
 const movedTasks = ({ effects }: ReturnType<typeof createTestWave>['state']): readonly string[] =>
   effects.flatMap((effect) => (effect.kind === 'stop' ? [effect.task] : []));
@@ -16,7 +16,7 @@
 const busyWave = (hostCount: number, besideCount: number, withinMs = TIGHT_MS, mayMiss = 1) => {
   const made = createTestWave(hostCount, hostCount, withinMs, besideCount);
   const places = Array.from({ length: hostCount }, (_, index) => index);
-  const step = made.runOn('served', { ...LASTING, mayMiss }, places);
+  const step = made.runOn('served', { ...LONG_RUNNING, mayMiss }, places);
   made.runOn('short', {}, places);
   return { ...made, step };
 };
@@ -81,13 +81,13 @@
 
   it('goes down with a host that runs nothing else', () => {
     const { state, runOn, plan } = createTestWave(2, 2, TIGHT_MS, 2);
-    runOn('served', LASTING, [0, 1]);
+    runOn('served', LONG_RUNNING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
     expect(movedTasks(state)).toEqual([]);
   });
 
   it('moves off a host with two tasks of its step once no other is unavailable, so that only one goes down with the host', () => {
-    // Regression: with "2 of 22 tasks are not at work, 2 would go, 2 may be missed", the budget never had room for both
+    // Regression: with "2 of 22 tasks are not at work, 2 would go, 2 may be missed", the budget never allowed both
     // tasks of the host at the same time.
     const { state, runOn, plan, endpoints } = createTestWave(1, 1, PLENTY_OF_TIME_MS, 4);
     runOn('served', { isLasting: true, mayMiss: 2 }, [0, 0, 1, 2]);
--- a/packages/core/src/batch/maintenance/upkeep-progress.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.ts
@@ -35,7 +35,7 @@
 /** A maintenance wave with its progress. */
 export type MaintenanceWave = {
   readonly request: MaintenanceRequest;
-  /** When this leader first saw the wave, in ms of the monotonic clock. */
+  /** When this control holder first saw the wave, in ms of the monotonic clock. */
   readonly firstSeenAtMs: number;
   readonly hosts: Map<HostId, MaintenanceHost>;
   /** Long-running tasks that were moved off hosts of the wave. A task moves at most once per wave. */
@@ -69,7 +69,7 @@
  * Creates the progress record of a wave.
  *
  * @param request - The wave as requested.
- * @param done - The hosts that were completed under an earlier leader.
+ * @param done - The hosts that were completed under an earlier holder.
  * @param nowMs - The current time.
  * @returns The wave, with all other hosts waiting.
  */
@@ -145,7 +145,7 @@
  * @param sight - What is known about hosts.
  * @param hostId - The host.
  * @param host - Its progress.
- * @returns True also if an earlier leader may have ordered the host down without recording it.
+ * @returns True also if an earlier holder may have ordered the host down without recording it.
  */
 export const mayBeDown = (
   sight: KnownHosts,
--- a/packages/core/src/batch/maintenance/upkeep-rules.test.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.test.ts
@@ -10,7 +10,7 @@
 } from '../testing/upkeep-wave.fixtures.js';
 import { applyOrderOutcome } from './upkeep-progress.js';
 
-const LASTING = { isLasting: true, mayMiss: 1 };
+const LONG_RUNNING = { isLasting: true, mayMiss: 1 };
 
 describe('a host of a maintenance wave', () => {
   it('goes down at once if empty, up to the maximum, while the next hosts drain', () => {
@@ -28,7 +28,7 @@
     expect(endpoints.map(({ isCordoned }) => isCordoned)).toEqual([true, true, true, false, false]);
   });
 
-  it('takes work again if it had already been down under an earlier leader', () => {
+  it('takes work again if it had already been down under an earlier holder', () => {
     // The platform answers the order as done because the host had been down before; the endpoint keeps running.
     const { plan, hosts, endpoints, wave, relist } = createTestWave(1, 1, NO_TIME_LEFT_MS);
     plan(0);
@@ -60,7 +60,7 @@
     expect(plan(3001)).toEqual(['h-0']);
   });
 
-  it('waits until its endpoint has reported its tasks to this leader', () => {
+  it('waits until its endpoint has reported its tasks to this holder', () => {
     const { plan, hosts, endpoints } = createTestWave(1, 1, NO_TIME_LEFT_MS);
     Object.assign(endpoints[0] as EndpointState, { hasReported: false });
     expect(plan(0)).toEqual([]);
@@ -69,7 +69,7 @@
 
   it('stays while another draining host will go down with a task of the same step', () => {
     const { runOn, plan, hosts } = createTestWave(2, 2, NO_TIME_LEFT_MS);
-    runOn('served', LASTING, [0, 1]);
+    runOn('served', LONG_RUNNING, [0, 1]);
     runOn('short', {}, [0, 1]);
     expect(plan(0)).toEqual([]);
     expect(hosts().map(({ phase }) => phase)).toEqual(['closing', 'waiting']);
@@ -78,7 +78,7 @@
 
   it('stays open for work while unavailable tasks use up the disruption budget of a step', () => {
     const { runOn, plan, hosts, endpoints } = createTestWave(2, 2, NO_TIME_LEFT_MS);
-    runOn('served', LASTING, [0, 1]);
+    runOn('served', LONG_RUNNING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
     expect(hosts()[1]).toMatchObject({ phase: 'waiting' });
     expect(hosts()[1]?.reason).toContain('1 of 2 tasks are not at work, 1 would go');
@@ -87,7 +87,7 @@
 
   it('has a task moved away if it runs more tasks of a step than the disruption budget', () => {
     const { state, runOn, plan, hosts } = createTestWave(1, 1, NO_TIME_LEFT_MS, 1);
-    runOn('served', LASTING, [0, 0]);
+    runOn('served', LONG_RUNNING, [0, 0]);
     expect(plan(0)).toEqual([]);
     expect(state.effects.filter(({ kind }) => kind === 'stop')).toHaveLength(1);
     expect(hosts()[0]?.phase).toBe('closing');
@@ -95,7 +95,7 @@
 
   it('keeps its tasks if there is no capacity for them elsewhere', () => {
     const { state, runOn, plan } = createTestWave(1, 1, NO_TIME_LEFT_MS);
-    runOn('served', LASTING, [0, 0]);
+    runOn('served', LONG_RUNNING, [0, 0]);
     expect([plan(0), plan(60_000)]).toEqual([[], []]);
     expect(state.effects.filter(({ kind }) => kind === 'stop')).toEqual([]);
   });
@@ -112,7 +112,7 @@
 
   it('stays while other endpoints with tasks of the step have stopped answering', () => {
     const { state, runOn, plan, hosts } = createTestWave(1, 1, NO_TIME_LEFT_MS, 1);
-    runOn('served', LASTING, [0, 1]);
+    runOn('served', LONG_RUNNING, [0, 1]);
     Object.assign(state, { clockMs: 3000 });
     expect(plan(3000)).toEqual([]);
     expect(hosts()[0]?.reason).toContain('1 of 2 tasks are not at work, 1 would go');
@@ -130,7 +130,7 @@
   it('counts as unavailable even if its endpoint answers after the order was sent', () => {
     // Regression: a second host of the step went down before the first order took effect.
     const { runOn, plan, endpoints } = createTestWave(2, 2, NO_TIME_LEFT_MS);
-    runOn('served', LASTING, [0, 1]);
+    runOn('served', LONG_RUNNING, [0, 1]);
     expect(plan(0)).toEqual(['h-0']);
     endpoints[0]?.runs.forEach((run) => Object.assign(run, { percent: 100 }));
     expect(plan(250)).toEqual([]);
@@ -138,7 +138,7 @@
 
   it('stays if it runs long-running tasks while a rack or data centre is suspected lost', () => {
     const { state, runOn, plan, hosts } = createTestWave(2, 2, NO_TIME_LEFT_MS);
-    runOn('served', LASTING, [0]);
+    runOn('served', LONG_RUNNING, [0]);
     Object.assign(state, { suspectedDomains: new Set(['rack-7']) });
     expect(plan(0)).toEqual(['h-1']);
     expect(hosts()[0]?.reason).toBe('a rack or a data centre is suspected lost');
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -147,7 +147,7 @@
 
 const waitForFirstAnswer: Rule = ({ hostId, endpoint }, { world }) => {
   const instanceId = world.inventory.hosts.get(hostId)?.instanceId ?? null;
-  // It is not known what an endpoint runs until it has answered this leader.
+  // It is not known what an endpoint runs until it has answered this control holder.
   const isUnknown = instanceId !== null && !endpoint?.hasReported;
   return isUnknown ? drain('its endpoint has not answered yet') : undefined;
 };
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/upkeep.ts
@@ -52,8 +52,8 @@
   rackOf({ labels: hosts.get(hostId)?.labels ?? [] });
 
 /**
- * Marks a host as done. If it had already been down under an earlier leader, it did not go down again: its endpoint has
- * been running all along and must be reopened to new work.
+ * Marks a host as done. If it had already been down under an earlier control holder, it did not go down again: its
+ * endpoint has been running all along and must be reopened to new work.
  */
 const markDone = (world: MaintenanceContext, hostId: HostId, host: MaintenanceHost): void => {
   const endpoint = endpointOf(world, hostId);
@@ -298,7 +298,7 @@
 /**
  * Plans the next steps of all waves.
  *
- * @param world - Hosts and endpoints. Endpoints on draining hosts are marked as closing.
+ * @param world - Hosts and endpoints. Endpoints on draining hosts are cordoned.
  * @param waves - The waves, changed in place.
  * @param nowMs - The current time.
  * @returns The hosts to order down now.
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -27,8 +27,8 @@
  */
 const MIN_TURN_MS = 1400;
 /**
- * Time reserved before the deadline for a change of the leader and an outage of 4 s. With 9 s, 3 to 5 of 22 hosts were
- * late on a day with both.
+ * Time reserved before the deadline for a change of the control holder and an outage of 4 s. With 9 s, 3 to 5 of 22
+ * hosts were late on a day with both.
  */
 const RESERVE_MS = 12_000;
 
--- a/packages/core/src/batch/model/accounts.ts
+++ b/packages/core/src/batch/model/accounts.ts
@@ -11,7 +11,7 @@
   readonly keyDigests: readonly KeyDigest[];
   /** The account's priority; 0 goes before all others. */
   readonly priority: number;
-  /** The account's share while there is not room for all jobs, in jobs per second. */
+  /** The account's share while there is not enough capacity for all jobs, in jobs per second. */
   readonly weight: number;
   /** The most that the account may have running at once on all endpoints; a resource of 0 has no limit. */
   readonly maximum: Capacity;
--- a/packages/core/src/batch/model/capacity.ts
+++ b/packages/core/src/batch/model/capacity.ts
@@ -13,7 +13,7 @@
 /** The names of all resources. */
 export const RESOURCES = ['cpuMillis', 'memoryMb', 'accelerators'] as const;
 
-/** The maximum of an account without a limit: 0 stands for no limit. */
+/** The maximum of an account without a limit: 0 means no limit. */
 export const NO_LIMIT: Capacity = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
 
 /**
--- a/packages/core/src/batch/model/endpoint-life.ts
+++ b/packages/core/src/batch/model/endpoint-life.ts
@@ -5,7 +5,7 @@
  * `InstanceId`.
  *
  * Incarnations are told apart by their start time but never ordered by it, because the clocks of hosts can jump. An
- * answer from another incarnation than the one that was asked always comes from a later one, because the list of endpoints
+ * answer from another incarnation than the one that was asked always comes from a later one, because the endpoint list
  * is read before the question is sent.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
--- a/packages/core/src/batch/model/endpoint-state.ts
+++ b/packages/core/src/batch/model/endpoint-state.ts
@@ -81,8 +81,8 @@
   /** The time after which no run that it was ordered to start can still be running. */
   leaseEndsAtMs: number;
   idleSinceMs: number;
-  /** The `roomRevision` of the `BatchState` at which room last became free on this endpoint. */
-  roomRevision: number;
+  /** The `freeCapacityRevision` of the `BatchState` at which capacity last became free on this endpoint. */
+  freeCapacityRevision: number;
   readonly seenAtMs: number;
   /** When the question was sent whose answer was applied last. */
   reportedAtMs: number;
@@ -93,13 +93,13 @@
 
 /**
  * The evidence that an endpoint is gone.
- * - `host-list`: the list of hosts shows no endpoint on its host.
+ * - `host-list`: the host list shows no endpoint on its host.
  * - `host-taken`: its host has another endpoint.
  * - `host-ordered`: its host is being moved or maintained by order.
  * - `replaced`: another endpoint has its address.
  * - `restarted`: a later incarnation has its platform id.
  * - `succeeded`: its lease has ended, and an endpoint that came later answers from its host.
- * - `unlisted`: it had no runs, and it is no longer in the list of endpoints.
+ * - `unlisted`: it had no runs, and it is no longer in the endpoint list.
  */
 export type GoneCause =
   'host-list' | 'host-taken' | 'host-ordered' | 'replaced' | 'restarted' | 'succeeded' | 'unlisted';
--- a/packages/core/src/batch/model/job-state.ts
+++ b/packages/core/src/batch/model/job-state.ts
@@ -26,15 +26,18 @@
   checkpoint: string;
   /** The endpoint of the last failure, which the next run avoids if possible; null if there is none. */
   avoidedEndpoint: EndpointId | null;
-  /** For a long-running task: since when it has not been at work; 0 while it is at work. */
+  /** For a long-running task: since when it has been unavailable; 0 while it is ready. */
   unavailableSinceMs: number;
   /** Crashes of endpoints that held the task, the first one first. An end that was ordered or announced is no crash. */
   crashes: readonly EndpointCrash[];
-  /** The start that is announced in the job's row, for a task that endpoints crashed under; null if there is none. */
+  /**
+   * The announced start of the task: it is written to the job's row before it is ordered, because endpoints crashed or
+   * may have crashed under the task. Null if there is none. See `crashes/trials.ts`.
+   */
   trial: Trial | null;
 };
 
-/** A start that is written to the job's row before it is ordered. */
+/** An announced start: one that is written to the job's row before it is ordered. */
 export type Trial = {
   readonly run: number;
   /** An earlier holder announced the start, so the run may have started. */
@@ -44,13 +47,13 @@
 /** A crash of an endpoint while it held a run of a task; an end that was ordered or announced is no crash. */
 export type EndpointCrash = {
   readonly run: number;
-  /** For how long the endpoint is known to have stayed up with the run, in milliseconds. */
+  /** For how long the endpoint is known to have been alive with the run, in milliseconds. */
   readonly livedMs: number;
   /** The endpoint is known to have started the run, and to have been responsive until shortly before it crashed. */
   readonly isConfirmed: boolean;
   /** The run had started so shortly before the crash that it may have caused it. */
   readonly isSuspected: boolean;
-  /** All runs of other jobs had been on the endpoint for long. */
+  /** All runs of other jobs had been on the endpoint for so long that they are unlikely to be the cause. */
   readonly isSoleSuspect: boolean;
   /**
    * Other endpoints, whose crashes no task explains, crashed at about the same time, for example because a rack or a power
@@ -93,7 +96,10 @@
   readonly occurrence: OccurrenceState;
   readonly number: number;
   readonly spec: StepSpec;
-  /** The queue and image of the tasks. Run times are learned for each kind, because tasks of one kind take similar times. */
+  /**
+   * The queue and image of the tasks. Run times are recorded for each kind, because tasks of one kind take similar
+   * times.
+   */
   readonly kind: string;
   readonly tasks: readonly Task[];
   /** The indices of the tasks that wait to be placed; meaningful only once the step is open. */
@@ -107,7 +113,7 @@
   readonly perDomain: Map<DomainId, number>;
   /** The step is not tried on all endpoints again before this time. */
   retryAtMs: number;
-  /** The `roomRevision` of the `BatchState` at which the step last could not be placed completely. */
+  /** The `freeCapacityRevision` of the `BatchState` at which the step last could not be placed completely. */
   triedAtRevision: number;
   /** Null if the queue needs no advice. */
   readonly advice: StepAdvice | null;
@@ -130,7 +136,7 @@
   reason: string;
   readonly occurrences: Map<number, OccurrenceState>;
   nextOccurrence: number;
-  /** When the client first tried to submit the job, as far as known, on the monotonic clock. */
+  /** The first known time at which the client tried to submit the job, on the monotonic clock. */
   readonly submittedAtMs: number;
   /** The position of the job among the jobs of all accounts. */
   readonly share: JobShare;
--- a/packages/core/src/batch/model/order-ways.ts
+++ b/packages/core/src/batch/model/order-ways.ts
@@ -1,7 +1,7 @@
 /** The available orders of the queue. Measurements can be run with each of them to compare them. */
 
 /**
- * How open steps are ordered.
+ * How open steps are ordered. In the names, `owed` means within the account's share.
  * - `due-first`: steps that can finish within their objective first, then by priority, then by the end of the objective;
  *   accounts do not matter.
  * - `owed-first`: the jobs within their account's share in the order of `due-first`, then all other jobs in that order.
--- a/packages/core/src/batch/model/share.ts
+++ b/packages/core/src/batch/model/share.ts
@@ -1,6 +1,6 @@
 /**
- * The shares of client accounts. Each account may submit as many jobs per second as its weight; these jobs are within its
- * share and are called owed. Jobs beyond the share are placed after them.
+ * The shares of client accounts. Each account may submit as many jobs per second as its weight; these jobs are within
+ * its share. Jobs beyond the share are placed after them.
  */
 
 /** The state of one account's share. */
@@ -27,5 +27,7 @@
   readonly virtualStart: number;
 };
 
-/** The share of a job without an account, or of one accepted under an earlier holder: both count as owed. */
+/**
+ * The share of a job without an account, or of one accepted under an earlier holder: both count as within the share.
+ */
 export const WITHIN_SHARE: JobShare = { isWithinShare: true, virtualStart: 0 };
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -37,7 +37,7 @@
 export * from './job-state.js';
 
 /** The longest lease that one order may grant, if the platform does not set a bound. */
-const DEFAULT_LONGEST_LEASE_MS = 10_000;
+const DEFAULT_MAX_LEASE_MS = 10_000;
 
 /** After this many steps were opened since the last ranking, the next pass ranks the whole backlog. */
 const MAX_OPENED = 1000;
@@ -51,10 +51,10 @@
   rankedAtMs: number;
 };
 
-/** The CPU that a pool can gain, by the list of hosts, in thousandths of a core. */
+/** The CPU that a pool can gain, by the host list, in thousandths of a core. */
 export type PoolForecast = {
   /** The CPU of hosts that are being moved to the pool. */
-  readonly comingCpu: number;
+  readonly joiningCpu: number;
   /** The CPU of free hosts in other pools and in the spare pool. */
   readonly freeCpu: number;
   /** The CPU of hosts in other pools that are being emptied for jobs within their account's share. */
@@ -73,7 +73,7 @@
   doneCoreMs: number;
   /** The endpoints that may run inherited tasks and of which no incarnation has answered yet. */
   readonly unreportedInstances: Set<InstanceId>;
-  /** A host of the pool was down when this holder first read the list of hosts: see `inherited-losses.ts`. */
+  /** A host of the pool was down when this holder first read the host list: see `inherited-losses.ts`. */
   hadHostDownAtTakeover: boolean;
 };
 
@@ -140,7 +140,7 @@
   inheritedLeasesEndAtMs: number;
   /** From this time on no earlier holder sends orders to endpoints. */
   formerOrdersEndAtMs: number;
-  /** The list of hosts has not been read yet, so any host may have an endpoint that is in no list. */
+  /** The host list has not been read yet, so any host may have an endpoint that is in no list. */
   isHostListAwaited: boolean;
   /** The data centres that an operator has ordered to be evacuated. Their endpoints get no new work. */
   evacuatedDataCentres: ReadonlySet<DataCentreId>;
@@ -151,7 +151,7 @@
   readonly domains: Map<DomainId, Domain>;
   /** The domains suspected to have failed as a whole. Endpoints in them that have not answered since get no new work. */
   readonly suspectedDomains: Map<DomainId, SuspectedDomain>;
-  /** The current incarnation of each endpoint, as far as known. */
+  /** The current incarnation of each endpoint of which one is known. */
   readonly currentIncarnations: Map<InstanceId, EndpointState>;
   /** The endpoints that are gone and whose runs are not given up yet. */
   readonly goneEndpoints: Map<EndpointId, GoneEndpoint>;
@@ -162,8 +162,8 @@
   recentCrashes: readonly RecentCrash[];
   /** The actions that the runtime has to perform next. */
   readonly effects: BatchEffect[];
-  /** Incremented whenever room becomes free on an endpoint. */
-  roomRevision: number;
+  /** Incremented whenever capacity becomes free on an endpoint. */
+  freeCapacityRevision: number;
   /** How many more start orders may be sent now. The capacity of the holder's network link limits them. */
   startsLeft: number;
   readonly runTimes: RunTimes;
@@ -223,10 +223,10 @@
   currentIncarnations: new Map(),
   goneEndpoints: new Map(),
   unansweredStarts: new Map(),
-  longestLeaseMs: DEFAULT_LONGEST_LEASE_MS,
+  longestLeaseMs: DEFAULT_MAX_LEASE_MS,
   recentCrashes: [],
   effects: [],
-  roomRevision: 0,
+  freeCapacityRevision: 0,
   startsLeft: Infinity,
   runTimes: createRunTimes(),
   peaks: createDemandPeakHistory(),
@@ -270,7 +270,7 @@
     openSteps: new Set(),
     ranking: { shortlist: [], openedSteps: [], rankedAtMs: -Infinity },
     demand: createDemand(),
-    forecast: { comingCpu: 0, freeCpu: 0, reclaimedCpu: 0 },
+    forecast: { joiningCpu: 0, freeCpu: 0, reclaimedCpu: 0 },
     doneCoreMs: 0,
     unreportedInstances: new Set(),
     hadHostDownAtTakeover: false,
--- a/packages/core/src/batch/placement/advice.ts
+++ b/packages/core/src/batch/placement/advice.ts
@@ -62,12 +62,12 @@
 };
 
 /**
- * Requests advice on endpoints that have room and about which nothing is known yet. Does nothing while a question for the
- * step is open, or for a short time after one was not answered.
+ * Requests advice on endpoints that have capacity and about which nothing is known yet. Does nothing while a question
+ * for the step is open, or for a short time after one was not answered.
  *
  * @param state - The batch state, changed in place.
  * @param step - A step with waiting tasks.
- * @param candidates - Endpoints that have room for a task of the step.
+ * @param candidates - Endpoints that have capacity for a task of the step.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  */
 export const requestAdvice = (
--- a/packages/core/src/batch/placement/best-endpoint.ts
+++ b/packages/core/src/batch/placement/best-endpoint.ts
@@ -6,7 +6,7 @@
 /**
  * Chooses the endpoint with the best score that may hold a task.
  *
- * @param endpoints - The endpoints that take new work.
+ * @param endpoints - The schedulable endpoints.
  * @param view - The task and the state that its scores are computed from.
  * @param scores - The scores to add up for each endpoint.
  * @returns The first endpoint with the highest score; undefined if no endpoint may hold the task.
--- a/packages/core/src/batch/placement/candidates.ts
+++ b/packages/core/src/batch/placement/candidates.ts
@@ -45,7 +45,7 @@
 /**
  * Builds the candidates of a step.
  *
- * @param endpoints - The endpoints that take new work.
+ * @param endpoints - The schedulable endpoints.
  * @param view - The step and the state that scores are computed from.
  * @param table - The table of scores for the step.
  * @returns The candidates. While they are in use, only placements of this step may change the endpoints.
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -34,7 +34,10 @@
 /** The number of the run that the earlier holder started. */
 const FORMER_RUN = 1001;
 
-/** Builds the state of a new holder. One of its three endpoints stays silent; that one has no label and a quarter of the room. */
+/**
+ * Builds the state of a new holder. One of its three endpoints stays silent; that one has no label and a quarter of the
+ * capacity.
+ */
 const takenOver = (step: Partial<StepSpec> = {}): BatchState => {
   const state = createBatchState(2);
   Object.assign(state, {
@@ -116,11 +119,11 @@
     expect(isAnyStarted(reportedAndScheduled({ requiredLabel: 'fast' }))).toBe(true);
   });
 
-  it('does not block inherited tasks that need more room than it has', () => {
+  it('does not block inherited tasks that need more capacity than it has', () => {
     expect(isAnyStarted(reportedAndScheduled({ cpuMillis: 9000 }))).toBe(true);
   });
 
-  it('blocks all inherited tasks while it is in no list of endpoints', () => {
+  it('blocks all inherited tasks while it is in no endpoint list', () => {
     const state = takenOver({ requiredLabel: 'fast' });
     addPendingReports(state, [{ instanceId: instanceIdOf(brand('i-0000000009')), pool: POOL }]);
     [FIRST, SECOND].forEach((endpointId) => report(state, endpointId, 10));
@@ -169,12 +172,12 @@
   });
 });
 
-describe('an endpoint that is named only by the list of hosts', () => {
+describe('an endpoint that is named only by the host list', () => {
   const HOST = brand<HostId>('h-9');
   const UNSEEN = brand<InstanceId>('i-0000000009');
 
   /**
-   * Applies a later list of hosts in which the host has the given endpoint. Tells whether inherited tasks still wait for
+   * Applies a later host list in which the host has the given endpoint. Tells whether inherited tasks still wait for
    * the report of the endpoint that the first list named.
    */
   const isAwaitedAfter = (
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -17,10 +17,10 @@
 
 /**
  * Tells whether tasks of a step may still be running on an endpoint that has not reported to this holder. Such a task,
- * started by an earlier holder, may be on an endpoint that has not reported yet or on one that is in no list: the list of
- * endpoints loses some in an outage, and the list of hosts may not have been read yet. Only endpoints that may run the
- * step are waited for. The wait ends when all leases granted by earlier holders have ended, if this holder is still
- * the only one.
+ * started by an earlier holder, may be on an endpoint that has not reported yet or on one that is in no list: the
+ * endpoint list loses some in an outage, and the host list may not have been read yet. Only endpoints that may run the
+ * step are waited for. The wait ends when all leases granted by earlier holders have ended, if this holder is still the
+ * only one.
  *
  * @param state - The batch state.
  * @param pool - The step's pool.
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -30,7 +30,7 @@
 /**
  * Estimates how long the longest chain of dependent steps takes, from an open step to the end of its occurrence.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param step - The open step; the steps that depend on it are included.
  * @returns The duration in milliseconds.
  */
@@ -71,7 +71,7 @@
 /**
  * Computes the objective of a job: the duration within which it should finish.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param step - A step of the job.
  * @param remainingMs - The longest chain from the step on, in milliseconds; computed if left out.
  * @returns The objective in milliseconds.
@@ -88,7 +88,7 @@
 /**
  * Tells whether a job that runs once is too late even for a late success.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param job - The job.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True if more than `LATE_SUCCESS_FACTOR` times the objective has passed; false for a repeating job.
@@ -102,7 +102,7 @@
 /**
  * Tells whether a job is still within its objective.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param job - The job.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True also for a repeating job and for a job without occurrence 0.
@@ -116,7 +116,7 @@
 /**
  * Computes the rank of an open step.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param step - The step.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns The rank.
--- a/packages/core/src/batch/placement/ranking.test.ts
+++ b/packages/core/src/batch/placement/ranking.test.ts
@@ -21,7 +21,10 @@
 
 const jobIdOf = (number: number): JobId => brand<JobId>(number.toString(16).padStart(16, '0'));
 
-/** Builds a state with one endpoint that has room for eight tasks, and a backlog of one-task jobs of a single account. */
+/**
+ * Builds a state with one endpoint that has capacity for eight tasks, and a backlog of one-task jobs of a single
+ * account.
+ */
 const withBacklog = (heavyMaximum: Capacity = NO_LIMIT): BatchState => {
   const state = createBatchState(2);
   const limits = { weight: 1, maximum: NO_LIMIT };
--- a/packages/core/src/batch/placement/ranking.ts
+++ b/packages/core/src/batch/placement/ranking.ts
@@ -30,7 +30,7 @@
 /**
  * Sorts steps by rank.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param steps - The steps.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns The steps in the order in which they are placed.
--- a/packages/core/src/batch/placement/schedule.test.ts
+++ b/packages/core/src/batch/placement/schedule.test.ts
@@ -1,4 +1,4 @@
-/** The order in which open steps get room that becomes free. */
+/** The order in which open steps get capacity that becomes free. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type JobId } from '../../shared/ids.js';
@@ -49,7 +49,7 @@
   applyAnswer(state, { ended, requestedAtMs: nowMs - 1, nowMs });
 };
 
-describe('room that becomes free just after the first step in order could not be placed', () => {
+describe('capacity that becomes free just after the first step in order could not be placed', () => {
   it('goes to that step and not to one behind it', () => {
     const state = createFullState();
     submit(state, 2, { priority: 0, step: { taskCount: 4 } });
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -44,8 +44,8 @@
  */
 const MAX_UNPLACED_STEPS_PER_PASS = 40;
 /**
- * A step that could not be placed completely is tried on all endpoints again after this time. Before that it is tried only
- * on endpoints where room has become free since.
+ * A step that could not be placed completely is tried on all endpoints again after this time. Before that it is tried
+ * only on endpoints where capacity has become free since.
  */
 const RETRY_MS = 25;
 
@@ -117,7 +117,7 @@
   return true;
 };
 
-/** Requests advice on the endpoints that have room for a task of a step. */
+/** Requests advice on the endpoints that have capacity for a task of a step. */
 const requestAdviceWithRoom = (
   { state, step, nowMs }: PlacingStep,
   endpoints: readonly EndpointState[],
@@ -128,8 +128,8 @@
 };
 
 /**
- * Places the tasks of a step that may share an endpoint with other jobs. Returns true if no task is left over for lack of
- * room or quota.
+ * Places the tasks of a step that may share an endpoint with other jobs. Returns true if no task is left over for lack
+ * of capacity or quota.
  */
 const placeUnsuspected = (
   placing: PlacingStep,
@@ -151,8 +151,9 @@
 };
 
 /**
- * Places the tasks of a step that must run isolated, because endpoints have crashed under them. A task whose start is not
- * announced yet is announced now and placed in a later pass. Returns true if no task is left over for lack of room or quota.
+ * Places the tasks of a step that must run isolated, because endpoints have crashed under them. A task whose start is
+ * not announced yet is announced now and placed in a later pass. Returns true if no task is left over for lack of
+ * capacity or quota.
  */
 const placeSuspects = (
   placing: PlacingStep,
@@ -171,8 +172,8 @@
 };
 
 /**
- * Requests advice for tasks that must run isolated. It is requested on every endpoint that could have room once other
- * runs have ended, because the endpoint is emptied for them.
+ * Requests advice for tasks that must run isolated. It is requested on every endpoint that could have capacity once
+ * other runs have ended, because the endpoint is emptied for them.
  */
 const requestAdviceForSuspects = (
   { state, step, nowMs }: PlacingStep,
@@ -186,7 +187,7 @@
 /** The context of one scheduling pass over a pool. */
 type PoolPass = {
   readonly state: BatchState;
-  /** The endpoints of the pool that take new work. */
+  /** The schedulable endpoints of the pool. */
   readonly endpoints: readonly EndpointState[];
   /** Tells whether an endpoint of the pool may have crashed shortly before this holder took over. */
   readonly mayHaveCrashed: () => boolean;
@@ -194,9 +195,9 @@
 };
 
 /**
- * Places the tasks that must run isolated, before all others, because an endpoint that is reserved for such a task is idle
- * until the task starts. Returns the reserved endpoints. They stay reserved whether or not their step is tried in this
- * pass; otherwise other tasks would fill them between two tries.
+ * Places the tasks that must run isolated, before all others, because an endpoint that is isolated for such a task is
+ * idle until the task starts. Returns the isolated endpoints. They stay isolated whether or not their step is tried in
+ * this pass; otherwise other tasks would fill them between two tries.
  */
 const placeIsolated = (
   { state, endpoints, nowMs }: PoolPass,
@@ -221,9 +222,9 @@
 };
 
 /**
- * Lists the endpoints on which a step is tried: all of them, or, for a short time after it could not be placed completely,
- * those where room has become free since. If the step were not tried on these, steps behind it in the order would take
- * that room.
+ * Lists the endpoints on which a step is tried: all of them, or, for a short time after it could not be placed
+ * completely, those where capacity has become free since. If the step were not tried on these, steps behind it in the
+ * order would take that capacity.
  */
 const endpointsToTry = (
   { retryAtMs, triedAtRevision, spec }: StepRun,
@@ -232,7 +233,7 @@
 ): readonly EndpointState[] => {
   if (retryAtMs <= nowMs) return endpoints;
   if (spec.isGang || triedAtRevision >= newestRevision) return [];
-  return endpoints.filter(({ roomRevision }) => roomRevision > triedAtRevision);
+  return endpoints.filter(({ freeCapacityRevision }) => freeCapacityRevision > triedAtRevision);
 };
 
 /**
@@ -251,7 +252,9 @@
 /** Places the tasks that may share an endpoint with other jobs. */
 const placeShared = (pass: PoolPass, steps: readonly StepRun[]): void => {
   const { state, endpoints, nowMs } = pass;
-  const newestRevision = Math.max(...endpoints.map(({ roomRevision }) => roomRevision));
+  const newestRevision = Math.max(
+    ...endpoints.map(({ freeCapacityRevision }) => freeCapacityRevision),
+  );
   let unplacedSteps = 0;
   steps.some((step) => {
     if (state.startsLeft <= 0) return true;
@@ -272,7 +275,7 @@
     if (isTriedOnAll) requestAdviceWithRoom(placing, endpoints);
     unplacedSteps += 1;
     change(step, {
-      triedAtRevision: state.roomRevision,
+      triedAtRevision: state.freeCapacityRevision,
       retryAtMs: isTriedOnAll ? nowMs + RETRY_MS : step.retryAtMs,
     });
     return unplacedSteps >= MAX_UNPLACED_STEPS_PER_PASS;
--- a/packages/core/src/batch/placement/scores.ts
+++ b/packages/core/src/batch/placement/scores.ts
@@ -48,8 +48,8 @@
   perDomain.get(dataCentreCountKey(domains)) ?? 0;
 
 /**
- * An endpoint is cold, and therefore slow, for a time after its data centre was taken back into service. A warm endpoint
- * with room is preferred.
+ * An endpoint is cold, and therefore slow, for a time after its data centre was taken back into service. A warm
+ * endpoint with free capacity is preferred.
  */
 const coldness: PlacementScore['compute'] = ({ coldUntilMs }, { nowMs }) =>
   Number(coldUntilMs > nowMs);
--- a/packages/core/src/batch/placement/sharing.ts
+++ b/packages/core/src/batch/placement/sharing.ts
@@ -20,7 +20,7 @@
  */
 const PACE_EVERY_MS = 700;
 
-/** Tells whether a run is a serving task at work: one with a latency target that has reached 100 percent. */
+/** Tells whether a run is a ready serving task: one with a latency target that has reached 100 percent. */
 const isServing = ({ step, phase, percent }: RunState): boolean =>
   step.spec.targetMs > 0 && phase === 'running' && percent >= 100;
 
--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -1,4 +1,4 @@
-/** Predicting demand peaks that rotate over the pools, and passing the peak history to the next lease holder. */
+/** Predicting demand peaks that rotate over the pools, and passing the peak history to the next holder. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
@@ -107,8 +107,8 @@
   });
 });
 
-describe('restoreLearned', () => {
-  it('lets the next lease holder start from the saved peaks and run times, converted by the time of day', () => {
+describe('restoreLearnedRow', () => {
+  it('lets the next holder start from the saved peaks and run times, converted by the wall clock', () => {
     const first = createBatchState(1);
     simulateDemand(first.peaks, rotation, 38_000);
     first.runTimes.byKind.set('q/image', { meanMs: 1234.4, completions: 9 });
--- a/packages/core/src/batch/pools/demand.ts
+++ b/packages/core/src/batch/pools/demand.ts
@@ -25,11 +25,13 @@
 
 /** Records the work that arrives at a pool and gives its rates. */
 export type Demand = {
-  /** Records work that arrived, in core-milliseconds; `isOwed`: it is within its account's fair share (the default). */
-  readonly recordArrival: (coreMs: number, nowMs: number, isOwed?: boolean) => void;
+  /**
+   * Records work that arrived, in core-milliseconds; `isWithinShare`: it is within its account's share (the default).
+   */
+  readonly recordArrival: (coreMs: number, nowMs: number, isWithinShare?: boolean) => void;
   /** The rates of all work. */
   readonly rates: (nowMs: number) => DemandRates;
-  /** The rates of the work within the accounts' fair shares. */
+  /** The rates of the work within the accounts' shares. */
   readonly withinShareRates: (nowMs: number) => DemandRates;
 };
 
@@ -65,14 +67,14 @@
  */
 export const createDemand = (): Demand => {
   const total = createDecayingRates();
-  const withinFairShares = createDecayingRates();
+  const withinShares = createDecayingRates();
   return {
-    recordArrival: (coreMs, nowMs, isWithinFairShare = true) => {
+    recordArrival: (coreMs, nowMs, isWithinShare = true) => {
       total.record(coreMs, nowMs);
-      if (isWithinFairShare) withinFairShares.record(coreMs, nowMs);
+      if (isWithinShare) withinShares.record(coreMs, nowMs);
     },
     rates: total.rates,
-    withinShareRates: withinFairShares.rates,
+    withinShareRates: withinShares.rates,
   };
 };
 
--- a/packages/core/src/batch/pools/hosts.ts
+++ b/packages/core/src/batch/pools/hosts.ts
@@ -49,7 +49,7 @@
  * Finds endpoints that no longer exist according to the host list: their host is down, is moving or under maintenance,
  * or runs another endpoint. An endpoint is skipped unless the list was requested after the endpoint was first seen.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param hosts - The listed hosts.
  * @param requestedAtMs - When the list was requested.
  * @returns The endpoints that no longer run any task, with the cause.
@@ -64,8 +64,8 @@
     const host = hostId === null ? undefined : hosts.get(hostId);
     if (!host || seenAtMs >= requestedAtMs) return [];
     if (host.instanceId === instanceIdOf(endpointId)) return [];
-    // The cause is taken from the host's listed state and pool and not from the orders of this lease holder, because
-    // the host may be carrying out an order of a previous holder.
+    // The cause is taken from the host's listed state and pool and not from the orders of this holder, because the host
+    // may be carrying out an order of a previous holder.
     const isHostOrdered = ORDERED_STATES.has(host.state) || host.pool !== pool;
     if (isHostOrdered) return [{ endpointId, cause: 'host-ordered' }];
     return [{ endpointId, cause: host.instanceId === null ? 'host-list' : 'host-taken' }];
@@ -126,7 +126,7 @@
  * ready by its latest report, however old that is. Otherwise, after 2.6 s without a report, they would be counted
  * twice, as unavailable and as tasks that would be stopped, and the host would wait for its own tasks.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param step - The step.
  * @param endpoint - The endpoint that is to go down, or from which a task is to move.
  * @returns The number of unavailable tasks.
@@ -145,7 +145,7 @@
 /**
  * Finds a long-running step whose disruption budget does not allow an endpoint to go down now.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param endpoint - The endpoint.
  * @param claimed - For each step, how many of its tasks are on other hosts that are due to go down and have not yet.
  * @returns The first such step and the reason; undefined if the endpoint may go down.
@@ -194,7 +194,7 @@
  * Stops one ready task of a long-running step on an endpoint so that it starts elsewhere. This requires more endpoints
  * that could receive a task of the step than the step has waiting tasks.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param endpoint - The endpoint.
  * @param options - The step, its unavailable tasks, and which task may move where.
  * @returns The task that was ordered to stop; undefined if none was.
--- a/packages/core/src/batch/pools/learned.ts
+++ b/packages/core/src/batch/pools/learned.ts
@@ -1,6 +1,6 @@
 /**
- * Saves what a lease holder has learned about demand peaks and run times, so that the next holder can start from it. No
- * safety property depends on it: without it the next holder learns again, which takes 10 to 30 s.
+ * Saves the demand history of a control holder, its demand peaks and run times, so that the next holder can start from
+ * it. No safety property depends on it: without it the next holder collects them again, which takes 10 to 30 s.
  */
 import type { PoolName } from '../../shared/ids.js';
 import type { BatchState } from '../model/state.js';
@@ -19,9 +19,9 @@
 const MAX_KINDS = 300;
 
 /**
- * Converts the learned peaks and run times to a row.
+ * Converts the recorded peaks and run times to a row.
  *
- * @param state - The scheduler's state.
+ * @param state - The batch state.
  * @param nowMs - The monotonic time in milliseconds.
  * @param wallClockMs - The wall-clock time in milliseconds.
  * @returns The row.
@@ -42,10 +42,10 @@
 });
 
 /**
- * Merges a row that an earlier holder saved into the state. Onsets and run times that this holder has learned itself
+ * Merges a row that an earlier holder saved into the state. Onsets and run times that this holder has recorded itself
  * are kept; of two peak heights the higher one is kept.
  *
- * @param state - The scheduler's state, changed in place.
+ * @param state - The batch state, changed in place.
  * @param row - The saved row.
  * @param nowMs - The monotonic time in milliseconds.
  * @param wallClockMs - The wall-clock time in milliseconds.
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -156,7 +156,7 @@
 /** The claim of a pool on hosts: what it lacked at first, and what it still lacks. */
 type HostClaim = {
   readonly need: PoolNeed;
-  readonly shortCpu: number;
+  readonly shortfallCpu: number;
   missingCpu: number;
   /** The pool's hosts by domain, including those allocated to it so far. */
   readonly counts: DomainCounts;
@@ -184,38 +184,39 @@
   free.delete(host);
   adjustCounts(claim.counts, host, 1);
   change(claim, { missingCpu: claim.missingCpu - host.capacity.cpuMillis });
-  const shortCores = Math.round(claim.shortCpu / 1000);
+  const shortfallCores = Math.round(claim.shortfallCpu / 1000);
   return {
     hostId: host.hostId,
     fromPool: host.pool,
     toPool: name,
-    reason: `pool=${name} is short of ${shortCores} cores, ${MOVE_REASONS[rank]}`,
+    reason: `pool=${name} is short of ${shortfallCores} cores, ${MOVE_REASONS[rank]}`,
   };
 };
 
-/** Meets claims by calling `take`, which allocates one host to a claim. */
+/** Meets claims by calling `allocate`, which allocates one host to a claim. */
 type AllocationStrategy = (
   claims: readonly HostClaim[],
-  take: (claim: HostClaim) => PoolMove | undefined,
+  allocate: (claim: HostClaim) => PoolMove | undefined,
 ) => readonly PoolMove[];
 
-const collectMoves = (take: () => PoolMove | undefined): readonly PoolMove[] => {
+const collectMoves = (allocate: () => PoolMove | undefined): readonly PoolMove[] => {
   const moves: PoolMove[] = [];
-  for (let move = take(); move; move = take()) moves.push(move);
+  for (let move = allocate(); move; move = allocate()) moves.push(move);
   return moves;
 };
 
 /**
- * How the claims of each rank are met. Claims for work within fair shares are met completely, one after the other, the
- * most urgent first. For the remaining work, pools get one host each in turn: if the largest claim were met first, all
- * hosts would go to the client account that submits most.
+ * How the claims of each rank are met. Claims for work within the accounts' shares are met completely, one after the
+ * other, the most urgent first. For the remaining work, pools get one host each in turn: if the largest claim were met
+ * first, all hosts would go to the client account that submits most.
  */
 const ALLOCATION_STRATEGIES: Readonly<Record<WorkScope, AllocationStrategy>> = {
-  'within-share': (claims, take) => claims.flatMap((claim) => collectMoves(() => take(claim))),
-  all: (claims, take) => {
+  'within-share': (claims, allocate) =>
+    claims.flatMap((claim) => collectMoves(() => allocate(claim))),
+  all: (claims, allocate) => {
     const moves: PoolMove[] = [];
     for (;;) {
-      const round = claims.flatMap((claim) => take(claim) ?? []);
+      const round = claims.flatMap((claim) => allocate(claim) ?? []);
       if (round.length === 0) return moves;
       moves.push(...round);
     }
@@ -244,8 +245,13 @@
     .filter((need) => shortfallCpuOf(need, rank) > 0)
     .sort(compareByShortfall(rank))
     .map((need): HostClaim => {
-      const shortCpu = shortfallCpuOf(need, rank) - cpuOfEarlierMoves(need.name);
-      return { need, shortCpu, missingCpu: shortCpu, counts: countHostsByDomain(need.hosts) };
+      const shortfallCpu = shortfallCpuOf(need, rank) - cpuOfEarlierMoves(need.name);
+      return {
+        need,
+        shortfallCpu,
+        missingCpu: shortfallCpu,
+        counts: countHostsByDomain(need.hosts),
+      };
     });
   const moves = ALLOCATION_STRATEGIES[rank](claims, (claim) =>
     allocateHost(free, claim, policy, rank),
@@ -255,7 +261,7 @@
 };
 
 /**
- * Plans which hosts change their pool now. Work within the accounts' fair shares gets hosts before work beyond them.
+ * Plans which hosts change their pool now. Work within the accounts' shares gets hosts before work beyond them.
  *
  * @param world - The pools, hosts and scheduler state.
  * @param policy - The policy for pool moves.
@@ -267,15 +273,15 @@
   policy: PoolMovePolicy = DEFAULT_POOL_POLICY,
   needs: readonly PoolNeed[] = computePoolNeeds(world, policy),
 ): readonly PoolMove[] => {
-  const fairShareMoves = allocateHosts(world, needs, policy, {
+  const withinShareMoves = allocateHosts(world, needs, policy, {
     rank: 'within-share',
     earlierMoves: [],
   }).moves;
   const otherMoves = allocateHosts(world, needs, policy, {
     rank: 'all',
-    earlierMoves: fairShareMoves,
+    earlierMoves: withinShareMoves,
   }).moves;
-  const demandMoves = [...fairShareMoves, ...otherMoves];
+  const demandMoves = [...withinShareMoves, ...otherMoves];
   return [
     ...(demandMoves.length > 0 ? demandMoves : planParkings(world, needs, policy)),
     ...planEvacuatedParkings(world, needs, policy),
@@ -286,7 +292,7 @@
  * Records for each pool what capacity it could get, which the completion forecast of jobs uses. A free host counts for
  * every other pool, because it is decided only later which pool gets it.
  *
- * @param world - The pools, hosts and scheduler state; the pools' outlooks are changed in place.
+ * @param world - The pools, hosts and scheduler state; the pools' forecasts are changed in place.
  * @param policy - The policy for pool moves.
  * @param needs - The needs of the pools; computed if omitted.
  */
@@ -307,19 +313,19 @@
     const reclaimedCpu = Array.from(state.endpoints.values())
       .filter(({ endpointId, pool }) => pool !== name && state.reclaimedEndpoints.has(endpointId))
       .reduce((sum, { capacity }) => sum + capacity.cpuMillis, 0);
-    change(poolOf(state, name), { forecast: { comingCpu: joiningCpu, freeCpu, reclaimedCpu } });
+    change(poolOf(state, name), { forecast: { joiningCpu, freeCpu, reclaimedCpu } });
   });
 };
 
-/** Tells whether an endpoint runs no long-running task and no work within an account's fair share. */
+/** Tells whether an endpoint runs no long-running task and no work within an account's share. */
 const runsOnlyReclaimableWork = ({ runs }: EndpointState, nowMs: number): boolean =>
   Array.from(runs.values()).every(
     ({ step }) => !step.spec.isLasting && !isRankedWithinShare(step.job, nowMs),
   );
 
 /**
- * Endpoints that a pool does not need for work within fair shares: those already reclaimed first, then the others by
- * used CPU, the least used first.
+ * Endpoints that a pool does not need for work within the accounts' shares: those already reclaimed first, then the
+ * others by used CPU, the least used first.
  */
 const reclaimableEndpoints = (
   { state, nowMs }: PoolPlanInput,
@@ -335,8 +341,8 @@
 };
 
 /**
- * Decides which endpoints are reclaimed: they take no further work beyond the accounts' fair shares, so that their
- * hosts become free. As many are reclaimed as other pools lack for work within fair shares. Running tasks are not
+ * Decides which endpoints are reclaimed: they take no further work beyond the accounts' shares, so that their hosts
+ * become free. As many are reclaimed as other pools lack for work within the accounts' shares. Running tasks are not
  * stopped.
  *
  * @param world - The pools, hosts and scheduler state.
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -54,7 +54,7 @@
   readonly hosts: readonly ListedHost[];
   /** The capacity of the pool's first host; 1 if it has none. */
   readonly hostCpu: number;
-  /** The endpoints that take new work. */
+  /** The schedulable endpoints. */
   readonly endpoints: readonly EndpointState[];
   /** Those of `endpoints` that have a host and run nothing. */
   readonly emptyEndpoints: readonly EndpointState[];
@@ -75,7 +75,7 @@
    * for a surplus.
    */
   readonly shortfallCpu: number;
-  /** The same for work within the accounts' fair shares only; equal to `shortfallCpu` if no account has a weight. */
+  /** The same for work within the accounts' shares only; equal to `shortfallCpu` if no account has a weight. */
   readonly withinShareShortfallCpu: number;
   /** The capacity that is missing for running and waiting work, without the forecast. */
   readonly currentShortfallCpu: number;
@@ -85,29 +85,32 @@
 
 const sum = (values: readonly number[]): number => values.reduce((total, one) => total + one, 0);
 
-/** The missing capacity: `urgentCpu` without forecast demand, `shortCpu` with it, as in `PoolNeed`. */
-type Shortfall = { readonly urgentCpu: number; readonly shortCpu: number };
+/** The missing capacity: `currentShortfallCpu` without forecast demand, `shortfallCpu` with it, as in `PoolNeed`. */
+type Shortfall = { readonly currentShortfallCpu: number; readonly shortfallCpu: number };
 
 /** The inputs of a shortfall, in thousandths of a core. */
 type CapacityBalance = {
   readonly usedCpu: number;
   readonly waitingCpu: number;
-  readonly expectedCpu: number;
+  readonly forecastCpu: number;
   readonly availableCpu: number;
 };
 
 const shortfallOf = ({
   usedCpu,
   waitingCpu,
-  expectedCpu,
+  forecastCpu,
   availableCpu,
 }: CapacityBalance): Shortfall => {
-  const urgentCpu = usedCpu + waitingCpu - availableCpu;
-  return { urgentCpu, shortCpu: Math.max(urgentCpu, expectedCpu - availableCpu) };
+  const currentShortfallCpu = usedCpu + waitingCpu - availableCpu;
+  return {
+    currentShortfallCpu,
+    shortfallCpu: Math.max(currentShortfallCpu, forecastCpu - availableCpu),
+  };
 };
 
-/** The capacity reserved on endpoints by work beyond the accounts' fair shares. */
-const cpuBeyondFairShares = (endpoints: readonly EndpointState[], nowMs: number): number =>
+/** The capacity reserved on endpoints by work beyond the accounts' shares. */
+const cpuBeyondShares = (endpoints: readonly EndpointState[], nowMs: number): number =>
   sum(
     endpoints.flatMap(({ runs }) =>
       Array.from(runs.values(), ({ step }) =>
@@ -120,7 +123,7 @@
   sum(steps.map(({ waiting, spec }) => waiting.length * spec.cpuMillis));
 
 /**
- * The most urgent priority among steps that end by themselves. Long-running tasks occupy their hosts all day and tell
+ * The most urgent priority among steps that end by themselves. Long-running tasks occupy their hosts all day and say
  * nothing about a peak.
  */
 const mostUrgentPriority = (steps: readonly StepRun[]): number =>
@@ -166,16 +169,16 @@
     Math.max(forecastCores(rates), peakCores) * 1000 * headroom;
   const forecastCpu = forecastWithHeadroom(pool.demand.rates(nowMs));
   const availableCpu = capacityCpu + joiningCpu;
-  const { urgentCpu: currentShortfallCpu, shortCpu: shortfallCpu } = shortfallOf({
+  const { currentShortfallCpu, shortfallCpu } = shortfallOf({
     usedCpu,
     waitingCpu,
-    expectedCpu: forecastCpu,
+    forecastCpu,
     availableCpu,
   });
-  const fairShareShortfall = shortfallOf({
-    usedCpu: usedCpu - cpuBeyondFairShares(endpoints, nowMs),
+  const withinShareShortfall = shortfallOf({
+    usedCpu: usedCpu - cpuBeyondShares(endpoints, nowMs),
     waitingCpu: waitingCpuOf(waiting.filter(({ job }) => isRankedWithinShare(job, nowMs))),
-    expectedCpu: forecastWithHeadroom(pool.demand.withinShareRates(nowMs)),
+    forecastCpu: forecastWithHeadroom(pool.demand.withinShareRates(nowMs)),
     availableCpu,
   });
   return {
@@ -191,7 +194,7 @@
     waitingCpu,
     forecastCpu,
     shortfallCpu,
-    withinShareShortfallCpu: fairShareShortfall.shortCpu,
+    withinShareShortfallCpu: withinShareShortfall.shortfallCpu,
     currentShortfallCpu,
     priority: mostUrgentPriority([...waiting, ...running]),
   };
@@ -241,7 +244,7 @@
 };
 
 /**
- * Tells whether any pool lacks capacity for the running, waiting and forecast work within the accounts' fair shares.
+ * Tells whether any pool lacks capacity for the running, waiting and forecast work within the accounts' shares.
  *
  * @param world - The pools, hosts and scheduler state.
  * @param policy - The policy for pool moves.
@@ -265,7 +268,7 @@
 export const isHostMovable = ({ busyHosts }: PoolPlanInput, host: ListedHost): boolean =>
   host.state === 'up' && !busyHosts.has(host.hostId);
 
-/** What a claim on hosts is for: `within-share` for work within the accounts' fair shares, `all` for all work. */
+/** What a claim on hosts is for: `within-share` for work within the accounts' shares, `all` for all work. */
 export type WorkScope = 'within-share' | 'all';
 
 /**
--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -24,7 +24,7 @@
 export const SECOND = brand<EndpointId>('i-0000000002');
 /** The key of the default job's only task. */
 export const TASK = taskKey(JOB, 0, 0, 0);
-/** The first run number that the leader with fencing token FENCE assigns. */
+/** The first run number that the control holder with fencing token FENCE assigns. */
 export const FIRST_RUN = 2001;
 
 const FENCE = 2;
@@ -46,7 +46,7 @@
   readonly step?: Partial<StepSpec>;
   readonly owner?: JobOwner | undefined;
   readonly priority?: number;
-  /** True if the job was accepted by an earlier leader. */
+  /** True if the job was accepted by an earlier holder. */
   readonly isInherited?: boolean;
   /** When the job is accepted; 0 by default. */
   readonly nowMs?: number;
@@ -80,9 +80,9 @@
 };
 
 /**
- * Creates the state of a leader that has accepted the default job.
+ * Creates the state of a holder that has accepted the default job.
  *
- * @param options - Whether an earlier leader had accepted the job, and the maximum number of attempts of its task.
+ * @param options - Whether an earlier holder had accepted the job, and the maximum number of attempts of its task.
  * @returns The state, without endpoints.
  */
 export const createStateWithJob = ({ isInherited = false, maxAttempts = 3 } = {}): BatchState => {
@@ -129,7 +129,7 @@
 };
 
 /**
- * Marks the rows of all jobs as written, as the leader does after each change once the write has completed.
+ * Marks the rows of all jobs as written, as the holder does after each change once the write has completed.
  *
  * @param state - The state, changed in place.
  */
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -127,15 +127,15 @@
     ...pools.map(({ name }) => ({ name, isSpare: false })),
     { name: SPARE, isSpare: true },
   ];
-  let lives = 0;
+  let incarnations = 0;
 
   const bringUp = (host: ListedHost, nowMs: number): void => {
     if (host.pool === SPARE) {
       hosts.set(host.hostId, { ...host, state: 'up', instanceId: null });
       return;
     }
-    lives += 1;
-    const endpointId = brand<EndpointId>(`i-${lives}`);
+    incarnations += 1;
+    const endpointId = brand<EndpointId>(`i-${incarnations}`);
     const { hostId, pool, capacity, dataCentre, labels } = host;
     upsertEndpoint(
       state,
