--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -34,8 +34,9 @@
  */
 const EXPLAINED_CRASH_LIMIT = 2;
 /**
- * A job is also given up after this many crashes of any kind under one of its tasks. A task may crash five endpoints in
- * total; the limit is one less, because one crash may go uncounted if the control holder is lost before writing it.
+ * A job is also given up after this many crashes of any kind under one of its tasks. A task may crash at most five
+ * endpoints in total; the limit is one less, because one crash may go uncounted if the control holder is lost before
+ * writing it.
  */
 const CRASH_LIMIT = 4;
 /**
@@ -151,7 +152,7 @@
 ];
 
 /** Returns the jobs with runs that the endpoint has not yet been alive with for the whole observation period. */
-const unsettledJobs = (endpoint: EndpointState): ReadonlySet<JobState> =>
+const jobsUnderObservation = (endpoint: EndpointState): ReadonlySet<JobState> =>
   new Set(
     lastReportedRuns(endpoint)
       .filter((run) => !hasSurvivedObservation(endpoint, run))
@@ -159,11 +160,11 @@
   );
 
 /**
- * Tells whether a task explains a crash: only one job has unsettled runs, and endpoints crashed before under one of
- * them.
+ * Tells whether a task explains a crash: only one job has runs that have not survived the observation period, and
+ * endpoints crashed before under the task of one of these runs.
  */
 const isExplained = (endpoint: EndpointState): boolean =>
-  unsettledJobs(endpoint).size === 1 &&
+  jobsUnderObservation(endpoint).size === 1 &&
   lastReportedRuns(endpoint).some(
     (run) => !hasSurvivedObservation(endpoint, run) && run.task.crashes.length > 0,
   );
--- a/packages/core/src/batch/crashes/isolation.test.ts
+++ b/packages/core/src/batch/crashes/isolation.test.ts
@@ -191,7 +191,7 @@
     expect(placesOf(state, OTHER)).toContain(place);
   });
 
-  it('waits until runs of other jobs have ended, but at most 2 s for settled ones', () => {
+  it('waits until runs of other jobs have ended, but at most 2 s for those that survived the observation period', () => {
     const state = afterCrash();
     submit(state, OTHER, { taskCount: 2, mostPerEndpoint: 1, cpuMillis: 6000 }, 1000);
     schedulePool(state, POOL, 1000);
--- a/packages/core/src/batch/crashes/isolation.ts
+++ b/packages/core/src/batch/crashes/isolation.ts
@@ -29,8 +29,8 @@
  */
 const MAX_EMPTY_SHARE = 0.5;
 /**
- * From this time after the last end of a run of its step, a suspect no longer waits for settled short runs of other jobs
- * to end, because some take minutes.
+ * From this time after the last end of a run of its step, a suspect no longer waits for short runs of other jobs to end
+ * that have survived the observation period, because some take minutes.
  */
 const MAX_WAIT_MS = 2000;
 
@@ -195,8 +195,9 @@
  * @param isolated - The isolated endpoints.
  * @param request - The step, and the endpoints that may run it.
  * @param nowMs - The current time.
- * @returns The endpoints isolated for the step's job that run only tasks of the job and settled long-running tasks of
- *   others, or, after a waiting time, settled tasks of any kind.
+ * @returns The endpoints isolated for the step's job that run only tasks of the job and long-running tasks of others,
+ *   or, after a waiting time, tasks of others of any kind. The runs of others must have survived the observation
+ *   period.
  */
 export const findIsolatedEndpoints = (
   isolated: IsolatedEndpoints,
--- a/packages/core/src/batch/domains/outage.test.ts
+++ b/packages/core/src/batch/domains/outage.test.ts
@@ -42,8 +42,10 @@
     recordUnanswered(state, endpointId, atMs + index * everyMs),
   );
 
-const areUsable = (state: BatchState, endpoints: readonly EndpointState[]): readonly boolean[] =>
-  endpoints.map((endpoint) => isSchedulable(state, endpoint, 200));
+const areSchedulable = (
+  state: BatchState,
+  endpoints: readonly EndpointState[],
+): readonly boolean[] => endpoints.map((endpoint) => isSchedulable(state, endpoint, 200));
 
 describe('a rack', () => {
   it('is suspected once a third of its endpoints have left a request unanswered', () => {
@@ -92,7 +94,10 @@
     // A start order sent to a lost endpoint would wait for its time-out and then for the endpoint's lease to end.
     const { state, endpoints } = createFleet({ racks: 2, hostsPerRack: 4 });
     leaveUnanswered(state, endpoints.slice(0, 2));
-    expect(areUsable(state, endpoints)).toEqual([...Array(4).fill(false), ...Array(4).fill(true)]);
+    expect(areSchedulable(state, endpoints)).toEqual([
+      ...Array(4).fill(false),
+      ...Array(4).fill(true),
+    ]);
     submitJob(state, JOB, { step: { taskCount: 40 } });
     schedulePool(state, POOL, 200);
     expect(endpoints.map(({ runs }) => runs.size)).toEqual([0, 0, 0, 0, 8, 8, 8, 8]);
@@ -131,7 +136,7 @@
     const { state, endpoints } = createFleet({ racks: 1, hostsPerRack: 4 });
     leaveUnanswered(state, endpoints.slice(0, 2));
     endpoints.slice(2, 3).forEach((endpoint) => recordAnswered(state, endpoint, 150));
-    expect(areUsable(state, endpoints)).toEqual([false, false, true, false]);
+    expect(areSchedulable(state, endpoints)).toEqual([false, false, true, false]);
   });
 
   it('ends when more than half of the endpoints have answered, but not at exactly half', () => {
@@ -185,7 +190,7 @@
     expect(suspectedIn(state)).toEqual([]);
     leaveUnanswered(state, endpoints.slice(1, 2));
     expect(suspectedIn(state)).toEqual([RACK, DATA_CENTRE]);
-    expect(areUsable(state, endpoints)).toEqual(Array(12).fill(false));
+    expect(areSchedulable(state, endpoints)).toEqual(Array(12).fill(false));
   });
 
   it('is not suspected because of the loss of one rack, however large its share of the endpoints is', () => {
--- a/packages/core/src/batch/domains/spread.test.ts
+++ b/packages/core/src/batch/domains/spread.test.ts
@@ -159,7 +159,7 @@
     );
   });
 
-  it('tells that no spread could keep the loss of one domain within the disruption budget', () => {
+  it('reports that no spread could keep the loss of one domain within the disruption budget', () => {
     const state = createBatchState(2);
     addFleet(state, { racks: 12, hostsPerRack: 5, dataCentres: 4 });
     submit(state);
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -50,7 +50,7 @@
 ): boolean => !isListed && nowMs < confirmedAtMs + longestLeaseMs * LEASE_MARGIN_FACTOR;
 
 /**
- * Returns whether a run on a silent endpoint may be in a later incarnation that has not answered either.
+ * Tells whether a run on a silent endpoint may be in a later incarnation that has not answered either.
  *
  * @param state - The holder's batch state.
  * @param endpoint - The endpoint, whose lease has ended.
@@ -73,7 +73,7 @@
 };
 
 /**
- * Returns whether a run of an endpoint that is gone may be in a later incarnation of that endpoint.
+ * Tells whether a run of an endpoint that is gone may be in a later incarnation of that endpoint.
  *
  * @param state - The holder's batch state.
  * @param gone - The endpoint, and the evidence that it is gone.
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -62,13 +62,13 @@
   state.goneEndpoints.set(endpointId, gone);
 };
 
-/** Decides for each run of a gone endpoint whether the crash counts against it, while all its runs are still known. */
-const judgeRuns = (state: BatchState, gone: GoneEndpoint, nowMs: number): void => {
-  const judged = lastReportedRuns(gone.endpoint).flatMap((run) => {
+/** Assesses for each run of a gone endpoint whether the crash counts against it, while all its runs are still known. */
+const assessRuns = (state: BatchState, gone: GoneEndpoint, nowMs: number): void => {
+  const assessed = lastReportedRuns(gone.endpoint).flatMap((run) => {
     const crash = assessCrash(state, gone, run, nowMs);
     return crash ? [[run, crash] as const] : [];
   });
-  change(gone, { crashesByRun: new Map(judged) });
+  change(gone, { crashesByRun: new Map(assessed) });
 };
 
 /** Counts an endpoint crash against the tasks whose runs ended with it, and returns the log fields for these runs. */
@@ -78,14 +78,14 @@
   runs: readonly RunState[],
   nowMs: number,
 ): ReadonlyMap<RunState, LogFields> => {
-  const judged = runs.flatMap((run) => {
+  const assessed = runs.flatMap((run) => {
     const isLive = run.task.phase !== 'done' && !isFinal(run.step.job.phase);
     const crash = isLive ? crashesByRun?.get(run) : undefined;
     return crash ? [{ run, crash }] : [];
   });
-  judged.forEach(({ run, crash }) => recordCrash(state, run, crash));
+  assessed.forEach(({ run, crash }) => recordCrash(state, run, crash));
   const wallClockMs = nowMs + state.wallClockOffsetMs;
-  return new Map(judged.map(({ run }) => [run, crashLogFields(run.task, endpoint, wallClockMs)]));
+  return new Map(assessed.map(({ run }) => [run, crashLogFields(run.task, endpoint, wallClockMs)]));
 };
 
 /** Logs the end of the endpoint also for a run that was given up earlier, when the endpoint's lease ended. */
@@ -151,7 +151,7 @@
   const unjudged = gone.filter(({ crashesByRun }) => crashesByRun === null);
   addRecentCrashes(state, unjudged, nowMs);
   unjudged.forEach((one) => {
-    judgeRuns(state, one, nowMs);
+    assessRuns(state, one, nowMs);
     stopAwaitingReport(state, one);
   });
   gone.forEach((one) => giveUpRuns(state, one, nowMs));
--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/open-starts.ts
@@ -91,7 +91,7 @@
 };
 
 /**
- * Returns whether an order to start a run may still be executed.
+ * Tells whether an order to start a run may still be executed.
  *
  * @param state - The holder's batch state.
  * @param endpointId - The endpoint that it was sent to.
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -128,16 +128,16 @@
   const taskWithStep = name && findReportedTask(state, name);
   const evidence: RunEvidence = { cause: 'reported', atMs: requestedAtMs, detail: kind };
   if (taskWithStep) change(taskWithStep.step.job, { hasStarted: true });
-  const settleWithRunTime = (ranMs: number): void => {
+  const applyEndWithRunTime = (ranMs: number): void => {
     if (!taskWithStep || isFinal(taskWithStep.step.job.phase)) return;
     endHandlers[kind](state, { ...taskWithStep, end, endpoint, ranMs });
   };
   if (known?.run === run) {
-    const updateTask = (): void => settleWithRunTime(nowMs - known.startedAtMs);
+    const updateTask = (): void => applyEndWithRunTime(nowMs - known.startedAtMs);
     dropRun(state, { endpoint, run: known, evidence, nowMs, updateTask });
     return;
   }
-  const updateTask = (): void => settleWithRunTime(0);
+  const updateTask = (): void => applyEndWithRunTime(0);
   const startedAtMs = undefined;
   recordRunEnd(state, {
     endpoint,
--- a/packages/core/src/batch/endpoints/runs.ts
+++ b/packages/core/src/batch/endpoints/runs.ts
@@ -47,7 +47,7 @@
 export const reservedCpu = (spec: StepSpec): number => (spec.fillsGaps ? 0 : spec.cpuMillis);
 
 /**
- * Returns whether a task of a step fits into the free capacity of an endpoint.
+ * Tells whether a task of a step fits into the free capacity of an endpoint.
  *
  * @param endpoint - The endpoint.
  * @param spec - The step.
--- a/packages/core/src/batch/endpoints/sound-endpoints.ts
+++ b/packages/core/src/batch/endpoints/sound-endpoints.ts
@@ -20,7 +20,8 @@
 ): boolean => seenAtMs < soleHolderUntilMs;
 
 /**
- * Tells whether an endpoint is schedulable: it has responded, is not about to leave, and is not withheld.
+ * Tells whether an endpoint is schedulable: it has responded, is neither draining nor cordoned, neither evacuated nor
+ * suspected lost, and is not withheld.
  *
  * @param state - The holder's batch state.
  * @param endpoint - The endpoint.
@@ -54,7 +55,7 @@
   );
 
 /**
- * Returns whether an endpoint has a label.
+ * Tells whether an endpoint has a label.
  *
  * @param endpoint - The endpoint.
  * @param label - The label; '' if none is required.
@@ -64,7 +65,7 @@
   label === '' || labels.includes(label);
 
 /**
- * Returns whether an endpoint may hold one more task of a step.
+ * Tells whether an endpoint may hold one more task of a step.
  *
  * @param endpoint - The endpoint.
  * @param step - The step.
@@ -79,7 +80,7 @@
 const NOTHING_USED = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
 
 /**
- * Returns whether an earlier holder may have started a task of a step on an endpoint that has not responded yet. The
+ * Tells whether an earlier holder may have started a task of a step on an endpoint that has not responded yet. The
  * endpoint's label and capacity are those of its host. An endpoint that is not listed, or that has an earlier
  * incarnation whose runs are not given up yet, may run anything.
  *
--- a/packages/core/src/batch/evacuation/evacuated-runs.ts
+++ b/packages/core/src/batch/evacuation/evacuated-runs.ts
@@ -12,7 +12,7 @@
   readonly shortRuns: number;
   /** Runs of long-running tasks; an evacuation does not move them. */
   readonly longRuns: number;
-  /** When the last short run is expected to end, by the holder's clock; undefined if there is no short run. */
+  /** When the last short run is expected to end, by the control holder's clock; undefined if there is no short run. */
   readonly lastExpectedEndMs: number | undefined;
 };
 
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -54,7 +54,7 @@
   readonly jobId: JobId;
   readonly queue: QueueName;
   readonly account: AccountName;
-  /** Whether the job was covered by the guaranteed rate of its account. */
+  /** Whether the job was within its account's share. */
   readonly isOwed: boolean;
   /** When it was refused, by the monotonic clock. */
   readonly atMs: number;
@@ -125,13 +125,13 @@
 
 /** Whether queued work runs before a new job with this share and policy. */
 const runsBefore = (
-  { isOwed, isTooLate, priority, virtualStart }: QueuedWork,
+  { isWithinShare, isTooLate, priority, virtualStart }: QueuedWork,
   share: JobShare,
   policy: QueuePolicy,
 ): boolean => {
   if (isTooLate) return share === LAST_SHARE;
-  if (isOwed !== share.isWithinShare) return isOwed;
-  return isOwed ? priority <= policy.priority : virtualStart <= share.virtualStart;
+  if (isWithinShare !== share.isWithinShare) return isWithinShare;
+  return isWithinShare ? priority <= policy.priority : virtualStart <= share.virtualStart;
 };
 
 /** How many cores of an endpoint tasks of the given size can use: only whole tasks fit. */
@@ -322,7 +322,7 @@
       const { isWithinShare, virtualStart } = previewShare(state, job.owner?.account, nowMs);
       const { coreMs } = jobWorkOf(state, job);
       const work = {
-        isOwed: isWithinShare,
+        isWithinShare,
         isTooLate: false,
         priority: policy.priority,
         virtualStart,
--- a/packages/core/src/batch/jobs/first-attempts.ts
+++ b/packages/core/src/batch/jobs/first-attempts.ts
@@ -38,7 +38,7 @@
  * @param jobId - The job.
  * @returns The time of the first attempt, by the monotonic clock; Infinity if no refusal is recorded.
  */
-export const takeFirstAttempt = ({ firstAttempts }: BatchState, jobId: JobId): number => {
+export const removeFirstAttempt = ({ firstAttempts }: BatchState, jobId: JobId): number => {
   const atMs = firstAttempts.get(jobId) ?? Infinity;
   firstAttempts.delete(jobId);
   return atMs;
--- a/packages/core/src/batch/jobs/jobs.ts
+++ b/packages/core/src/batch/jobs/jobs.ts
@@ -14,7 +14,7 @@
   type Task,
 } from '../model/state.js';
 import { addOccurrence, createJobState, type AddJobOptions } from './create-job.js';
-import { takeFirstAttempt } from './first-attempts.js';
+import { removeFirstAttempt } from './first-attempts.js';
 import { chargeShare } from '../accounts/shares.js';
 import { stopRun, removeFromWaiting } from '../endpoints/runs.js';
 import { estimateStepWork } from './step-times.js';
@@ -85,7 +85,7 @@
   if (existing) return existing;
   const { job: accepted, nowMs } = options;
   const share = chargeShare(state, accepted.owner?.account, nowMs);
-  const firstAttemptAtMs = takeFirstAttempt(state, accepted.jobId);
+  const firstAttemptAtMs = removeFirstAttempt(state, accepted.jobId);
   const job = createJobState({ ...options, share, firstAttemptAtMs });
   state.jobs.set(options.job.jobId, job);
   startDueOccurrences(state, job, options.nowMs, options.wallClockMs);
--- a/packages/core/src/batch/jobs/pool-load.ts
+++ b/packages/core/src/batch/jobs/pool-load.ts
@@ -9,8 +9,8 @@
 
 /** The queued work of one job, with its rank. */
 export type QueuedWork = {
-  /** Whether it is ordered like work covered by the guaranteed rate of its account. */
-  readonly isOwed: boolean;
+  /** Whether it is ranked like work within its account's share. */
+  readonly isWithinShare: boolean;
   /** Too late to be useful any more: all other work runs before it. */
   readonly isTooLate: boolean;
   readonly priority: number;
@@ -23,7 +23,7 @@
 /** The queued work and the capacity of one pool. */
 export type PoolLoad = {
   readonly queuedWork: QueuedWork[];
-  /** The capacity of each healthy endpoint less what long-running tasks reserve, in thousandths of a core. */
+  /** The capacity of each schedulable endpoint less what long-running tasks reserve, in thousandths of a core. */
   readonly endpointsCpuMillis: readonly number[];
 };
 
@@ -64,7 +64,7 @@
     const coreMs = queuedCoreMs(state, job);
     if (coreMs === 0) return;
     queuedWorkOf(job.job.pool).push({
-      isOwed: isRankedWithinShare(job, nowMs),
+      isWithinShare: isRankedWithinShare(job, nowMs),
       isTooLate: isTooLate(state, job, nowMs),
       priority: job.policy.priority,
       virtualStart: job.share.virtualStart,
--- a/packages/core/src/batch/jobs/run-times.ts
+++ b/packages/core/src/batch/jobs/run-times.ts
@@ -8,10 +8,10 @@
 /** With fewer completed tasks than this the client's estimate is more reliable than the average. */
 const MIN_COMPLETIONS = 5;
 
-type LearnedRunTime = { meanMs: number; completions: number };
+type MeanRunTime = { meanMs: number; completions: number };
 
 /** The recorded run times by kind of task. */
-export type RunTimes = { readonly byKind: Map<string, LearnedRunTime> };
+export type RunTimes = { readonly byKind: Map<string, MeanRunTime> };
 
 /**
  * Creates an empty record of run times.
--- a/packages/core/src/batch/maintenance/upkeep-progress.ts
+++ b/packages/core/src/batch/maintenance/upkeep-progress.ts
@@ -17,9 +17,9 @@
 /** Progress of one host of a wave. */
 export type MaintenanceHost = {
   /**
-   * `waiting`: in normal use. `closing`: draining, takes no new work. `asked`: an order to go down was sent and its
-   * answer is not known. `refused`: the platform rejected the order. `down`: the order was carried out. `done`: the host
-   * has come back since.
+   * `waiting`: in normal use. `closing`: draining, gets no new work. `asked`: an order to go down was sent and its
+   * answer is not known. `refused`: the platform rejected the order. `down`: the order was carried out. `done`: the
+   * host has come back since.
    */
   phase: 'waiting' | 'closing' | 'asked' | 'refused' | 'down' | 'done';
   /** When the phase was entered, in ms of the monotonic clock. */
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/upkeep.ts
@@ -125,7 +125,7 @@
  * Counts the tasks on hosts that were ordered down as unavailable for every disruption budget. An answer that an
  * endpoint gave before the order took effect would otherwise count them as available again.
  */
-const countOrderedAsAway = (world: MaintenanceContext, wave: MaintenanceWave): void =>
+const countOrderedAsUnavailable = (world: MaintenanceContext, wave: MaintenanceWave): void =>
   wave.hosts.forEach(({ phase }, hostId) => {
     if (!ORDERED_PHASES.has(phase)) return;
     endpointOf(world, hostId)?.runs.forEach((run) => change(run, { percent: 0 }));
@@ -219,7 +219,7 @@
   const { hostId, host, longRunningSteps } = candidate;
   orderedDown.push(hostId);
   change(host, { phase: 'asked', phaseSinceMs: nowMs, stepsTakenDown: longRunningSteps });
-  countOrderedAsAway(world, wave);
+  countOrderedAsUnavailable(world, wave);
 };
 
 /** Moves long-running tasks off a draining host and reserves budget for those that will go down with it. */
@@ -311,7 +311,7 @@
   waves.forEach((wave) => {
     advancePhases(world, wave, nowMs);
     recordUnlistedReasons(world, wave);
-    countOrderedAsAway(world, wave);
+    countOrderedAsUnavailable(world, wave);
   });
   markPendingMaintenance(world, waves);
   return waves.flatMap((wave) => planNext(world, wave, waves, nowMs));
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -64,7 +64,7 @@
 const stepDurationMs = ({ spec }: StepRun, hostCount: number, turnMs: number): number =>
   Math.ceil(hostCount / spec.mayMiss) * turnMs;
 
-const createOutlook = (lateHosts: number, reason: string): WaveForecast =>
+const createForecast = (lateHosts: number, reason: string): WaveForecast =>
   lateHosts > 0 ? { lateHosts, reason } : { lateHosts: 0, reason: '' };
 
 /**
@@ -79,14 +79,14 @@
   const { maximum } = wave.request;
   const leftMs = Math.max(0, deadlineOf(wave) - nowMs);
   const hostsInTime = Math.floor(leftMs / downMs) * maximum;
-  const overall = createOutlook(
+  const overall = createForecast(
     hosts.length - hostsInTime,
     `${hosts.length} hosts are left, ${maximum} may be down at once, and ${Math.round(leftMs)} ms are left`,
   );
   const steps = Array.from(countByStep(hosts), ([step, count]) => {
     const { jobId, queue } = step.job.job;
     const turns = leftMs < downMs ? 0 : 1 + Math.floor((leftMs - downMs) / MIN_TURN_MS);
-    return createOutlook(
+    return createForecast(
       count - turns * step.spec.mayMiss,
       `queue=${queue} job=${jobId}: ${count} hosts have tasks of it, ${step.spec.mayMiss} may be missed, and ${Math.round(leftMs)} ms are left`,
     );
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -1,7 +1,8 @@
 /**
- * The state of batch work that the holder, the entry that holds the control lease, keeps in memory. The records are changed
- * in place, because each endpoint reports many ended runs a second and nothing reads the records during a change. Times are
- * on the holder's monotonic clock, in milliseconds, unless a name or comment says otherwise.
+ * The state of batch work that the control holder, the entry that holds the control lease, keeps in memory; it is
+ * called the holder below. The records are changed in place, because each endpoint reports many ended runs a second and
+ * nothing reads the records during a change. Times are on the holder's monotonic clock, in milliseconds, unless a name
+ * or comment says otherwise.
  */
 import type {
   AccountName,
@@ -36,7 +37,7 @@
 export * from './endpoint-state.js';
 export * from './job-state.js';
 
-/** The longest lease that one order may grant, if the platform does not set a bound. */
+/** The maximum lease that one order may grant, if the platform does not set a bound. */
 const DEFAULT_MAX_LEASE_MS = 10_000;
 
 /** After this many steps were opened since the last ranking, the next pass ranks the whole backlog. */
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -206,7 +206,7 @@
     expect(isAwaitedAfter(null, { soleUntilMs: 40 })).toBe(true);
   });
 
-  it('is waited for if it was seen since, because its runs are settled when it is found gone', () => {
+  it('is waited for if it was seen since, because its runs are given up when it is found gone', () => {
     expect(isAwaitedAfter(null, { isSeen: true })).toBe(true);
   });
 });
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -28,7 +28,8 @@
 };
 
 /**
- * Estimates how long the longest chain of dependent steps takes, from an open step to the end of its occurrence.
+ * Estimates the remaining critical path: how long the longest chain of dependent steps takes, from an open step to the
+ * end of its occurrence.
  *
  * @param state - The batch state, which holds the recorded run times.
  * @param step - The open step; the steps that depend on it are included.
@@ -49,10 +50,10 @@
 const isFirstStep = ({ spec }: StepRun): boolean => spec.after.length === 0;
 
 /**
- * Estimates the longest chain of dependent steps of a whole occurrence, in milliseconds. `remainingMs` is the chain from
- * `step` on, which the caller has computed already.
+ * Estimates the critical path, the longest chain of dependent steps, of a whole occurrence, in milliseconds.
+ * `remainingMs` is the chain from `step` on, which the caller has computed already.
  */
-const longestChainMs = (state: BatchState, step: StepRun, remainingMs: number): number => {
+const criticalPathMs = (state: BatchState, step: StepRun, remainingMs: number): number => {
   let longestMs = isFirstStep(step) ? remainingMs : 0;
   step.occurrence.steps.forEach((first) => {
     if (first === step || !isFirstStep(first)) return;
@@ -82,7 +83,7 @@
   remainingMs = remainingCriticalPathMs(state, step),
 ): number => {
   const { stretch, targetLatencyMs } = step.job.policy;
-  return stretch * longestChainMs(state, step, remainingMs) + targetLatencyMs;
+  return stretch * criticalPathMs(state, step, remainingMs) + targetLatencyMs;
 };
 
 /**
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -118,13 +118,13 @@
 };
 
 /** Requests advice on the endpoints that have capacity for a task of a step. */
-const requestAdviceWithRoom = (
+const requestAdviceWithCapacity = (
   { state, step, nowMs }: PlacingStep,
   endpoints: readonly EndpointState[],
 ): void => {
   if (step.advice === null) return;
-  const withRoom = endpoints.filter((endpoint) => canHoldTask(endpoint, step));
-  requestAdvice(state, step, withRoom, nowMs);
+  const withCapacity = endpoints.filter((endpoint) => canHoldTask(endpoint, step));
+  requestAdvice(state, step, withCapacity, nowMs);
 };
 
 /**
@@ -272,7 +272,7 @@
     );
     if (isPlaced) return false;
     const isTriedOnAll = places === endpoints;
-    if (isTriedOnAll) requestAdviceWithRoom(placing, endpoints);
+    if (isTriedOnAll) requestAdviceWithCapacity(placing, endpoints);
     unplacedSteps += 1;
     change(step, {
       triedAtRevision: state.freeCapacityRevision,
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -263,7 +263,7 @@
 /**
  * Plans which hosts change their pool now. Work within the accounts' shares gets hosts before work beyond them.
  *
- * @param world - The pools, hosts and scheduler state.
+ * @param world - The pools, hosts and batch state.
  * @param policy - The policy for pool moves.
  * @param needs - The needs of the pools; computed if omitted.
  * @returns The moves.
@@ -292,7 +292,7 @@
  * Records for each pool what capacity it could get, which the completion forecast of jobs uses. A free host counts for
  * every other pool, because it is decided only later which pool gets it.
  *
- * @param world - The pools, hosts and scheduler state; the pools' forecasts are changed in place.
+ * @param world - The pools, hosts and batch state; the pools' forecasts are changed in place.
  * @param policy - The policy for pool moves.
  * @param needs - The needs of the pools; computed if omitted.
  */
@@ -345,7 +345,7 @@
  * become free. As many are reclaimed as other pools lack for work within the accounts' shares. Running tasks are not
  * stopped.
  *
- * @param world - The pools, hosts and scheduler state.
+ * @param world - The pools, hosts and batch state.
  * @param policy - The policy for pool moves.
  * @param needs - The needs of the pools; computed if omitted.
  * @returns The endpoints; empty if no account has a weight.
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -203,7 +203,7 @@
 /**
  * Computes what each pool other than a spare pool has and needs.
  *
- * @param world - The pools, hosts and scheduler state.
+ * @param world - The pools, hosts and batch state.
  * @param policy - The policy for pool moves.
  * @returns The needs.
  */
@@ -223,7 +223,7 @@
  * Records the demand of all pools in the peak history, to detect when peaks begin. Only demand that needs more than a
  * pool's minimum number of hosts counts as a peak.
  *
- * @param world - The pools, hosts and scheduler state; the state's peak history is changed in place.
+ * @param world - The pools, hosts and batch state; the state's peak history is changed in place.
  * @param policy - The policy for pool moves.
  * @returns The pools whose peak has just begun.
  */
@@ -246,7 +246,7 @@
 /**
  * Tells whether any pool lacks capacity for the running, waiting and forecast work within the accounts' shares.
  *
- * @param world - The pools, hosts and scheduler state.
+ * @param world - The pools, hosts and batch state.
  * @param policy - The policy for pool moves.
  * @returns True if at least one pool does.
  */
--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -1,4 +1,4 @@
-/** A small scheduler state for unit tests: a job with one task, two endpoint ids, and helpers to apply their reports. */
+/** A small batch state for unit tests: a job with one task, two endpoint ids, and helpers to apply their reports. */
 import { schedulePool } from '../placement/schedule.js';
 import { change } from '../../shared/change.js';
 import {
