--- a/packages/core/src/batch/crashes/isolation.ts
+++ b/packages/core/src/batch/crashes/isolation.ts
@@ -29,7 +29,7 @@
  */
 const MAX_EMPTY_SHARE = 0.5;
 /**
- * From this time after the last end of a run of its step, a suspect no longer waits for short runs of other jobs to end
+ * From this time after the last end of a run of its step, a suspect waits no longer for those short runs of other jobs
  * that have survived the observation period, because some take minutes.
  */
 const MAX_WAIT_MS = 2000;
--- a/packages/core/src/batch/endpoints/answer-times.ts
+++ b/packages/core/src/batch/endpoints/answer-times.ts
@@ -24,10 +24,10 @@
  */
 const MAX_ENDPOINT_TIMEOUT_MS = 900;
 /**
- * If more than this share of the endpoints did not answer their last call, the cause is assumed to be this
- * entry's own link or processor. The share is above 0.3 because a disconnected data centre together with a
- * failed rack can be 3 of 10 endpoints. Endpoints are counted instead of misses because the endpoints of a
- * disconnected data centre miss at the same time, dozens in a row.
+ * If more than this share of the endpoints did not respond to their last call, the cause is assumed to be this entry's
+ * own link or processor. The share is above 0.3 because a disconnected data centre together with a failed rack can be 3
+ * of 10 endpoints. Endpoints are counted instead of misses because the endpoints of a disconnected data centre miss at
+ * the same time, dozens in a row.
  */
 const LOCAL_FAULT_SHARE = 0.4;
 /** Two consecutive list requests must fit into the lease of an endpoint (6 s), however slow the link is. */
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.test.ts
@@ -115,7 +115,7 @@
       expect(taskOf(state).crashes).toHaveLength(1);
     });
 
-    it('is started elsewhere after the longest lease if no later incarnation ever responds', () => {
+    it('is started elsewhere after the longest lease if no later incarnation ever answers', () => {
       runCycle(SENT_AT_MS + 10_000);
       expect(endpointsOf(state, taskOf(state))).toEqual([]);
       runCycle(SENT_AT_MS + 11_000);
@@ -123,7 +123,7 @@
     });
   });
 
-  it('is stopped in the next incarnation if its job was cancelled before that incarnation responded', () => {
+  it('is stopped in the next incarnation if its job was cancelled before that incarnation answered', () => {
     answerStart();
     loseEndpoint('restarted');
     registerNextIncarnation();
@@ -144,7 +144,7 @@
     expect(state.jobs.get(JOB)?.phase).toBe('failed');
   });
 
-  it('counts as started also if the response arrives after its incarnation was found to be over', () => {
+  it('counts as started also if the answer arrives after its incarnation was found to be over', () => {
     loseEndpoint('restarted');
     answerStart();
     runCycle(GONE_AT_MS + 10);
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.ts
@@ -1,7 +1,7 @@
 /**
  * Handles runs that may be in a later incarnation of the endpoint than the one they were sent to. An order reaches
- * whichever incarnation has the endpoint's id at the time, and the response to a start order does not tell which one
- * that was. A run that an incarnation has not listed may therefore have started in the next one. Its task must not be
+ * whichever incarnation has the endpoint's id at the time, and the answer to a start order does not tell which one that
+ * was. A run that an incarnation has not listed may therefore have started in the next one. Its task must not be
  * started elsewhere until the next incarnation has reported, or until the order can have no effect any more.
  */
 import { change } from '../../shared/change.js';
@@ -27,7 +27,7 @@
 ]);
 /** Causes that show that no incarnation was running when the host list was requested. */
 const CAUSES_WITH_NONE_RUNNING: ReadonlySet<GoneCause> = new Set(['host-list', 'host-ordered']);
-/** Allows for an endpoint clock that is 2 % slow and for the time that a response is in transit. */
+/** Allows for an endpoint clock that is 2 % slow and for the time that an answer is in transit. */
 const LEASE_MARGIN_FACTOR = 1.05;
 
 const startedRunOf = ({ task, run }: RunState): RunKey => ({ task: task.key, run });
@@ -94,7 +94,7 @@
   return !isKnownToBeOver && mayRunInUnreportedIncarnation(state, endpoint, run, nowMs);
 };
 
-/** The runs that an endpoint listed in its first response. */
+/** The runs that an endpoint listed in its first answer. */
 type FirstReport = {
   readonly listed: readonly RunKey[];
   readonly nowMs: number;
@@ -163,7 +163,7 @@
  * it ended with its own incarnation.
  *
  * @param state - The holder's batch state, modified in place.
- * @param next - The incarnation that responded.
+ * @param next - The incarnation that answered.
  * @param report - All runs that it lists, running or ended.
  */
 export const applyFirstReport = (
--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/open-starts.ts
@@ -1,6 +1,6 @@
 /**
- * Start orders without a response. Each of them may still be executed for some seconds, by whichever incarnation has
- * the endpoint's id by then. A later incarnation knows neither that the run was blocked, nor that it has ended, nor
+ * Start orders that were not answered. Each of them may still be executed for some seconds, by whichever incarnation
+ * has the endpoint's id by then. A later incarnation knows neither that the run was blocked, nor that it has ended, nor
  * the fence that the previous incarnation had seen.
  */
 import type { EndpointId, InstanceId } from '../../shared/ids.js';
--- a/packages/core/src/batch/endpoints/order-answers.ts
+++ b/packages/core/src/batch/endpoints/order-answers.ts
@@ -69,8 +69,8 @@
 };
 
 /**
- * Records that an endpoint has answered a stop order. The run is dropped only when a later list shows that it is not
- * there: it may have ended before the order, and then its end is listed.
+ * Records that an endpoint has responded to a stop order. The run is dropped only when a later list shows that it is
+ * not there: it may have ended before the order, and then its end is listed.
  *
  * @param state - The holder's batch state, modified in place.
  * @param endpointId - The endpoint.
--- a/packages/core/src/batch/endpoints/order-window.ts
+++ b/packages/core/src/batch/endpoints/order-window.ts
@@ -33,7 +33,7 @@
   readonly available: () => number;
   readonly begin: () => void;
   /**
-   * Records that an order is no longer in flight, because it was answered or has timed out.
+   * Records that an order is no longer in flight, because its response has arrived or it has timed out.
    *
    * @param tookMs - The response time, or the time waited without a response.
    * @param nowMs - The current time.
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -105,7 +105,7 @@
   readonly countsByAccount: ReadonlyMap<AccountName, AdmissionCounts>;
 };
 
-/** The estimated work of a job: in total, and the duration of its longest chain of steps. */
+/** The estimated work of a job: in total, and the duration of its critical path. */
 type JobWork = { readonly coreMs: number; readonly criticalPathMs: number };
 
 const jobWorkOf = (state: BatchState, { steps, queue }: BatchJob): JobWork => {
--- a/packages/core/src/batch/jobs/forecast.ts
+++ b/packages/core/src/batch/jobs/forecast.ts
@@ -17,7 +17,7 @@
   readonly overtakingCores: number;
   /** The work of the job itself. */
   readonly jobCoreMs: number;
-  /** The duration of the longest chain of the job's steps. */
+  /** The duration of the job's critical path, its longest chain of dependent steps. */
   readonly criticalPathMs: number;
 };
 
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -46,7 +46,7 @@
   readonly maxNewOrders: number;
   /** The hosts ordered down so far in this pass. */
   readonly orderedDown: HostId[];
-  /** Number of hosts closed to new work so far in this pass, including those ordered down. */
+  /** Number of hosts whose endpoints were cordoned so far in this pass, including those ordered down. */
   cordonedCount: number;
   /** For each step, the number of its tasks on draining hosts that will go down with their hosts. */
   readonly reservedTasks: Map<StepRun, number>;
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -51,7 +51,7 @@
 
 /**
  * Estimates the critical path, the longest chain of dependent steps, of a whole occurrence, in milliseconds.
- * `remainingMs` is the chain from `step` on, which the caller has computed already.
+ * `remainingMs` is the critical path from `step` on, which the caller has computed already.
  */
 const criticalPathMs = (state: BatchState, step: StepRun, remainingMs: number): number => {
   let longestMs = isFirstStep(step) ? remainingMs : 0;
@@ -74,7 +74,7 @@
  *
  * @param state - The batch state, which holds the recorded run times.
  * @param step - A step of the job.
- * @param remainingMs - The longest chain from the step on, in milliseconds; computed if left out.
+ * @param remainingMs - The remaining critical path from the step on, in milliseconds; computed if left out.
  * @returns The objective in milliseconds.
  */
 export const objectiveMsOf = (
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -187,7 +187,7 @@
 /** The context of one scheduling pass over a pool. */
 type PoolPass = {
   readonly state: BatchState;
-  /** The schedulable endpoints of the pool. */
+  /** The schedulable endpoints of the pool; for tasks that may share an endpoint, without the isolated ones. */
   readonly endpoints: readonly EndpointState[];
   /** Tells whether an endpoint of the pool may have crashed shortly before this holder took over. */
   readonly mayHaveCrashed: () => boolean;
