--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/open-starts.ts
@@ -1,6 +1,6 @@
 /**
- * Start orders without a response. Each of them may still be executed for some seconds, by whichever incarnation has
- * the endpoint's id by then. A later incarnation knows neither that the run was blocked, nor that it has ended, nor
+ * Start orders that were not answered. Each of them may still be executed for some seconds, by whichever incarnation
+ * has the endpoint's id by then. A later incarnation knows neither that the run was blocked, nor that it has ended, nor
  * the fence that the previous incarnation had seen.
  */
 import type { EndpointId, InstanceId } from '../../shared/ids.js';
@@ -91,7 +91,7 @@
 };
 
 /**
- * Returns whether an order to start a run may still be executed.
+ * Tells whether an order to start a run may still be executed.
  *
  * @param state - The holder's batch state.
  * @param endpointId - The endpoint that it was sent to.
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -31,7 +31,7 @@
   readonly task: TaskKey;
   readonly run: number;
   readonly checkpoint: string;
-  /** Progress of the work; a lasting task is ready at 100. */
+  /** Progress of the work; a long-running task is ready at 100. */
   readonly percent: number;
   /** For a task that serves requests: tail response time in milliseconds. For others: number of processors in use. */
   readonly figure: number;
@@ -128,16 +128,16 @@
   const taskWithStep = name && findReportedTask(state, name);
   const evidence: RunEvidence = { cause: 'reported', atMs: requestedAtMs, detail: kind };
   if (taskWithStep) change(taskWithStep.step.job, { hasStarted: true });
-  const settleWithRunTime = (ranMs: number): void => {
+  const applyEndWithRunTime = (ranMs: number): void => {
     if (!taskWithStep || isFinal(taskWithStep.step.job.phase)) return;
     endHandlers[kind](state, { ...taskWithStep, end, endpoint, ranMs });
   };
   if (known?.run === run) {
-    const updateTask = (): void => settleWithRunTime(nowMs - known.startedAtMs);
+    const updateTask = (): void => applyEndWithRunTime(nowMs - known.startedAtMs);
     dropRun(state, { endpoint, run: known, evidence, nowMs, updateTask });
     return;
   }
-  const updateTask = (): void => settleWithRunTime(0);
+  const updateTask = (): void => applyEndWithRunTime(0);
   const startedAtMs = undefined;
   recordRunEnd(state, {
     endpoint,
@@ -249,7 +249,7 @@
   }
   ended.forEach((end) => applyEnd(state, endpoint, end, times));
   const listed = new Set<TaskKey>();
-  const strays = running.flatMap((report) => {
+  const unexpectedRuns = running.flatMap((report) => {
     listed.add(report.task);
     const run = endpoint.runs.get(report.task);
     if (!run) return applyUnknownRun(state, endpoint, report, times) ?? [];
@@ -259,7 +259,7 @@
     }
     return [];
   });
-  chargeUnexpectedRuns(state, endpoint, strays);
+  chargeUnexpectedRuns(state, endpoint, unexpectedRuns);
   if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
   recordAnswered(state, endpoint, nowMs);
   change(endpoint, { hasReported: true, reportedAtMs: requestedAtMs, expiredRuns: [] });
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/upkeep-rules.ts
@@ -46,7 +46,7 @@
   readonly maxNewOrders: number;
   /** The hosts ordered down so far in this pass. */
   readonly orderedDown: HostId[];
-  /** Number of hosts closed to new work so far in this pass, including those ordered down. */
+  /** Number of hosts whose endpoints were cordoned so far in this pass, including those ordered down. */
   cordonedCount: number;
   /** For each step, the number of its tasks on draining hosts that will go down with their hosts. */
   readonly reservedTasks: Map<StepRun, number>;
@@ -147,7 +147,7 @@
 
 const waitForFirstAnswer: Rule = ({ hostId, endpoint }, { world }) => {
   const instanceId = world.inventory.hosts.get(hostId)?.instanceId ?? null;
-  // It is not known what an endpoint runs until it has answered this leader.
+  // It is not known what an endpoint runs until it has answered this control holder.
   const isUnknown = instanceId !== null && !endpoint?.hasReported;
   return isUnknown ? drain('its endpoint has not answered yet') : undefined;
 };
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/order.ts
@@ -28,9 +28,10 @@
 };
 
 /**
- * Estimates how long the longest chain of dependent steps takes, from an open step to the end of its occurrence.
+ * Estimates the remaining critical path: how long the longest chain of dependent steps takes, from an open step to the
+ * end of its occurrence.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param step - The open step; the steps that depend on it are included.
  * @returns The duration in milliseconds.
  */
@@ -49,10 +50,10 @@
 const isFirstStep = ({ spec }: StepRun): boolean => spec.after.length === 0;
 
 /**
- * Estimates the longest chain of dependent steps of a whole occurrence, in milliseconds. `remainingMs` is the chain from
- * `step` on, which the caller has computed already.
+ * Estimates the critical path, the longest chain of dependent steps, of a whole occurrence, in milliseconds.
+ * `remainingMs` is the critical path from `step` on, which the caller has computed already.
  */
-const longestChainMs = (state: BatchState, step: StepRun, remainingMs: number): number => {
+const criticalPathMs = (state: BatchState, step: StepRun, remainingMs: number): number => {
   let longestMs = isFirstStep(step) ? remainingMs : 0;
   step.occurrence.steps.forEach((first) => {
     if (first === step || !isFirstStep(first)) return;
@@ -71,9 +72,9 @@
 /**
  * Computes the objective of a job: the duration within which it should finish.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param step - A step of the job.
- * @param remainingMs - The longest chain from the step on, in milliseconds; computed if left out.
+ * @param remainingMs - The remaining critical path from the step on, in milliseconds; computed if left out.
  * @returns The objective in milliseconds.
  */
 export const objectiveMsOf = (
@@ -82,13 +83,13 @@
   remainingMs = remainingCriticalPathMs(state, step),
 ): number => {
   const { stretch, targetLatencyMs } = step.job.policy;
-  return stretch * longestChainMs(state, step, remainingMs) + targetLatencyMs;
+  return stretch * criticalPathMs(state, step, remainingMs) + targetLatencyMs;
 };
 
 /**
  * Tells whether a job that runs once is too late even for a late success.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param job - The job.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True if more than `LATE_SUCCESS_FACTOR` times the objective has passed; false for a repeating job.
@@ -102,7 +103,7 @@
 /**
  * Tells whether a job is still within its objective.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param job - The job.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True also for a repeating job and for a job without occurrence 0.
@@ -116,7 +117,7 @@
 /**
  * Computes the rank of an open step.
  *
- * @param state - The batch state, which holds the learned run times.
+ * @param state - The batch state, which holds the recorded run times.
  * @param step - The step.
  * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns The rank.
