--- a/packages/mesh/src/frame.ts
+++ b/packages/mesh/src/frame.ts
@@ -1,4 +1,4 @@
-/** The encoding of messages between entries. */
+/** Encodes and decodes the messages that entries exchange, as MessagePack. */
 import type { MeshMessage } from '@valvelatch/core';
 import { pack, unpack } from 'msgpackr';
 
@@ -14,18 +14,19 @@
 ]);
 
 /**
- * Encodes a message.
+ * Encodes a message as MessagePack.
  *
- * @param message - The message.
- * @returns Its bytes.
+ * @param message - The message to send.
+ * @returns The encoded bytes.
  */
 export const encodeFrame = (message: MeshMessage): Buffer => pack(message);
 
 /**
- * Decodes a message.
+ * Decodes a received frame. Never throws.
  *
- * @param bytes - What came in.
- * @returns The message, or undefined for what is none; it never throws.
+ * @param bytes - The received frame.
+ * @returns The message, or undefined when the bytes are not MessagePack or the message type is
+ *   unknown.
  */
 export const decodeFrame = (bytes: Uint8Array): MeshMessage | undefined => {
   try {
--- a/packages/mesh/src/index.ts
+++ b/packages/mesh/src/index.ts
@@ -1,3 +1,3 @@
-/** The mesh between entries, over WebSocket with MessagePack. */
+/** The mesh that connects entries: WebSocket links that carry MessagePack messages. */
 export * from './frame.js';
 export * from './mesh.js';
--- a/packages/mesh/src/mesh.test.ts
+++ b/packages/mesh/src/mesh.test.ts
@@ -1,4 +1,4 @@
-/** Links between entries whose connections go silent. */
+/** Tests that healthy links stay open and that links which go silent are ended and replaced. */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
@@ -8,7 +8,7 @@
 import { createMesh, type Mesh } from './mesh.js';
 
 const SILENT_AFTER_MS = 150;
-const BEAT_MS = 40;
+const HEARTBEAT_MS = 40;
 
 const memberOf = (entryId: string, meshUrl: string): Member => ({
   entryId: entryId as EntryId,
@@ -41,26 +41,29 @@
         answer: async (_, payload) => payload,
       },
     });
-    const beats = setInterval(() => {
+    const heartbeatTimer = setInterval(() => {
       mesh.beat({ type: 'heartbeat', revision: 0, membersHash: 0, ready: [] });
       mesh.sweep();
-    }, BEAT_MS);
+    }, HEARTBEAT_MS);
     closers.push(() => {
-      clearInterval(beats);
+      clearInterval(heartbeatTimer);
       return mesh.close();
     });
     return mesh;
   };
 
-  /** Passes connections on to a port; `silence` stops those that are open, and no later ones. */
+  /**
+   * Starts a TCP proxy to a port. `silence` stops forwarding on the open connections without closing
+   * them; later connections are forwarded.
+   */
   const openProxy = async (port: number) => {
     const pairs = new Set<readonly [Socket, Socket]>();
-    const server: Server = createServer((near) => {
-      const far = connect(port, '127.0.0.1');
-      near.pipe(far);
-      far.pipe(near);
-      [near, far].forEach((socket) => socket.on('error', () => undefined));
-      pairs.add([near, far]);
+    const server: Server = createServer((incoming) => {
+      const outgoing = connect(port, '127.0.0.1');
+      incoming.pipe(outgoing);
+      outgoing.pipe(incoming);
+      [incoming, outgoing].forEach((socket) => socket.on('error', () => undefined));
+      pairs.add([incoming, outgoing]);
     });
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
@@ -71,47 +74,47 @@
     return {
       url: `ws://127.0.0.1:${(server.address() as AddressInfo).port}`,
       silence: () =>
-        pairs.forEach(([near, far]) => {
-          near.unpipe(far);
-          far.unpipe(near);
-          near.resume();
-          far.resume();
+        pairs.forEach(([incoming, outgoing]) => {
+          incoming.unpipe(outgoing);
+          outgoing.unpipe(incoming);
+          incoming.resume();
+          outgoing.resume();
         }),
     };
   };
 
-  const until = async (check: () => boolean): Promise<void> => {
-    const untilMs = performance.now() + 5000;
-    while (!check() && performance.now() < untilMs) {
+  const waitUntil = async (check: () => boolean): Promise<void> => {
+    const deadlineMs = performance.now() + 5000;
+    while (!check() && performance.now() < deadlineMs) {
       await new Promise((resolve) => {
         setTimeout(resolve, 10);
       });
     }
   };
 
-  it('stay open while both sides beat, whoever dialled', async () => {
+  it('stay open while both sides send heartbeats, also when both sides dialled', async () => {
     const silent: string[] = [];
     const [left, right] = [await open('left', silent), await open('right', silent)];
     left.dial(`ws://127.0.0.1:${right.port}`);
     right.dial(`ws://127.0.0.1:${left.port}`);
-    await until(() => left.linkedPeers().length === 1 && right.linkedPeers().length === 1);
-    const opened = left.linkCount() + right.linkCount();
+    await waitUntil(() => left.linkedPeers().length === 1 && right.linkedPeers().length === 1);
+    const initialLinkCount = left.linkCount() + right.linkCount();
     await new Promise((resolve) => {
       setTimeout(resolve, 4 * SILENT_AFTER_MS);
     });
-    expect([silent, left.linkCount() + right.linkCount()]).toEqual([[], opened]);
+    expect([silent, left.linkCount() + right.linkCount()]).toEqual([[], initialLinkCount]);
   });
 
-  it('are replaced when they go silent without a reset', async () => {
+  it('are ended when they go silent without a TCP reset, and can be dialled again', async () => {
     const silent: string[] = [];
     const [left, right] = [await open('left', silent), await open('right')];
     const proxy = await openProxy(right.port);
     left.dial(proxy.url);
-    await until(() => left.linkedPeers().length === 1);
+    await waitUntil(() => left.linkedPeers().length === 1);
     proxy.silence();
-    await until(() => silent.length > 0);
+    await waitUntil(() => silent.length > 0);
     left.dial(proxy.url);
-    await until(() => left.linkedPeers().length === 1);
+    await waitUntil(() => left.linkedPeers().length === 1);
     const answer = await left.ask(memberOf('right', proxy.url), 'echo', 5, 1000);
     expect([silent, answer]).toEqual([['right'], 5]);
   });
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -1,6 +1,7 @@
 /**
- * The mesh between entries: a few links per entry, each watched by heartbeats in both directions.
- * What to say is decided elsewhere; this module keeps the links and carries the messages.
+ * The mesh between entries: each entry keeps a few WebSocket links, and heartbeats in both directions
+ * detect links that have gone silent. This module manages the links and delivers messages; its caller
+ * decides which messages to send and when.
  */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
@@ -13,14 +14,15 @@
 
 import { decodeFrame, encodeFrame } from './frame.js';
 
-/** A link to a peer. */
+/** One WebSocket connection to a peer. */
 type Link = {
   readonly socket: WebSocket;
-  /** Unknown until the peer has said hello. */
+  /** The entry on the other side; null until its `hello` message has arrived. */
   peer: EntryId | null;
-  heardAtMs: number;
-  /** Questions that wait for an answer over this link. */
-  readonly asked: Set<number>;
+  /** When the last frame arrived, or when the link was created or opened, by `nowMs`. */
+  lastReceivedAtMs: number;
+  /** Ids of the asks sent over this link that have no answer yet. */
+  readonly pendingAskIds: Set<number>;
 };
 
 type PendingAsk = {
@@ -28,44 +30,59 @@
   readonly reject: (error: Error) => void;
 };
 
-/** What the owner of the mesh does with what comes in. */
+/** Callbacks for messages and link events. */
 export type MeshHandlers = {
+  /** Called for each message other than `hello`, `ask` and `answer`. */
   readonly onMessage: (peer: EntryId, message: MeshMessage) => void;
+  /** Called with the record of the peer when its `hello` message arrives. */
   readonly onPeer: (member: Member) => void;
+  /** Called when a peer's silent link was ended and no open link to that peer remains. */
   readonly onSilent: (peer: EntryId) => void;
+  /** Computes the answer to an ask; a rejection is sent back as a failed answer. */
   readonly answer: (method: string, payload: unknown) => Promise<unknown>;
-  /** Told of each frame that was sent or came in. */
+  /** Called with the size of each frame that is sent or received. */
   readonly onFrame?: (direction: 'sent' | 'received', bytes: number) => void;
 };
 
 export type MeshOptions = {
   readonly host: string;
   readonly port: number;
-  /** The secret that all entries share. */
+  /** The secret that all entries share; connections without it are refused. */
   readonly key: string;
-  /** Gives this entry's record, once its address is known. */
+  /** Returns this entry's member record, which is sent in `hello`; called on each new link. */
   readonly self: () => Member;
   readonly handlers: MeshHandlers;
+  /** A link on which nothing has arrived for this long is ended. */
   readonly silentAfterMs?: number;
+  /** Largest frame that is accepted, in bytes. */
   readonly mostFrameBytes?: number;
+  /** Monotonic clock in milliseconds. */
   readonly nowMs?: () => number;
 };
 
 /** A running mesh. */
 export type Mesh = {
   readonly port: number;
+  /** Peers whose `hello` has arrived on a current link, each listed once. */
   readonly linkedPeers: () => readonly EntryId[];
+  /** Sends a message to a peer; does nothing when no link to the peer is open. */
   readonly send: (peer: EntryId, message: MeshMessage) => void;
+  /** Sends a message once to each linked peer, except the given one. */
   readonly broadcast: (message: MeshMessage, except?: EntryId) => void;
-  /** Sends on every link, so that each is seen to live by both sides. */
+  /** Sends a heartbeat on every link, so that neither side considers the link silent. */
   readonly beat: (message: MeshMessage) => void;
+  /** Number of links, including those whose peer is not known yet. */
   readonly linkCount: () => number;
+  /** Opens a link to an address, unless a link dialled to that address already exists. */
   readonly dial: (url: string) => void;
-  /** Asks a member, over its link or over a connection of its own. */
+  /**
+   * Sends a request to a member over an open link, or over a temporary connection when there is none.
+   * Rejects when the request fails or no answer arrives within `ms`.
+   */
   readonly ask: (member: Member, method: string, payload: unknown, ms: number) => Promise<unknown>;
-  /** When a peer was heard over any link; never is -Infinity. */
+  /** When a frame last arrived from a peer on any current link; -Infinity without such a link. */
   readonly heardAtMs: (peer: EntryId) => number;
-  /** Finds links that have been silent and ends them. */
+  /** Ends the links on which nothing has arrived for `silentAfterMs`. */
   readonly sweep: () => void;
   readonly close: () => Promise<void>;
 };
@@ -76,16 +93,16 @@
 const digest = (text: string): Buffer => createHash('sha256').update(text).digest();
 
 const hasKey = (request: IncomingMessage, key: string): boolean => {
-  const given = request.headers[KEY_HEADER];
-  return typeof given === 'string' && timingSafeEqual(digest(given), digest(key));
+  const presentedKey = request.headers[KEY_HEADER];
+  return typeof presentedKey === 'string' && timingSafeEqual(digest(presentedKey), digest(key));
 };
 
 /**
- * Opens the mesh: listens for peers and is ready to dial them.
+ * Starts listening for connections from peers. Links to other entries are opened with `dial`.
  *
- * @param options - Where to listen, the key, and what to do with what comes in.
- * @returns The mesh.
- * @throws Where the address cannot be listened on.
+ * @param options - The address to listen on, the shared key, the callbacks and the limits.
+ * @returns The running mesh.
+ * @throws When the address cannot be listened on.
  */
 export const createMesh = async ({
   host,
@@ -109,7 +126,7 @@
     link.socket.send(frame);
   };
 
-  const answerAsk = async (link: Link, askId: number, method: string, payload: unknown) => {
+  const answerRequest = async (link: Link, askId: number, method: string, payload: unknown) => {
     try {
       const answer = await handlers.answer(method, payload);
       sendOn(link, { type: 'answer', askId, isOk: true, payload: answer });
@@ -119,7 +136,7 @@
     }
   };
 
-  const settleAsk = (askId: number, isOk: boolean, payload: unknown): void => {
+  const completeAsk = (askId: number, isOk: boolean, payload: unknown): void => {
     const pending = asks.get(askId);
     asks.delete(askId);
     if (isOk) pending?.resolve(payload);
@@ -127,7 +144,7 @@
   };
 
   const receive = (link: Link, bytes: Uint8Array): void => {
-    change(link, { heardAtMs: nowMs() });
+    change(link, { lastReceivedAtMs: nowMs() });
     handlers.onFrame?.('received', bytes.length);
     const message = decodeFrame(bytes);
     if (!message) return;
@@ -135,25 +152,25 @@
       change(link, { peer: message.member.entryId });
       handlers.onPeer(message.member);
     } else if (message.type === 'ask') {
-      void answerAsk(link, message.askId, message.method, message.payload);
+      void answerRequest(link, message.askId, message.method, message.payload);
     } else if (message.type === 'answer') {
-      settleAsk(message.askId, message.isOk, message.payload);
+      completeAsk(message.askId, message.isOk, message.payload);
     } else if (link.peer !== null) {
       handlers.onMessage(link.peer, message);
     }
   };
 
-  const forget = (link: Link): void => {
+  const removeLink = (link: Link): void => {
     links.delete(link);
-    link.asked.forEach((askId) => settleAsk(askId, false, 'the link was closed'));
+    link.pendingAskIds.forEach((askId) => completeAsk(askId, false, 'the link was closed'));
   };
 
-  const adopt = (socket: WebSocket): Link => {
-    const link: Link = { socket, peer: null, heardAtMs: nowMs(), asked: new Set() };
+  const createLink = (socket: WebSocket): Link => {
+    const link: Link = { socket, peer: null, lastReceivedAtMs: nowMs(), pendingAskIds: new Set() };
     links.add(link);
     socket.on('message', (data: Buffer) => receive(link, data));
     socket.on('error', () => socket.terminate());
-    socket.on('close', () => forget(link));
+    socket.on('close', () => removeLink(link));
     return link;
   };
 
@@ -165,10 +182,10 @@
   });
   await once(server, 'listening');
   server.on('connection', (socket) => {
-    sendOn(adopt(socket), { type: 'hello', member: self() });
+    sendOn(createLink(socket), { type: 'hello', member: self() });
   });
 
-  const open = (url: string): WebSocket =>
+  const openSocket = (url: string): WebSocket =>
     new WebSocket(url, {
       headers: { [KEY_HEADER]: key },
       handshakeTimeout: DIAL_TIMEOUT_MS,
@@ -178,37 +195,42 @@
   const dial = (url: string): void => {
     if (dialling.has(url)) return;
     dialling.add(url);
-    const socket = open(url);
-    const link = adopt(socket);
+    const socket = openSocket(url);
+    const link = createLink(socket);
     socket.on('open', () => {
-      link.heardAtMs = nowMs();
+      link.lastReceivedAtMs = nowMs();
       sendOn(link, { type: 'hello', member: self() });
     });
     socket.on('close', () => dialling.delete(url));
   };
 
-  const linkTo = (peer: EntryId): Link | undefined =>
+  const findOpenLink = (peer: EntryId): Link | undefined =>
     Array.from(links).find(
       (link) => link.peer === peer && link.socket.readyState === WebSocket.OPEN,
     );
 
-  const askOver = (link: Link, method: string, payload: unknown, ms: number): Promise<unknown> => {
+  const askOverLink = (
+    link: Link,
+    method: string,
+    payload: unknown,
+    ms: number,
+  ): Promise<unknown> => {
     lastAskId += 1;
     const askId = lastAskId;
     return new Promise((resolve, reject) => {
-      const timer = setTimeout(() => settleAsk(askId, false, `no answer in ${ms} ms`), ms);
-      const settled = () => {
+      const timer = setTimeout(() => completeAsk(askId, false, `no answer in ${ms} ms`), ms);
+      const cleanUp = () => {
         clearTimeout(timer);
-        link.asked.delete(askId);
+        link.pendingAskIds.delete(askId);
       };
-      link.asked.add(askId);
+      link.pendingAskIds.add(askId);
       asks.set(askId, {
         resolve: (value) => {
-          settled();
+          cleanUp();
           resolve(value);
         },
         reject: (error) => {
-          settled();
+          cleanUp();
           reject(error);
         },
       });
@@ -217,13 +239,13 @@
   };
 
   const ask = async (member: Member, method: string, payload: unknown, ms: number) => {
-    const link = linkTo(member.entryId);
-    if (link) return askOver(link, method, payload, ms);
-    const socket = open(member.meshUrl);
-    const temporary = adopt(socket);
+    const link = findOpenLink(member.entryId);
+    if (link) return askOverLink(link, method, payload, ms);
+    const socket = openSocket(member.meshUrl);
+    const temporaryLink = createLink(socket);
     try {
       await once(socket, 'open');
-      return await askOver(temporary, method, payload, ms);
+      return await askOverLink(temporaryLink, method, payload, ms);
     } finally {
       socket.terminate();
     }
@@ -231,10 +253,10 @@
 
   const sweep = (): void => {
     links.forEach((link) => {
-      if (nowMs() - link.heardAtMs < silentAfterMs) return;
+      if (nowMs() - link.lastReceivedAtMs < silentAfterMs) return;
       link.socket.terminate();
       links.delete(link);
-      if (link.peer !== null && !linkTo(link.peer)) handlers.onSilent(link.peer);
+      if (link.peer !== null && !findOpenLink(link.peer)) handlers.onSilent(link.peer);
     });
   };
 
@@ -250,14 +272,14 @@
     linkedPeers: () =>
       Array.from(new Set(Array.from(links).flatMap(({ peer }) => (peer === null ? [] : [peer])))),
     send: (peer, message) => {
-      const link = linkTo(peer);
+      const link = findOpenLink(peer);
       if (link) sendOn(link, message);
     },
     broadcast: (message, except) => {
-      const reached = new Set<EntryId>();
+      const sentTo = new Set<EntryId>();
       links.forEach((link) => {
-        if (link.peer === null || link.peer === except || reached.has(link.peer)) return;
-        reached.add(link.peer);
+        if (link.peer === null || link.peer === except || sentTo.has(link.peer)) return;
+        sentTo.add(link.peer);
         sendOn(link, message);
       });
     },
@@ -270,7 +292,7 @@
         -Infinity,
         ...Array.from(links)
           .filter((link) => link.peer === peer)
-          .map(({ heardAtMs }) => heardAtMs),
+          .map(({ lastReceivedAtMs }) => lastReceivedAtMs),
       ),
     sweep,
     close,
