--- a/packages/platform/src/batched-reads.ts
+++ b/packages/platform/src/batched-reads.ts
@@ -1,4 +1,4 @@
-/** Reads of the table that are asked for at the same moment share one request. */
+/** Combines table reads that are requested in the same microtask turn into one request. */
 import type { TableRow } from '@valvelatch/core';
 import { Err, Ok, type Result } from 'ts-results-es';
 
@@ -6,20 +6,22 @@
 import type { TableClient } from './table-client.js';
 
 type Rows = Result<readonly TableRow[], PlatformError>;
-type Waiting = { readonly keys: readonly string[]; readonly resolve: (rows: Rows) => void };
+/** A read that has been requested but not sent. */
+type PendingRead = { readonly keys: readonly string[]; readonly resolve: (rows: Rows) => void };
 
 /**
- * Wraps a client of the table so that reads are batched.
+ * Wraps a table client so that reads requested in the same microtask turn share one request. Each
+ * caller still gets its own rows, in the order of its keys; a failed request fails all of them.
  *
- * @param table - The client.
- * @returns A client with the same face.
+ * @param table - The client to wrap.
+ * @returns A client with the same interface.
  */
 export const withBatchedReads = (table: TableClient): TableClient => {
-  let waiting: Waiting[] = [];
+  let pending: PendingRead[] = [];
 
   const flush = async (): Promise<void> => {
-    const batch = waiting;
-    waiting = [];
+    const batch = pending;
+    pending = [];
     const keys = Array.from(new Set(batch.flatMap((one) => one.keys)));
     const rows = await table.read(keys);
     if (rows.isErr()) {
@@ -35,8 +37,8 @@
 
   const read = (keys: readonly string[]): Promise<Rows> =>
     new Promise((resolve) => {
-      waiting.push({ keys, resolve });
-      if (waiting.length === 1) queueMicrotask(flush);
+      pending.push({ keys, resolve });
+      if (pending.length === 1) queueMicrotask(flush);
     });
 
   return { ...table, read };
--- a/packages/platform/src/group-commit.test.ts
+++ b/packages/platform/src/group-commit.test.ts
@@ -6,13 +6,13 @@
 
 const write = (key: string): TableTransaction => ({ checks: [], writes: [{ key, value: {} }] });
 
-const tick = (ms = 5): Promise<void> =>
+const wait = (ms = 5): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 
-/** A table that answers when it is told to. */
-const slowTable = () => {
+/** A table whose transactions stay unanswered until `answer` is called, oldest first. */
+const createManualTable = () => {
   const sent: string[][] = [];
   const answers: (() => void)[] = [];
   const transact = ({ writes }: TableTransaction) => {
@@ -24,37 +24,37 @@
   return { sent, transact, answer: () => answers.shift()?.() };
 };
 
-describe('transactions that wait in the line', () => {
-  it('share the next transaction of the table', async () => {
-    const { sent, transact, answer } = slowTable();
+describe('queued transactions', () => {
+  it('share one table transaction once the one in flight is answered', async () => {
+    const { sent, transact, answer } = createManualTable();
     const group = createGroupCommit({ table: { transact }, windowMs: 1 });
     const first = group.submit(write('a'));
-    await tick();
+    await wait();
     const others = [group.submit(write('b')), group.submit(write('c'))];
     answer();
     await first;
-    await tick();
+    await wait();
     answer();
     expect((await Promise.all(others)).every((outcome) => outcome.isOk())).toBe(true);
     expect(sent).toEqual([['a'], ['b', 'c']]);
   });
 
-  it('are not sent once they are withdrawn, and are told to be unsent', async () => {
-    const { sent, transact, answer } = slowTable();
+  it('are not sent once they are withdrawn, and end with the error kind `unreachable`', async () => {
+    const { sent, transact, answer } = createManualTable();
     const group = createGroupCommit({ table: { transact }, windowMs: 1 });
-    let isWanted = true;
+    let isStillWanted = true;
     const first = group.submit(write('a'));
-    await tick();
-    const withdrawn = group.submit(write('b'), () => isWanted);
+    await wait();
+    const withdrawn = group.submit(write('b'), () => isStillWanted);
     const kept = group.submit(write('c'), () => true);
-    isWanted = false;
+    isStillWanted = false;
     answer();
     await first;
-    await tick();
+    await wait();
     answer();
-    const [lost, written] = await Promise.all([withdrawn, kept]);
-    expect(lost.isErr() && lost.error.kind).toBe('unreachable');
-    expect(written.isOk()).toBe(true);
+    const [withdrawnOutcome, keptOutcome] = await Promise.all([withdrawn, kept]);
+    expect(withdrawnOutcome.isErr() && withdrawnOutcome.error.kind).toBe('unreachable');
+    expect(keptOutcome.isOk()).toBe(true);
     expect(sent).toEqual([['a'], ['c']]);
   });
 });
--- a/packages/platform/src/http-json.ts
+++ b/packages/platform/src/http-json.ts
@@ -1,4 +1,4 @@
-/** JSON over HTTP with a bound on time, for the clients of the platform. */
+/** JSON requests over HTTP with a timeout, used by the platform clients. */
 import { Err, Ok, type Result } from 'ts-results-es';
 import { Pool } from 'undici';
 
@@ -7,22 +7,28 @@
 /** Options for a connection to one service of the platform. */
 export type HttpJsonOptions = {
   readonly url: string;
+  /** Limit for connecting and for each request as a whole, its response body included. */
   readonly timeoutMs?: number;
+  /** Maximum number of connections in the pool. */
   readonly connections?: number;
 };
 
-/** A request: the body is sent as JSON. */
+/** A request; its body, if any, is sent as JSON. */
 export type JsonRequest = {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   readonly path: string;
   readonly body?: unknown;
 };
 
-/** An answer with its status, for those that mean something by it. */
+/** A response with a status below 500 and its parsed body, which is null when it was empty. */
 export type JsonAnswer = { readonly status: number; readonly body: unknown };
 
 /** A connection to one service of the platform. */
 export type HttpJson = {
+  /**
+   * Sends a request. A status of 500 or above, a timeout and any other failure after the request may
+   * have been sent give the error kind `unknown`.
+   */
   readonly request: (request: JsonRequest) => Promise<Result<JsonAnswer, PlatformError>>;
   readonly close: () => Promise<void>;
 };
@@ -32,10 +38,10 @@
 const parse = (text: string): unknown => (text === '' ? null : (JSON.parse(text) as unknown));
 
 /**
- * Opens a connection pool. Connections are made when they are needed.
+ * Creates a connection pool. Connections are opened on demand.
  *
- * @param options - The address, the bound on each request in milliseconds, and the connections.
- * @returns The connection.
+ * @param options - The address, the timeout in milliseconds and the maximum number of connections.
+ * @returns The connection pool.
  */
 export const createHttpJson = ({
   url,
@@ -50,18 +56,18 @@
     body,
   }: JsonRequest): Promise<Result<JsonAnswer, PlatformError>> => {
     try {
-      const answer = await pool.request({
+      const response = await pool.request({
         method,
         path,
         headers: body === undefined ? {} : { 'content-type': 'application/json' },
         body: body === undefined ? null : JSON.stringify(body),
         signal: AbortSignal.timeout(timeoutMs),
       });
-      const text = await answer.body.text();
-      if (answer.statusCode >= FIRST_SERVER_ERROR) {
-        return Err({ kind: 'unknown', detail: `status ${answer.statusCode}` });
+      const text = await response.body.text();
+      if (response.statusCode >= FIRST_SERVER_ERROR) {
+        return Err({ kind: 'unknown', detail: `status ${response.statusCode}` });
       }
-      return Ok({ status: answer.statusCode, body: parse(text) });
+      return Ok({ status: response.statusCode, body: parse(text) });
     } catch (error) {
       return Err(toPlatformError(error));
     }
@@ -71,10 +77,10 @@
 };
 
 /**
- * Takes the body of an answer that must be a success.
+ * Extracts the body of a response whose status must be below 300.
  *
  * @param result - The outcome of a request.
- * @returns The body, or the error.
+ * @returns The body; the error of the request; or a `rejected` error for a status of 300 or above.
  */
 export const successBody = <Body>(
   result: Result<JsonAnswer, PlatformError>,
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -1,4 +1,4 @@
-/** Clients of the platform: table, objects, hosts and workers. */
+/** Clients of the platform services: table, object store, host list and workers. */
 export * from './batched-reads.js';
 export * from './group-commit.js';
 export * from './http-json.js';
--- a/packages/platform/src/platform-clients.ts
+++ b/packages/platform/src/platform-clients.ts
@@ -1,24 +1,24 @@
-/** Clients of the object store, of the list of hosts and of the workers of a data centre. */
+/** Clients of the object store, the host list and the workers of a data centre. */
 import type { HostId, JobId, ObservedTask, PlacementRow } from '@valvelatch/core';
 import type { Result } from 'ts-results-es';
 
 import { createHttpJson, successBody, type HttpJsonOptions } from './http-json.js';
 import type { PlatformError } from './platform-error.js';
 
-type Answer<Body> = Promise<Result<Body, PlatformError>>;
+type AsyncResult<Body> = Promise<Result<Body, PlatformError>>;
 
-/** The object store. */
+/** A client of the object store. */
 export type ObjectClient = {
-  readonly put: (key: string, value: unknown) => Answer<null>;
-  /** Gives null where there is no such object. */
-  readonly get: <Value>(key: string) => Answer<Value | null>;
+  readonly put: (key: string, value: unknown) => AsyncResult<null>;
+  /** Returns null when the object does not exist. */
+  readonly get: <Value>(key: string) => AsyncResult<Value | null>;
   readonly close: () => Promise<void>;
 };
 
 /**
- * Opens a client of the object store.
+ * Creates a client of the object store.
  *
- * @param options - The address and the bound on time.
+ * @param options - The address, the timeout and the number of connections.
  * @returns The client.
  */
 export const createObjectClient = (options: HttpJsonOptions): ObjectClient => {
@@ -35,25 +35,26 @@
   };
 };
 
-/** A host in the platform's lagging list. */
+/** A host as the platform's host list reports it; the list lags behind the actual state. */
 export type ListedHost = {
   readonly hostId: HostId;
   readonly state: 'live' | 'leaving' | 'gone';
+  /** How often the host has booted. */
   readonly boots: number;
 };
 
-/** The list of hosts and the power over them. */
+/** A client of the host list, which also reboots hosts. */
 export type HostListClient = {
-  readonly list: () => Answer<readonly ListedHost[]>;
-  /** Asks for a reboot; repeated requests of one name count once. */
-  readonly reboot: (hostId: HostId, requestName: string) => Answer<null>;
+  readonly list: () => AsyncResult<readonly ListedHost[]>;
+  /** Requests a reboot. Repeated requests with the same `requestName` cause one reboot. */
+  readonly reboot: (hostId: HostId, requestName: string) => AsyncResult<null>;
   readonly close: () => Promise<void>;
 };
 
 /**
- * Opens a client of the list of hosts.
+ * Creates a client of the host list.
  *
- * @param options - The address and the bound on time.
+ * @param options - The address, the timeout and the number of connections.
  * @returns The client.
  */
 export const createHostListClient = (options: HttpJsonOptions): HostListClient => {
@@ -71,7 +72,7 @@
   };
 };
 
-/** What a worker needs to run a task. */
+/** The resources and the run time of a task, as a worker needs them to start it. */
 export type TaskSpec = {
   readonly slots: number;
   readonly connections: number;
@@ -79,36 +80,36 @@
   readonly cores: number;
 };
 
-/** The reported use of one task; it lags. */
+/** The reported CPU usage of one task; it lags behind the actual usage. */
 export type TaskUsage = {
   readonly jobId: JobId;
   readonly hostId: HostId;
   readonly usedCores: number;
 };
 
-/** The workers of one data centre. */
+/** A client of the workers of one data centre. */
 export type WorkerClient = {
-  readonly tasks: () => Answer<readonly ObservedTask[]>;
-  readonly usage: () => Answer<readonly TaskUsage[]>;
-  readonly start: (placement: PlacementRow, spec: TaskSpec) => Answer<null>;
-  readonly drain: (task: ObservedTask) => Answer<null>;
-  readonly stop: (task: ObservedTask) => Answer<null>;
-  /** Renews leases; tasks that the workers do not know are passed over. */
-  readonly renew: (tasks: readonly ObservedTask[]) => Answer<null>;
+  readonly tasks: () => AsyncResult<readonly ObservedTask[]>;
+  readonly usage: () => AsyncResult<readonly TaskUsage[]>;
+  readonly start: (placement: PlacementRow, spec: TaskSpec) => AsyncResult<null>;
+  readonly drain: (task: ObservedTask) => AsyncResult<null>;
+  readonly stop: (task: ObservedTask) => AsyncResult<null>;
+  /** Renews the tasks' leases. Tasks that the workers do not know are ignored. */
+  readonly renew: (tasks: readonly ObservedTask[]) => AsyncResult<null>;
   readonly close: () => Promise<void>;
 };
 
 /**
- * Opens a client of the workers of a data centre.
+ * Creates a client of the workers of a data centre.
  *
- * @param options - The address and the bound on time.
+ * @param options - The address, the timeout and the number of connections.
  * @returns The client.
  */
 export const createWorkerClient = (options: HttpJsonOptions): WorkerClient => {
   const http = createHttpJson(options);
-  const post = async (path: string, body: unknown): Answer<null> =>
+  const post = async (path: string, body: unknown): AsyncResult<null> =>
     successBody<null>(await http.request({ method: 'POST', path, body }));
-  const named = ({ jobId, epoch }: ObservedTask) => ({ jobId, epoch });
+  const toTaskRef = ({ jobId, epoch }: ObservedTask) => ({ jobId, epoch });
   return {
     tasks: async () => {
       const result = await http.request({ method: 'GET', path: '/tasks' });
@@ -120,9 +121,9 @@
     },
     start: ({ jobId, epoch, hostId, leaseMs, service }, spec) =>
       post('/tasks/start', { jobId, epoch, hostId, leaseMs, service, spec }),
-    drain: (task) => post('/tasks/drain', named(task)),
-    stop: (task) => post('/tasks/stop', named(task)),
-    renew: (tasks) => post('/tasks/renew', { tasks: tasks.map(named) }),
+    drain: (task) => post('/tasks/drain', toTaskRef(task)),
+    stop: (task) => post('/tasks/stop', toTaskRef(task)),
+    renew: (tasks) => post('/tasks/renew', { tasks: tasks.map(toTaskRef) }),
     close: http.close,
   };
 };
--- a/packages/platform/src/platform-error.ts
+++ b/packages/platform/src/platform-error.ts
@@ -1,16 +1,17 @@
-/** What can go wrong with the platform, as its callers need to tell it apart. */
+/** Platform errors, classified by whether the failed request may have had an effect. */
 
-/** A fault of the platform or of the way to it. */
+/** A failed request to the platform. */
 export type PlatformError = {
   /**
-   * `unreachable`: the request surely had no effect. `unknown`: it may have had one.
-   * `rejected`: the platform answered that the request is wrong.
+   * `unreachable`: the request certainly had no effect. `unknown`: it may have had an effect.
+   * `rejected`: the platform answered that the request is invalid.
    */
   readonly kind: 'unreachable' | 'unknown' | 'rejected';
   readonly detail: string;
 };
 
-const neverSentCodes: ReadonlySet<string> = new Set([
+/** Error codes of failures to connect, after which the request was certainly not sent. */
+const notSentCodes: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -18,15 +19,15 @@
 ]);
 
 /**
- * Classifies an error of the HTTP client.
+ * Classifies an error that the HTTP client threw.
  *
- * @param error - What was thrown.
+ * @param error - The thrown value.
  * @returns The platform error.
  */
 export const toPlatformError = (error: unknown): PlatformError => {
   const { code = '', message = String(error) } = error as { code?: string; message?: string };
   return {
-    kind: neverSentCodes.has(code) ? 'unreachable' : 'unknown',
+    kind: notSentCodes.has(code) ? 'unreachable' : 'unknown',
     detail: code === '' ? message : `${code}: ${message}`,
   };
 };
--- a/packages/platform/src/pulsed-table.ts
+++ b/packages/platform/src/pulsed-table.ts
@@ -1,6 +1,7 @@
 /**
- * A pulse beside the rows that control reads: each transaction that changes one of them writes the
- * pulse row too. Who finds the pulse unchanged need not read the rows again.
+ * A change marker for the rows that the control holder reads: each transaction that writes such a row
+ * also writes the marker row. While the version of the marker is unchanged, the rows need not be read
+ * again.
  */
 import { controlPrefixes, rowKey, type TableRow } from '@valvelatch/core';
 import { Ok, type Result } from 'ts-results-es';
@@ -8,45 +9,46 @@
 import type { PlatformError } from './platform-error.js';
 import type { TableClient, TableTransaction } from './table-client.js';
 
-const touchesControl = ({ writes }: TableTransaction): boolean =>
+const writesControlRow = ({ writes }: TableTransaction): boolean =>
   writes.some(({ key }) => controlPrefixes.some((prefix) => key.startsWith(prefix)));
 
 /**
- * Wraps a client of the table so that changes of control rows write the pulse.
+ * Wraps a table client so that each transaction that writes a control row also writes the change
+ * marker.
  *
- * @param table - The client.
- * @returns A client with the same face.
+ * @param table - The client to wrap.
+ * @returns A client with the same interface.
  */
 export const withPulse = (table: TableClient): TableClient => ({
   ...table,
   transact: (transaction) => {
-    if (!touchesControl(transaction)) return table.transact(transaction);
-    const pulse = { key: rowKey.pulse, value: 1 };
-    return table.transact({ ...transaction, writes: [...transaction.writes, pulse] });
+    if (!writesControlRow(transaction)) return table.transact(transaction);
+    const marker = { key: rowKey.pulse, value: 1 };
+    return table.transact({ ...transaction, writes: [...transaction.writes, marker] });
   },
 });
 
-/** Rows of several prefixes, read again only where the pulse has changed. */
+/** Reads the rows of several key prefixes, and reads them again only after the marker has changed. */
 export type PulsedReader = {
-  /** Gives the rows by prefix, in the order in which the prefixes were given. */
+  /** Returns the rows of each prefix, in the order of the given prefixes. */
   readonly read: () => Promise<Result<readonly (readonly TableRow[])[], PlatformError>>;
 };
 
 /**
- * Builds a reader that keeps what it has read.
+ * Creates a reader that caches the rows until the change marker changes.
  *
- * @param table - The client.
- * @param prefixes - What to read; each is read after the one before it.
+ * @param table - The table client.
+ * @param prefixes - The key prefixes to read, which are scanned one after the other in this order.
  * @returns The reader.
  */
 export const createPulsedReader = (
   table: TableClient,
   prefixes: readonly string[],
 ): PulsedReader => {
-  let lastPulse = -1;
-  let last: Result<readonly (readonly TableRow[])[], PlatformError> | undefined;
+  let cachedVersion = -1;
+  let cached: Result<readonly (readonly TableRow[])[], PlatformError> | undefined;
 
-  const readAll = async (): Promise<NonNullable<typeof last>> => {
+  const readAll = async (): Promise<NonNullable<typeof cached>> => {
     const all: (readonly TableRow[])[] = [];
     for (let index = 0; index < prefixes.length; index += 1) {
       const rows = await table.scan(prefixes[index] as string);
@@ -58,14 +60,15 @@
 
   return {
     read: async () => {
-      // The pulse is read first: what changes while the rows are read shows in the next pulse.
-      const pulse = await table.read([rowKey.pulse]);
-      if (pulse.isErr()) return pulse;
-      const version = pulse.value[0]?.version ?? 0;
-      if (last?.isOk() && version === lastPulse) return last;
-      last = await readAll();
-      lastPulse = last.isOk() ? version : -1;
-      return last;
+      // The marker is read before the rows, so that a change made while they are read gives the marker a
+      // version above the cached one and the next call reads the rows again.
+      const marker = await table.read([rowKey.pulse]);
+      if (marker.isErr()) return marker;
+      const version = marker.value[0]?.version ?? 0;
+      if (cached?.isOk() && version === cachedVersion) return cached;
+      cached = await readAll();
+      cachedVersion = cached.isOk() ? version : -1;
+      return cached;
     },
   };
 };
--- a/packages/platform/src/table-client.ts
+++ b/packages/platform/src/table-client.ts
@@ -1,7 +1,8 @@
 /**
- * The platform's transactional table. An answer that was lost is settled here: each transaction
- * writes a row of its own change id, which is read back when the outcome is in doubt. So no change
- * happens twice, and none is reported that did not happen.
+ * A client of the platform's transactional table. When the response to a transaction is lost, the
+ * client finds out the outcome: each transaction writes a row under its own change id, which is read
+ * back when the outcome is unknown. No change is applied twice, and none is reported as committed that
+ * was not.
  */
 import { randomUUID } from 'node:crypto';
 
@@ -11,24 +12,27 @@
 import { createHttpJson, successBody, type HttpJsonOptions } from './http-json.js';
 import type { PlatformError } from './platform-error.js';
 
-/** How a transaction ended. All rows of a transaction get the same version. */
+/** The outcome of a transaction. All rows that a transaction writes get the same version. */
 export type TransactionOutcome =
   | { readonly kind: 'committed'; readonly version: number }
   | {
       readonly kind: 'conflict';
+      /** The checked key whose version did not match. */
       readonly key: string;
-      /** The rows of the checks as they are, where the table tells them. */
+      /** The current rows of the checked keys; undefined when the table does not return them. */
       readonly rows?: readonly TableRow[];
     };
 
-/** A transaction as the callers of the client write it. */
+/** A transaction as callers submit it: the writes are applied only if all checks hold. */
 export type TableTransaction = {
   readonly checks: readonly RowCheck[];
   readonly writes: readonly RowWrite[];
 };
 
 export type TableClient = {
+  /** Returns the rows of the given keys. */
   readonly read: (keys: readonly string[]) => Promise<Result<readonly TableRow[], PlatformError>>;
+  /** Returns all rows whose keys begin with the prefix. */
   readonly scan: (prefix: string) => Promise<Result<readonly TableRow[], PlatformError>>;
   readonly transact: (
     transaction: TableTransaction,
@@ -37,15 +41,15 @@
 };
 
 export type TableClientOptions = HttpJsonOptions & {
-  /** How long a transaction in doubt is pursued before it is reported as unknown. */
+  /** How long the outcome of a failed transaction is pursued before the error is returned. */
   readonly settleMs?: number;
   readonly newChangeId?: () => ChangeId;
 };
 
 const CHANGE_PREFIX = 'change/';
-const SETTLE_PAUSE_MS = 50;
-/** Settled change rows are deleted with a later transaction, this many at a time. */
-const SWEPT_PER_TRANSACTION = 16;
+const RETRY_PAUSE_MS = 50;
+/** Change rows of committed transactions are deleted by later ones, up to this many by each. */
+const MAX_CHANGE_ROWS_DELETED = 16;
 
 const pause = (ms: number): Promise<void> =>
   new Promise((resolve) => {
@@ -53,9 +57,9 @@
   });
 
 /**
- * Opens a client of the table.
+ * Creates a client of the table.
  *
- * @param options - The address and the bounds on time, in milliseconds.
+ * @param options - The address, the timeouts in milliseconds and the generator of change ids.
  * @returns The client.
  */
 export const createTableClient = ({
@@ -64,7 +68,7 @@
   ...httpOptions
 }: TableClientOptions): TableClient => {
   const http = createHttpJson(httpOptions);
-  const settledChanges: string[] = [];
+  const obsoleteChangeKeys: string[] = [];
 
   const read = async (keys: readonly string[]) => {
     const result = await http.request({ method: 'POST', path: '/table/read', body: { keys } });
@@ -82,63 +86,67 @@
       await http.request({ method: 'POST', path: '/table/transact', body }),
     );
 
-  /** The version of the change row, or 0 if the change has not happened. */
-  const changeVersion = async (changeKey: string): Promise<Result<number, PlatformError>> =>
+  /** Returns the version of the change row, or 0 if the transaction has not been committed. */
+  const readChangeVersion = async (changeKey: string): Promise<Result<number, PlatformError>> =>
     (await read([changeKey])).map(([row]) => row?.version ?? 0);
 
-  const settle = async (
+  /** Finds out the outcome of a failed transaction, and sends it again if it was not committed. */
+  const resolveOutcome = async (
     body: TableTransaction,
     changeKey: string,
-    first: PlatformError,
+    firstError: PlatformError,
   ): Promise<Result<TransactionOutcome, PlatformError>> => {
-    const untilMs = performance.now() + settleMs;
-    let isInDoubt = first.kind !== 'unreachable';
-    let last = first;
-    while (performance.now() < untilMs) {
-      await pause(SETTLE_PAUSE_MS);
-      const version = await changeVersion(changeKey);
+    const deadlineMs = performance.now() + settleMs;
+    let isInDoubt = firstError.kind !== 'unreachable';
+    let lastError = firstError;
+    while (performance.now() < deadlineMs) {
+      await pause(RETRY_PAUSE_MS);
+      const version = await readChangeVersion(changeKey);
       if (version.isErr()) {
-        last = version.error;
+        lastError = version.error;
         continue;
       }
       if (version.value > 0) return Ok({ kind: 'committed', version: version.value });
-      const again = await sendOnce(body);
-      if (again.isErr()) {
-        isInDoubt ||= again.error.kind !== 'unreachable';
-        last = again.error;
+      const retry = await sendOnce(body);
+      if (retry.isErr()) {
+        isInDoubt ||= retry.error.kind !== 'unreachable';
+        lastError = retry.error;
         continue;
       }
-      if (again.value.kind === 'committed') return again;
-      // The first attempt may have landed in between and be what this one conflicts with.
-      const landed = await changeVersion(changeKey);
-      if (landed.isErr()) {
-        last = landed.error;
+      if (retry.value.kind === 'committed') return retry;
+      // An earlier attempt may have been committed after the change row was read, and be the cause of
+      // this conflict.
+      const versionAfterRetry = await readChangeVersion(changeKey);
+      if (versionAfterRetry.isErr()) {
+        lastError = versionAfterRetry.error;
         continue;
       }
-      return landed.value > 0 ? Ok({ kind: 'committed', version: landed.value }) : again;
+      return versionAfterRetry.value > 0
+        ? Ok({ kind: 'committed', version: versionAfterRetry.value })
+        : retry;
     }
-    return Err({ kind: isInDoubt ? 'unknown' : 'unreachable', detail: last.detail });
+    return Err({ kind: isInDoubt ? 'unknown' : 'unreachable', detail: lastError.detail });
   };
 
   const transact = async ({ checks, writes }: TableTransaction) => {
     const changeKey = `${CHANGE_PREFIX}${newChangeId()}`;
-    const swept = settledChanges.splice(0, SWEPT_PER_TRANSACTION);
+    const toDelete = obsoleteChangeKeys.splice(0, MAX_CHANGE_ROWS_DELETED);
     const body = {
       checks: [{ key: changeKey, version: 0 }, ...checks],
       writes: [
         { key: changeKey, value: 1 },
         ...writes,
-        ...swept.map((key) => ({ key, value: null })),
+        ...toDelete.map((key) => ({ key, value: null })),
       ],
     };
     const first = await sendOnce(body);
     const outcome =
       first.isErr() && first.error.kind !== 'rejected'
-        ? await settle(body, changeKey, first.error)
+        ? await resolveOutcome(body, changeKey, first.error)
         : first;
     const isCommitted = outcome.isOk() && outcome.value.kind === 'committed';
-    if (isCommitted) settledChanges.push(changeKey);
-    else settledChanges.push(...swept);
+    if (isCommitted) obsoleteChangeKeys.push(changeKey);
+    else obsoleteChangeKeys.push(...toDelete);
     return outcome;
   };
 
