--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** The parts of the command line that scripts use. */
+/** The exports of the command line package that scripts use. */
 export * from './files.js';
 export * from './output.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The operators' command line. */
+/** The command line for operators, `valvelatch`. */
 import { Err } from 'ts-results-es';
 import yargs, { type Argv } from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -15,22 +15,24 @@
   statusLines,
 } from './tables.js';
 
-type Common = { readonly url: string; readonly key?: string; readonly output: string };
+/** The options that all commands share. */
+type CommonOptions = { readonly url: string; readonly key?: string; readonly output: string };
 
-const asJsonLine: TableWriter = (value) => [JSON.stringify(value)];
+const formatJsonLine: TableWriter = (value) => [JSON.stringify(value)];
 
 const run = async (
-  common: Common,
+  commonOptions: CommonOptions,
   method: string,
   body: unknown,
   toLines: TableWriter,
 ): Promise<void> => {
-  const { key = '', url, output } = common;
+  const { key = '', url, output } = commonOptions;
   const answer: Answer = await callEntry({ urls: url.split(','), key }, method, body);
   printAnswer(answer, output as OutputForm, toLines);
 };
 
-const readOrComplain = async (paths: readonly string[]) => {
+/** Reads the given files; prints the error and exits when one cannot be read. */
+const readFilesOrExit = async (paths: readonly string[]) => {
   try {
     return await readFiles(paths);
   } catch (error) {
@@ -47,7 +49,7 @@
   describe: 'files, or folders with YAML files',
 } as const;
 
-const listCommand = (argv: Argv<Common>, kind: 'pools' | 'hosts' | 'jobs') =>
+const listCommand = (argv: Argv<CommonOptions>, kind: 'pools' | 'hosts' | 'jobs') =>
   argv.command(
     'list',
     `list ${kind}`,
@@ -56,19 +58,20 @@
       run(args as never, 'get', { kind, selector: args.selector }, listWriter(kind) as TableWriter),
   );
 
-const poolCommands = (argv: Argv<Common>) => listCommand(argv, 'pools').demandCommand(1).strict();
+const poolCommands = (argv: Argv<CommonOptions>) =>
+  listCommand(argv, 'pools').demandCommand(1).strict();
 
-const hostCommands = (argv: Argv<Common>) =>
+const hostCommands = (argv: Argv<CommonOptions>) =>
   listCommand(argv, 'hosts')
-    .command('drain <host>', 'empty a host and keep it out of use', {}, (args) =>
-      run(args as never, 'host-drain', { hostId: args.host }, asJsonLine),
+    .command('drain <host>', 'drain a host and take it out of service', {}, (args) =>
+      run(args as never, 'host-drain', { hostId: args.host }, formatJsonLine),
     )
-    .command('return <host>', 'take a host back into use', {}, (args) =>
-      run(args as never, 'host-return', { hostId: args.host }, asJsonLine),
+    .command('return <host>', 'return a host to service', {}, (args) =>
+      run(args as never, 'host-return', { hostId: args.host }, formatJsonLine),
     )
     .command(
       'move <host>',
-      'move a host to another pool, once it is empty',
+      'move a host to another pool once it is empty',
       {
         to: { type: 'string', demandOption: true, describe: 'the pool' },
       } as const,
@@ -77,50 +80,50 @@
           args as never,
           'host-move',
           { hostId: (args as never as { host: string }).host, toPool: args.to },
-          asJsonLine,
+          formatJsonLine,
         ),
     )
     .demandCommand(1)
     .strict();
 
-const jobCommands = (argv: Argv<Common>) =>
+const jobCommands = (argv: Argv<CommonOptions>) =>
   listCommand(argv, 'jobs')
     .command('submit', 'submit jobs', { file: fileOption } as const, async (args) => {
-      const files = await readOrComplain(args.file);
-      await run(args as never, 'job-submit', { files }, asJsonLine);
+      const files = await readFilesOrExit(args.file);
+      await run(args as never, 'job-submit', { files }, formatJsonLine);
     })
     .command('cancel <name>', 'cancel a job', {}, (args) =>
-      run(args as never, 'job-cancel', { name: args.name }, asJsonLine),
+      run(args as never, 'job-cancel', { name: args.name }, formatJsonLine),
     )
     .demandCommand(1)
     .strict();
 
-const waveChange = (argv: Argv<Common>, change: 'hold' | 'resume' | 'cancel') =>
-  argv.command(`${change} <name>`, `${change} a wave`, {}, (args) =>
-    run(args as never, 'wave-change', { name: args.name, change }, asJsonLine),
+const addWaveChangeCommand = (argv: Argv<CommonOptions>, change: 'hold' | 'resume' | 'cancel') =>
+  argv.command(`${change} <name>`, `${change} a maintenance wave`, {}, (args) =>
+    run(args as never, 'wave-change', { name: args.name, change }, formatJsonLine),
   );
 
-const waveCommands = (argv: Argv<Common>) => {
-  const started = argv
+const waveCommands = (argv: Argv<CommonOptions>) => {
+  const commands = argv
     .command(
       'start <name>',
-      'start a wave of maintenance over the hosts that a selector names',
+      'start a maintenance wave on the hosts that match a selector',
       { selector: { type: 'string', demandOption: true } } as const,
       (args) =>
         run(
           args as never,
           'wave-start',
           { name: (args as never as { name: string }).name, selector: args.selector },
-          asJsonLine,
+          formatJsonLine,
         ),
     )
-    .command('list', 'list waves', {}, (args) =>
+    .command('list', 'list maintenance waves', {}, (args) =>
       run(args as never, 'get', { kind: 'waves' }, listWriter('waves') as TableWriter),
     );
-  waveChange(started, 'hold');
-  waveChange(started, 'resume');
-  waveChange(started, 'cancel');
-  return started.demandCommand(1).strict();
+  addWaveChangeCommand(commands, 'hold');
+  addWaveChangeCommand(commands, 'resume');
+  addWaveChangeCommand(commands, 'cancel');
+  return commands.demandCommand(1).strict();
 };
 
 const cli = yargs(hideBin(process.argv))
@@ -132,7 +135,7 @@
     url: {
       type: 'string',
       default: process.env.VALVELATCH_URL ?? 'http://127.0.0.1:7002',
-      describe: "operators' addresses of entries, joined by commas (VALVELATCH_URL)",
+      describe: "addresses of the entries' operators' ports, separated by commas (VALVELATCH_URL)",
     },
     key: {
       type: 'string',
@@ -140,23 +143,23 @@
       defaultDescription: 'VALVELATCH_KEY',
       describe: "the operators' key (VALVELATCH_KEY)",
     },
-    output: { choices: ['table', 'json'] as const, default: 'table', describe: 'form of output' },
+    output: { choices: ['table', 'json'] as const, default: 'table', describe: 'output format' },
   })
   .command(
     'apply',
-    'put a set of declarations in force, whole or not at all',
+    'apply a set of declarations atomically',
     {
       file: fileOption,
-      'base-revision': { type: 'number', describe: 'the revision that you have seen' },
+      'base-revision': { type: 'number', describe: 'the revision that the changes are based on' },
       author: { type: 'string', default: process.env.USER ?? 'operator' },
       'wait-ms': {
         type: 'number',
         default: 0,
-        describe: 'wait so long for it to be in force everywhere',
+        describe: 'how long to wait until all entries have applied it',
       },
     } as const,
     async (args) => {
-      const files = await readOrComplain(args.file);
+      const files = await readFilesOrExit(args.file);
       const { baseRevision, author, waitMs } = args;
       await run(args as never, 'apply', { files, baseRevision, author, waitMs }, applyLines);
     },
@@ -166,7 +169,7 @@
     'show what an apply would change',
     { file: fileOption } as const,
     async (args) => {
-      const files = await readOrComplain(args.file);
+      const files = await readFilesOrExit(args.file);
       const toLines = ({ revision, difference }: { revision: number; difference: never }) => [
         `against revision ${revision}`,
         ...differenceLines(difference),
@@ -176,7 +179,7 @@
   )
   .command(
     'get <kind>',
-    'show what is in force',
+    'show the current configuration or state',
     (argv) =>
       argv
         .positional('kind', {
@@ -199,23 +202,24 @@
           describe: 'labels to match, for hosts',
         }),
     (args) => {
-      const toLines = args.kind === 'config' ? asJsonLine : (listWriter(args.kind) as TableWriter);
+      const toLines =
+        args.kind === 'config' ? formatJsonLine : (listWriter(args.kind) as TableWriter);
       return run(args, 'get', { kind: args.kind, selector: args.selector }, toLines);
     },
   )
   .command('pool', 'pools of hosts', (argv) => poolCommands(argv as never))
   .command('host', 'hosts', (argv) => hostCommands(argv as never))
   .command('job', 'jobs', (argv) => jobCommands(argv as never))
-  .command('wave', 'waves of maintenance', (argv) => waveCommands(argv as never))
+  .command('wave', 'maintenance waves', (argv) => waveCommands(argv as never))
   .command(
     'doubt-clear',
-    'vouch that no claim of a replaced data centre matters any more',
+    'confirm that claims of replaced data centres no longer matter',
     {},
-    (args) => run(args as never, 'doubt-clear', {}, asJsonLine),
+    (args) => run(args as never, 'doubt-clear', {}, formatJsonLine),
   )
   .command(
     'explain <kind> <name>',
-    'why a job runs where it does, a host is withheld, a request was refused',
+    'explain a placement, the state of an object or a refused request',
     (argv) =>
       argv
         .positional('kind', {
@@ -233,7 +237,7 @@
   )
   .command(
     'replay <file>',
-    'replay a recorded trace against the decisions and check its stated outcomes',
+    'replay a recorded trace and check the outcomes that it expects',
     (argv) =>
       argv
         .positional('file', { type: 'string', demandOption: true })
@@ -253,10 +257,10 @@
       process.stdout.write(`${lines.join('\n')}\n`);
     },
   )
-  .command('status', 'how the entries stand', {}, (args) =>
+  .command('status', 'show the status of the entries', {}, (args) =>
     run(args as never, 'status', {}, statusLines as TableWriter),
   )
-  .demandCommand(1, 'name a command')
+  .demandCommand(1, 'a command is required')
   .strict()
   .recommendCommands()
   .wrap(null)
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,9 +1,9 @@
-/** What the command line prints, as a table for people or as JSON for scripts. */
+/** Prints answers, as tables for people or as JSON for scripts, and sets the exit code. */
 import type { Answer } from './client.js';
 
 export type OutputForm = 'table' | 'json';
 
-/** Exit codes that scripts can rely on. */
+/** Exit codes of the command line; a stable interface for scripts. */
 export const exitCode = {
   ok: 0,
   fault: 1,
@@ -25,7 +25,7 @@
 };
 
 /**
- * Gives the exit code for an answer.
+ * Returns the exit code for an answer; `fault` for an unknown kind.
  *
  * @param answer - The entry's answer.
  * @returns The code.
@@ -34,22 +34,22 @@
 
 type Row = Readonly<Record<string, unknown>>;
 
-const cell = (value: unknown): string => {
+const formatCell = (value: unknown): string => {
   if (value === null || value === undefined) return '-';
   return typeof value === 'object' ? JSON.stringify(value) : String(value);
 };
 
 /**
- * Writes rows as an aligned table.
+ * Formats rows as an aligned table with a header line.
  *
  * @param rows - The rows.
- * @param columns - The columns, in order.
+ * @param columns - The properties to show, in order.
  * @returns The lines.
  */
 export const tableLines = (rows: readonly Row[], columns: readonly string[]): readonly string[] => {
   const cells = [
     columns.map((column) => column.toUpperCase()),
-    ...rows.map((row) => columns.map((column) => cell(row[column]))),
+    ...rows.map((row) => columns.map((column) => formatCell(row[column]))),
   ];
   const widths = columns.map((_, index) =>
     Math.max(...cells.map((line) => (line[index] as string).length)),
@@ -62,7 +62,7 @@
   );
 };
 
-/** Writes the value of an answer for people. */
+/** Formats the value of an answer as lines for people. */
 export type TableWriter = (value: never) => readonly string[];
 
 const writeError = ({ kind, detail, faults = [] }: Answer): void => {
@@ -76,8 +76,8 @@
  * Prints an answer and sets the exit code of the process.
  *
  * @param answer - The entry's answer.
- * @param form - The form of output.
- * @param toLines - Writes the value for people.
+ * @param form - The output format.
+ * @param toLines - Formats the value for the table format.
  */
 export const printAnswer = (answer: Answer, form: OutputForm, toLines: TableWriter): void => {
   process.exitCode = exitCodeOf(answer);
--- a/packages/cli/src/replay-command.ts
+++ b/packages/cli/src/replay-command.ts
@@ -1,4 +1,4 @@
-/** `valvelatch replay`: runs a recorded trace against the real decisions, without any entry. */
+/** `valvelatch replay`: replays a recorded trace with the real decision code, without an entry. */
 import { readFile } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
 
@@ -18,33 +18,34 @@
 const readConfiguration = async (
   folders: readonly string[],
 ): Promise<Result<Configuration, string>> => {
-  const read = readDeclarations(await readFiles(folders));
-  if (read.isErr()) {
-    const [fault] = read.error;
+  const declarations = readDeclarations(await readFiles(folders));
+  if (declarations.isErr()) {
+    const [fault] = declarations.error;
     return Err(`${fault?.file ?? ''}: ${fault?.path ?? ''}: ${fault?.reason ?? ''}`);
   }
-  return Ok(takeSnapshot(emptyConfiguration, { revision: 1, declarations: read.value }));
+  return Ok(takeSnapshot(emptyConfiguration, { revision: 1, declarations: declarations.value }));
 };
 
 /**
  * Replays a trace from a file.
  *
- * @param file - The file; folders that it names are seen from its own folder.
- * @returns The report, or one line on what cannot be read.
+ * @param file - The trace file; the folders that it names are relative to its own folder.
+ * @returns The report, or one line that says what is invalid in the trace or the declarations.
+ * @throws When a file cannot be read.
  */
 export const replayFile = async (file: string): Promise<Result<ReplayReport, string>> => {
   const trace = readTrace(await readFile(file, 'utf8'));
   if (trace.isErr()) return Err(`${file}: line ${trace.error.line}: ${trace.error.reason}`);
   const folders = trace.value.fleet.declarations.map((folder) => join(dirname(file), folder));
   const configuration = await readConfiguration(folders);
-  return configuration.map((known) => replayTrace(trace.value, known));
+  return configuration.map((snapshot) => replayTrace(trace.value, snapshot));
 };
 
 /**
- * Writes a report for people.
+ * Formats a report as lines for people.
  *
  * @param report - The report.
- * @param areDecisionsShown - Whether each decision gets a line.
+ * @param areDecisionsShown - Whether to include a line for each decision.
  * @returns The lines.
  */
 export const replayLines = (
@@ -54,6 +55,6 @@
   ...(areDecisionsShown
     ? decisions.map(({ atMs, subject, reason }) => `${atMs / 1000} s  ${subject}: ${reason}`)
     : []),
-  ...broken.map((one) => `BROKEN ${one}`),
+  ...broken.map((outcome) => `BROKEN ${outcome}`),
   `${lastedS} s replayed, ${decisions.length} decisions, ${held} outcomes held, ${broken.length} broken`,
 ];
--- a/packages/cli/src/tables.ts
+++ b/packages/cli/src/tables.ts
@@ -1,4 +1,4 @@
-/** The tables that people see, one for each kind of answer. */
+/** Formats the answers of each method as tables or lines for people. */
 import { tableLines } from './output.js';
 
 type Row = Readonly<Record<string, unknown>>;
@@ -9,9 +9,9 @@
 };
 
 /**
- * Writes a difference, one line for each declaration.
+ * Formats a difference between two configurations, one line for each declaration.
  *
- * @param difference - The difference.
+ * @param difference - The keys of the added, changed and removed declarations.
  * @returns The lines.
  */
 export const differenceLines = ({ added, changed, removed }: Difference): readonly string[] => [
@@ -21,9 +21,10 @@
 ];
 
 /**
- * Writes what an apply has done.
+ * Formats the result of an apply.
  *
- * @param value - The revision, the difference, and who has it in force.
+ * @param value - The new revision, the difference, and the entries that have applied it or did not
+ *   confirm it.
  * @returns The lines.
  */
 export const applyLines = (value: {
@@ -38,7 +39,7 @@
   ...(value.unreachable?.length ? [`not confirmed by: ${value.unreachable.join(', ')}`] : []),
 ];
 
-/** The columns of each kind of list. */
+/** The columns of each kind of list, which are properties of its rows. */
 export const columns = {
   pools: ['pool', 'hosts', 'inUse', 'prefer', 'reserveFor', 'waitingSteps'],
   hosts: ['hostId', 'pool', 'phase', 'dataCentre', 'rack', 'cores', 'reason'],
@@ -60,16 +61,17 @@
   entries: ['entryId', 'dataCentre', 'revision', 'seat', 'controls', 'endpoints', 'isUnreachable'],
 } as const;
 
+/** Copies the name, pool and team of a job row to its top level, where the columns expect them. */
 const flattenJob = (row: Row): Row => {
   const job = row.job as { name: string; spec: Row } | undefined;
   return job ? { ...row, name: job.name, pool: job.spec.pool, team: job.spec.team } : row;
 };
 
 /**
- * Builds the writer of a list.
+ * Creates the formatter for a kind of list.
  *
  * @param kind - The kind of list.
- * @returns The writer.
+ * @returns The formatter.
  */
 export const listWriter =
   (kind: keyof typeof columns) =>
@@ -77,9 +79,9 @@
     tableLines(rows.map(flattenJob), columns[kind]);
 
 /**
- * Writes an explanation.
+ * Formats an explanation.
  *
- * @param value - The decision on a request, or the reasons on a row.
+ * @param value - The decision on a request, or the reasons stored in rows.
  * @returns The lines.
  */
 export const explanationLines = (value: {
@@ -93,12 +95,12 @@
   `${value.subject} (revision ${value.revision})`,
   ...(value.outcome === undefined ? [] : [`outcome: ${value.outcome}`]),
   ...(value.reason === undefined ? [] : [`because: ${value.reason}`]),
-  ...(value.tried ?? []).map((one) => `tried: ${one}`),
+  ...(value.tried ?? []).map((attempt) => `tried: ${attempt}`),
   ...(value.reasons ?? []).map(({ of, reason }) => `${of}: ${reason}`),
 ];
 
 /**
- * Writes the status of the entries.
+ * Formats the status of the entries.
  *
  * @param value - The revision and the entries.
  * @returns The lines.
