--- a/packages/stand-ins/src/example-deployment.ts
+++ b/packages/stand-ins/src/example-deployment.ts
@@ -1,4 +1,4 @@
-/** A whole deployment of an example, as separate processes on the loopback address. */
+/** Starts all processes of an example deployment on the loopback address. */
 import { readdir, readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
 
@@ -13,7 +13,7 @@
 
 import { startProcess, stopProcess, type RunningProcess } from './processes.js';
 
-/** The running processes of an example. */
+/** A running example and its addresses. */
 export type ExampleDeployment = {
   readonly configuration: Configuration;
   readonly declarationsFolder: string;
@@ -35,7 +35,7 @@
  * Reads the declarations of an example.
  *
  * @param example - The folder under `examples/`.
- * @returns The configuration that they make.
+ * @returns The configuration that results from them, with revision 1.
  */
 export const readExample = async (example: string): Promise<Configuration> => {
   const folder = new URL(`${example}/declarations/`, EXAMPLES);
@@ -47,14 +47,17 @@
   return takeSnapshot(emptyConfiguration, { revision: 1, declarations });
 };
 
-const inTurn = <Item>(items: readonly Item[], run: (item: Item) => Promise<void>): Promise<void> =>
-  items.reduce((before, item) => before.then(() => run(item)), Promise.resolve());
+/** Runs an asynchronous function for each item, one after the other. */
+const runSequentially = <Item>(
+  items: readonly Item[],
+  run: (item: Item) => Promise<void>,
+): Promise<void> => items.reduce((before, item) => before.then(() => run(item)), Promise.resolve());
 
 const urlOf = ({ fields }: RunningProcess): string => fields.url ?? '';
 
 /**
  * Starts an example: the platform, the workers of each data centre, and an entry for each seat.
- * Nothing is applied yet.
+ * The declarations are not applied yet.
  *
  * @param example - The folder under `examples/`.
  * @returns The running processes.
@@ -101,12 +104,12 @@
   try {
     const platformUrl = urlOf(await start('standIn', ['platform']));
     const centres = declarationsOf(configuration, 'DataCentre');
-    await inTurn(centres, ({ name }) => startWorkersOf(name, platformUrl));
+    await runSequentially(centres, ({ name }) => startWorkersOf(name, platformUrl));
     const seats = centres.flatMap(({ name, spec }) =>
       Array.from({ length: spec.entrySeats }, (_, seat) => ({ name, seat })),
     );
     // Each entry joins those that were started before it.
-    await inTurn(seats, ({ name, seat }) => startEntryAt(name, seat, platformUrl));
+    await runSequentially(seats, ({ name, seat }) => startEntryAt(name, seat, platformUrl));
     return {
       configuration,
       declarationsFolder: fileURLToPath(new URL(`${example}/declarations`, EXAMPLES)),
--- a/packages/stand-ins/src/executor.ts
+++ b/packages/stand-ins/src/executor.ts
@@ -1,4 +1,4 @@
-/** A stand-in executor: an HTTP server with a bounded number of slots, and faults on demand. */
+/** A stand-in executor: an HTTP server with a limited number of slots, and faults on demand. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { once } from 'node:events';
 import type { AddressInfo } from 'node:net';
@@ -19,6 +19,7 @@
   readonly name: string;
   readonly slots: number;
   readonly host?: string;
+  /** How long a request takes that does not set the header `x-work-ms`. */
   readonly workMs?: number;
 };
 
@@ -26,19 +27,22 @@
 export type StandInExecutor = {
   readonly address: string;
   readonly stats: { inFlight: number; mostInFlight: number; served: number; overSlots: number };
-  /** How often each key was executed. */
+  /** How often each idempotency key was executed. */
   readonly executions: ReadonlyMap<string, number>;
   readonly setFault: (fault: ExecutorFault) => void;
+  /** Refuses all further requests with the header `valvelatch-leaving`. */
   readonly setLeaving: () => void;
-  /** Requests that were cut while they ran. */
+  /** Closes the executor and returns the number of requests that were in flight. */
   readonly close: () => Promise<number>;
 };
 
+/** A request with its response, as the faults handle it. */
 type Exchange = {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly body: Buffer;
   readonly workMs: number;
+  /** Sends the normal response. */
   readonly answer: () => void;
 };
 
@@ -61,6 +65,7 @@
   answer();
 };
 
+/** How each fault handles a request. */
 const faults: Record<ExecutorFault, (exchange: Exchange) => Promise<void> | void> = {
   none: workThenAnswer,
   'fail-fast': ({ response }) => {
@@ -88,17 +93,21 @@
   hang: () => undefined,
 };
 
-const notRun = (response: ServerResponse, headers: Record<string, string>): void => {
+const respondNotRun = (response: ServerResponse, headers: Record<string, string>): void => {
   response.writeHead(503, { 'valvelatch-not-run': 'true', ...headers }).end();
 };
 
-/** Faults that strike before the work would count as done. */
-const withoutEffect: ReadonlySet<ExecutorFault> = new Set(['fail-fast', 'not-run', 'reset-before']);
+/** Faults that occur before the request counts as executed. */
+const faultsBeforeExecution: ReadonlySet<ExecutorFault> = new Set([
+  'fail-fast',
+  'not-run',
+  'reset-before',
+]);
 
 /**
  * Starts an executor on a free port.
  *
- * @param options - Its name, slots and usual time of work in milliseconds.
+ * @param options - Its name, its number of slots and the default duration of a request in milliseconds.
  * @returns The running executor.
  */
 export const startExecutor = async ({
@@ -126,12 +135,12 @@
 
   const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     if (isLeaving) {
-      notRun(response, { 'valvelatch-leaving': 'true' });
+      respondNotRun(response, { 'valvelatch-leaving': 'true' });
       return;
     }
     if (stats.inFlight >= slots) {
       stats.overSlots += 1;
-      notRun(response, {});
+      respondNotRun(response, {});
       return;
     }
     stats.inFlight += 1;
@@ -141,12 +150,12 @@
     });
     const body = await readBody(request);
     const key = request.headers['idempotency-key'];
-    if (typeof key === 'string' && !withoutEffect.has(fault)) {
+    if (typeof key === 'string' && !faultsBeforeExecution.has(fault)) {
       executions.set(key, (executions.get(key) ?? 0) + 1);
     }
-    const wanted = Number(request.headers['x-work-ms'] ?? workMs);
+    const requestedWorkMs = Number(request.headers['x-work-ms'] ?? workMs);
     const answer = () => respond(request, response, body);
-    await faults[fault]({ request, response, body, workMs: wanted, answer });
+    await faults[fault]({ request, response, body, workMs: requestedWorkMs, answer });
   };
 
   const server = createServer((request, response) => {
@@ -159,8 +168,8 @@
     address: `http://${host}:${(server.address() as AddressInfo).port}`,
     stats,
     executions,
-    setFault: (next) => {
-      fault = next;
+    setFault: (newFault) => {
+      fault = newFault;
     },
     setLeaving: () => {
       isLeaving = true;
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for what surrounds the entries; for tests, benchmarks and the quickstart. */
+/** Stand-ins for the services around the entries, for tests, benchmarks and the quickstart. */
 export * from './executor.js';
 export * from './platform.js';
 export * from './relay.js';
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,4 +1,4 @@
-/** The stand-ins as processes: `stand-in platform` and `stand-in workers`. */
+/** The command that runs a stand-in as a process: `stand-in platform` or `stand-in workers`. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
@@ -7,8 +7,8 @@
 
 type Running = { readonly url: string; readonly close: () => Promise<void> };
 
-const runUntilSignal = (what: string, running: Running): void => {
-  process.stdout.write(`event=listening what=${what} url=${running.url}\n`);
+const runUntilSignal = (name: string, running: Running): void => {
+  process.stdout.write(`event=listening what=${name} url=${running.url}\n`);
   const stop = () => {
     void running.close().then(() => process.exit(0));
   };
@@ -17,15 +17,15 @@
 };
 
 await yargs(hideBin(process.argv))
-  .command('platform', 'the table, the object store and the list of hosts', {}, async () => {
+  .command('platform', 'run the table, the object store and the host list', {}, async () => {
     runUntilSignal('platform', await startPlatform());
   })
   .command(
     'workers',
-    'the workers of one data centre',
+    'run the workers of one data centre',
     {
       'data-centre': { type: 'string', demandOption: true },
-      hosts: { type: 'string', demandOption: true, describe: 'host ids, joined by commas' },
+      hosts: { type: 'string', demandOption: true, describe: 'host ids, separated by commas' },
       'platform-url': { type: 'string', demandOption: true },
       'reboot-ms': { type: 'number', default: 1000 },
       'work-ms': { type: 'number', default: 5 },
--- a/packages/stand-ins/src/platform.ts
+++ b/packages/stand-ins/src/platform.ts
@@ -1,4 +1,4 @@
-/** A small stand-in for the platform's table, object store and lagging list of hosts. */
+/** A stand-in for the platform's table, object store and host list, which lags. */
 import { createTableModel, type RowCheck, type RowWrite } from '@valvelatch/core';
 import fastify, { type FastifyInstance } from 'fastify';
 
@@ -7,10 +7,14 @@
   readonly state: 'live' | 'leaving';
   readonly boots: number;
 };
-type KnownHost = HostReport & { readonly heardAtMs: number };
+type KnownHost = HostReport & { readonly lastHeartbeatMs: number };
 
-/** What is wrong with the platform at the moment. */
+/** The current fault of the platform. */
 export type PlatformFault = {
+  /**
+   * `down`: connections are closed at once. `slow`: requests are delayed by `delayMs`.
+   * `lose-answers`: requests are executed, but their responses are lost.
+   */
   readonly mode: 'none' | 'down' | 'slow' | 'lose-answers';
   readonly delayMs?: number;
 };
@@ -19,8 +23,9 @@
 export type PlatformOptions = {
   readonly host?: string;
   readonly port?: number;
-  /** How far the list of hosts lags. */
+  /** How long the host list lags behind the heartbeats, at most. */
   readonly listLagMs?: number;
+  /** A host without a heartbeat for this long is listed as gone. */
   readonly hostGoneAfterMs?: number;
 };
 
@@ -34,29 +39,32 @@
 
 const createHostList = (lagMs: number, goneAfterMs: number) => {
   const known = new Map<string, KnownHost>();
-  const reboots = new Map<string, string>();
-  const doneReboots = new Set<string>();
+  const pendingReboots = new Map<string, string>();
+  const requestedReboots = new Set<string>();
   let published: readonly unknown[] = [];
   const publish = () => {
     const nowMs = performance.now();
-    published = Array.from(known.values(), ({ hostId, state, boots, heardAtMs }) => ({
+    published = Array.from(known.values(), ({ hostId, state, boots, lastHeartbeatMs }) => ({
       hostId,
       boots,
-      state: nowMs - heardAtMs > goneAfterMs ? 'gone' : state,
+      state: nowMs - lastHeartbeatMs > goneAfterMs ? 'gone' : state,
     }));
   };
   const timer = setInterval(publish, lagMs);
   return {
     stop: () => clearInterval(timer),
     published: () => published,
-    askReboot: (hostId: string, requestName: string) => {
-      if (!doneReboots.has(requestName)) reboots.set(hostId, requestName);
-      doneReboots.add(requestName);
+    requestReboot: (hostId: string, requestName: string) => {
+      if (!requestedReboots.has(requestName)) pendingReboots.set(hostId, requestName);
+      requestedReboots.add(requestName);
     },
-    heard: (hosts: readonly HostReport[]) => {
-      hosts.forEach((host) => known.set(host.hostId, { ...host, heardAtMs: performance.now() }));
-      const due = hosts.filter(({ hostId }) => reboots.delete(hostId));
-      return due.map(({ hostId }) => hostId);
+    /** Records heartbeats and returns the hosts that must reboot. */
+    recordHeartbeats: (hosts: readonly HostReport[]) => {
+      hosts.forEach((host) =>
+        known.set(host.hostId, { ...host, lastHeartbeatMs: performance.now() }),
+      );
+      const toReboot = hosts.filter(({ hostId }) => pendingReboots.delete(hostId));
+      return toReboot.map(({ hostId }) => hostId);
     },
   };
 };
@@ -87,7 +95,7 @@
 /**
  * Starts the stand-in.
  *
- * @param options - Where it listens and how far its list lags, in milliseconds.
+ * @param options - The address to listen on and the delays of the host list in milliseconds.
  * @returns The running stand-in.
  */
 export const startPlatform = async ({
@@ -102,8 +110,8 @@
   const objects = new Map<string, unknown>();
   const counts = { transactions: 0, rowsWritten: 0, reads: 0 };
   let fault: PlatformFault = { mode: 'none' };
-  const setFault = (next: PlatformFault) => {
-    fault = next;
+  const setFault = (newFault: PlatformFault) => {
+    fault = newFault;
   };
   installFaults(app, () => fault);
 
@@ -132,11 +140,11 @@
   app.get('/hosts', (_, reply) => reply.send({ hosts: hosts.published() }));
   app.post('/hosts/:hostId/reboot', (request, reply) => {
     const { hostId } = request.params as { hostId: string };
-    hosts.askReboot(hostId, (request.body as { requestName: string }).requestName);
+    hosts.requestReboot(hostId, (request.body as { requestName: string }).requestName);
     return reply.send(null);
   });
   app.post('/hosts/heartbeat', (request, reply) =>
-    reply.send({ reboot: hosts.heard((request.body as { hosts: HostReport[] }).hosts) }),
+    reply.send({ reboot: hosts.recordHeartbeats((request.body as { hosts: HostReport[] }).hosts) }),
   );
   app.post('/stand-in/fault', (request, reply) => {
     setFault(request.body as PlatformFault);
--- a/packages/stand-ins/src/processes.ts
+++ b/packages/stand-ins/src/processes.ts
@@ -1,4 +1,4 @@
-/** Starting and stopping the programs of the workspace as processes on the loopback address. */
+/** Starts and stops the programs of the workspace as processes on the loopback address. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createInterface } from 'node:readline';
 import { fileURLToPath } from 'node:url';
@@ -6,8 +6,8 @@
 const PACKAGES = new URL('../../', import.meta.url);
 const START_TIMEOUT_MS = 15_000;
 const LISTENING = 'event=listening';
-const KEPT_LINES = 200;
-const SHOWN_LINES = 5;
+const MAX_KEPT_LINES = 200;
+const MAX_SHOWN_LINES = 5;
 
 const programs = {
   entry: 'daemon/bin/valvelatchd.js',
@@ -16,19 +16,19 @@
   bareForward: 'bench/bin/bare-forward.js',
 } as const;
 
-/** A process that has said that it listens. */
+/** A process that has reported that it listens. */
 export type RunningProcess = {
   readonly name: string;
   readonly child: ChildProcess;
   /** Resolves with the exit code, or with the signal that ended it. */
   readonly ended: Promise<number | string>;
-  /** Its last lines. */
+  /** The last lines of its standard output and standard error. */
   readonly recent: readonly string[];
-  /** The fields of its line about listening. */
+  /** The `name=value` fields of the line in which it reported that it listens. */
   readonly fields: Readonly<Record<string, string>>;
 };
 
-/** What a run of the command line gave. */
+/** The exit code and the output of a run of the command line. */
 export type CliResult = {
   readonly code: number | null;
   readonly stdout: string;
@@ -47,11 +47,11 @@
   );
 
 /**
- * Starts a program and waits until it says that it listens.
+ * Starts a program and waits until it reports that it listens.
  *
  * @param program - The program.
  * @param args - Its arguments.
- * @returns The running process; rejects if it ends or is silent for 15 seconds.
+ * @returns The running process; rejects if it exits or does not listen within 15 seconds.
  */
 export const startProcess = (
   program: keyof typeof programs,
@@ -62,23 +62,23 @@
       stdio: ['ignore', 'pipe', 'pipe'],
     });
     const recent: string[] = [];
-    const note = (line: string): void => {
+    const recordLine = (line: string): void => {
       recent.push(line);
-      if (recent.length > KEPT_LINES) recent.shift();
+      if (recent.length > MAX_KEPT_LINES) recent.shift();
     };
-    const fail = (why: string): void =>
-      reject(new Error(`${program} ${why}\n${recent.slice(-SHOWN_LINES).join('\n')}`));
+    const fail = (reason: string): void =>
+      reject(new Error(`${program} ${reason}\n${recent.slice(-MAX_SHOWN_LINES).join('\n')}`));
     const timer = setTimeout(() => fail('did not start in time'), START_TIMEOUT_MS);
-    const ended = new Promise<number | string>((done) => {
+    const ended = new Promise<number | string>((resolveEnded) => {
       child.once('exit', (code, signal) => {
         clearTimeout(timer);
         fail(`ended with ${code ?? signal}`);
-        done(code ?? signal ?? 'unknown');
+        resolveEnded(code ?? signal ?? 'unknown');
       });
     });
-    createInterface({ input: child.stderr }).on('line', note);
+    createInterface({ input: child.stderr }).on('line', recordLine);
     createInterface({ input: child.stdout }).on('line', (line) => {
-      note(line);
+      recordLine(line);
       if (!line.includes(LISTENING)) return;
       clearTimeout(timer);
       const name = `${program} ${args[0] ?? ''}`;
@@ -87,7 +87,7 @@
   });
 
 /**
- * Stops a process as planned.
+ * Stops a process with SIGTERM.
  *
  * @param running - The process.
  * @returns Its exit code, or the signal that ended it.
@@ -101,8 +101,8 @@
  * Runs the command line.
  *
  * @param args - Its arguments.
- * @param environment - Variables to add.
- * @returns The exit code and what was printed.
+ * @param environment - Environment variables to add to those of this process.
+ * @returns The exit code and the output.
  */
 export const runCli = (
   args: readonly string[],
--- a/packages/stand-ins/src/relay.ts
+++ b/packages/stand-ins/src/relay.ts
@@ -1,4 +1,4 @@
-/** A TCP relay that can be cut and healed, to stand between two processes. */
+/** A TCP relay between two processes, which can be cut and healed to simulate a network fault. */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 
@@ -7,6 +7,7 @@
   readonly port: number;
   /** Ends all connections and refuses new ones until it is healed. */
   readonly cut: () => void;
+  /** Accepts connections again. */
   readonly heal: () => void;
   readonly close: () => Promise<void>;
 };
@@ -14,14 +15,14 @@
 /**
  * Starts a relay on a free port of the loopback address.
  *
- * @param targetPort - The port on the loopback address that it leads to.
+ * @param targetPort - The port on the loopback address to which connections are forwarded.
  * @returns The running relay.
  */
 export const startRelay = async (targetPort: number): Promise<Relay> => {
   const sockets = new Set<Socket>();
   let isCut = false;
 
-  const keep = (socket: Socket, other: Socket): void => {
+  const track = (socket: Socket, other: Socket): void => {
     sockets.add(socket);
     socket.on('error', () => other.destroy());
     socket.on('close', () => {
@@ -36,26 +37,26 @@
       return;
     }
     const outgoing = connect(targetPort, '127.0.0.1');
-    keep(incoming, outgoing);
-    keep(outgoing, incoming);
+    track(incoming, outgoing);
+    track(outgoing, incoming);
     incoming.pipe(outgoing);
     outgoing.pipe(incoming);
   });
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
 
-  const endAll = () => sockets.forEach((socket) => socket.destroy());
+  const closeSockets = () => sockets.forEach((socket) => socket.destroy());
   return {
     port: (server.address() as AddressInfo).port,
     cut: () => {
       isCut = true;
-      endAll();
+      closeSockets();
     },
     heal: () => {
       isCut = false;
     },
     close: async () => {
-      endAll();
+      closeSockets();
       await new Promise((resolve) => {
         server.close(resolve);
       });
--- a/packages/stand-ins/src/users-platform/executor-service.ts
+++ b/packages/stand-ins/src/users-platform/executor-service.ts
@@ -1,4 +1,4 @@
-/** A stand-in for one executor of the users' platform, over the model of an endpoint. */
+/** A stand-in for one executor of the users' platform: an HTTP server around a simulated endpoint. */
 import {
   createSimulatedEndpoint,
   type SimulatedEndpoint,
@@ -16,10 +16,10 @@
   readonly close: () => Promise<void>;
 };
 
-const OTHER_INSTANCE = 421;
-const REFUSED = 409;
+const WRONG_INSTANCE_STATUS = 421;
+const REFUSED_STATUS = 409;
 
-type Order = {
+type OrderBody = {
   readonly task: TaskKey;
   readonly run: number;
   readonly spec?: string;
@@ -34,15 +34,15 @@
   reply: FastifyReply,
 ): Promise<unknown> => {
   if (result.isOk()) return result.value;
-  await reply.code(REFUSED).send({ clockMs: 0, reason: result.error.reason });
+  await reply.code(REFUSED_STATUS).send({ clockMs: 0, reason: result.error.reason });
   return reply;
 };
 
 /**
  * Starts an executor.
  *
- * @param options - The names, the room and the clock of its endpoint.
- * @returns The executor.
+ * @param options - The ids, the capacity and the clock of its endpoint.
+ * @returns The running executor.
  */
 export const startExecutor = async (
   options: SimulatedEndpointOptions,
@@ -52,14 +52,14 @@
 
   server.addHook('onRequest', async ({ headers }, reply) => {
     const expected = headers['x-expected-instance'];
-    if (expected !== model.instanceId) await reply.code(OTHER_INSTANCE).send();
+    if (expected !== model.instanceId) await reply.code(WRONG_INSTANCE_STATUS).send();
   });
-  server.post<{ Body: Order }>('/-/run-start', async ({ body }, reply) => {
+  server.post<{ Body: OrderBody }>('/-/run-start', async ({ body }, reply) => {
     const { task, run, spec = '', untilMs = 0, fence = 0, checkpoint = '', ticket = '' } = body;
     const order = { task, run, spec, keepUntilMs: untilMs, fence, checkpoint, ticket };
     return send(model.start(order), reply);
   });
-  server.post<{ Body: Order }>('/-/run-stop', async ({ body }, reply) =>
+  server.post<{ Body: OrderBody }>('/-/run-stop', async ({ body }, reply) =>
     send(model.stop({ task: body.task, run: body.run, fence: body.fence ?? 0 }), reply),
   );
   server.post<{
@@ -67,14 +67,14 @@
   }>('/-/hold', async ({ body }, reply) => {
     const { fence = 0, lastSeen = 0, untilMs, waitMs = 0 } = body;
     const keep = untilMs === undefined ? {} : { keepUntilMs: untilMs };
-    const answer = await model.list({ fence, acknowledged: lastSeen, waitMs, ...keep });
-    const wire = answer.map(({ clockMs, running, ended }) => ({
+    const reports = await model.list({ fence, acknowledged: lastSeen, waitMs, ...keep });
+    const response = reports.map(({ clockMs, running, ended }) => ({
       clockMs,
       born: model.startedAtMs,
       running: running.map((one) => [one.task, one.run, one.checkpoint, one.percent, one.figure]),
       ended: ended.map((one) => [one.number, one.task, one.run, one.kind, one.checkpoint]),
     }));
-    return send(wire, reply);
+    return send(response, reply);
   });
 
   const url = await server.listen({ host: '127.0.0.1', port: 0 });
--- a/packages/stand-ins/src/users-platform/rows-service.ts
+++ b/packages/stand-ins/src/users-platform/rows-service.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the users' store of rows: transactions, pages and feeds, in memory. */
+/** An in-memory stand-in for the users' row store, with transactions, paged reads and change feeds. */
 import type { FastifyInstance } from 'fastify';
 
 type Row = {
@@ -10,61 +10,69 @@
   readonly deleted?: boolean;
 };
 
-/** Where a row is. */
+/** The location of a row. */
 export type Place = { readonly table: string; readonly part: string; readonly key: string };
 
 type Transaction = {
+  /** The transaction fails unless each of these rows has this version; 0 means that it is absent. */
   readonly expectedRev?: readonly (Place & { readonly ver: number })[];
   readonly puts?: readonly (Place & { readonly value: string })[];
   readonly remove?: readonly Place[];
 };
 
-/** What is wrong with the store at the moment. */
+/** The current fault of the store. */
 export type RowsFault = {
-  /** `lose`: writes are done and not answered. */
+  /**
+   * `unavailable`: requests are answered with 503. `silent`: requests are never answered.
+   * `lose`: transactions are applied, but their responses are lost.
+   */
   readonly kind: 'none' | 'unavailable' | 'silent' | 'lose';
 };
 
 export type RowsServiceOptions = {
-  /** Told of each row that is written, before its writer has an answer. */
+  /** Called for each row that is written, before the writer gets a response. */
   readonly onPut?: (place: Place) => void;
 };
 
 export type RowsService = {
+  /** Writes a row, outside of any check. */
   readonly put: (table: string, key: string, value: unknown) => void;
+  /** Deletes a row if it exists. */
   readonly drop: (table: string, key: string) => void;
+  /** Returns the decoded value of a row; undefined when the row does not exist. */
   readonly valueOf: (table: string, part: string, key: string) => unknown;
   readonly keysOf: (table: string) => readonly string[];
   readonly setFault: (fault: RowsFault) => void;
-  /** Forgets what happened so far: feeds that are behind must begin anew. */
+  /** Discards the change history, so that feeds which have not read all of it must start again. */
   readonly forgetHistory: () => void;
+  /** Adds the routes and the faults of the store to a server. */
   readonly register: (server: FastifyInstance) => void;
 };
 
-const MOST_WAIT_MS = 30_000;
-/** An answer holds no more than this, but at least one row. */
-const PAGE_BYTES = 1_000_000;
+const MAX_WAIT_MS = 30_000;
+/** Maximum size of the values in one response, which always holds at least one row. */
+const MAX_PAGE_BYTES = 1_000_000;
 
-const idOf = ({ table, part, key }: Place): string => JSON.stringify([table, part, key]);
+const rowId = ({ table, part, key }: Place): string => JSON.stringify([table, part, key]);
 
 const encode = (value: unknown): string => Buffer.from(JSON.stringify(value)).toString('base64');
 
-/** The rows that one answer holds. */
-const firstPage = (rows: readonly Row[], mostRows = Infinity): readonly Row[] => {
+/** Returns the leading rows that fit into one response. */
+const firstPage = (rows: readonly Row[], maxRows = Infinity): readonly Row[] => {
   let bytes = 0;
   const isOver = ({ value = '' }: Row, index: number): boolean => {
     bytes += value.length;
-    return index >= mostRows || (index > 0 && bytes > PAGE_BYTES);
+    return index >= maxRows || (index > 0 && bytes > MAX_PAGE_BYTES);
   };
   const end = rows.findIndex(isOver);
   return end < 0 ? rows : rows.slice(0, end);
 };
 
 /**
- * Builds the service.
+ * Creates the service.
  *
- * @param options - Who is told of writes.
- * @returns The service, to be put on a server.
+ * @param options - The callback for writes.
+ * @returns The service, which `register` adds to a server.
  */
 export const createRowsService = ({
   onPut = () => undefined,
@@ -72,25 +80,25 @@
   const rows = new Map<string, Row>();
   let history: Row[] = [];
   let version = 0;
-  let forgottenUpTo = 0;
+  let truncatedUpTo = 0;
   let fault: RowsFault = { kind: 'none' };
   const waiters = new Set<() => void>();
 
-  const note = (row: Row): void => {
+  const recordChange = (row: Row): void => {
     history.push(row);
-    if (row.deleted) rows.delete(idOf(row));
-    else rows.set(idOf(row), row);
+    if (row.deleted) rows.delete(rowId(row));
+    else rows.set(rowId(row), row);
   };
 
   const commit = ({ puts = [], remove = [] }: Transaction): number => {
     version += 1;
     puts.forEach((put) => {
-      note({ ...put, ver: version });
+      recordChange({ ...put, ver: version });
       onPut(put);
     });
     remove
-      .filter((place) => rows.has(idOf(place)))
-      .forEach((place) => note({ ...place, ver: version, deleted: true }));
+      .filter((place) => rows.has(rowId(place)))
+      .forEach((place) => recordChange({ ...place, ver: version, deleted: true }));
     waiters.forEach((wake) => wake());
     return version;
   };
@@ -117,11 +125,11 @@
 
     server.post<{ Body: Transaction }>('/-/rows-tx', async ({ body }, reply) => {
       const { expectedRev = [] } = body;
-      const isMoved = (check: Place & { readonly ver: number }): boolean =>
-        (rows.get(idOf(check))?.ver ?? 0) !== check.ver;
-      if (expectedRev.some(isMoved)) {
-        const there = expectedRev.flatMap((check) => rows.get(idOf(check)) ?? []);
-        return reply.code(412).send({ rows: there, ver: version });
+      const hasOtherVersion = (check: Place & { readonly ver: number }): boolean =>
+        (rows.get(rowId(check))?.ver ?? 0) !== check.ver;
+      if (expectedRev.some(hasOtherVersion)) {
+        const currentRows = expectedRev.flatMap((check) => rows.get(rowId(check)) ?? []);
+        return reply.code(412).send({ rows: currentRows, ver: version });
       }
       const ver = commit(body);
       if (fault.kind === 'lose') reply.raw.destroy();
@@ -145,16 +153,16 @@
       '/-/rows-feed',
       async ({ query }, reply) => {
         const after = Number(query.after);
-        if (after < forgottenUpTo) return reply.code(410).send();
-        const untilMs = performance.now() + Math.min(MOST_WAIT_MS, Number(query.waitMs ?? 0));
+        if (after < truncatedUpTo) return reply.code(410).send();
+        const untilMs = performance.now() + Math.min(MAX_WAIT_MS, Number(query.waitMs ?? 0));
         while (changesOf(query.table, after).length === 0 && performance.now() < untilMs) {
           await waitForChange(Math.max(1, untilMs - performance.now()));
         }
-        // What came while the question waited may be forgotten before it is answered.
-        if (after < forgottenUpTo) return reply.code(410).send();
+        // The history may have been discarded while the request waited.
+        if (after < truncatedUpTo) return reply.code(410).send();
         const changes = changesOf(query.table, after);
         const page = firstPage(changes);
-        // What does not fit is asked for after the last row of this answer.
+        // When the changes do not fit, the reader continues after the last row of this response.
         const upTo = page.length < changes.length ? page.at(-1)?.ver : version;
         return { rows: page, ver: upTo ?? version };
       },
@@ -169,7 +177,7 @@
       commit({ remove: [{ table, part: '', key }] });
     },
     valueOf: (table, part, key) => {
-      const row = rows.get(idOf({ table, part, key }));
+      const row = rows.get(rowId({ table, part, key }));
       if (!row?.value) return undefined;
       return JSON.parse(Buffer.from(row.value, 'base64').toString('utf8')) as unknown;
     },
@@ -177,12 +185,12 @@
       Array.from(rows.values())
         .filter((row) => row.table === table)
         .map(({ key }) => key),
-    setFault: (now) => {
-      fault = now;
+    setFault: (newFault) => {
+      fault = newFault;
     },
     forgetHistory: () => {
       history = [];
-      forgottenUpTo = version;
+      truncatedUpTo = version;
     },
     register,
   };
--- a/packages/stand-ins/src/users-platform/users-platform.ts
+++ b/packages/stand-ins/src/users-platform/users-platform.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the users' platform: the store of rows, the list of machines and the executors on
- * them, small enough to read. What must always hold is checked at the executors while it happens.
+ * A stand-in for the users' platform: the row store, the machine list and the executors on the
+ * machines. Invariants are checked at the executors and at the row store as events happen.
  */
 import {
   parseTaskKey,
@@ -15,11 +15,14 @@
 import { startExecutor, type StandInExecutor } from './executor-service.js';
 import { createRowsService, type Place, type RowsService } from './rows-service.js';
 
-/** Executors write their entry this often. */
-const BEAT_MS = 500;
+/** Each executor writes its row in the table `servers` at this interval. */
+const SERVER_ROW_INTERVAL_MS = 500;
 const MAINTENANCE_MS = 800;
 const MOVE_MS = 600;
-/** Of so many starts of executors on a machine one has a new id; the others go on under the id that it had. */
+/**
+ * One in this many executor starts, counted over all machines, gets a new instance id. The others
+ * keep the machine's previous id, if it has one.
+ */
 const NEW_ID_EVERY = 4;
 
 type Machine = {
@@ -28,11 +31,11 @@
   pool: string;
   state: 'up' | 'moving' | 'upkeep' | 'down';
   executor: StandInExecutor | null;
-  /** The id of the executor that it has or had last. */
+  /** The instance id of the current executor or, without one, of the previous executor. */
   lastId: InstanceId | null;
 };
 
-/** What is wrong with the list of machines at the moment. */
+/** The current fault of the machine list: it answers 503, or it never answers. */
 export type MachinesFault = 'none' | 'unavailable' | 'silent';
 
 type WaveOrder = { readonly wave: number; readonly machines: readonly string[] };
@@ -40,9 +43,9 @@
 export type UsersPlatformOptions = {
   readonly pools?: readonly string[];
   readonly machinesPerPool?: number;
-  /** Where machines stand, by turns. */
+  /** The zones of the machines, assigned in turn. */
   readonly zones?: readonly string[];
-  /** What the tasks of a job need, by the text in its spec's place; the same for all by default. */
+  /** The needs and the behaviour of every task. */
   readonly needs?: SimulatedTask;
 };
 
@@ -51,14 +54,18 @@
   readonly machinesAddress: string;
   readonly rows: RowsService;
   readonly executors: () => readonly StandInExecutor[];
-  /** What was broken: a task twice at once or again after its noted end, a wave told as completed too soon. */
+  /**
+   * Violated invariants: a task that runs twice at once or starts again after its end was acknowledged,
+   * an invalid task key, or a wave that is reported as completed too early.
+   */
   readonly broken: readonly string[];
-  /** Jobs of which a task began. */
+  /** Jobs of which at least one task has started. */
   readonly begun: ReadonlySet<string>;
-  /** Each start of a task, by the steady clock of this process. */
+  /** Each start of a task, with its time by the monotonic clock of this process. */
   readonly starts: readonly { readonly zone: string; readonly atMs: number }[];
+  /** Maintenance that has begun, as `wave/machine`. */
   readonly maintained: ReadonlySet<string>;
-  /** Takes the list of machines away, with the orders to them, or gives it back. */
+  /** Makes the machine list and the orders to machines fail, or restores them. */
   readonly setMachinesFault: (fault: MachinesFault) => void;
   readonly close: () => Promise<void>;
 };
@@ -73,28 +80,30 @@
 
 const CAPACITY = { cpuMillis: 8000, memoryMb: 16_000, accelerators: 0 };
 
-const watchTasks = (
+/** Creates an observer that checks the invariants of tasks and collects the started jobs. */
+const createTaskObserver = (
   executors: () => readonly StandInExecutor[],
-  broken: string[],
-  begun: Set<string>,
+  violations: string[],
+  startedJobs: Set<string>,
   needs: SimulatedTask,
 ): EndpointObserver => {
-  const noted = new Set<TaskKey>();
+  const acknowledgedTasks = new Set<TaskKey>();
   return {
     taskOf: () => needs,
     onStart: (endpoint, task, run) => {
       const others = executors().filter(
         ({ model }) => model !== endpoint && model.isUp() && model.runs.has(task),
       );
-      if (others.length > 0) broken.push(`${task} run ${run} is on two executors`);
-      if (noted.has(task)) broken.push(`${task} run ${run} began after its end was noted`);
+      if (others.length > 0) violations.push(`${task} run ${run} is on two executors`);
+      if (acknowledgedTasks.has(task))
+        violations.push(`${task} run ${run} started after its end was acknowledged`);
       const name = parseTaskKey(task);
-      if (name) begun.add(name.jobId);
-      else broken.push(`${task} is no task`);
+      if (name) startedJobs.add(name.jobId);
+      else violations.push(`${task} is not a valid task key`);
     },
     onEnd: () => undefined,
     onAcknowledged: ({ task, kind }: EndedRunReport) => {
-      if (kind === 'done') noted.add(task);
+      if (kind === 'done') acknowledgedTasks.add(task);
     },
   };
 };
@@ -102,8 +111,8 @@
 /**
  * Starts a platform on the loopback address.
  *
- * @param options - Its pools and what their tasks need.
- * @returns The platform.
+ * @param options - Its pools, machines and zones, and the needs of the tasks.
+ * @returns The running platform.
  */
 export const startUsersPlatform = async ({
   pools = ['routing', 'convoy'],
@@ -111,41 +120,50 @@
   zones = ['hall'],
   needs = DEFAULT_NEEDS,
 }: UsersPlatformOptions = {}): Promise<UsersPlatform> => {
-  const rows = createRowsService({ onPut: (place) => checkReport(place) });
+  const rows = createRowsService({ onPut: (place) => checkWaveCompletion(place) });
   const machines = new Map<string, Machine>();
   const broken: string[] = [];
   const maintained = new Set<string>();
-  let lastLife = 0;
-  let lastId = 0;
+  let startCount = 0;
+  let lastIdNumber = 0;
 
   const executors = (): readonly StandInExecutor[] =>
     Array.from(machines.values()).flatMap(({ executor }) => executor ?? []);
   const begun = new Set<string>();
   let machinesFault: MachinesFault = 'none';
 
-  /** A wave may be told as completed once each of its machines has gone down: none leaves here. */
-  const checkReport = ({ table, key }: Place): void => {
+  /**
+   * Checks that a wave is reported as completed only after each of its machines has gone into
+   * maintenance. Machines never leave this platform, so that no machine may be missing.
+   */
+  const checkWaveCompletion = ({ table, key }: Place): void => {
     if (table !== 'status') return;
     const { state } = rows.valueOf('status', '', key) as { state: string };
     const { wave, machines: due } = rows.valueOf('op', '', key) as WaveOrder;
-    const open = due.filter((name) => !maintained.has(`${wave}/${name}`));
-    if (state === 'completed' && open.length > 0) {
-      broken.push(`wave ${wave} is completed without ${open.join(', ')}`);
+    const missing = due.filter((name) => !maintained.has(`${wave}/${name}`));
+    if (state === 'completed' && missing.length > 0) {
+      broken.push(
+        `wave ${wave} is reported as completed without maintenance of ${missing.join(', ')}`,
+      );
     }
   };
 
   const starts: { readonly zone: string; readonly atMs: number }[] = [];
-  const watcher = watchTasks(executors, broken, begun, needs);
+  const taskObserver = createTaskObserver(executors, broken, begun, needs);
   const observer: EndpointObserver = {
-    ...watcher,
+    ...taskObserver,
     onStart: (endpoint, task, run) => {
       const zone = machines.get(endpoint.hostId)?.zone ?? '';
       starts.push({ zone, atMs: performance.now() });
-      watcher.onStart(endpoint, task, run);
+      taskObserver.onStart(endpoint, task, run);
     },
   };
 
-  const write = ({ machine, pool, zone }: Machine, { model, address }: StandInExecutor): void =>
+  /** Writes the row of an executor in the table `servers`. */
+  const writeServerRow = (
+    { machine, pool, zone }: Machine,
+    { model, address }: StandInExecutor,
+  ): void =>
     rows.put('servers', model.instanceId, {
       service: pool,
       address,
@@ -158,16 +176,17 @@
       seq: Math.round(performance.now()),
     });
 
-  /** An executor may start again under the id that the one before it had. */
-  const idFor = ({ lastId: former }: Machine): InstanceId => {
-    lastLife += 1;
-    if (former !== null && lastLife % NEW_ID_EVERY !== 0) return former;
-    lastId += 1;
-    return `i-${lastId}` as InstanceId;
+  /** Chooses the id of the next executor of a machine, which may be that of its previous executor. */
+  const chooseInstanceId = ({ lastId: former }: Machine): InstanceId => {
+    startCount += 1;
+    if (former !== null && startCount % NEW_ID_EVERY !== 0) return former;
+    lastIdNumber += 1;
+    return `i-${lastIdNumber}` as InstanceId;
   };
 
-  const live = async (machine: Machine): Promise<void> => {
-    const instanceId = idFor(machine);
+  /** Starts an executor on a machine. */
+  const startOn = async (machine: Machine): Promise<void> => {
+    const instanceId = chooseInstanceId(machine);
     const executor = await startExecutor({
       instanceId,
       hostId: machine.machine as HostId,
@@ -177,10 +196,15 @@
       observer,
     });
     Object.assign(machine, { executor, lastId: instanceId, state: 'up' });
-    write(machine, executor);
+    writeServerRow(machine, executor);
   };
 
-  const end = async (machine: Machine, state: Machine['state'], afterMs: number): Promise<void> => {
+  /** Stops the executor of a machine and starts another one after a delay in milliseconds. */
+  const restartLater = async (
+    machine: Machine,
+    state: Machine['state'],
+    afterMs: number,
+  ): Promise<void> => {
     const { executor } = machine;
     Object.assign(machine, { executor: null, state });
     if (executor) {
@@ -188,18 +212,18 @@
       await executor.close();
     }
     setTimeout(() => {
-      void live(machine);
+      void startOn(machine);
     }, afterMs);
   };
 
   const store = fastify();
   rows.register(store);
-  const list = fastify();
-  list.addHook('onRequest', async (_, reply) => {
+  const machineList = fastify();
+  machineList.addHook('onRequest', async (_, reply) => {
     if (machinesFault === 'unavailable') await reply.code(503).send();
     if (machinesFault === 'silent') await new Promise<void>(() => {});
   });
-  list.get('/-/machines', async () => ({
+  machineList.get('/-/machines', async () => ({
     machines: Array.from(machines.values(), ({ machine, pool, state, zone, executor }) => ({
       machine,
       pool,
@@ -211,7 +235,7 @@
     })),
     nextToken: null,
   }));
-  list.post<{ Body: { machine: string; wave: number } }>(
+  machineList.post<{ Body: { machine: string; wave: number } }>(
     '/-/machine-upkeep',
     async ({ body }, reply) => {
       const machine = machines.get(body.machine);
@@ -219,11 +243,11 @@
       if (maintained.has(`${body.wave}/${body.machine}`)) return {};
       if (machine.state !== 'up') return reply.code(409).send({ reason: 'busy' });
       maintained.add(`${body.wave}/${body.machine}`);
-      await end(machine, 'upkeep', MAINTENANCE_MS);
+      await restartLater(machine, 'upkeep', MAINTENANCE_MS);
       return {};
     },
   );
-  list.post<{ Body: { machine: string; pool: string } }>(
+  machineList.post<{ Body: { machine: string; pool: string } }>(
     '/-/machine-move',
     async ({ body }, reply) => {
       const machine = machines.get(body.machine);
@@ -231,16 +255,16 @@
       if (machine.pool === body.pool) return {};
       if (machine.state !== 'up') return reply.code(409).send({ reason: 'busy' });
       machine.pool = body.pool;
-      await end(machine, 'moving', MOVE_MS);
+      await restartLater(machine, 'moving', MOVE_MS);
       return {};
     },
   );
 
   const [storeUrl, listUrl] = await Promise.all([
     store.listen({ host: '127.0.0.1', port: 0 }),
-    list.listen({ host: '127.0.0.1', port: 0 }),
+    machineList.listen({ host: '127.0.0.1', port: 0 }),
   ]);
-  const names = pools.flatMap((pool) =>
+  const machineSpecs = pools.flatMap((pool) =>
     Array.from({ length: machinesPerPool }, (_, index) => ({
       pool,
       name: `m-${pool}-${index}`,
@@ -248,7 +272,7 @@
     })),
   );
   await Promise.all(
-    names.map(async ({ pool, name, zone }) => {
+    machineSpecs.map(async ({ pool, name, zone }) => {
       const machine: Machine = {
         machine: name,
         zone,
@@ -258,14 +282,14 @@
         lastId: null,
       };
       machines.set(name, machine);
-      await live(machine);
+      await startOn(machine);
     }),
   );
-  const beats = setInterval(() => {
+  const serverRowTimer = setInterval(() => {
     machines.forEach((machine) => {
-      if (machine.executor) write(machine, machine.executor);
+      if (machine.executor) writeServerRow(machine, machine.executor);
     });
-  }, BEAT_MS);
+  }, SERVER_ROW_INTERVAL_MS);
 
   return {
     storeAddress: storeUrl.replace('http://', ''),
@@ -280,10 +304,10 @@
       machinesFault = fault;
     },
     close: async () => {
-      clearInterval(beats);
+      clearInterval(serverRowTimer);
       await Promise.all(executors().map((executor) => executor.close()));
-      [store, list].forEach(({ server }) => server.closeAllConnections());
-      await Promise.all([store.close(), list.close()]);
+      [store, machineList].forEach(({ server }) => server.closeAllConnections());
+      await Promise.all([store.close(), machineList.close()]);
     },
   };
 };
--- a/packages/stand-ins/src/workers.ts
+++ b/packages/stand-ins/src/workers.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the workers of one data centre: hosts that run tasks under leases. */
+/** A stand-in for the workers of one data centre: hosts that run tasks while their leases last. */
 import { change } from '@valvelatch/core/shared/change';
 import fastify from 'fastify';
 import { request } from 'undici';
@@ -22,16 +22,21 @@
 };
 
 type Task = StartRequest & {
+  /** `leaving`: the task is being drained. */
   phase: 'starting' | 'running' | 'leaving' | 'done' | 'failed';
   leaseUntilMs: number;
+  /** Set for the tasks of a service, once their executor runs. */
   executor: StandInExecutor | null;
+  /** Ends the run of a job; null for the tasks of a service. */
   timer: NodeJS.Timeout | null;
 };
 
 type Host = {
   state: 'up' | 'rebooting' | 'dead';
   boots: number;
+  /** Whether jobs on this host fail when their run time is over. */
   failsTasks: boolean;
+  /** Whether the host reports itself as leaving. */
   leaving: boolean;
 };
 
@@ -42,16 +47,21 @@
   readonly platformUrl: string;
   readonly host?: string;
   readonly port?: number;
+  /** How long a reboot takes. */
   readonly rebootMs?: number;
+  /** How long an executor works on a request that does not say otherwise. */
   readonly workMs?: number;
 };
 
-/** What the stand-in has seen, for the checks of tests and of the quickstart. */
+/** What the stand-in has observed, for checks in tests and in the quickstart. */
 export type WorkersReport = {
   readonly dataCentre: string;
+  /** How often each idempotency key was executed. */
   readonly executions: Readonly<Record<string, number>>;
   readonly served: number;
+  /** Requests that were refused because all slots of an executor were in use. */
   readonly overSlots: number;
+  /** Requests that were in flight when their task was stopped. */
   readonly cutRequests: number;
   /** Starts that were refused because the job was running under another epoch. */
   readonly doubleStarts: number;
@@ -61,16 +71,19 @@
 export type StandInWorkers = {
   readonly url: string;
   readonly report: () => WorkersReport;
+  /** Number of requests that the current task of a job has answered. */
   readonly servedBy: (jobId: string) => number;
-  readonly setHost: (hostId: string, change: Partial<Host>) => Promise<void>;
+  readonly setHost: (hostId: string, changes: Partial<Host>) => Promise<void>;
+  /** Sets the fault of the executor of a job, or of all executors for the job id `*`. */
   readonly setExecutorFault: (jobId: string, fault: ExecutorFault) => void;
   readonly close: () => Promise<void>;
 };
 
 const HEARTBEAT_MS = 300;
-const LEASE_SWEEP_MS = 200;
+const LEASE_CHECK_MS = 200;
 
-type Ended = { served: number; overSlots: number; cutRequests: number };
+/** Totals of the tasks that have ended. */
+type EndedTotals = { served: number; overSlots: number; cutRequests: number };
 
 /**
  * Starts the stand-in.
@@ -94,12 +107,12 @@
   const tasks = new Map<string, Task>();
   const endedEpochs = new Map<string, number>();
   const executions = new Map<string, number>();
-  const ended: Ended = { served: 0, overSlots: 0, cutRequests: 0 };
+  const endedTotals: EndedTotals = { served: 0, overSlots: 0, cutRequests: 0 };
   let doubleStarts = 0;
 
-  const collect = (executor: StandInExecutor) => {
-    ended.served += executor.stats.served;
-    ended.overSlots += executor.stats.overSlots;
+  const addTotalsOf = (executor: StandInExecutor) => {
+    endedTotals.served += executor.stats.served;
+    endedTotals.overSlots += executor.stats.overSlots;
     executor.executions.forEach((count, key) =>
       executions.set(key, (executions.get(key) ?? 0) + count),
     );
@@ -110,9 +123,9 @@
     endedEpochs.set(task.jobId, Math.max(task.epoch, endedEpochs.get(task.jobId) ?? 0));
     if (task.timer) clearTimeout(task.timer);
     if (!task.executor) return;
-    collect(task.executor);
-    const cut = await task.executor.close();
-    if (isPlanned) ended.cutRequests += cut;
+    addTotalsOf(task.executor);
+    const cutCount = await task.executor.close();
+    if (isPlanned) endedTotals.cutRequests += cutCount;
   };
 
   const runJob = (task: Task): void => {
@@ -127,7 +140,8 @@
     change(task, { executor, phase: 'running' });
   };
 
-  const refuseStart = (start: StartRequest): string | null => {
+  /** Returns why a start is refused, or null when it is accepted. */
+  const findRefusal = (start: StartRequest): string | null => {
     if (hosts.get(start.hostId)?.state !== 'up') return 'host is not up';
     if (start.epoch <= (endedEpochs.get(start.jobId) ?? 0)) return 'this epoch has ended';
     const running = tasks.get(start.jobId);
@@ -140,7 +154,7 @@
 
   app.post('/tasks/start', async (incoming, reply) => {
     const start = incoming.body as StartRequest;
-    const refusal = refuseStart(start);
+    const refusal = findRefusal(start);
     if (refusal !== null) return reply.code(409).send({ reason: refusal });
     if (tasks.has(start.jobId)) return reply.send(null);
     const task: Task = {
@@ -156,14 +170,15 @@
     return reply.send(null);
   });
 
-  const named = (body: unknown): Task | undefined => {
+  /** Returns the task that a request refers to, unless the job now runs under another epoch. */
+  const findTask = (body: unknown): Task | undefined => {
     const { jobId, epoch } = body as { jobId: string; epoch: number };
     const task = tasks.get(jobId);
     return task?.epoch === epoch ? task : undefined;
   };
 
   app.post('/tasks/drain', (incoming, reply) => {
-    const task = named(incoming.body);
+    const task = findTask(incoming.body);
     if (task && task.phase === 'running') {
       task.phase = 'leaving';
     }
@@ -172,16 +187,16 @@
 
   app.post('/tasks/stop', async (incoming, reply) => {
     const { jobId, epoch } = incoming.body as { jobId: string; epoch: number };
-    const task = named(incoming.body);
+    const task = findTask(incoming.body);
     if (task) await endTask(task, true);
     endedEpochs.set(jobId, Math.max(epoch, endedEpochs.get(jobId) ?? 0));
     return reply.send(null);
   });
 
   app.post('/tasks/renew', (incoming, reply) => {
-    const { tasks: wanted } = incoming.body as { tasks: readonly unknown[] };
-    wanted.forEach((one) => {
-      const task = named(one);
+    const { tasks: references } = incoming.body as { tasks: readonly unknown[] };
+    references.forEach((reference) => {
+      const task = findTask(reference);
       if (task) task.leaseUntilMs = performance.now() + task.leaseMs;
     });
     return reply.send(null);
@@ -210,40 +225,40 @@
     }),
   );
 
-  const loseTasksOf = async (hostId: string): Promise<void> => {
-    const lost = Array.from(tasks.values()).filter((task) => task.hostId === hostId);
-    await Promise.all(lost.map((task) => endTask(task, false)));
+  const endTasksOn = async (hostId: string): Promise<void> => {
+    const hostTasks = Array.from(tasks.values()).filter((task) => task.hostId === hostId);
+    await Promise.all(hostTasks.map((task) => endTask(task, false)));
   };
 
   const reboot = async (hostId: string): Promise<void> => {
     const host = hosts.get(hostId);
     if (!host || host.state !== 'up') return;
     host.state = 'rebooting';
-    await loseTasksOf(hostId);
+    await endTasksOn(hostId);
     setTimeout(() => {
       host.state = 'up';
       host.boots += 1;
     }, rebootMs);
   };
 
-  const heartbeat = async (): Promise<void> => {
-    const alive = Array.from(hosts).filter(([, { state }]) => state !== 'dead');
-    const body = alive.map(([hostId, { state, boots, leaving }]) => ({
+  const sendHeartbeat = async (): Promise<void> => {
+    const liveHosts = Array.from(hosts).filter(([, { state }]) => state !== 'dead');
+    const body = liveHosts.map(([hostId, { state, boots, leaving }]) => ({
       hostId,
       boots,
       state: leaving || state === 'rebooting' ? 'leaving' : 'live',
     }));
-    const answer = await request(`${platformUrl}/hosts/heartbeat`, {
+    const response = await request(`${platformUrl}/hosts/heartbeat`, {
       method: 'POST',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify({ hosts: body }),
       signal: AbortSignal.timeout(1000),
     });
-    const { reboot: due } = (await answer.body.json()) as { reboot: readonly string[] };
-    await Promise.all(due.map(reboot));
+    const { reboot: hostsToReboot } = (await response.body.json()) as { reboot: readonly string[] };
+    await Promise.all(hostsToReboot.map(reboot));
   };
 
-  const sweepLeases = (): void => {
+  const endExpiredTasks = (): void => {
     const nowMs = performance.now();
     tasks.forEach((task) => {
       if (task.phase !== 'done' && task.phase !== 'failed' && nowMs > task.leaseUntilMs) {
@@ -256,7 +271,7 @@
     const host = hosts.get(hostId);
     if (!host) return;
     change(host, changes);
-    if (host.state === 'dead') await loseTasksOf(hostId);
+    if (host.state === 'dead') await endTasksOn(hostId);
   };
 
   const setExecutorFault = (jobId: string, fault: ExecutorFault): void => {
@@ -267,7 +282,7 @@
 
   const report = (): WorkersReport => {
     const sums = new Map(executions);
-    const totals = { ...ended };
+    const totals = { ...endedTotals };
     tasks.forEach(({ executor }) => {
       if (!executor) return;
       totals.served += executor.stats.served;
@@ -290,12 +305,15 @@
   });
 
   const url = await app.listen({ host: listenHost, port });
-  // A heartbeat that finds the platform away is simply the next one's business.
-  const beat = () => {
-    heartbeat().catch(() => undefined);
+  // A heartbeat that fails because the platform is unreachable is ignored; the next one is sent anyway.
+  const tryHeartbeat = () => {
+    sendHeartbeat().catch(() => undefined);
   };
-  beat();
-  const timers = [setInterval(beat, HEARTBEAT_MS), setInterval(sweepLeases, LEASE_SWEEP_MS)];
+  tryHeartbeat();
+  const timers = [
+    setInterval(tryHeartbeat, HEARTBEAT_MS),
+    setInterval(endExpiredTasks, LEASE_CHECK_MS),
+  ];
 
   const close = async (): Promise<void> => {
     timers.forEach(clearInterval);
