--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -1,6 +1,6 @@
 /**
- * One holder and one or two endpoints in virtual time, with a fate for each order: when it is carried
- * out, when its answer comes, or neither. What must always hold is checked at the endpoints.
+ * One holder and one or two endpoints in virtual time. The outcome of each order is given: when it is carried out and when its
+ * answer arrives, or that either is lost. Invariants are checked at the endpoints.
  */
 import {
   startDueOccurrences,
@@ -44,23 +44,27 @@
 import { createEndpointRoster } from '../endpoints/endpoint-roster.js';
 import type { EndpointOrders } from '../ports.js';
 
-/** What becomes of one order. */
+/** The outcome of one order. */
 export type Fate = {
-  /** How long until the endpoint carries it out; null if it never does. */
+  /** How long until the endpoint carries the order out; null if it never does. */
   readonly goMs: number | null;
-  /** How long its answer is under way; null if it is lost. */
+  /** How long the answer is in flight; null if it is lost. */
   readonly backMs: number | null;
-  /** How soon the connection breaks, so that no time-out is waited for; null if it does not. */
+  /** How long until the connection breaks, which ends the call before its timeout; null if it does not break. */
   readonly breaksMs?: number | null;
-  /** The holder is told that nothing was done. */
+  /** If set, the holder gets the answer that the order was not carried out, with this reason. */
   readonly refusal?: 'unreachable' | 'unhealthy';
 };
 
 export type OrderKind = 'start' | 'stop' | 'list';
 
-/** The fates of orders of each kind, in the order in which they are sent; later ones are sound. */
+/**
+ * The outcomes of the orders of each kind, in the order in which they are sent; later orders are carried out and
+ * answered without delay.
+ */
 export type Fates = Readonly<Record<OrderKind, readonly Fate[]>>;
 
+/** The outcome of an order that is carried out and answered without delay. */
 export const SOUND: Fate = { goMs: 1, backMs: 1 };
 
 const POOL = brand<PoolName>('alpha');
@@ -68,13 +72,14 @@
 const ENDPOINT_LEASE_MS = 6000;
 const INHERITED_LEASES_MS = 100;
 const TICK_MS = 100;
-/** One fault leads to more: the first ones tell what it was. */
-const MOST_BROKEN = 3;
+/** How many violations are recorded: later ones tend to follow from the first ones. */
+const MAX_VIOLATIONS = 3;
 const SAVE_AFTER_MS = 20;
-const SUCCESSOR_ASKS_MS = 100;
+/** The pause between two list requests of another holder. */
+const SUCCESSOR_LIST_INTERVAL_MS = 100;
 const POLICY = { priority: 0, maxAttempts: 3, stretch: 2, targetLatencyMs: 600 };
 
-const NO_ANSWER: OrderError = { verdict: 'mayHaveRun', reason: 'no-answer', detail: 'silence' };
+const NO_ANSWER: OrderError = { verdict: 'mayHaveRun', reason: 'no-answer', detail: 'no answer' };
 
 const REPLACED: OrderError = { verdict: 'notRun', reason: 'other-endpoint', detail: '421' };
 
@@ -91,28 +96,29 @@
   });
 
 export type HeldWorldOptions = {
-  /** How many tasks each endpoint has room for. */
+  /** How many tasks each endpoint can run at a time. */
   readonly rooms: readonly number[];
-  /** How long tasks run, in turn. */
+  /** The run times of tasks, which are assigned to them in turn. */
   readonly runMs: readonly number[];
   readonly steps: readonly Partial<StepSpec>[];
-  /** Tasks end as failed at these endpoints, by number. */
+  /** The numbers of the endpoints on which tasks end as failed. */
   readonly failsOn?: readonly number[];
   /** How fast the clocks of the endpoints run: 0.98 is 2 % slow. */
   readonly clockRate?: number;
-  /** How long it takes to write ends, after which they are acknowledged. */
+  /** How long it takes to write run ends; they are acknowledged afterwards. */
   readonly saveMs?: number;
-  /** An endpoint lists so many ends at once. */
+  /** The maximum number of run ends in one answer of an endpoint. */
   readonly mostEnds?: number;
   readonly fates?: Partial<Fates>;
-  /** What the endpoints went through before this holder meets them. */
+  /** Prepares the endpoints before this holder learns of them. */
   readonly before?: (endpoints: readonly SimulatedEndpoint[]) => void;
+  /** How long after its creation the holder learns of the endpoints. */
   readonly meetsAfterMs?: number;
-  /** True if another holder takes part: it acknowledges ends, and this one's fence may be refused. */
+  /** True if another holder takes part: it acknowledges run ends, and endpoints may refuse this holder's fence. */
   readonly hasSuccessor?: boolean;
 };
 
-/** An end as done, and what followed it. */
+/** The end of a run as done, and the run of the same task that started after it, if any. */
 type DoneEnd = {
   readonly endpointId: EndpointId;
   readonly task: TaskKey;
@@ -122,44 +128,45 @@
   isAcknowledged: boolean;
 };
 
-/** When the lease of an endpoint ends, by what it was told, and when one was last over. */
+/** Computes an endpoint's lease from the orders that it carries out, independently of the endpoint. */
 const createLeaseMirror = (clockRate: number) => {
-  const bornAtMs = performance.now();
+  const startedAtMs = performance.now();
   let untilMs = 0;
   let lapsedAtMs = -Infinity;
-  const clockOf = (): number => 1000 + (performance.now() - bornAtMs) * clockRate;
+  const readClockMs = (): number => 1000 + (performance.now() - startedAtMs) * clockRate;
   return {
-    /** To be called with each order before it is carried out. */
-    note: (keepUntilMs: number | undefined): void => {
-      const clockMs = clockOf();
+    /** Applies an order to the lease; to be called just before the order is carried out. */
+    apply: (keepUntilMs: number | undefined): void => {
+      const clockMs = readClockMs();
       if (clockMs > untilMs) lapsedAtMs = performance.now() - (clockMs - untilMs) / clockRate;
       untilMs = Math.max(untilMs, keepUntilMs ?? 0);
     },
+    /** Returns when a lease last ended before the next was granted; -Infinity before the first order. */
     lapsedAtMs: () => lapsedAtMs,
-    isOver: (): boolean => clockOf() > untilMs,
+    isOver: (): boolean => readClockMs() > untilMs,
   };
 };
 
-const numberOf = ({ number }: EndedRunReport): number => number;
+const endNumberOf = ({ number }: EndedRunReport): number => number;
 
 type SimEndpoint = {
   readonly model: SimulatedEndpoint;
   readonly lease: ReturnType<typeof createLeaseMirror>;
-  /** The numbers of the ends that the holder was told of. */
-  readonly told: Set<number>;
-  /** Another life at its address answers what is meant for it. */
+  /** The numbers of the run ends that were reported to the holder. */
+  readonly reportedEnds: Set<number>;
+  /** True once another incarnation at its address answers the orders that are meant for it. */
   isReplaced: boolean;
-  /** Nothing reaches it before then, and none of its answers arrives. */
+  /** Before this time no order reaches it, and none of its answers arrives. */
   cutUntilMs: number;
-  /** What was sent to it meanwhile is delivered at the end of the cut. */
-  isHeldUp: boolean;
+  /** True if orders that are sent during the cut are delivered at its end; they are lost otherwise. */
+  deliversAfterCut: boolean;
 };
 
 /**
- * Builds a holder with its endpoints, of which none has answered yet.
+ * Creates a holder with its endpoints, none of which has answered yet.
  *
- * @param options - The endpoints, the work, and the fates of orders.
- * @returns The world; `stop` ends it.
+ * @param options - The endpoints, the work and the outcomes of orders.
+ * @returns The simulation; `stop` ends it.
  */
 export const createHeldWorld = ({
   rooms,
@@ -179,20 +186,20 @@
   const doneEnds: DoneEnd[] = [];
   const broken: string[] = [];
   const starts: { readonly task: TaskKey; readonly run: number; readonly on: EndpointId }[] = [];
-  const left: Record<OrderKind, Fate[]> = {
+  const plannedOutcomes: Record<OrderKind, Fate[]> = {
     start: [...(fates.start ?? [])],
     stop: [...(fates.stop ?? [])],
     list: [...(fates.list ?? [])],
   };
-  const bornAtMs = performance.now();
+  const startedAtMs = performance.now();
   let isStopped = false;
-  let isDone = false;
-  let isPoked = false;
+  let isClosed = false;
+  let isCyclePending = false;
   let isSavePlanned = false;
-  let lastEndpoint = 0;
+  let endpointCount = 0;
   const nowMs = (): number => performance.now();
-  const breaks = (text: string): void => {
-    if (broken.length < MOST_BROKEN) broken.push(`${Math.round(nowMs())} ms: ${text}`);
+  const recordViolation = (text: string): void => {
+    if (broken.length < MAX_VIOLATIONS) broken.push(`${Math.round(nowMs())} ms: ${text}`);
   };
 
   const jobs: JobState[] = [];
@@ -202,8 +209,11 @@
     return name && findTask(state, name);
   };
 
-  /** True if whoever asks now may take note of an end: its endpoint is up, and its lease never ended. */
-  const isNotable = ({ endpointId, atMs }: DoneEnd): boolean => {
+  /**
+   * Tells whether a holder that asks now can learn of a run's end: the endpoint must be up, and its lease must not have
+   * ended since the run's end.
+   */
+  const canBeReported = ({ endpointId, atMs }: DoneEnd): boolean => {
     const endpoint = endpoints.get(endpointId);
     if (!endpoint?.model.isUp()) return false;
     return !endpoint.lease.isOver() && endpoint.lease.lapsedAtMs() <= atMs;
@@ -213,14 +223,18 @@
     starts.push({ task, run, on });
     endpoints.forEach(({ model }, other) => {
       if (other !== on && model.isUp() && model.runs.has(task))
-        breaks(`${task} run ${run} began on ${on} while a run is on ${other}`);
+        recordViolation(
+          `${task} run ${run} started on ${on} while another run of it is on ${other}`,
+        );
     });
     doneEnds
       .filter((end) => end.task === task)
       .forEach((end) => {
         const earlier = `${task} run ${end.run} had ended as done on ${end.endpointId}`;
-        if (end.isAcknowledged) breaks(`run ${run} began on ${on} after ${earlier}, acknowledged`);
-        else if (isNotable(end)) breaks(`run ${run} began on ${on} after ${earlier}, still listed`);
+        if (end.isAcknowledged)
+          recordViolation(`run ${run} started on ${on} after ${earlier}, acknowledged`);
+        else if (canBeReported(end))
+          recordViolation(`run ${run} started on ${on} after ${earlier}, still listed`);
         Object.assign(end, { followedBy: run });
       });
   };
@@ -249,25 +263,27 @@
     const { number, task, run, kind } = end;
     const endpoint = endpoints.get(on);
     if (!endpoint) return;
-    const named = `the end ${number} of ${task} run ${run} as ${kind} on ${on}`;
-    // Another holder acknowledges by what it was told itself.
+    const description = `the end ${number} of ${task} run ${run} as ${kind} on ${on}`;
+    // Another holder acknowledges the ends that were reported to itself, which are not recorded here.
     if (!hasSuccessor) {
-      if (!endpoint.told.has(number)) breaks(`${named} was acknowledged and never told`);
-      else if (!isApplied(end)) breaks(`${named} was acknowledged and not applied`);
+      if (!endpoint.reportedEnds.has(number))
+        recordViolation(`${description} was acknowledged but never reported`);
+      else if (!isApplied(end)) recordViolation(`${description} was acknowledged but not applied`);
     }
     const ended = doneEnds.find(
       (one) => one.endpointId === on && one.task === task && one.run === run,
     );
     if (!ended || endpoint.lease.lapsedAtMs() > ended.atMs) return;
     ended.isAcknowledged = true;
-    if (ended.followedBy !== undefined) breaks(`run ${ended.followedBy} had begun after ${named}`);
+    if (ended.followedBy !== undefined)
+      recordViolation(`run ${ended.followedBy} had started after ${description}`);
   };
 
-  const addEndpoint = (room: number): EndpointDescription => {
-    const endpointId = brand<EndpointId>(`i-${lastEndpoint}`);
-    const index = lastEndpoint;
-    lastEndpoint += 1;
-    const capacity = { cpuMillis: room * 1000, memoryMb: 64_000, accelerators: 0 };
+  const addEndpoint = (taskCapacity: number): EndpointDescription => {
+    const endpointId = brand<EndpointId>(`i-${endpointCount}`);
+    const index = endpointCount;
+    endpointCount += 1;
+    const capacity = { cpuMillis: taskCapacity * 1000, memoryMb: 64_000, accelerators: 0 };
     const model = createSimulatedEndpoint({
       instanceId: instanceIdOf(endpointId),
       hostId: brand(`h-${index}`),
@@ -293,10 +309,10 @@
     endpoints.set(endpointId, {
       model,
       lease: createLeaseMirror(clockRate),
-      told: new Set(),
+      reportedEnds: new Set(),
       isReplaced: false,
       cutUntilMs: 0,
-      isHeldUp: false,
+      deliversAfterCut: false,
     });
     return {
       endpointId,
@@ -312,7 +328,7 @@
 
   type Answer<Value> = Result<Value, OrderError>;
 
-  /** Sends an order to its fate. */
+  /** Sends an order, which meets the next planned outcome of its kind. */
   const send = <Value>(
     kind: OrderKind,
     endpointId: EndpointId,
@@ -321,35 +337,35 @@
     onAnswer: (endpoint: SimEndpoint, answer: Answer<Value>) => void = () => undefined,
   ): Promise<Answer<Value>> =>
     new Promise((resolve) => {
-      const { goMs, backMs, breaksMs = null, refusal } = left[kind].shift() ?? SOUND;
+      const { goMs, backMs, breaksMs = null, refusal } = plannedOutcomes[kind].shift() ?? SOUND;
       const endpoint = endpoints.get(endpointId);
       if (!endpoint || isStopped) return;
-      let isOver = false;
-      const settle = (answer: Answer<Value>): void => {
-        if (isOver) return;
-        isOver = true;
+      let isFinished = false;
+      const finish = (answer: Answer<Value>): void => {
+        if (isFinished) return;
+        isFinished = true;
         onAnswer(endpoint, answer);
         resolve(answer);
       };
-      const arrive = async (): Promise<void> => {
+      const deliver = async (): Promise<void> => {
         const cutForMs = endpoint.cutUntilMs - nowMs();
-        if (cutForMs > 0 && !endpoint.isHeldUp) return;
+        if (cutForMs > 0 && !endpoint.deliversAfterCut) return;
         if (cutForMs > 0) await sleep(cutForMs);
         if (isStopped || (!endpoint.model.isUp() && !endpoint.isReplaced)) return;
         const answer = endpoint.model.isUp() ? await carryOut(endpoint) : Err(REPLACED);
         if (backMs === null) return;
         await sleep(backMs);
-        if (nowMs() >= endpoint.cutUntilMs) settle(answer);
+        if (nowMs() >= endpoint.cutUntilMs) finish(answer);
       };
-      setTimeout(() => settle(Err(NO_ANSWER)), timeoutMs);
+      setTimeout(() => finish(Err(NO_ANSWER)), timeoutMs);
       if (refusal !== undefined) {
         const refused: OrderError = { verdict: 'notRun', reason: refusal, detail: 'refused' };
-        setTimeout(() => settle(Err(refused)), backMs ?? 1);
+        setTimeout(() => finish(Err(refused)), backMs ?? 1);
       }
-      if (breaksMs !== null) setTimeout(() => settle(Err(NO_ANSWER)), breaksMs);
+      if (breaksMs !== null) setTimeout(() => finish(Err(NO_ANSWER)), breaksMs);
       if (goMs === null) return;
       setTimeout(() => {
-        void arrive();
+        void deliver();
       }, goMs);
     });
 
@@ -360,17 +376,20 @@
         endpointId,
         order.waitMs + timeoutMs,
         async ({ model, lease }) => {
-          lease.note(order.keepUntilMs);
+          lease.apply(order.keepUntilMs);
           const answer = await model.list(order);
-          return answer.map((told) => ({ ...told, ended: told.ended.slice(0, mostEnds) }));
+          return answer.map((reported) => ({
+            ...reported,
+            ended: reported.ended.slice(0, mostEnds),
+          }));
         },
-        ({ told }, answer) => {
-          if (answer.isOk()) answer.value.ended.forEach(({ number }) => told.add(number));
+        ({ reportedEnds }, answer) => {
+          if (answer.isOk()) answer.value.ended.forEach(({ number }) => reportedEnds.add(number));
         },
       ),
     start: ({ endpointId }, order, timeoutMs) =>
       send('start', endpointId, timeoutMs, ({ model, lease }) => {
-        lease.note(order.keepUntilMs);
+        lease.apply(order.keepUntilMs);
         return model.start(order);
       }),
     stop: ({ endpointId }, order, timeoutMs) =>
@@ -387,11 +406,11 @@
     schedulePools(Infinity, nowMs());
     takeEffects(state).forEach((effect) => {
       if (effect.kind === 'start' || effect.kind === 'stop') roster.perform(effect);
-      if (effect.kind === 'save') writeLater(effect.jobId);
+      if (effect.kind === 'save') saveCrashRecordLater(effect.jobId);
     });
   };
 
-  const writeLater = (jobId: JobId): void => {
+  const saveCrashRecordLater = (jobId: JobId): void => {
     const job = state.jobs.get(jobId);
     if (!job) return;
     const { crashRecordRevision } = job;
@@ -405,15 +424,15 @@
   };
 
   const poke = (): void => {
-    if (isPoked) return;
-    isPoked = true;
+    if (isCyclePending) return;
+    isCyclePending = true;
     setImmediate(() => {
-      isPoked = false;
+      isCyclePending = false;
       cycle();
     });
   };
 
-  /** Ends are acknowledged once they are written, as far as they were applied when that began. */
+  /** Acknowledges run ends once they are written: those that had been applied when the write began. */
   const wantSave = (): void => {
     if (isSavePlanned) return;
     isSavePlanned = true;
@@ -440,7 +459,7 @@
       poke,
       wantSave,
       onFenceLost: () => {
-        if (!hasSuccessor) breaks('the fence was lost');
+        if (!hasSuccessor) recordViolation('the fence was lost');
         isStopped = true;
       },
     },
@@ -462,10 +481,10 @@
       acceptedAtMs: 0,
       ...extra,
     };
-    const taken = addJob(state, { job, policy: POLICY, nowMs: nowMs(), wallClockMs: Date.now() });
-    jobs.push(taken);
+    const added = addJob(state, { job, policy: POLICY, nowMs: nowMs(), wallClockMs: Date.now() });
+    jobs.push(added);
     poke();
-    return taken;
+    return added;
   };
 
   const stopOne = (pick: number): void => {
@@ -477,48 +496,49 @@
     cycle();
   };
 
-  /** An endpoint dies with all that runs there; another life comes up at its address. */
+  /** Crashes an endpoint with all its runs; another incarnation starts at its address after backAfterMs. */
   const crash = (pick: number, backAfterMs: number): void => {
-    const living = Array.from(endpoints.values()).filter(({ model }) => model.isUp());
-    const struck = living[pick % Math.max(1, living.length)];
-    if (!struck) return;
-    struck.model.crash();
+    const liveEndpoints = Array.from(endpoints.values()).filter(({ model }) => model.isUp());
+    const target = liveEndpoints[pick % Math.max(1, liveEndpoints.length)];
+    if (!target) return;
+    target.model.crash();
     setTimeout(() => {
       if (isStopped) return;
-      struck.isReplaced = true;
-      roster.take({ seen: [addEndpoint(struck.model.capacity.cpuMillis / 1000)], gone: [] });
+      target.isReplaced = true;
+      roster.take({ seen: [addEndpoint(target.model.capacity.cpuMillis / 1000)], gone: [] });
     }, backAfterMs);
   };
 
   /** Cuts an endpoint off from the holder. */
-  const cut = (pick: number, forMs: number, isHeldUp: boolean): void => {
-    const living = Array.from(endpoints.values()).filter(({ model }) => model.isUp());
-    const struck = living[pick % Math.max(1, living.length)];
-    if (struck) Object.assign(struck, { cutUntilMs: nowMs() + forMs, isHeldUp });
+  const cut = (pick: number, forMs: number, deliversAfterCut: boolean): void => {
+    const liveEndpoints = Array.from(endpoints.values()).filter(({ model }) => model.isUp());
+    const target = liveEndpoints[pick % Math.max(1, liveEndpoints.length)];
+    if (target) Object.assign(target, { cutUntilMs: nowMs() + forMs, deliversAfterCut });
   };
 
   /**
-   * Another holder asks the endpoints from now on, each after a time of its own, and acknowledges what
-   * it hears at once. This holder can no longer be sure to be the only one; nobody tells it more.
+   * Starts another holder that lists the runs of each endpoint from some time on, which differs by endpoint, and
+   * acknowledges reported ends at once. From now on this holder cannot rely on being the only one; it learns nothing
+   * more about the other.
    */
   const succeed = (afterMs: readonly number[]): void => {
     state.soleHolderUntilMs = nowMs();
     Array.from(endpoints.values()).forEach(({ model, lease }, index) => {
       let acknowledged = 0;
-      const ask = async (): Promise<void> => {
-        if (isDone || !model.isUp()) return;
-        const keepUntilMs = 1000 + (nowMs() - bornAtMs) * clockRate + ENDPOINT_LEASE_MS;
-        lease.note(keepUntilMs);
+      const listRuns = async (): Promise<void> => {
+        if (isClosed || !model.isUp()) return;
+        const keepUntilMs = 1000 + (nowMs() - startedAtMs) * clockRate + ENDPOINT_LEASE_MS;
+        lease.apply(keepUntilMs);
         const order = { fence: FENCE + 1, acknowledged, keepUntilMs, waitMs: 0 };
         const answer = await model.list(order);
         if (answer.isOk())
-          acknowledged = Math.max(acknowledged, ...answer.value.ended.map(numberOf));
+          acknowledged = Math.max(acknowledged, ...answer.value.ended.map(endNumberOf));
         setTimeout(() => {
-          void ask();
-        }, SUCCESSOR_ASKS_MS);
+          void listRuns();
+        }, SUCCESSOR_LIST_INTERVAL_MS);
       };
       setTimeout(() => {
-        void ask();
+        void listRuns();
       }, afterMs[index] ?? 0);
     });
   };
@@ -540,26 +560,29 @@
     broken,
     starts,
     submit,
-    /** Has a run stopped, wherever it is. */
+    /** Orders one of the current runs to be stopped. */
     stopOne,
     crash,
     cut,
     succeed,
-    /** Has the next order of a kind meet this fate, after those that are planned. */
+    /** Appends outcomes to the planned ones of a kind of order. */
     plan: (kind: OrderKind, ...more: readonly Fate[]): void => {
-      left[kind].push(...more);
+      plannedOutcomes[kind].push(...more);
     },
-    /** Orders that are sent from now on are sound, and nothing is cut. */
+    /**
+     * Removes all planned outcomes and cuts: orders that are sent from now on are carried out and answered without
+     * delay.
+     */
     calm: (): void => {
-      Object.values(left).forEach((planned) => planned.splice(0));
+      Object.values(plannedOutcomes).forEach((planned) => planned.splice(0));
       endpoints.forEach((endpoint) => Object.assign(endpoint, { cutUntilMs: 0 }));
     },
-    /** The names of the jobs that have not ended. */
+    /** Lists the ids of the jobs that have not ended. */
     open: (): readonly string[] =>
       jobs.filter(({ phase }) => !isFinal(phase)).map(({ job }) => job.jobId),
     stop: (): void => {
       isStopped = true;
-      isDone = true;
+      isClosed = true;
       clearInterval(timer);
       roster.close();
     },
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -1,7 +1,7 @@
 /**
- * A holder and one endpoint in virtual time. Each call has a fate of its own, the
- * endpoint's lease is counted beside it, and what must hold between the lease and the holder's count
- * of it is checked whenever either changes.
+ * A holder and one endpoint in virtual time. The outcome of each call is given, and the end of the endpoint's lease is
+ * computed independently. Whenever the lease or the holder's estimate of its end changes, their relation is checked:
+ * the lease must never end after the estimate.
  */
 import {
   createBatchState,
@@ -35,72 +35,77 @@
 import { never, sleep } from './sim-platform.fixtures.js';
 import { SIM_POLICY } from './sim-world.fixtures.js';
 
-/** A holder's control lease, and for how long after a renewal nobody else can have taken it. */
+/** How long the control lease lasts after a renewal. */
 const CONTROL_LEASE_MS = 8000;
+/** For how long after a renewal no other entry can have taken the control lease. */
 const SOLE_HOLDER_MS = 2400;
+/** How often the holder renews the control lease. */
 const RENEW_EVERY_MS = 1300;
-/** Another entry takes a lease that was not renewed for so long. */
+/** Another entry takes over a control lease that has not been renewed for this long. */
 export const EARLY_TAKE_MS = 2600;
 
 const TICK_MS = 100;
-const FEED_MS = 400;
-const SAVE_MS = 30;
+const FEED_INTERVAL_MS = 400;
+const SAVE_DELAY_MS = 30;
 const SUCCESSOR_LISTS_EVERY_MS = 300;
-/** Timers are rounded to whole milliseconds. */
+/** The tolerance for timers, which are rounded to whole milliseconds. */
 const ROUNDING_MS = 2;
 
 const FENCE = 2;
 const ENDPOINT = brand<EndpointId>('i-1');
 const POOL = 'alpha';
-/** The endpoint's clock at its birth. */
-const CLOCK_BORN_MS = 1000;
+/** What the endpoint's clock shows when the endpoint starts. */
+const CLOCK_START_MS = 1000;
 
-/** What becomes of one call. */
+/** The outcome of one call: what is lost or delayed. */
 export type Fate = {
   readonly kind: 'carried' | 'request-lost' | 'answer-lost' | 'carried-late';
-  /** How long the request and the answer are on the network. */
+  /** How long the request is in flight. */
   readonly toMs: number;
+  /** How long the answer is in flight. */
   readonly backMs: number;
-  /** How late a request is carried out that is carried out late. */
+  /** How long after its arrival a 'carried-late' request is carried out. */
   readonly lateMs: number;
 };
 
-/** A call that nothing delays. */
+/** The outcome of a call that is carried out and answered without delay. */
 export const QUICK: Fate = { kind: 'carried', toMs: 1, backMs: 1, lateMs: 0 };
 
-/** A time in which something is wrong. */
+/** A period in which one fault is present. */
 export type Trouble = {
   /**
-   * `freeze`: the holder sends and takes in nothing. `cut`: calls to the endpoint have no answer.
-   * `refuse`: connections to it are refused. `table`: the control lease is not renewed.
+   * `freeze`: the holder's process is paused, sends nothing and handles nothing that it receives. `cut`: calls to the
+   * endpoint are not answered. `refuse`: connections to the endpoint are refused. `table`: the control lease is not
+   * renewed.
    */
   readonly kind: 'freeze' | 'cut' | 'refuse' | 'table';
+  /** When it begins, in ms after the creation of the holder. */
   readonly atMs: number;
   readonly forMs: number;
 };
 
-/** Another entry that takes control once it may, and keeps what runs on the endpoint. */
+/** Another entry that takes over the control lease as soon as it may, and renews the endpoint's lease. */
 export type Successor = {
-  /** How long after it may take control it does. */
+  /** How long it waits after the time from which it may take the control lease. */
   readonly afterMs: number;
-  /** For how long it keeps what runs there. */
+  /** For how long it renews the endpoint's lease. */
   readonly forMs: number;
 };
 
 export type LeasedEndpointOptions = {
-  /** Met by one call after the other, again from the first after the last. */
+  /** The outcomes of the calls in order; starts again with the first after the last. */
   readonly fates?: readonly Fate[];
   readonly troubles?: readonly Trouble[];
   /** How fast the endpoint's clock runs: 0.98 is 2 % slow. */
   readonly clockRate?: number;
-  /** Takes control once the control lease has not been renewed for long enough. */
+  /** The entry that takes over once the control lease has not been renewed for long enough; undefined for none. */
   readonly successor?: Successor;
   readonly taskCount?: number;
-  /** How long a task runs; Infinity for one that lasts. */
+  /** How long a task runs; Infinity for a long-running one. */
   readonly runMs?: number;
-  /** The first task is handed in after this time. */
+  /** How long after its creation the holder gets the first job. */
   readonly idleMs?: number;
-  /** What the holder counts for what an earlier one may have granted. */
+  /** How long the holder assumes leases of an earlier holder to last. */
   readonly inheritedLeasesMs?: number;
 };
 
@@ -108,31 +113,32 @@
 export type SeenOrder = {
   readonly kind: 'list' | 'start' | 'stop';
   readonly sentAtMs: number;
+  /** The end of the endpoint's lease that the order asks for, on the endpoint's clock; undefined if it asks for none. */
   readonly keepUntilMs: number | undefined;
-  /** The end up to which it acknowledges; 0 for none. */
+  /** The number of the last run end that the order acknowledges; 0 for none. */
   readonly acknowledged: number;
 };
 
 export type LeasedEndpoint = {
   readonly state: BatchState;
   readonly model: SimulatedEndpoint;
-  /** What did not hold, with its time. */
+  /** The violated invariants, with the time of each. */
   readonly broken: readonly string[];
-  /** Every order that was sent, carried out or not. */
+  /** All orders that were sent, whether or not they were carried out. */
   readonly sent: readonly SeenOrder[];
-  /** When the holder gave runs up because the lease was over. */
+  /** When the holder gave runs up because it took the endpoint's lease for ended. */
   readonly gaveUpAtMs: readonly number[];
-  /** When the endpoint's lease ends, by true time; 0 before the first. */
+  /** Returns when the endpoint's lease ends, on the virtual clock; 0 before the first lease. */
   readonly leaseEndsAtMs: () => number;
-  /** When the holder counts it over; 0 while it does not know the endpoint. */
+  /** Returns when the lease ends by the holder's estimate, on the same clock; 0 while it does not know the endpoint. */
   readonly countedUntilMs: () => number;
-  /** Sets whether the list of endpoints names it. */
+  /** Sets whether the list of endpoints contains the endpoint. */
   readonly list: (isListed: boolean) => void;
-  /** What becomes of the next calls, one after the other; those after them go through. */
+  /** Sets the outcomes of the next calls in order; calls after them are carried out without delay. */
   readonly meet: (fates: readonly Fate[]) => void;
-  /** Adds a time of trouble that begins now. */
+  /** Adds a fault that begins now. */
   readonly strike: (kind: Trouble['kind'], forMs: number) => void;
-  /** Hands a job in whose tasks run for so long; Infinity for tasks that last. */
+  /** Submits a job whose tasks run for taskMs; Infinity for long-running tasks. */
   readonly submit: (taskCount: number, taskMs: number) => void;
   readonly close: () => void;
 };
@@ -150,18 +156,18 @@
   error: () => undefined,
 };
 
-const NO_ANSWER: OrderError = { verdict: 'mayHaveRun', reason: 'no-answer', detail: 'silence' };
+const NO_ANSWER: OrderError = { verdict: 'mayHaveRun', reason: 'no-answer', detail: 'no answer' };
 const REFUSED: OrderError = { verdict: 'notRun', reason: 'unreachable', detail: 'refused' };
 
 /**
- * Builds a holder that knows one endpoint, and begins its term.
+ * Creates a holder with one endpoint and starts the holder's term.
  *
- * @param options - What its calls meet, and what goes wrong when.
- * @returns The two, to be driven by the virtual clock.
+ * @param options - The outcomes of its calls, the faults and the work.
+ * @returns The holder and the endpoint, which run on the virtual clock.
  */
 export const createLeasedEndpoint = ({
   fates: firstFates = [QUICK],
-  troubles: planned = [],
+  troubles: plannedTroubles = [],
   clockRate = 0.98,
   successor,
   taskCount = 1,
@@ -170,52 +176,58 @@
   inheritedLeasesMs = 0,
 }: LeasedEndpointOptions = {}): LeasedEndpoint => {
   const nowMs = (): number => performance.now();
-  const bornAtMs = nowMs();
+  const startedAtMs = nowMs();
   const broken: string[] = [];
   const sent: SeenOrder[] = [];
   const gaveUpAtMs: number[] = [];
   const givenUp = new Set<string>();
-  /** When leases ended that were followed by another. */
-  const lapsedAtMs: number[] = [];
+  /** The ends of leases that had ended before the next one was granted. */
+  const pastLeaseEndsAtMs: number[] = [];
   const doneAtMs = new Map<string, number>();
-  const troubles: Trouble[] = planned.map((one) => ({ ...one, atMs: bornAtMs + one.atMs }));
+  const troubles: Trouble[] = plannedTroubles.map((one) => ({
+    ...one,
+    atMs: startedAtMs + one.atMs,
+  }));
   const runMsOf = new Map<JobId, number>();
   let fates = firstFates;
-  let isOnce = false;
-  let calls = 0;
+  let playsOnce = false;
+  let callCount = 0;
   let isClosed = false;
   let isListed = true;
   let isReplaced = false;
   let isTermOver = false;
-  let renewedAtMs = bornAtMs;
+  let renewedAtMs = startedAtMs;
   let highestFence = 0;
-  let untilMs = 0;
-  /** The part of it that the holder granted itself. */
-  let ownUntilMs = 0;
-  let toldUntilMs = 0;
-  let jobs = 0;
-
-  const breaks = (text: string): void => {
-    broken.push(`${Math.round(nowMs() - bornAtMs)} ms: ${text}`);
+  /** The end of the endpoint's lease, on the endpoint's clock; 0 before the first lease. */
+  let leaseUntilMs = 0;
+  /** The end of the last lease that was granted by this holder and not by its successor, on the endpoint's clock. */
+  let ownLeaseUntilMs = 0;
+  /** The value of ownLeaseUntilMs for which checkEstimate has already reported a violation. */
+  let reportedUntilMs = 0;
+  let jobCount = 0;
+
+  const recordViolation = (text: string): void => {
+    broken.push(`${Math.round(nowMs() - startedAtMs)} ms: ${text}`);
   };
 
-  const isIn = (kind: Trouble['kind']): boolean =>
+  const hasFault = (kind: Trouble['kind']): boolean =>
     troubles.some(
       (one) => one.kind === kind && nowMs() >= one.atMs && nowMs() < one.atMs + one.forMs,
     );
 
-  /** A process that does not run sends nothing and takes nothing in. */
+  /** Resolves once the holder's process runs: a paused one sends and handles nothing. Never resolves after `close`. */
   const awake = async (): Promise<void> => {
-    while (isIn('freeze')) await sleep(7);
+    while (hasFault('freeze')) await sleep(7);
     if (isClosed) await never();
   };
 
-  const endOf = (keepUntilMs: number): number =>
-    bornAtMs + (keepUntilMs - CLOCK_BORN_MS) / clockRate;
-  const leaseEndsAtMs = (): number => (untilMs === 0 ? 0 : endOf(untilMs));
+  /** Converts a time on the endpoint's clock to the virtual clock. */
+  const toVirtualTime = (keepUntilMs: number): number =>
+    startedAtMs + (keepUntilMs - CLOCK_START_MS) / clockRate;
+  const leaseEndsAtMs = (): number => (leaseUntilMs === 0 ? 0 : toVirtualTime(leaseUntilMs));
   const countedUntilMs = (): number => state.endpoints.get(ENDPOINT)?.leaseEndsAtMs ?? 0;
 
-  const nameOf = (task: TaskKey, run: number): string => `${task}/${run}`;
+  const formatRun = (task: TaskKey, run: number): string => `${task}/${run}`;
 
   const model = createSimulatedEndpoint({
     instanceId: instanceIdOf(ENDPOINT),
@@ -230,91 +242,95 @@
         return { cpuMillis: 1000, memoryMb: 100, runMs: taskMs, isLasting, fails: false };
       },
       onStart: (_, task, run) => {
-        if (givenUp.has(nameOf(task, run)))
-          breaks(`${task} run ${run} began after it was given up`);
+        if (givenUp.has(formatRun(task, run)))
+          recordViolation(`${task} run ${run} started after it was given up`);
       },
       onEnd: (_, task, run, kind) => {
-        const name = nameOf(task, run);
+        const name = formatRun(task, run);
         if (kind === 'done') doneAtMs.set(name, nowMs());
-        if (kind === 'done' && givenUp.has(name)) breaks(`${name} was done after it was given up`);
+        if (kind === 'done' && givenUp.has(name))
+          recordViolation(`${name} was done after it was given up`);
         const lateMs = nowMs() - leaseEndsAtMs();
         if (kind === 'lapsed' && Math.abs(lateMs) > ROUNDING_MS) {
-          breaks(`the lease counted here is wrong by ${lateMs} ms`);
+          recordViolation(`the lease ended ${lateMs} ms after the end that the test computed`);
         }
       },
       onAcknowledged: ({ task, run, kind }: EndedRunReport) => {
-        const name = nameOf(task, run);
+        const name = formatRun(task, run);
         const endedAtMs = doneAtMs.get(name) ?? 0;
-        const hasLapsed = [...lapsedAtMs, leaseEndsAtMs()].some(
+        const hasLapsed = [...pastLeaseEndsAtMs, leaseEndsAtMs()].some(
           (one) => one >= endedAtMs && one <= nowMs(),
         );
         if (kind === 'done' && givenUp.has(name) && !hasLapsed) {
-          breaks(`${name} was given up and noted as done within one lease`);
+          recordViolation(`${name} was given up and acknowledged as done within one lease`);
         }
       },
     },
   });
 
-  /** Counts the lease as the endpoint does, before it carries the order out. */
-  const noteKept = (fence: number, keepUntilMs: number | undefined, isStart: boolean): void => {
+  /** Computes the lease as the endpoint does; called just before the endpoint carries the order out. */
+  const recordLease = (fence: number, keepUntilMs: number | undefined, isStart: boolean): void => {
     if (fence < highestFence) return;
     highestFence = fence;
-    const clockMs = CLOCK_BORN_MS + (nowMs() - bornAtMs) * clockRate;
-    if (keepUntilMs === undefined || keepUntilMs <= untilMs) return;
+    const clockMs = CLOCK_START_MS + (nowMs() - startedAtMs) * clockRate;
+    if (keepUntilMs === undefined || keepUntilMs <= leaseUntilMs) return;
     if (isStart && keepUntilMs <= clockMs) return;
-    if (untilMs !== 0 && leaseEndsAtMs() <= nowMs()) lapsedAtMs.push(leaseEndsAtMs());
-    untilMs = keepUntilMs;
-    if (fence === FENCE) ownUntilMs = keepUntilMs;
-    checkCount();
+    if (leaseUntilMs !== 0 && leaseEndsAtMs() <= nowMs()) pastLeaseEndsAtMs.push(leaseEndsAtMs());
+    leaseUntilMs = keepUntilMs;
+    if (fence === FENCE) ownLeaseUntilMs = keepUntilMs;
+    checkEstimate();
   };
 
-  /** What the holder's own orders keep is never kept longer than it counts; told once for each order. */
-  const checkCount = (): void => {
+  /**
+   * Checks that no lease which this holder granted ends after the end that the holder estimates. A violation is
+   * reported once for each granted lease.
+   */
+  const checkEstimate = (): void => {
     const isKnown = state.endpoints.has(ENDPOINT);
-    if (!isKnown || ownUntilMs === 0 || ownUntilMs === toldUntilMs) return;
-    const beyondMs = endOf(ownUntilMs) - countedUntilMs();
+    if (!isKnown || ownLeaseUntilMs === 0 || ownLeaseUntilMs === reportedUntilMs) return;
+    const beyondMs = toVirtualTime(ownLeaseUntilMs) - countedUntilMs();
     if (beyondMs <= 0) return;
-    toldUntilMs = ownUntilMs;
-    breaks(`an order keeps what runs ${Math.round(beyondMs)} ms beyond what the holder counts`);
+    reportedUntilMs = ownLeaseUntilMs;
+    recordViolation(`a granted lease ends ${Math.round(beyondMs)} ms after the holder's estimate`);
   };
 
-  const carriedOut = {
+  const endpointOrders = {
     list: (order: ListOrder) => {
-      noteKept(order.fence, order.keepUntilMs, false);
+      recordLease(order.fence, order.keepUntilMs, false);
       return model.list(order);
     },
     start: (order: StartOrder) => {
-      noteKept(order.fence, order.keepUntilMs, true);
+      recordLease(order.fence, order.keepUntilMs, true);
       return model.start(order);
     },
   };
 
-  const nextFate = (): Fate => {
-    const fate = fates[isOnce ? calls : calls % fates.length] ?? QUICK;
-    calls += 1;
-    return fate;
+  const nextOutcome = (): Fate => {
+    const outcome = fates[playsOnce ? callCount : callCount % fates.length] ?? QUICK;
+    callCount += 1;
+    return outcome;
   };
 
   const call = async <Answer>(
-    seen: Omit<SeenOrder, 'sentAtMs'>,
+    order: Omit<SeenOrder, 'sentAtMs'>,
     act: () => Promise<Result<Answer, OrderError>> | Result<Answer, OrderError>,
     timeoutMs: number,
   ): Promise<Result<Answer, OrderError>> => {
-    sent.push({ ...seen, sentAtMs: nowMs() });
+    sent.push({ ...order, sentAtMs: nowMs() });
     await awake();
-    const { kind, toMs, backMs, lateMs } = nextFate();
+    const { kind, toMs, backMs, lateMs } = nextOutcome();
     const deliver = async (): Promise<Result<Answer, OrderError>> => {
-      // At least one: a refusal in no time at all would be answered by the next start for ever.
+      // At least 1 ms: if refusals took no time, each would lead to the next start at once, in an endless loop.
       await sleep(Math.max(1, toMs));
-      if (isIn('refuse')) return Err(REFUSED);
-      if (kind === 'request-lost' || isIn('cut')) return never();
+      if (hasFault('refuse')) return Err(REFUSED);
+      if (kind === 'request-lost' || hasFault('cut')) return never();
       if (kind === 'carried-late') {
         setTimeout(act, lateMs);
         return never();
       }
       const answer = await act();
       await sleep(backMs);
-      return kind === 'answer-lost' || isIn('cut') ? never() : answer;
+      return kind === 'answer-lost' || hasFault('cut') ? never() : answer;
     };
     const answer = await Promise.race([deliver(), sleep(timeoutMs).then(() => Err(NO_ANSWER))]);
     await awake();
@@ -329,13 +345,13 @@
           keepUntilMs: order.keepUntilMs,
           acknowledged: order.acknowledged,
         },
-        () => carriedOut.list(order),
+        () => endpointOrders.list(order),
         order.waitMs + timeoutMs,
       ),
     start: (_, order, timeoutMs) =>
       call(
         { kind: 'start', keepUntilMs: order.keepUntilMs, acknowledged: 0 },
-        () => carriedOut.start(order),
+        () => endpointOrders.start(order),
         timeoutMs,
       ),
     stop: (_, order, timeoutMs) =>
@@ -352,24 +368,24 @@
   const schedulePools = createScheduleCycle(state);
   const window = createOrderWindow();
 
-  const holds = (): boolean => !isTermOver && nowMs() < renewedAtMs + CONTROL_LEASE_MS;
+  const holdsControlLease = (): boolean => !isTermOver && nowMs() < renewedAtMs + CONTROL_LEASE_MS;
 
-  const perform = (): void => {
+  const performEffects = (): void => {
     takeEffects(state).forEach((effect) => {
       if (effect.kind === 'start' || effect.kind === 'stop') roster.perform(effect);
     });
   };
 
   const cycle = (): void => {
-    if (isIn('freeze') || isClosed) return;
+    if (hasFault('freeze') || isClosed) return;
     state.clockMs = nowMs();
-    if (holds()) schedulePools(window.available(), nowMs());
-    perform();
+    if (holdsControlLease()) schedulePools(window.available(), nowMs());
+    performEffects();
   };
 
   const save = async (): Promise<void> => {
     const acknowledge = roster.mark();
-    await sleep(SAVE_MS);
+    await sleep(SAVE_DELAY_MS);
     await awake();
     acknowledge();
   };
@@ -409,7 +425,7 @@
       log: SILENT_LOG,
       metrics: createMetrics(),
       nowMs,
-      mayOrder: holds,
+      mayOrder: holdsControlLease,
       mayStartIn: () => true,
       poke: () => setImmediate(cycle),
       wantSave: () => {
@@ -424,50 +440,52 @@
   });
 
   const renew = (): void => {
-    if (isIn('table') || nowMs() < renewedAtMs + RENEW_EVERY_MS) return;
+    if (hasFault('table') || nowMs() < renewedAtMs + RENEW_EVERY_MS) return;
     if (isReplaced) isTermOver = true;
     else renewedAtMs = nowMs();
   };
 
-  /** Gives up what the holder takes for ended, and checks that it is. */
-  const giveUp = (): void => {
+  /** Has the holder give up the runs whose lease it takes for ended, and checks that the lease has ended. */
+  const giveUpRuns = (): void => {
     const runs = Array.from(state.endpoints.get(ENDPOINT)?.runs.values() ?? []);
-    const names = runs.map(({ task, run }) => nameOf(task.key, run));
+    const names = runs.map(({ task, run }) => formatRun(task.key, run));
     if (handleStalledAndLapsedRuns(state, nowMs()).length === 0) return;
     gaveUpAtMs.push(nowMs());
     names.forEach((name) => givenUp.add(name));
     const leftMs = leaseEndsAtMs() - nowMs();
     if (leftMs > 0)
-      breaks(`${names.join()} given up ${Math.round(leftMs)} ms before the lease ends`);
-    const running = Array.from(model.runs, ([task, { run }]) => nameOf(task, run));
-    names.filter((name) => running.includes(name)).forEach((name) => breaks(`${name} runs on`));
+      recordViolation(`${names.join()} given up ${Math.round(leftMs)} ms before the lease ends`);
+    const running = Array.from(model.runs, ([task, { run }]) => formatRun(task, run));
+    names
+      .filter((name) => running.includes(name))
+      .forEach((name) => recordViolation(`${name} still runs after it was given up`));
   };
 
   const tick = (): void => {
-    if (isIn('freeze') || isTermOver) return;
-    checkCount();
+    if (hasFault('freeze') || isTermOver) return;
+    checkEstimate();
     state.soleHolderUntilMs = renewedAtMs + SOLE_HOLDER_MS;
-    giveUp();
+    giveUpRuns();
     cycle();
-    // Last: a holder that wakes may look at leases before it hears that it was replaced.
+    // Last, because a holder that resumes may check leases before it learns that it was replaced.
     renew();
   };
 
-  const succeed = async ({ afterMs, forMs }: Successor): Promise<void> => {
+  const runSuccessor = async ({ afterMs, forMs }: Successor): Promise<void> => {
     while (!isClosed && nowMs() < renewedAtMs + EARLY_TAKE_MS + afterMs) await sleep(TICK_MS);
     isReplaced = true;
     const endsAtMs = nowMs() + forMs;
     while (!isClosed && nowMs() < endsAtMs) {
-      const clockMs = CLOCK_BORN_MS + (nowMs() - bornAtMs) * clockRate;
+      const clockMs = CLOCK_START_MS + (nowMs() - startedAtMs) * clockRate;
       const keepUntilMs = Math.floor(clockMs) + ENDPOINT_LEASE_MS;
-      void carriedOut.list({ fence: FENCE + 1, acknowledged: 0, waitMs: 0, keepUntilMs });
+      void endpointOrders.list({ fence: FENCE + 1, acknowledged: 0, waitMs: 0, keepUntilMs });
       await sleep(SUCCESSOR_LISTS_EVERY_MS);
     }
   };
 
   const submit: LeasedEndpoint['submit'] = (count, taskMs) => {
-    jobs += 1;
-    const jobId = brand<JobId>(`${jobs}`.padStart(16, '0'));
+    jobCount += 1;
+    const jobId = brand<JobId>(`${jobCount}`.padStart(16, '0'));
     runMsOf.set(jobId, taskMs);
     addJob(state, {
       job: {
@@ -494,9 +512,9 @@
     await roster.follow();
   };
 
-  const timers = [setInterval(tick, TICK_MS), setInterval(follow, FEED_MS)];
+  const timers = [setInterval(tick, TICK_MS), setInterval(follow, FEED_INTERVAL_MS)];
   void follow();
-  if (successor) void succeed(successor);
+  if (successor) void runSuccessor(successor);
   setTimeout(() => submit(taskCount, runMs), idleMs);
 
   return {
@@ -507,13 +525,13 @@
     gaveUpAtMs,
     leaseEndsAtMs,
     countedUntilMs,
-    list: (now) => {
-      isListed = now;
+    list: (isNowListed) => {
+      isListed = isNowListed;
     },
     meet: (next) => {
       fates = next;
-      calls = 0;
-      isOnce = true;
+      callCount = 0;
+      playsOnce = true;
     },
     strike: (kind, forMs) => {
       troubles.push({ kind, atMs: nowMs(), forMs });
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet in virtual time: the entries' own code for control, against a table, endpoints and hosts
- * in memory, with faults on every link between them.
+ * A simulated fleet in virtual time: the entries run the production code for control against a table, endpoints and
+ * hosts in memory, with faults on all connections between them.
  */
 import {
   indexQueues,
@@ -66,27 +66,27 @@
 } from './sim-world.fixtures.js';
 
 const TICK_MS = 500;
-/** Between two questions for the operator's orders. */
+/** The pause between two reads of the operator's rows. */
 const OPERATOR_RETRY_MS = 100;
-/** Entries hear of a new configuration within this time. */
+/** Entries apply a new configuration within this time. */
 const APPLIED_WITHIN_MS = 3000;
 
 const ownerOf = (owner: ClientAccount | undefined): Pick<BatchJob, 'owner'> =>
   owner ? { owner: { account: owner.name, maximum: owner.maximum } } : {};
 
-const queueOf = (pool: string, needsAdvice: boolean): string =>
+const queueNameOf = (pool: string, needsAdvice: boolean): string =>
   `${needsAdvice ? 'advised' : 'q'}-${pool}`;
 
 /** An entry of the fleet. */
 export type SimEntry = SimReach & {
-  /** As far as it has heard of it. */
+  /** The newest configuration that the entry has received. */
   configuration: QueueIndex;
   readonly entryId: EntryId;
   readonly control: Control;
   readonly table: RelayedTable;
-  /** Keeps what it has heard of evacuations; the configuration comes by `declare`. */
+  /** Follows the operator's rows for evacuations only; the configuration comes from the fleet. */
   readonly operatorRows: ConfigurationKeeper;
-  /** Answers an order that another entry has it carry. */
+  /** Relays an order to an endpoint for another entry, and returns the answer. */
   readonly answerOrder: (payload: unknown) => Promise<unknown>;
 };
 
@@ -94,30 +94,30 @@
   readonly hostsPerPool?: number;
   readonly pools?: readonly string[];
   readonly sparePool?: string;
-  /** Endpoints tell no rack and no data centre if left out. */
+  /** If left out, endpoints report no labels, and hosts alternate between two data centres. */
   readonly domains?: SimDomains;
-  /** For how long an endpoint keeps what runs there; the entries' default if left out. */
+  /** How long an endpoint's lease lasts; the entries' default if left out. */
   readonly endpointLeaseMs?: number;
-  /** What the link of each entry carries; without a limit if left out. */
+  /** The bandwidth of each entry's link; unlimited if left out. */
   readonly linkBytesPerMs?: number;
-  /** True if entries may carry orders for a holder whose link is busy. */
+  /** True if entries may relay orders for a holder whose link is busy. */
   readonly mayRelayOrders?: boolean;
-  /** Where tasks of short steps go; the entries' default if left out. */
+  /** How endpoints are chosen for tasks of short steps; the entries' default if left out. */
   readonly placementPolicy?: PlacementPolicy;
-  /** How often each entry looks at the lease. */
+  /** The pause between two ticks of an entry's control, which checks the control lease. */
   readonly tickMs?: number;
-  /** How long after an evacuation the last task may begin there; entries do not know of a bound if left out. */
+  /** How long after an evacuation the last task may start there; entries know of no bound if left out. */
   readonly evacuateMs?: number;
-  /** Whose jobs are submitted, by turns. */
+  /** The client accounts that own the submitted jobs in turn; two accounts by default. */
   readonly accounts?: readonly ClientAccount[];
   readonly random: () => number;
 };
 
 /**
- * Builds a client account of a fleet.
+ * Creates a client account.
  *
  * @param name - Its name.
- * @param cpuMillis - The most that it may have running; 0 for no limit.
+ * @param cpuMillis - The most millicores that its tasks may use at a time; 0 for no limit.
  * @returns The account.
  */
 export const simAccount = (name: string, cpuMillis: number): ClientAccount => ({
@@ -130,8 +130,8 @@
 
 const HOST_CPU_MILLIS = 8000;
 
-/** Half of the hosts' cores for one, and another without a limit. */
-const simAccounts = (hosts: number): readonly ClientAccount[] => [
+/** The default accounts: one may use half of the hosts' cores, the other has no limit. */
+const createDefaultAccounts = (hosts: number): readonly ClientAccount[] => [
   simAccount('client-a', (hosts * HOST_CPU_MILLIS) / 2),
   simAccount('client-b', 0),
 ];
@@ -152,47 +152,48 @@
     readonly pool: string;
     readonly steps: readonly Partial<StepSpec>[];
     readonly runMs?: number;
-    /** How long a lasting task takes to be at work. */
+    /** How long a long-running task takes to become ready. */
     readonly startMs?: number;
     readonly fails?: boolean;
-    /** The first task takes down each endpoint that begins it, so long after its start. */
+    /** The first task of the first step crashes each endpoint that starts it, this long after the start. */
     readonly crashesAfterMs?: number;
-    /** Only endpoints with an even number may run it, and only with a ticket. */
+    /** True if only endpoints with an even number may run it, and only with a ticket of the advice service. */
     readonly needsAdvice?: boolean;
-    /** How long the text is that goes with each start. */
+    /** The length of the job's spec, which is sent with each start. */
     readonly specBytes?: number;
-    /** Whose job it is; the accounts take turns if left out. */
+    /** The account that owns the job; the accounts take turns if left out. */
     readonly account?: AccountName;
   }) => JobId;
   readonly cancel: (jobId: JobId) => void;
-  /** The operator declares the accounts anew; each entry hears of it within `APPLIED_WITHIN_MS`. */
+  /** Replaces the configuration's accounts; each entry applies the change within `APPLIED_WITHIN_MS`. */
   readonly declare: (accounts: readonly ClientAccount[]) => void;
-  /** The operator has a data centre evacuated, and takes it back; entries hear of it by their own feeds. */
+  /** Has the operator order the evacuation of a data centre, or withdraw it; entries learn of it by their own feeds. */
   readonly evacuate: (dataCentre: DataCentreId) => void;
   readonly takeBack: (dataCentre: DataCentreId) => void;
-  /** The operator's rows are compacted: full readings are 3 to 6 s old for a time. */
+  /** Compacts the operator's rows: for 3 to 6 s, full reads return the rows as they were as long ago. */
   readonly forgetOperatorHistory: (options?: { readonly refusesChanges?: boolean }) => void;
+  /** Has the operator order a maintenance wave. */
   readonly order: (wave: MaintenanceRequest) => void;
-  /** All waves are read by the entries that are there now, as at their start. */
+  /** Has all present entries read all waves again, as they do when they start. */
   readonly reorder: () => void;
-  /** The endpoint crashes by itself; its host is back after so long, 3 s if left out. */
+  /** Crashes an endpoint; its host comes back after downMs, or after `faults.crashMs` (3 s by default) if left out. */
   readonly crash: (instanceId: InstanceId, downMs?: number) => void;
-  /** How many endpoints crashed by themselves under each task. */
+  /** The number of endpoints that crashed while they ran a task. */
   readonly crashes: ReadonlyMap<TaskKey, number>;
-  /** The endpoint falls out of the list of endpoints, and lives on. */
+  /** Removes an endpoint from the list of endpoints; it keeps running. */
   readonly unlist: (instanceId: InstanceId) => void;
   readonly rowOf: (jobId: JobId) => BatchJobRow | undefined;
   readonly holder: () => SimEntry | undefined;
   readonly faults: SimFaults;
   readonly waveStatus: Map<number, string>;
-  /** Orders for maintenance that were carried out, as wave/host. */
+  /** The maintenance orders that were carried out, as `wave/host`. */
   readonly maintained: Set<string>;
 };
 
 /**
- * Builds a fleet without entries.
+ * Creates a fleet without entries.
  *
- * @param options - Its size and its source of chance.
+ * @param options - Its size and its random number generator.
  * @returns The fleet.
  */
 export const createSimFleet = ({
@@ -206,24 +207,24 @@
   placementPolicy,
   tickMs = TICK_MS,
   evacuateMs,
-  accounts = simAccounts(hostsPerPool * pools.length),
+  accounts = createDefaultAccounts(hostsPerPool * pools.length),
   random,
 }: SimFleetOptions): SimFleet => {
   const world = createSimWorld({ hostsPerPool, pools, sparePool, domains, random });
   const { table, endpoints, hosts, jobs, broken, faults, maintained, unlisted } = world;
   const { waveStatus, waves, breaks, commit, operator } = world;
   const logged: { readonly event: string; readonly fields: object }[] = [];
-  let lastJob = 0;
+  let jobCount = 0;
 
-  const configurationOf = (version: number, declared: readonly ClientAccount[]): QueueIndex =>
+  const createConfiguration = (version: number, declared: readonly ClientAccount[]): QueueIndex =>
     indexQueues({
       version,
       accounts: declared,
       queues: pools.flatMap((pool) =>
         [false, true].map((needsAdvice) => ({
-          name: brand(queueOf(pool, needsAdvice)),
+          name: brand(queueNameOf(pool, needsAdvice)),
           hostName: 'h',
-          pathPrefix: `/${queueOf(pool, needsAdvice)}/`,
+          pathPrefix: `/${queueNameOf(pool, needsAdvice)}/`,
           pool: brand(pool),
           policy: { ...SIM_POLICY, needsAdvice },
           timeoutMs: 3000,
@@ -235,7 +236,7 @@
         ...(sparePool ? [{ name: brand<PoolName>(sparePool), isSpare: true }] : []),
       ],
     });
-  let newest = configurationOf(1, accounts);
+  let newestConfiguration = createConfiguration(1, accounts);
   world.inForce.push({ maxima: maximaOf(accounts), untilMs: Infinity });
 
   const log: Log = {
@@ -248,8 +249,8 @@
     },
   };
 
-  /** What a holder counts of each account is the sum of the runs that it knows of. */
-  const checkLedger = (control: Control): void => {
+  /** Checks that a holder's usage of each account equals the sum of the runs that it knows of. */
+  const checkUsage = (control: Control): void => {
     const state = control.term()?.state;
     if (!state) return;
     const endpointsKnown = [
@@ -268,12 +269,14 @@
       });
     state.usage.forEach(({ cpuMillis }, account) => {
       if (cpuMillis === (sums.get(account) ?? 0)) return;
-      breaks(`the ledger has ${cpuMillis} of ${account}, whose runs are ${sums.get(account) ?? 0}`);
+      breaks(
+        `the holder counts ${cpuMillis} for ${account}, whose runs sum up to ${sums.get(account) ?? 0}`,
+      );
     });
   };
 
-  /** What one entry's control asks the others; questions to an entry that does not run have no answer. */
-  const peersOf = (entry: SimEntry, awake: () => Promise<void>): Peers => {
+  /** Creates the peers of an entry's control. Questions to an entry that does not run or is cut are never answered. */
+  const createPeers = (entry: SimEntry, awake: () => Promise<void>): Peers => {
     const askControl = async (entryId: EntryId, method: string, payload: unknown) => {
       const isCut = (other: SimEntry | undefined): boolean =>
         !other || other.isDead || other.isFrozen || other.isSilent || entry.isSilent;
@@ -290,7 +293,7 @@
       ask: (entryId, method, payload, ms) =>
         Promise.race([
           askControl(entryId, method, payload),
-          sleep(ms).then(() => Promise.reject(new Error('silence'))),
+          sleep(ms).then(() => Promise.reject(new Error('no answer'))),
         ]),
       knows: (entryId) => entries.some((other) => other.entryId === entryId),
       keepLink: () => undefined,
@@ -307,11 +310,11 @@
       orderBytes: { out: 0, in: 0 },
       ...(linkBytesPerMs === undefined ? {} : { link: createSimLink(linkBytesPerMs) }),
       cutFrom: new Set<InstanceId>(),
-      configuration: newest,
+      configuration: newestConfiguration,
     } as { -readonly [Key in keyof SimEntry]: SimEntry[Key] };
 
     const { platform, awake, carryMessage } = createSimPlatform(world, entry, {
-      configuration: newest.configuration,
+      configuration: newestConfiguration.configuration,
       evacuateMs,
     });
     const metrics = createMetrics();
@@ -328,7 +331,7 @@
         const answer = isLost
           ? never()
           : sleep(1).then(() => other.operatorRows.answerNeighbour(payload as NeighbourQuestion));
-        return Promise.race([answer, sleep(ms).then(() => Promise.reject(new Error('silence')))]);
+        return Promise.race([answer, sleep(ms).then(() => Promise.reject(new Error('no answer')))]);
       },
       onWaves: () => undefined,
       evacuations,
@@ -351,7 +354,10 @@
       await carryMessage('out', answer);
       return answer;
     };
-    /** A question to another entry: it is lost, or answered late, where either does not run or is cut. */
+    /**
+     * Sends an order to another entry to be relayed. The order or its answer is lost if either entry is cut from the
+     * mesh, and late if either process is paused.
+     */
     const askEntry = async (entryId: EntryId, payload: unknown): Promise<unknown> => {
       await awake();
       await carryMessage('out', payload);
@@ -374,13 +380,17 @@
         ask: (entryId, _, payload, ms) =>
           Promise.race([
             askEntry(entryId, payload),
-            sleep(ms).then(() => Promise.reject(new Error('silence'))),
+            sleep(ms).then(() => Promise.reject(new Error('no answer'))),
           ]),
         keepLink: () => undefined,
         members: () =>
-          // Each entry carries orders into each data centre.
+          // Each entry can relay orders into each data centre.
           SIM_DATA_CENTRES.flatMap((dataCentre) =>
-            Array.from(registered, ([entryId, strength]) => ({ entryId, dataCentre, strength })),
+            Array.from(registeredStrengths, ([entryId, strength]) => ({
+              entryId,
+              dataCentre,
+              strength,
+            })),
           ).filter(({ entryId }) => entryId !== entry.entryId),
         silentForMs,
       }),
@@ -397,7 +407,7 @@
         const other = entries.find((one) => one.entryId === entryId);
         const isCut = !other || other.isSilent || entry.isSilent || entry.isCutFromRelays;
         const answer = isCut ? never() : other.table.answerNeighbour(payload as RelayCall);
-        return Promise.race([answer, sleep(ms).then(() => Promise.reject(new Error('silence')))]);
+        return Promise.race([answer, sleep(ms).then(() => Promise.reject(new Error('no answer')))]);
       },
       log,
       metrics,
@@ -408,7 +418,7 @@
       self: entry.entryId,
       platform: { ...platform, orders },
       table: relayed,
-      peers: () => peersOf(entry, awake),
+      peers: () => createPeers(entry, awake),
       configuration: () => entry.configuration,
       startGate,
       log,
@@ -421,17 +431,17 @@
       },
       standing: createStanding({
         strength: cores,
-        othersStrength: () => new Map(registered),
+        othersStrength: () => new Map(registeredStrengths),
         ask: async (entryId) => entries.some((other) => other.entryId === entryId),
       }),
     });
-    registered.set(entry.entryId, cores);
-    bornAtMs.set(entry, performance.now());
+    registeredStrengths.set(entry.entryId, cores);
+    startedAtMs.set(entry, performance.now());
     entry.control = control;
-    const loop = async (): Promise<void> => {
+    const runControl = async (): Promise<void> => {
       while (!entry.isDead) {
         await control.tick();
-        checkLedger(control);
+        checkUsage(control);
         if (control.term()) orders.refresh();
         await sleep(tickMs);
       }
@@ -443,7 +453,7 @@
         await sleep(everyMs);
       }
     };
-    void loop();
+    void runControl();
     void repeat(operatorRows.follow, OPERATOR_RETRY_MS);
     void repeat(operatorRows.askNeighbours, ASK_NEIGHBOURS_EVERY_MS);
     entries.push(entry);
@@ -451,13 +461,13 @@
   };
 
   const entries: SimEntry[] = [];
-  const bornAtMs = new Map<SimEntry, number>();
+  const startedAtMs = new Map<SimEntry, number>();
   world.holderAge.ms = () => {
     const holder = entries.find(({ control }) => control.term() !== undefined);
-    return holder ? performance.now() - (bornAtMs.get(holder) ?? 0) : 0;
+    return holder ? performance.now() - (startedAtMs.get(holder) ?? 0) : 0;
   };
-  /** Rows of entries: those of the dead stay. */
-  const registered = new Map<EntryId, number>();
+  /** The strength that each entry registered; entries that were killed stay registered. */
+  const registeredStrengths = new Map<EntryId, number>();
 
   return {
     entries,
@@ -472,7 +482,7 @@
     addEntry,
     kill: (entry) => {
       Object.assign(entry, { isDead: true });
-      // Timers of a dead process do not run; its calls go nowhere.
+      // The timers of an ended process do not run, and its calls reach nothing.
       void entry.control.term()?.stop();
       entries.splice(entries.indexOf(entry), 1);
     },
@@ -487,16 +497,16 @@
       crashesAfterMs,
       account,
     }) => {
-      lastJob += 1;
-      const declared = newest.configuration.accounts;
+      jobCount += 1;
+      const declared = newestConfiguration.configuration.accounts;
       const owner =
         account === undefined
-          ? declared[lastJob % Math.max(1, declared.length)]
+          ? declared[jobCount % Math.max(1, declared.length)]
           : declared.find(({ name }) => name === account);
-      const jobId = brand<JobId>(lastJob.toString(16).padStart(16, '0'));
+      const jobId = brand<JobId>(jobCount.toString(16).padStart(16, '0'));
       const job: BatchJob = {
         jobId,
-        queue: brand(queueOf(pool, needsAdvice)),
+        queue: brand(queueNameOf(pool, needsAdvice)),
         pool: brand(pool),
         spec: 'x'.repeat(specBytes),
         steps: steps.map((step) => ({ ...DEFAULT_STEP, ...step })),
@@ -516,16 +526,20 @@
       commit({ checks: [], writes: [{ key: batchKey.cancel(jobId, by), value: {} }] });
     },
     declare: (declared) => {
-      newest = configurationOf(newest.configuration.version + 1, declared);
-      const taken = newest;
+      newestConfiguration = createConfiguration(
+        newestConfiguration.configuration.version + 1,
+        declared,
+      );
+      const declaredConfiguration = newestConfiguration;
       const { inForce } = world;
       const last = inForce.at(-1);
       if (last) last.untilMs = performance.now() + APPLIED_WITHIN_MS;
       inForce.push({ maxima: maximaOf(declared), untilMs: Infinity });
       entries.forEach((entry) =>
         setTimeout(() => {
-          const isNewer = taken.configuration.version > entry.configuration.configuration.version;
-          if (isNewer) change(entry, { configuration: taken });
+          const isNewer =
+            declaredConfiguration.configuration.version > entry.configuration.configuration.version;
+          if (isNewer) change(entry, { configuration: declaredConfiguration });
         }, random() * APPLIED_WITHIN_MS),
       );
     },
--- a/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
@@ -1,4 +1,4 @@
-/** The operator's rows in virtual time: evacuations as they are ordered and withdrawn, and how entries read them. */
+/** A simulation of the operator's rows: evacuations that are ordered and withdrawn, and the feeds by which entries read them. */
 import type { BatchConfiguration, EvacuationChange } from '@valvelatch/core/batch';
 import { createRng } from '@valvelatch/core/shared/rng';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
@@ -10,8 +10,11 @@
 const STORE_MS = 4;
 const CALL_TIMEOUT_MS = 900;
 const READING: FeedReading = { scope: 'changes', replaced: 0, bytes: 0, arrivingMs: 0 };
-/** After a compaction, full readings are older than the table by up to the second, for so long. */
-const STALE_MS = { least: 3000, most: 6000 };
+/**
+ * After a compaction, full reads return the rows as they were some time ago, and do so for as long again. The time is
+ * drawn between these two bounds.
+ */
+const STALE_MS = { min: 3000, max: 6000 };
 
 const NO_ANSWER: PlatformError = { kind: 'unknown', detail: 'no answer' };
 
@@ -20,41 +23,42 @@
     setTimeout(resolve, ms);
   });
 
-type Written = EvacuationChange & { readonly atMs: number };
+type RowVersion = EvacuationChange & { readonly atMs: number };
 
-/** When a data centre was evacuated; open while it is. */
+/** A period in which a data centre was evacuated; endMs is Infinity while it lasts. */
 type Evacuation = {
   readonly dataCentre: DataCentreId;
   readonly sinceMs: number;
   endMs: number;
 };
 
-/** What an entry meets as it reads the rows. */
+/** The state of an entry and of its connection to the operator's rows. */
 export type OperatorReach = {
-  /** Resolves once the entry runs. */
+  /** Resolves once the entry's process runs. */
   readonly awake: () => Promise<void>;
   readonly isCut: () => boolean;
-  /** The share of answers that are lost. */
+  /** Returns the share of answers that are lost, from 0 to 1. */
   readonly lost: () => number;
   readonly configuration: BatchConfiguration;
 };
 
 /**
- * Builds the operator and the rows; chance of its own keeps plays without evacuations as they are.
+ * Creates the operator and its rows. It has its own random number generator, so that it does not change the random
+ * sequence of simulations without evacuations.
  *
- * @param seed - Of what is lost and how stale readings are.
+ * @param seed - Determines which answers are lost and how stale full reads are.
  * @returns The operator.
  */
 export const createSimOperator = (seed = 1) => {
   const random = createRng(seed);
-  const history: Written[] = [];
+  const history: RowVersion[] = [];
   const evacuations: Evacuation[] = [];
   const waiters = new Set<() => void>();
-  /** Rises as the history is forgotten: feeds that began before must read in full. */
+  /** Increases whenever the history is compacted: feeds that read before then must read in full. */
   let epoch = 0;
   let staleByMs = 0;
   let staleUntilMs = -Infinity;
-  /** Until then no changes are answered, only full readings. */
+  /** Until then reads of changes are refused, and only full reads are answered. */
   let noChangesUntilMs = -Infinity;
 
   const write = (dataCentre: DataCentreId, isDeleted: boolean): void => {
@@ -63,7 +67,7 @@
     waiters.forEach((wake) => wake());
   };
 
-  const openOf = (dataCentre: DataCentreId): Evacuation | undefined =>
+  const findOpenEvacuation = (dataCentre: DataCentreId): Evacuation | undefined =>
     evacuations.find((one) => one.dataCentre === dataCentre && one.endMs === Infinity);
 
   const waitForChange = (waitMs: number): Promise<void> =>
@@ -77,34 +81,34 @@
       waiters.add(wake);
     });
 
-  const readWhole = (): EvacuationNews => {
+  const readFull = (): EvacuationNews => {
     const isStale = performance.now() < staleUntilMs;
     const asOfMs = performance.now() - (isStale ? staleByMs : 0);
-    const seen = history.filter(({ atMs }) => atMs <= asOfMs);
-    const newest = new Map(seen.map((row) => [row.dataCentre, row]));
+    const visibleRows = history.filter(({ atMs }) => atMs <= asOfMs);
+    const newest = new Map(visibleRows.map((row) => [row.dataCentre, row]));
     const changes = Array.from(newest.values()).filter(({ isDeleted }) => !isDeleted);
-    return { changes, isFullRead: true, isCurrent: false, revision: seen.length };
+    return { changes, isFullRead: true, isCurrent: false, revision: visibleRows.length };
   };
 
   const feedOf = ({ awake, isCut, lost, configuration }: OperatorReach): OperatorFeed => {
-    let after: number | undefined;
-    let ownEpoch = 0;
+    let lastRevision: number | undefined;
+    let lastReadEpoch = 0;
     let hasFailed = false;
 
     const readChanges = async (waitMs: number): Promise<EvacuationNews | undefined> => {
-      const position = after ?? 0;
+      const position = lastRevision ?? 0;
       if (history.length <= position && waitMs > 0) await waitForChange(waitMs);
-      if (ownEpoch < epoch || performance.now() < noChangesUntilMs) return undefined;
+      if (lastReadEpoch < epoch || performance.now() < noChangesUntilMs) return undefined;
       const changes = history.slice(position);
       return { changes, isFullRead: false, isCurrent: true, revision: history.length };
     };
 
     const read = async (waitMs: number): Promise<EvacuationNews> => {
-      const mustReadWhole = after === undefined || hasFailed;
-      const changes = mustReadWhole ? undefined : await readChanges(waitMs);
+      const mustReadFull = lastRevision === undefined || hasFailed;
+      const changes = mustReadFull ? undefined : await readChanges(waitMs);
       if (changes) return changes;
-      ownEpoch = epoch;
-      return readWhole();
+      lastReadEpoch = epoch;
+      return readFull();
     };
 
     const next = async (waitMs: number): Promise<Result<OperatorNews, PlatformError>> => {
@@ -118,12 +122,12 @@
         return Err(NO_ANSWER);
       }
       hasFailed = false;
-      const isFirst = after === undefined;
-      after = Math.max(after ?? 0, news.revision);
+      const isFirst = lastRevision === undefined;
+      lastRevision = Math.max(lastRevision ?? 0, news.revision);
       await sleep(1);
       await awake();
-      const told = { waves: [], reading: READING, evacuations: news };
-      return Ok(isFirst ? { ...told, configuration } : told);
+      const operatorNews = { waves: [], reading: READING, evacuations: news };
+      return Ok(isFirst ? { ...operatorNews, configuration } : operatorNews);
     };
 
     return { next };
@@ -132,28 +136,32 @@
   return {
     random,
     feedOf,
-    /** The row is written; what follows is counted from its acknowledgement, which is now. */
+    /** Writes the row of an evacuation. The write is acknowledged at once: the evacuation's duration counts from now. */
     evacuate: (dataCentre: DataCentreId): void => {
-      if (!openOf(dataCentre)) {
+      if (!findOpenEvacuation(dataCentre)) {
         evacuations.push({ dataCentre, sinceMs: performance.now(), endMs: Infinity });
       }
       write(dataCentre, false);
     },
+    /** Withdraws a data centre's evacuation; without effect where there is none. */
     takeBack: (dataCentre: DataCentreId): void => {
-      const open = openOf(dataCentre);
+      const open = findOpenEvacuation(dataCentre);
       if (!open) return;
       open.endMs = performance.now();
       write(dataCentre, true);
     },
-    /** Feeds must read in full, and what they read is old for a time; changes may be refused for as long. */
+    /**
+     * Compacts the history: feeds must read in full, and what they read is stale for a time. With refusesChanges, reads
+     * of changes are refused for the same time.
+     */
     forgetHistory: ({ refusesChanges = false } = {}): void => {
       epoch += 1;
-      staleByMs = STALE_MS.least + random() * (STALE_MS.most - STALE_MS.least);
+      staleByMs = STALE_MS.min + random() * (STALE_MS.max - STALE_MS.min);
       staleUntilMs = performance.now() + staleByMs;
       if (refusesChanges) noChangesUntilMs = staleUntilMs;
       waiters.forEach((wake) => wake());
     },
-    /** For how long a data centre had been evacuated at a time; undefined where it was not. */
+    /** Returns for how many ms a data centre had been evacuated at a time; undefined if it was not evacuated then. */
     evacuatedForMs: (dataCentre: DataCentreId, atMs: number): number | undefined => {
       const found = evacuations.find(
         (one) => one.dataCentre === dataCentre && one.sinceMs <= atMs && atMs < one.endMs,
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -1,4 +1,4 @@
-/** The platform as one entry of a simulated fleet meets it: with cuts, losses and late effects. */
+/** The platform as one entry of a simulated fleet sees it: with cut connections, lost messages and late effects. */
 import {
   instanceIdOf,
   requireSameIncarnation,
@@ -29,22 +29,25 @@
   type SimWorld,
 } from './sim-world.fixtures.js';
 
-/** What bounds an order for a wave that nobody has ordered. */
-const SIM_NO_WAVE: Pick<MaintenanceRequest, 'maximum' | 'hosts'> = { maximum: Infinity, hosts: [] };
+/** The limits that apply to a maintenance order whose wave is unknown. */
+const UNKNOWN_WAVE: Pick<MaintenanceRequest, 'maximum' | 'hosts'> = {
+  maximum: Infinity,
+  hosts: [],
+};
 const HOP_MS = 1;
-/** Where hosts are, and with them their endpoints. */
+/** The data centres of the simulated hosts and of their endpoints. */
 export const SIM_DATA_CENTRES = [0, 1].map((index) => brand<DataCentreId>(`dc-${index}`));
-const STORE_MS = 4;
+const STORE_DELAY_MS = 4;
 const CALL_TIMEOUT_MS = 900;
-const ADVICE_MS = 60;
+const ADVICE_DELAY_MS = 60;
 const ANSWERABLE_MS = 120_000;
-/** No order keeps anything for longer, whatever time it names. */
-const LONGEST_LEASE_MS = 10_000;
+/** The longest endpoint lease that an order can grant, whatever time it names. */
+const MAX_LEASE_MS = 10_000;
 
 /**
- * Waits.
+ * Resolves after a time.
  *
- * @param ms - For how long, in virtual time.
+ * @param ms - The time in ms, on the virtual clock.
  */
 export const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => {
@@ -52,23 +55,23 @@
   });
 
 /**
- * Waits for what never comes.
+ * Stands for an answer that never arrives.
  *
- * @returns A promise that stays open.
+ * @returns A promise that never settles.
  */
 export const never = <Value>(): Promise<Value> => new Promise<Value>(() => {});
 
-/** A link that queues: each direction carries one message after the other. */
+/** A network link of limited bandwidth: in each direction it transfers one message after the other. */
 export type SimLink = {
   readonly bytesPerMs: number;
-  /** Resolves once all that was queued has passed. */
+  /** For each direction a promise that resolves once all queued messages are transferred. */
   queue: { out: Promise<void>; in: Promise<void> };
 };
 
 /**
- * Builds a link with nothing under way.
+ * Creates a link with no message in flight.
  *
- * @param bytesPerMs - What each direction carries.
+ * @param bytesPerMs - The bandwidth of each direction.
  * @returns The link.
  */
 export const createSimLink = (bytesPerMs: number): SimLink => ({
@@ -76,39 +79,41 @@
   queue: { out: Promise.resolve(), in: Promise.resolve() },
 });
 
-/** Request line, headers and their kin of a call or an answer. */
+/** The size of the request line or status line, the headers and the like of a call or an answer. */
 const FRAME_BYTES = 250;
-/** Names of fields and the frame of a message between entries. */
+/** The size of the field names and the frame of a message between entries. */
 const MESH_FRAME_BYTES = 60;
 
-/** What an adapter works out of an answer is not on the wire. */
-const WORKED_OUT: ReadonlySet<string> = new Set<keyof EndpointReport>(['hasMoreEnds']);
+/** Fields that the adapter derives from an answer, and that are therefore not sent. */
+const DERIVED_FIELDS: ReadonlySet<string> = new Set<keyof EndpointReport>(['hasMoreEnds']);
 
 const toWire = (value: unknown): string =>
-  JSON.stringify(value, (key, field) => (WORKED_OUT.has(key) ? undefined : field)) ?? '';
+  JSON.stringify(value, (key, field) => (DERIVED_FIELDS.has(key) ? undefined : field)) ?? '';
 
-/** What an entry can reach, and whether it runs. */
+/** What an entry can reach, and the state of its process. */
 export type SimReach = {
-  /** Without a limit if left out. */
+  /** The entry's network link; undefined for unlimited bandwidth. */
   link?: SimLink;
-  /** What its calls to endpoints have put on the link. */
+  /** The bytes sent and received so far by its calls to endpoints. */
   orderBytes: { out: number; in: number };
+  /** True once its process has ended. */
   isDead: boolean;
+  /** True while its process is paused: it then sends nothing and handles nothing that it receives. */
   isFrozen: boolean;
   isCutFromTable: boolean;
-  /** Whether it is cut from the list of hosts and from orders to them; as from the table if left out. */
+  /** True if it reaches neither the list of hosts nor hosts with orders; isCutFromTable applies if undefined. */
   isCutFromHosts?: boolean;
-  /** Whether the list of endpoints does not answer it; as the table if left out. */
+  /** True if the list of endpoints does not answer it; isCutFromTable applies if undefined. */
   isCutFromEndpointList?: boolean;
-  /** Whether the operator's rows do not answer it; as the table if left out. */
+  /** True if the operator's rows do not answer it; isCutFromTable applies if undefined. */
   isCutFromOperator?: boolean;
-  /** Its calls of the table through neighbours hang, while all else on the mesh goes through. */
+  /** True if its table calls that neighbours relay never complete, while all other mesh messages arrive. */
   isCutFromRelays?: boolean;
-  /** Its questions about rows that changed are carried out so late, whatever it is cut from. */
+  /** If set, each read of its table feeds is delayed by this many ms, and works even while it is cut from the table. */
   feedMs?: number;
-  /** The mesh between it and the other entries is cut. */
+  /** True while the mesh between it and the other entries is cut. */
   isSilent: boolean;
-  /** Endpoints that it cannot reach. */
+  /** The endpoints that it cannot reach. */
   readonly cutFrom: Set<InstanceId>;
 };
 
@@ -118,12 +123,13 @@
 };
 
 /**
- * Builds the platform of an entry.
+ * Creates the platform of an entry.
  *
- * @param world - What all entries work on.
- * @param entry - What this one reaches, at the time of each call.
- * @param options - The configuration that the operator has ordered, and the bound for evacuations if there is one.
- * @returns The platform, a way to wait until the entry runs, and its link for messages.
+ * @param world - The simulated table, endpoints and hosts that all entries share.
+ * @param entry - What this entry can reach; read at the time of each call.
+ * @param options - The operator's configuration, and the bound for evacuations if there is one.
+ * @returns The platform, a function that waits until the entry runs, and one that transfers a message over the
+ *   entry's link.
  */
 export const createSimPlatform = (
   world: SimWorld,
@@ -155,41 +161,44 @@
   } = world;
   const { cutFrom } = entry;
 
-  /** A process that does not run sends nothing and takes nothing in. */
+  /** Resolves once the entry's process runs: a paused one sends and handles nothing. Never resolves for an ended one. */
   const awake = async (): Promise<void> => {
     while (entry.isFrozen) await sleep(20);
     if (entry.isDead) await never();
   };
 
-  /** Waits for the link's turn and for what is sent to pass; what was given up by then is not sent. */
-  const carry = async (
+  /**
+   * Queues a message on the link and resolves once it is transferred. A message whose caller has given up by the time
+   * of its turn is not sent.
+   */
+  const transfer = async (
     direction: 'out' | 'in',
     bytes: number,
-    isGivenUp: () => boolean = () => false,
+    hasTimedOut: () => boolean = () => false,
   ): Promise<void> => {
     const { link } = entry;
     if (!link) return;
-    const passes = link.queue[direction].then(async () => {
-      if (!isGivenUp()) await sleep(bytes / link.bytesPerMs);
+    const transferred = link.queue[direction].then(async () => {
+      if (!hasTimedOut()) await sleep(bytes / link.bytesPerMs);
     });
-    link.queue[direction] = passes;
-    await passes;
+    link.queue[direction] = transferred;
+    await transferred;
   };
 
-  const noteBytes = (direction: 'out' | 'in', bytes: number): void => {
+  const countBytes = (direction: 'out' | 'in', bytes: number): void => {
     const { orderBytes } = entry;
     orderBytes[direction] += bytes;
   };
 
   const sizeOf = (value: unknown): number => FRAME_BYTES + toWire(value).length;
 
-  const toService = async <Value>(
+  const callService = async <Value>(
     isCut: () => boolean,
     call: () => Value,
   ): Promise<Result<Value, PlatformError>> => {
     await awake();
-    await carry('out', FRAME_BYTES);
-    await sleep(STORE_MS);
+    await transfer('out', FRAME_BYTES);
+    await sleep(STORE_DELAY_MS);
     if (isCut() || faults.isTableDown) {
       await sleep(CALL_TIMEOUT_MS);
       await awake();
@@ -203,21 +212,21 @@
     }
     const value = call();
     await sleep(HOP_MS);
-    if (entry.link) await carry('in', sizeOf(value));
+    if (entry.link) await transfer('in', sizeOf(value));
     await awake();
     return isLost ? Err({ kind: 'unknown', detail: 'no answer' }) : Ok(value);
   };
 
-  const toTable = <Value>(call: () => Value): Promise<Result<Value, PlatformError>> =>
-    toService(() => entry.isCutFromTable, call);
+  const callTable = <Value>(call: () => Value): Promise<Result<Value, PlatformError>> =>
+    callService(() => entry.isCutFromTable, call);
 
-  const toEndpointList = <Value>(call: () => Value): Promise<Result<Value, PlatformError>> =>
-    toService(() => entry.isCutFromEndpointList ?? entry.isCutFromTable, call);
+  const callEndpointList = <Value>(call: () => Value): Promise<Result<Value, PlatformError>> =>
+    callService(() => entry.isCutFromEndpointList ?? entry.isCutFromTable, call);
 
-  const toHosts = <Value>(call: () => Value): Promise<Result<Value, PlatformError>> =>
-    toService(() => entry.isCutFromHosts ?? entry.isCutFromTable, call);
+  const callHosts = <Value>(call: () => Value): Promise<Result<Value, PlatformError>> =>
+    callService(() => entry.isCutFromHosts ?? entry.isCutFromTable, call);
 
-  const noAnswer: OrderError = { verdict: 'mayHaveRun', reason: 'no-answer', detail: 'silence' };
+  const noAnswer: OrderError = { verdict: 'mayHaveRun', reason: 'no-answer', detail: 'no answer' };
   const otherEndpoint: OrderError = {
     verdict: 'notRun',
     reason: 'other-endpoint',
@@ -227,7 +236,7 @@
   const callEndpoint = async <Value>(
     instanceId: InstanceId,
     order: unknown,
-    isGivenUp: () => boolean,
+    hasTimedOut: () => boolean,
     call: (
       endpoint: SimulatedEndpoint,
     ) => Promise<Result<Value, OrderError>> | Result<Value, OrderError>,
@@ -236,13 +245,13 @@
     const decidedAtMs = performance.now();
     await awake();
     const sentAtMs = performance.now();
-    // What was decided before its process stood still leaves as late as one that the network held up.
-    const isHeldUp = sentAtMs > decidedAtMs;
-    noteBytes('out', sizeOf(order));
-    await carry('out', sizeOf(order), isGivenUp);
+    // An order that was decided before the process was paused is sent as late as one that the network delayed.
+    const isDelayed = sentAtMs > decidedAtMs;
+    countBytes('out', sizeOf(order));
+    await transfer('out', sizeOf(order), hasTimedOut);
     await sleep(HOP_MS);
-    // A connection that was reset delivers nothing.
-    if (isGivenUp()) return Err(noAnswer);
+    // The caller has timed out and reset the connection, which therefore delivers nothing.
+    if (hasTimedOut()) return Err(noAnswer);
     const endpoint = endpoints.get(instanceId);
     if (!endpoint?.isUp() && !cutFrom.has(instanceId) && faults.reused.has(instanceId)) {
       return Err(otherEndpoint);
@@ -255,11 +264,11 @@
     if (random() < faults.lateOrders) {
       setTimeout(
         () => {
-          // Whichever life has the id by then.
-          const now = endpoints.get(instanceId);
-          if (!now?.isUp()) return;
+          // The order reaches whichever incarnation has the id by then.
+          const current = endpoints.get(instanceId);
+          if (!current?.isUp()) return;
           lateOrder.sentAtMs = sentAtMs;
-          void call(now);
+          void call(current);
           lateOrder.sentAtMs = Infinity;
         },
         2000 + random() * 10_000,
@@ -268,23 +277,26 @@
       await awake();
       return Err(noAnswer);
     }
-    if (isHeldUp) lateOrder.sentAtMs = decidedAtMs;
-    const answering = call(endpoint);
+    if (isDelayed) lateOrder.sentAtMs = decidedAtMs;
+    const pendingAnswer = call(endpoint);
     lateOrder.sentAtMs = Infinity;
-    const answer = await answering;
-    // One that dies while a question waits there breaks the connection.
+    const answer = await pendingAnswer;
+    // An endpoint that crashes while a request waits there breaks the connection.
     if (!endpoint.isUp()) return Err(noAnswer);
     const answerBytes = sizeOf(answer.isOk() ? answer.value : null);
-    noteBytes('in', answerBytes);
-    await carry('in', answerBytes, isGivenUp);
+    countBytes('in', answerBytes);
+    await transfer('in', answerBytes, hasTimedOut);
     await sleep(HOP_MS + random() * 2 + faults.answerMs);
     await awake();
     if (cutFrom.has(instanceId) || random() < faults.lostAnswers) return Err(noAnswer);
     return answer;
   };
 
-  /** Only over a link that queues can an answer come after its time: elsewhere it is lost or quick. */
-  const toEndpoint = async <Value>(
+  /**
+   * Calls an endpoint with a timeout. Only over a link of limited bandwidth can an answer arrive after the timeout:
+   * without one it is either lost or fast, so that no timer is needed.
+   */
+  const callEndpointWithTimeout = async <Value>(
     instanceId: InstanceId,
     order: unknown,
     call: (
@@ -293,15 +305,15 @@
     timeoutMs: number,
   ): Promise<Result<Value, OrderError>> => {
     if (!entry.link) return callEndpoint(instanceId, order, () => false, call, timeoutMs);
-    const givesUpAtMs = performance.now() + timeoutMs;
-    const isGivenUp = (): boolean => performance.now() >= givesUpAtMs;
+    const timesOutAtMs = performance.now() + timeoutMs;
+    const hasTimedOut = (): boolean => performance.now() >= timesOutAtMs;
     return Promise.race([
-      callEndpoint(instanceId, order, isGivenUp, call, timeoutMs),
+      callEndpoint(instanceId, order, hasTimedOut, call, timeoutMs),
       sleep(timeoutMs).then(() => Err(noAnswer)),
     ]);
   };
 
-  const feed = (kind: string): TableFeed => {
+  const createTableFeed = (kind: string): TableFeed => {
     let after = -1;
     return {
       next: async () => {
@@ -309,7 +321,7 @@
         const { feedMs } = entry;
         if (feedMs !== undefined) await sleep(feedMs);
         const isCut = (): boolean => feedMs === undefined && entry.isCutFromTable;
-        const read = await toService(isCut, () => ({
+        const read = await callService(isCut, () => ({
           end: changes.length,
           rows: from < 0 ? table.scan(`${kind}/`) : changes.slice(from),
         }));
@@ -321,7 +333,7 @@
     };
   };
 
-  const placeOf = ({
+  const locationOf = ({
     hostId,
   }: SimulatedEndpoint): Pick<EndpointDescription, 'dataCentre' | 'labels'> => {
     const host = hosts.get(hostId);
@@ -331,17 +343,19 @@
     };
   };
 
-  const endpointFeed = () => {
-    const told = new Set<EndpointId>();
+  const createEndpointFeed = () => {
+    const reportedIds = new Set<EndpointId>();
     return {
       next: (): Promise<Result<EndpointNews, PlatformError>> =>
-        toEndpointList(() => {
+        callEndpointList(() => {
           const live = Array.from(endpoints.values()).filter(isListed);
-          const gone = Array.from(told).filter((id) => !live.some((one) => one.endpointId === id));
-          gone.forEach((id) => told.delete(id));
-          live.forEach(({ endpointId }) => told.add(endpointId));
+          const gone = Array.from(reportedIds).filter(
+            (id) => !live.some((one) => one.endpointId === id),
+          );
+          gone.forEach((id) => reportedIds.delete(id));
+          live.forEach(({ endpointId }) => reportedIds.add(endpointId));
           const seen = live.map((one) => ({
-            ...placeOf(one),
+            ...locationOf(one),
             endpointId: one.endpointId,
             pool: one.pool,
             hostId: one.hostId,
@@ -357,21 +371,21 @@
   const orderHost = async (
     { fence }: HostOrderer,
     hostId: HostId,
-    checkTaken: (host: ListedHost) => void,
+    checkHost: (host: ListedHost) => void,
     act: (host: ListedHost) => void,
     isDone: (host: ListedHost) => boolean,
     isRefused: (hostId: HostId) => boolean = () => false,
   ) => {
     await sleep(faults.hostOrderMs);
     const sentAtMs = performance.now();
-    const result = await toHosts(() => {
+    const result = await callHosts(() => {
       const host = hosts.get(hostId);
       if (!host || isRefused(hostId)) return 'refused' as const;
       if (isDone(host)) return 'done' as const;
       if (host.state !== 'up') return 'busy' as const;
-      // What a former holder ordered and the platform held up is nobody's to prevent.
-      const isHeldUp = performance.now() - sentAtMs > CALL_TIMEOUT_MS;
-      if (!isHeldUp || fence >= newestFence()) checkTaken(host);
+      // No entry can prevent an order that a former holder sent and the platform delayed: the checks skip it.
+      const isDelayed = performance.now() - sentAtMs > CALL_TIMEOUT_MS;
+      if (!isDelayed || fence >= newestFence()) checkHost(host);
       act(host);
       return 'done' as const;
     });
@@ -380,16 +394,16 @@
 
   const platform: BatchPlatform = {
     table: {
-      read: (keys) => toTable(() => readAll(keys)),
-      scan: (prefix) => toTable(() => table.scan(prefix)),
+      read: (keys) => callTable(() => readAll(keys)),
+      scan: (prefix) => callTable(() => table.scan(prefix)),
       transact: (transaction) =>
-        toTable(() => {
+        callTable(() => {
           const outcome = commit(transaction);
           return outcome.kind === 'committed'
             ? outcome
             : { ...outcome, rows: transaction.checks.map(({ key }) => table.read(key)) };
         }),
-      feed,
+      feed: createTableFeed,
     },
     operator: world.operator.feedOf({
       awake,
@@ -397,28 +411,33 @@
       lost: () => faults.lostWrites,
       configuration,
     }),
-    endpoints: endpointFeed,
+    endpoints: createEndpointFeed,
     orders: {
       list: async ({ endpointId }, order, timeoutMs) => {
-        const ask = async (one: SimulatedEndpoint) => {
+        const listRuns = async (one: SimulatedEndpoint) => {
           noteAsked(one);
           const answer = await one.list(order);
-          return answer.map((value) => ({ bornAtMs: one.startedAtMs, value }));
+          return answer.map((value) => ({ startedAtMs: one.startedAtMs, value }));
         };
-        const patienceMs = order.waitMs + timeoutMs;
-        const answer = await toEndpoint(instanceIdOf(endpointId), order, ask, patienceMs);
-        return answer.andThen(({ bornAtMs, value }) =>
-          requireSameIncarnation(endpointId, bornAtMs, value),
+        const totalTimeoutMs = order.waitMs + timeoutMs;
+        const answer = await callEndpointWithTimeout(
+          instanceIdOf(endpointId),
+          order,
+          listRuns,
+          totalTimeoutMs,
+        );
+        return answer.andThen(({ startedAtMs, value }) =>
+          requireSameIncarnation(endpointId, startedAtMs, value),
         );
       },
       start: ({ endpointId }, order, timeoutMs) => {
         const instanceId = instanceIdOf(endpointId);
         const { task, run } = order;
         world.startsSent.push({ instanceId, task, run, atMs: performance.now() });
-        return toEndpoint(instanceId, order, (one) => one.start(order), timeoutMs);
+        return callEndpointWithTimeout(instanceId, order, (one) => one.start(order), timeoutMs);
       },
       stop: ({ endpointId }, order, timeoutMs) =>
-        toEndpoint(
+        callEndpointWithTimeout(
           instanceIdOf(endpointId),
           order,
           (one) => {
@@ -435,7 +454,7 @@
         await awake();
         if (faults.hostListMs > 0) await sleep(faults.hostListMs);
         if (faults.isHostListDown) return Err({ kind: 'unknown', detail: 'no answer' });
-        return toHosts(() =>
+        return callHosts(() =>
           Array.from(hosts.values()).filter(({ hostId }) => !faults.leftOut.has(hostId)),
         );
       },
@@ -456,7 +475,7 @@
           hostId,
           checkBudgets,
           (host) => {
-            const { maximum, hosts: inWave } = waves.get(waveNumber) ?? SIM_NO_WAVE;
+            const { maximum, hosts: inWave } = waves.get(waveNumber) ?? UNKNOWN_WAVE;
             const down = inWave.filter((id) => hosts.get(id)?.state === 'maintenance');
             if (down.length >= maximum) breaks(`${hostId} goes down beside ${down.length} others`);
             maintained.add(`${waveNumber}/${hostId}`);
@@ -466,7 +485,7 @@
           (refused) => faults.refused.has(refused),
         ),
       reportWave: (waveNumber, state) =>
-        toTable(() => {
+        callTable(() => {
           checkReport(waveNumber, state);
           return waveStatus.set(waveNumber, state);
         }),
@@ -474,7 +493,7 @@
     advice: {
       ask: async ({ endpoints: asked }) => {
         await awake();
-        await sleep(ADVICE_MS);
+        await sleep(ADVICE_DELAY_MS);
         if (random() < faults.lostAnswers) return Err({ kind: 'unknown', detail: 'no answer' });
         const good = asked
           .filter((endpointId) => mayRunAdvised(instanceIdOf(endpointId)))
@@ -492,15 +511,15 @@
       maintenanceMs: MAINTENANCE_MS,
       holderTurnMs: 3000,
       answerableMs: ANSWERABLE_MS,
-      longestLeaseMs: LONGEST_LEASE_MS,
+      longestLeaseMs: MAX_LEASE_MS,
       ...(evacuateMs === undefined ? {} : { evacuateMs }),
     }),
     close: () => undefined,
   };
 
-  /** Passes a message between entries over this one's link. */
+  /** Transfers a message between entries over this entry's link. */
   const carryMessage = (direction: 'out' | 'in', payload: unknown): Promise<void> =>
-    carry(direction, MESH_FRAME_BYTES + (JSON.stringify(payload) ?? '').length);
+    transfer(direction, MESH_FRAME_BYTES + (JSON.stringify(payload) ?? '').length);
 
   return { platform, awake, carryMessage };
 };
--- a/packages/daemon/src/batch/testing/sim-world.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-world.fixtures.ts
@@ -1,6 +1,6 @@
 /**
- * What entries work on in virtual time: a table, endpoints, hosts, jobs and waves in memory. What must
- * always hold is checked at the endpoints and hosts while it happens.
+ * The environment of simulated entries in virtual time: a table, endpoints, hosts, jobs and maintenance waves in
+ * memory. Invariants are checked at the endpoints and hosts at the moment of each event; violations are collected.
  */
 import {
   createSimulatedEndpoint,
@@ -35,16 +35,23 @@
 import { createSimOperator } from './sim-operator.fixtures.js';
 import { parseJobKey } from '../keys.js';
 
+/** How long a host is down for maintenance. */
 export const MAINTENANCE_MS = 2000;
+/** How long a host is down while it moves to another pool. */
 export const MOVE_MS = 1500;
+/** How long a host is down after its endpoint has crashed, unless a test sets another time. */
 const CRASH_MS = 3000;
-/** How long a lasting task takes to be at work where a test does not say. */
+/** How long a long-running task takes to become ready, unless a test sets another time. */
 export const LASTING_START_MS = 200;
-/** Of so many restarts of hosts one has a new id; the others go on under the id that they had. */
+/** Every n-th restarted endpoint gets a new instance id; the others keep the id that they had. */
 const NEW_ID_EVERY = 4;
-/** A holder that has asked a life has it bar what may still begin there; the order to do so may be lost twice. */
-const BARRED_WITHIN_MS = 3000;
+/**
+ * Within this time after its first list request to an incarnation, a holder has ordered the incarnation to reject
+ * starts that were sent to the previous one. The time allows for the loss of two such orders.
+ */
+const STALE_STARTS_REJECTED_WITHIN_MS = 3000;
 
+/** The queue policy of all simulated queues. */
 export const SIM_POLICY: QueuePolicy = {
   priority: 0,
   maxAttempts: 3,
@@ -52,79 +59,88 @@
   targetLatencyMs: 600,
 };
 
-/** A job as its client handed it in, and what its tasks do. */
+/** A job as its client submitted it, and how its tasks behave. */
 export type Submitted = {
   readonly job: BatchJob;
+  /** How long each task runs. */
   readonly runMs: number;
-  /** How long a lasting task takes to be at work; the model's default if left out. */
+  /** How long a long-running task takes to become ready. */
   readonly startMs: number;
+  /** True if its tasks end as failed. */
   readonly fails: boolean;
   readonly needsAdvice: boolean;
-  /** The first task of the first step takes down each endpoint that begins it, so long after its start. */
+  /**
+   * The first task of the first step crashes each endpoint that starts it, this long after the start; undefined if no
+   * task crashes endpoints.
+   */
   readonly crashesAfterMs: number | undefined;
 };
 
-/** So many endpoints may go down under a task before its starts count against us. */
-const FREE_CRASHES = 3;
-/** Starts by a process that began a shorter time ago do not count. */
-const CONTACT_MS = 3000;
-/** So many starts after those are too many. */
-const STARTS_TOO_MANY = 3;
-/** A job may be given up once so many endpoints have gone down under one of its tasks. */
-const CRASHES_TO_GIVE_UP = 2;
+/** How many endpoints may crash under a task before its further starts are counted. */
+const UNCOUNTED_CRASHES = 3;
+/** Starts are not counted while the holder's process has run for less than this time. */
+const HOLDER_STARTUP_MS = 3000;
+/** This many counted starts of one task break the invariant. */
+const EXCESSIVE_STARTS = 3;
+/** A job may fail once this many endpoints have crashed under one of its tasks. */
+const MIN_CRASHES_TO_FAIL = 2;
 
-/** What an account may have running beyond its maximum, as a share of it. */
+/** By how much an account's running tasks may exceed its maximum, as a share of the maximum. */
 const QUOTA_EXCESS = 0.1;
 
-/** No task may begin in a data centre so long after its evacuation was acknowledged. */
+/** No task may start in a data centre once this time has passed since its evacuation was acknowledged. */
 export const EVACUATE_MS = 5000;
-/** After an outage of the table for all, entries learn of what was ordered just before it within this time. */
-const TABLE_BACK_MS = 2500;
+/** After a table outage that affects all entries, they learn within this time of orders given just before it. */
+const TABLE_RECOVERY_MS = 2500;
 
-/** What starts on queues that need advice must carry. */
+/** The ticket that the advice service gives out, and that starts of tasks that need advice must carry. */
 export const TICKET = 'ticket';
 
 /**
- * What the service of advice of the fleet knows.
+ * Tells what the simulated advice service answers for an endpoint: endpoints with an even number are good.
  *
- * @param instanceId - An endpoint.
- * @returns True if it may run steps that need advice.
+ * @param instanceId - The endpoint's instance id.
+ * @returns True if the endpoint may run steps that need advice.
  */
 export const mayRunAdvised = (instanceId: InstanceId): boolean =>
   Number(instanceId.slice(2)) % 2 === 0;
 
-/** Share of answers and writes that are lost or late, and how long things take. */
+/** The faults in force, which tests change while the simulation runs. Shares are from 0 to 1. */
 export type SimFaults = {
+  /** The share of answers by endpoints and by the advice service that are lost. */
   lostAnswers: number;
+  /** The share of orders to endpoints that are carried out seconds later and not answered. */
   lateOrders: number;
+  /** True during an outage of the table for all entries. */
   isTableDown: boolean;
+  /** The share of calls to the platform's services whose answer is lost; half of them are also carried out late. */
   lostWrites: number;
-  /** How long an endpoint is down that crashes by itself. */
+  /** How long a host is down after its endpoint has crashed. */
   crashMs: number;
-  /** How long an order to a host is under way. */
+  /** How long an order to a host is in flight. */
   hostOrderMs: number;
-  /** How long endpoints take to answer. */
+  /** How much longer than usual endpoints take to answer. */
   answerMs: number;
-  /** The list of hosts answers nobody. */
+  /** True while the list of hosts answers no entry. */
   isHostListDown: boolean;
   /** How long the list of hosts takes to answer. */
   hostListMs: number;
-  /** Endpoints that are gone and whose address belongs to another. */
+  /** Endpoints that are gone and whose address now belongs to another endpoint. */
   readonly reused: Set<InstanceId>;
-  /** Hosts that the list leaves out although they stay. */
+  /** Hosts that still exist but are missing from the list of hosts. */
   readonly leftOut: Set<HostId>;
-  /** Hosts whose orders for maintenance are refused. */
+  /** Hosts for which maintenance orders are refused. */
   readonly refused: Set<HostId>;
 };
 
-/** How hosts stand in racks and data centres; each rack has hosts of all pools. */
+/** How hosts are spread over racks and data centres; each rack has hosts of all pools. */
 export type SimDomains = {
-  /** Of each pool. */
+  /** The number of hosts of each pool in one rack. */
   readonly hostsPerRack: number;
   readonly dataCentres: number;
 };
 
-/** An order to start as it leaves an entry, whether or not it arrives. */
+/** A start order at the time an entry sends it, whether or not it arrives. */
 export type SentStart = {
   readonly instanceId: InstanceId;
   readonly task: TaskKey;
@@ -135,17 +151,18 @@
 export type SimWorldOptions = {
   readonly hostsPerPool: number;
   readonly pools: readonly string[];
+  /** The pool whose hosts are switched off and run no endpoint; undefined for none. */
   readonly sparePool: string | undefined;
-  /** Endpoints tell no rack and no data centre if left out. */
+  /** If undefined, endpoints report no labels, and hosts alternate between two data centres. */
   readonly domains?: SimDomains | undefined;
   readonly random: () => number;
 };
 
 /**
- * Builds what entries work on.
+ * Creates the simulated environment of a fleet.
  *
- * @param options - Its size and its source of chance.
- * @returns The world, all of it sound.
+ * @param options - Its size and its random number generator.
+ * @returns The environment, without faults.
  */
 export const createSimWorld = ({
   hostsPerPool,
@@ -159,19 +176,20 @@
   const endpoints = new Map<InstanceId, SimulatedEndpoint>();
   const hosts = new Map<HostId, ListedHost>();
   const jobs = new Map<JobId, Submitted>();
-  const done = new Set<TaskKey>();
-  const noted = new Set<TaskKey>();
-  const failures = new Map<TaskKey, number>();
+  const doneTasks = new Set<TaskKey>();
+  const acknowledgedTasks = new Set<TaskKey>();
+  const acknowledgedFailures = new Map<TaskKey, number>();
   const failedEnds = new Map<TaskKey, number>();
-  /** Endpoints that crashed by themselves under a task, and starts since there were too many. */
+  /** The number of endpoints that crashed while they ran a task. */
   const crashes = new Map<TaskKey, number>();
-  const startsSince = new Map<TaskKey, number>();
+  /** The number of a task's starts since UNCOUNTED_CRASHES endpoints had crashed under it. */
+  const startsAfterCrashes = new Map<TaskKey, number>();
   const broken: string[] = [];
   const operator = createSimOperator();
   let isTableDown = false;
   let tableBackAtMs = -Infinity;
   const startsSent: SentStart[] = [];
-  /** What the configurations that may be in force give accounts, the newest last. */
+  /** The accounts' maxima in each configuration that an entry may still apply, the newest last. */
   const inForce: { readonly maxima: ReadonlyMap<AccountName, Capacity>; untilMs: number }[] = [];
   const faults: SimFaults = {
     lostAnswers: 0,
@@ -194,22 +212,23 @@
     refused: new Set(),
   };
   const maintained = new Set<string>();
-  /** For how long the process that holds control has run. */
+  /** Returns for how many ms the holder's process has run. */
   const holderAge = { ms: (): number => Infinity };
   const unlisted = new Set<InstanceId>();
   const isListed = (one: SimulatedEndpoint): boolean => one.isUp() && !unlisted.has(one.instanceId);
   const cancelled = new Set<string>();
   const waveStatus = new Map<number, string>();
   const waves = new Map<number, MaintenanceRequest>();
-  let lastEndpoint = 0;
-  let restarts = 0;
-  /** When the order was sent that is being carried out late. */
+  let endpointCount = 0;
+  let restartCount = 0;
+  /** When the order that is being carried out late was sent; Infinity while no late order is being carried out. */
   const lateOrder = { sentAtMs: Infinity };
-  const livesSinceMs = new Map<SimulatedEndpoint, number>();
-  /** When each life was first asked what runs there. */
-  const askedSinceMs = new Map<SimulatedEndpoint, number>();
-  /** Runs that were begun by orders to the life before, by endpoint and task. */
-  const strays = new Set<string>();
+  /** When each incarnation started. */
+  const incarnationStartedAtMs = new Map<SimulatedEndpoint, number>();
+  /** When each incarnation was first asked to list its runs. */
+  const firstListedAtMs = new Map<SimulatedEndpoint, number>();
+  /** Runs that were started by orders to the previous incarnation, by endpoint and task. */
+  const strayRuns = new Set<string>();
 
   const breaks = (text: string): void => {
     broken.push(`${Math.round(performance.now())} ms: ${text}`);
@@ -231,14 +250,16 @@
     };
   };
 
-  /** A task that takes its endpoints down may not go on doing so. */
+  /** Checks that a task which crashes its endpoints is not started again and again. */
   const checkCrashes = (key: TaskKey): void => {
     if (taskOf(key).crashesAfterMs === undefined) return;
-    if ((crashes.get(key) ?? 0) < FREE_CRASHES || holderAge.ms() < CONTACT_MS) return;
-    const starts = (startsSince.get(key) ?? 0) + 1;
-    startsSince.set(key, starts);
-    if (starts >= STARTS_TOO_MANY) {
-      breaks(`${key} began ${starts} times after ${FREE_CRASHES} endpoints crashed under it`);
+    if ((crashes.get(key) ?? 0) < UNCOUNTED_CRASHES || holderAge.ms() < HOLDER_STARTUP_MS) return;
+    const starts = (startsAfterCrashes.get(key) ?? 0) + 1;
+    startsAfterCrashes.set(key, starts);
+    if (starts >= EXCESSIVE_STARTS) {
+      breaks(
+        `${key} was started ${starts} times after ${UNCOUNTED_CRASHES} endpoints crashed under it`,
+      );
     }
   };
 
@@ -247,8 +268,8 @@
     return name && jobs.get(name.jobId)?.job.owner?.account;
   };
 
-  /** The highest maximum that any configuration in force may give an account; 0 for no limit. */
-  const mostOf = (account: AccountName): number => {
+  /** Returns the highest maximum of an account in any configuration that may be in force; 0 for no limit. */
+  const computeMaximum = (account: AccountName): number => {
     const nowMs = performance.now();
     const maxima = inForce
       .filter(({ untilMs }) => untilMs > nowMs)
@@ -256,121 +277,134 @@
     return maxima.includes(0) ? 0 : Math.max(0, ...maxima);
   };
 
-  /** No start brings what an account has running above its maximum, an excess and one task more. */
+  /** Checks that a start leaves an account's running tasks within its maximum, plus QUOTA_EXCESS, plus one task. */
   const checkQuota = (task: TaskKey): void => {
     const account = accountOf(task);
-    const most = account === undefined ? 0 : mostOf(account);
-    if (account === undefined || most === 0) return;
+    const maximum = account === undefined ? 0 : computeMaximum(account);
+    if (account === undefined || maximum === 0) return;
     const running = Array.from(endpoints.values())
       .filter((one) => one.isUp())
       .flatMap(({ endpointId, runs }) =>
-        Array.from(runs.keys()).filter((key) => !strays.has(`${endpointId} ${key}`)),
+        Array.from(runs.keys()).filter((key) => !strayRuns.has(`${endpointId} ${key}`)),
       )
       .filter((key) => accountOf(key) === account)
       .reduce((sum, key) => sum + taskOf(key).cpuMillis, 0);
     const isIncluded = Array.from(endpoints.values()).some(({ runs }) => runs.has(task));
     const before = running - (isIncluded ? taskOf(task).cpuMillis : 0);
-    if (before > most * (1 + QUOTA_EXCESS)) {
-      breaks(`${task} began beside ${before} of ${account}, which may have ${most}`);
+    if (before > maximum * (1 + QUOTA_EXCESS)) {
+      breaks(
+        `${task} started although ${before} millicores of ${account} were running, of at most ${maximum}`,
+      );
     }
   };
 
   /**
-   * Nothing begins in an evacuated data centre after the bound. An order that is carried out late counts by the time
-   * at which it was sent. While the table is away for all no operator is acknowledged, and starts go on.
+   * Checks that no task starts in an evacuated data centre after the bound. An order that is carried out late counts
+   * at the time at which it was sent. During a table outage that affects all entries, nothing is checked: no
+   * evacuation can be acknowledged then, and starts go on.
    */
   const checkEvacuation = ({ hostId }: SimulatedEndpoint, task: TaskKey): void => {
     const dataCentre = hosts.get(hostId)?.dataCentre;
     if (dataCentre === undefined || isTableDown) return;
     const nowMs = performance.now();
-    if (nowMs - tableBackAtMs < TABLE_BACK_MS) return;
+    if (nowMs - tableBackAtMs < TABLE_RECOVERY_MS) return;
     const evacuatedMs = operator.evacuatedForMs(dataCentre, Math.min(nowMs, lateOrder.sentAtMs));
     if (evacuatedMs === undefined || evacuatedMs <= EVACUATE_MS) return;
-    breaks(`${task} began in ${dataCentre}, which is evacuated for ${Math.round(evacuatedMs)} ms`);
+    breaks(
+      `${task} started in ${dataCentre}, which had been evacuated for ${Math.round(evacuatedMs)} ms`,
+    );
   };
 
-  /** A job is failed only by a task that failed too often, or under which endpoints crashed. */
-  const checkFailed = (jobId: JobId): void => {
+  /** Checks that a failed job has a task that failed too often, or under which endpoints crashed. */
+  const checkFailedJob = (jobId: JobId): void => {
     const hasCause = (counts: ReadonlyMap<TaskKey, number>, atLeast: number): boolean =>
       Array.from(counts).some(([key, count]) => key.startsWith(jobId) && count >= atLeast);
     if (hasCause(failedEnds, SIM_POLICY.maxAttempts)) return;
-    if (!hasCause(crashes, CRASHES_TO_GIVE_UP)) breaks(`${jobId} is failed without a cause`);
+    if (!hasCause(crashes, MIN_CRASHES_TO_FAIL))
+      breaks(`${jobId} failed although no task of it failed too often or crashed endpoints`);
   };
 
-  const checkOrder = (key: TaskKey): void => {
+  /** Checks that a task belongs to a submitted job, and that the steps before its own are done. */
+  const checkStepOrder = (key: TaskKey): void => {
     const name = parseTaskKey(key);
     const job = name && jobs.get(name.jobId)?.job;
     if (!name || !job) {
-      breaks(`${key} was asked for by no client`);
+      breaks(`${key} started, but belongs to no submitted job`);
       return;
     }
     job.steps[name.step]?.after.forEach((before) => {
       const count = job.steps[before]?.taskCount ?? 0;
       const isDone = Array.from({ length: count }).every((_, index) =>
-        done.has(`${name.jobId}.${name.occurrence}.${before}.${index}` as TaskKey),
+        doneTasks.has(`${name.jobId}.${name.occurrence}.${before}.${index}` as TaskKey),
       );
-      if (!isDone) breaks(`${key} began before step ${before} was done`);
+      if (!isDone) breaks(`${key} started before step ${before} was done`);
     });
   };
 
   /**
-   * An order to the life before that is carried out before this one was asked and told to bar it: nobody can keep
-   * it from beginning what has ended, or what runs elsewhere.
+   * Tells whether an endpoint is carrying out an order that was sent to its previous incarnation, before the holder
+   * could ask this one for its runs and have it reject such orders. No entry can prevent such an order from starting a
+   * task that has ended, or that runs elsewhere.
    */
-  const isStray = (endpoint: SimulatedEndpoint): boolean =>
-    lateOrder.sentAtMs < (livesSinceMs.get(endpoint) ?? 0) &&
-    performance.now() - (askedSinceMs.get(endpoint) ?? Infinity) < BARRED_WITHIN_MS;
+  const isStrayStart = (endpoint: SimulatedEndpoint): boolean =>
+    lateOrder.sentAtMs < (incarnationStartedAtMs.get(endpoint) ?? 0) &&
+    performance.now() - (firstListedAtMs.get(endpoint) ?? Infinity) <
+      STALE_STARTS_REJECTED_WITHIN_MS;
 
   const observer: EndpointObserver = {
     taskOf,
     onStart: (endpoint, task, run) => {
       checkEvacuation(endpoint, task);
-      if (isStray(endpoint)) {
-        strays.add(`${endpoint.endpointId} ${task}`);
+      if (isStrayStart(endpoint)) {
+        strayRuns.add(`${endpoint.endpointId} ${task}`);
         return;
       }
       Array.from(endpoints.values())
         .filter((other) => other !== endpoint && other.isUp() && other.runs.has(task))
-        .filter((other) => !strays.has(`${other.endpointId} ${task}`))
+        .filter((other) => !strayRuns.has(`${other.endpointId} ${task}`))
         .forEach((other) =>
           breaks(`${task} run ${run} on ${endpoint.instanceId}: also on ${other.instanceId}`),
         );
-      if (noted.has(task)) breaks(`${task} run ${run} began after its end was noted`);
-      if ((failures.get(task) ?? 0) >= SIM_POLICY.maxAttempts) breaks(`${task} began too often`);
+      if (acknowledgedTasks.has(task))
+        breaks(`${task} run ${run} started after its end was acknowledged`);
+      if ((acknowledgedFailures.get(task) ?? 0) >= SIM_POLICY.maxAttempts)
+        breaks(`${task} started again after its last attempt`);
       const name = parseTaskKey(task);
       const isAdvised = name !== undefined && jobs.get(name.jobId)?.needsAdvice === true;
       if (isAdvised && !mayRunAdvised(endpoint.instanceId)) {
-        breaks(`${task} began on ${endpoint.instanceId}, which may not run it`);
+        breaks(
+          `${task} started on ${endpoint.instanceId}, which may not run steps that need advice`,
+        );
       }
-      checkOrder(task);
+      checkStepOrder(task);
       checkCrashes(task);
       checkQuota(task);
     },
     onEnd: (_, task, __, kind) => {
       if (kind === 'failed') failedEnds.set(task, (failedEnds.get(task) ?? 0) + 1);
-      if (kind === 'done') done.add(task);
+      if (kind === 'done') doneTasks.add(task);
     },
     onAcknowledged: ({ task, kind }: EndedRunReport) => {
-      if (kind === 'done') noted.add(task);
+      if (kind === 'done') acknowledgedTasks.add(task);
       if (kind === 'failed' && !taskOf(task).isLasting) {
-        failures.set(task, (failures.get(task) ?? 0) + 1);
+        acknowledgedFailures.set(task, (acknowledgedFailures.get(task) ?? 0) + 1);
       }
     },
     onCrash: ({ instanceId }) => crash(instanceId),
   };
 
-  const newId = (): InstanceId => {
-    lastEndpoint += 1;
-    return brand<InstanceId>(`i-${lastEndpoint}`);
+  const createInstanceId = (): InstanceId => {
+    endpointCount += 1;
+    return brand<InstanceId>(`i-${endpointCount}`);
   };
 
-  /** An endpoint may start again under the id that it had. */
-  const nextId = (former: InstanceId): InstanceId => {
-    restarts += 1;
-    return restarts % NEW_ID_EVERY === 0 ? newId() : former;
+  /** Returns the instance id of a restarted endpoint, which is often the one that it had. */
+  const chooseRestartId = (former: InstanceId): InstanceId => {
+    restartCount += 1;
+    return restartCount % NEW_ID_EVERY === 0 ? createInstanceId() : former;
   };
 
-  const liveOn = (host: ListedHost, instanceId = newId()): void => {
+  const startEndpoint = (host: ListedHost, instanceId = createInstanceId()): void => {
     const endpoint = createSimulatedEndpoint({
       instanceId,
       hostId: host.hostId,
@@ -380,72 +414,75 @@
       observer,
     });
     endpoints.set(instanceId, endpoint);
-    livesSinceMs.set(endpoint, performance.now());
+    incarnationStartedAtMs.set(endpoint, performance.now());
     hosts.set(host.hostId, { ...host, state: 'up', instanceId });
   };
 
-  /** How many tasks of a task's step are at work on an endpoint. */
-  const atWorkOn = ({ runs }: SimulatedEndpoint, { jobId, step }: TaskKeyParts): number =>
+  /** Counts the ready tasks of a task's step on an endpoint. */
+  const countReady = ({ runs }: SimulatedEndpoint, { jobId, step }: TaskKeyParts): number =>
     Array.from(runs.values()).filter(({ task, startedAtMs, needs, isStopping }) => {
       const one = parseTaskKey(task);
       const isOfStep = one?.jobId === jobId && one.step === step;
       return isOfStep && !isStopping && performance.now() - startedAtMs >= (needs.startMs ?? 0);
     }).length;
 
-  /** Tasks of a lasting step that are at work on no endpoint. */
-  const awayOf = (name: TaskKeyParts): number => {
+  /** Counts the unavailable tasks of a long-running step: those that are ready on no endpoint. */
+  const countUnavailable = (name: TaskKeyParts): number => {
     const step = jobs.get(name.jobId)?.job.steps[name.step];
-    const atWork = Array.from(endpoints.values())
+    const readyCount = Array.from(endpoints.values())
       .filter((one) => one.isUp())
-      .reduce((sum, one) => sum + atWorkOn(one, name), 0);
-    return (step?.taskCount ?? 0) - atWork;
+      .reduce((sum, one) => sum + countReady(one, name), 0);
+    return (step?.taskCount ?? 0) - readyCount;
   };
 
-  const mayMissOf = (name: TaskKeyParts): number =>
+  const findMayMiss = (name: TaskKeyParts): number =>
     jobs.get(name.jobId)?.job.steps[name.step]?.mayMiss ?? 0;
 
-  /** A job that has ended, or that its client cancels, keeps no budget. */
-  const isServed = ({ jobId }: TaskKeyParts): boolean => {
+  /** Tells whether a job's budget applies: it does not once the job has ended or its client has cancelled it. */
+  const hasBudget = ({ jobId }: TaskKeyParts): boolean => {
     const row = table.read(`job/${jobId}`).value as BatchJobRow | null;
     return row?.kind === 'live' && !cancelled.has(jobId);
   };
 
-  /** Checks that a task which is ordered to stop may be missed. */
+  /** Checks that the budget of unavailable tasks allows a task to be stopped. */
   const checkStop = (endpoint: SimulatedEndpoint, key: TaskKey): void => {
     const name = parseTaskKey(key);
-    // A late order is nobody's to prevent.
+    // No entry can prevent an order that is carried out late.
     if (!name || !endpoint.runs.has(key) || lateOrder.sentAtMs < Infinity) return;
-    const mayMiss = mayMissOf(name);
-    const isAtWork = atWorkOn(endpoint, name) > 0;
-    if (mayMiss === 0 || !isAtWork || awayOf(name) < mayMiss || !isServed(name)) return;
-    breaks(`${key} was stopped while ${awayOf(name)} others were away`);
+    const mayMiss = findMayMiss(name);
+    const isReady = countReady(endpoint, name) > 0;
+    if (mayMiss === 0 || !isReady || countUnavailable(name) < mayMiss || !hasBudget(name)) return;
+    breaks(`${key} was stopped while ${countUnavailable(name)} others were unavailable`);
   };
 
-  /** Checks what an order to a host is about to end. */
+  /** Checks that the budgets of unavailable tasks allow all tasks on a host to be ended by an order to the host. */
   const checkBudgets = (host: ListedHost): void => {
     const endpoint = host.instanceId && endpoints.get(host.instanceId);
     if (!endpoint) return;
     endpoint.runs.forEach((_, key) => {
       const name = parseTaskKey(key);
-      const mayMiss = name ? mayMissOf(name) : 0;
+      const mayMiss = name ? findMayMiss(name) : 0;
       if (!name || mayMiss === 0) return;
-      const here = atWorkOn(endpoint, name);
-      const away = awayOf(name);
-      if (here > 0 && away + here > mayMiss) {
-        breaks(`${key} was ended by an order with ${here} while ${away} others were away`);
+      const readyHere = countReady(endpoint, name);
+      const unavailable = countUnavailable(name);
+      if (readyHere > 0 && unavailable + readyHere > mayMiss) {
+        breaks(
+          `${key} was ended by an order with ${readyHere} ready there while ${unavailable} others were unavailable`,
+        );
       }
     });
   };
 
   const isSpare = (pool: string): boolean => pool === sparePool;
 
+  /** Checks that a host which is to be moved runs no tasks. */
   const checkEmpty = (host: ListedHost): void => {
     const endpoint = host.instanceId && endpoints.get(host.instanceId);
     if (endpoint && endpoint.runs.size > 0) breaks(`a move of ${host.hostId} ended tasks`);
     checkBudgets(host);
   };
 
-  /** Checks what the operator is told of a wave: completed, once each of its hosts that stays has gone down. */
+  /** Checks that a wave is reported as completed only once each of its hosts that still exists was maintained. */
   const checkReport = (waveNumber: number, state: string): void => {
     if (state !== 'completed') return;
     const open = (waves.get(waveNumber)?.hosts ?? []).filter(
@@ -454,23 +491,24 @@
     if (open.length > 0) breaks(`wave ${waveNumber} is completed without ${open.join(', ')}`);
   };
 
+  /** Returns the fence of the newest control lease; 0 before the first. */
   const newestFence = (): number =>
     (table.read('lease/control').value as LeaseRow | null)?.epoch ?? 0;
 
-  /** The host's life ends; another begins after a time, unless its pool is switched off. */
+  /** Ends the incarnation on a host and starts the next one after a time, unless the host is in the spare pool by then. */
   const relive = (host: ListedHost, afterMs: number): void => {
     const formerId = host.instanceId;
     if (formerId) endpoints.get(formerId)?.crash();
     hosts.set(host.hostId, { ...host, instanceId: null });
     setTimeout(() => {
-      const now = hosts.get(host.hostId);
-      if (!now) return;
-      if (isSpare(now.pool)) hosts.set(now.hostId, { ...now, state: 'up' });
-      else liveOn(now, formerId ? nextId(formerId) : newId());
+      const current = hosts.get(host.hostId);
+      if (!current) return;
+      if (isSpare(current.pool)) hosts.set(current.hostId, { ...current, state: 'up' });
+      else startEndpoint(current, formerId ? chooseRestartId(formerId) : createInstanceId());
     }, afterMs);
   };
 
-  /** An endpoint crashes by itself; its host is back with its next life after some time. */
+  /** Crashes an endpoint; its host comes back with the next incarnation after some time. */
   const crash = (instanceId: InstanceId, downMs = faults.crashMs): void => {
     const endpoint = endpoints.get(instanceId);
     const host = endpoint && hosts.get(endpoint.hostId);
@@ -479,11 +517,11 @@
     relive({ ...host, state: 'down' }, downMs);
   };
 
-  const placeOf = (index: number): Pick<ListedHost, 'dataCentre' | 'labels'> => {
+  const locationOf = (index: number): Pick<ListedHost, 'dataCentre' | 'labels'> => {
     const { hostsPerRack, dataCentres } = domains ?? { hostsPerRack: 1, dataCentres: 2 };
     const rack = domains ? Math.floor(index / hostsPerRack) : index % 2;
     const dataCentre = brand<DataCentreId>(`dc-${rack % dataCentres}`);
-    // The label of a rack need not be the last one.
+    // A second label, since the rack's label need not be the last one.
     return { dataCentre, labels: [`rack-${rack}`, ...(domains ? ['ssd'] : [])] };
   };
 
@@ -493,12 +531,12 @@
         hostId: brand<HostId>(`h-${pool}-${index}`),
         pool: brand<PoolName>(pool),
         state: 'up',
-        ...placeOf(index),
+        ...locationOf(index),
         capacity: { cpuMillis: 8000, memoryMb: 16_000, accelerators: 0 },
         instanceId: null,
       };
       if (isSpare(pool)) hosts.set(host.hostId, host);
-      else liveOn(host);
+      else startEndpoint(host);
     });
   });
 
@@ -514,7 +552,7 @@
         changes.push({ key, value, version: outcome.version });
         const row = key.startsWith('job/') ? (value as BatchJobRow | null) : null;
         if (row?.kind === 'ended' && row.phase === 'failed') {
-          checkFailed(brand<JobId>(key.slice('job/'.length)));
+          checkFailedJob(brand<JobId>(key.slice('job/'.length)));
         }
       });
     }
@@ -535,8 +573,9 @@
     unlisted,
     operator,
     lateOrder,
+    /** Records when an incarnation was first asked to list its runs. */
     noteAsked: (endpoint: SimulatedEndpoint): void => {
-      if (!askedSinceMs.has(endpoint)) askedSinceMs.set(endpoint, performance.now());
+      if (!firstListedAtMs.has(endpoint)) firstListedAtMs.set(endpoint, performance.now());
     },
     isListed,
     hasDomains: domains !== undefined,
--- a/packages/daemon/src/batch/testing/virtual-time.fixtures.ts
+++ b/packages/daemon/src/batch/testing/virtual-time.fixtures.ts
@@ -1,4 +1,4 @@
-/** What the tests of control in virtual time share: faked clocks, a fleet that has begun, questions. */
+/** Shared by the tests that run a simulated fleet in virtual time: faked timers, a started fleet and queries. */
 import { vi } from 'vitest';
 import type { ClientAccount, PlacementPolicy } from '@valvelatch/core/batch';
 import type { JobId } from '@valvelatch/core/shared/ids';
@@ -6,6 +6,7 @@
 import { createSimFleet, type SimEntry, type SimFleet } from './sim-fleet.fixtures.js';
 import type { SimDomains } from './sim-world.fixtures.js';
 
+/** The timers and clocks that vi.useFakeTimers replaces. */
 export const FAKED = [
   'setTimeout',
   'clearTimeout',
@@ -17,7 +18,7 @@
   'Date',
 ] as const;
 
-/** A source of chance that repeats. */
+/** Creates a seeded random number generator (Lehmer); the same seed gives the same sequence. */
 export const chance = (seed: number): (() => number) => {
   let state = seed % 2147483647 || 1;
   return () => {
@@ -30,11 +31,13 @@
   await vi.advanceTimersByTimeAsync(ms);
 };
 
+/** Returns the phase of an ended job, the kind of its row otherwise, and 'missing' without a row. */
 export const phaseOf = (fleet: SimFleet, jobId: JobId): string => {
   const row = fleet.rowOf(jobId);
   return row?.kind === 'ended' ? row.phase : (row?.kind ?? 'missing');
 };
 
+/** Creates a fleet with the entries a, b and c, and gives them 1.5 s to elect a holder. */
 export const started = async (
   options: {
     hostsPerPool?: number;
@@ -57,18 +60,20 @@
   return fleet;
 };
 
+/** Lists the task keys of a job's runs on all endpoints. */
 export const runningOf = (fleet: SimFleet, jobId: JobId): readonly string[] =>
   Array.from(fleet.endpoints.values())
     .flatMap(({ runs }) => Array.from(runs.keys()))
     .filter((key) => key.startsWith(jobId));
 
+/** Returns the entry that holds the control lease; throws if there is none. */
 export const holderOf = (fleet: SimFleet): SimEntry => {
   const holder = fleet.holder();
-  if (!holder) throw new Error('nobody holds control');
+  if (!holder) throw new Error('no entry holds the control lease');
   return holder;
 };
 
-/** One task on each of the pool's endpoints. */
+/** Submits a job with one long-running step, of which each endpoint of the pool runs one task at most. */
 export const submitLasting = (fleet: SimFleet, taskCount: number): JobId =>
   fleet.submit({
     pool: 'alpha',
