--- a/packages/core/src/control/control.fixtures.ts
+++ b/packages/core/src/control/control.fixtures.ts
@@ -1,4 +1,4 @@
-/** Small fleets for the tests of control. */
+/** A small fleet's declarations, and helpers that change and read a simulated fleet. */
 import {
   emptyConfiguration,
   takeSnapshot,
--- a/packages/core/src/control/draft.ts
+++ b/packages/core/src/control/draft.ts
@@ -1,6 +1,7 @@
 /**
- * The working copy of a pool's world during one control turn. Each step of the turn sees what the
- * steps before it have decided, and every decision becomes one change with its preconditions.
+ * The working copy of a pool's snapshot during one control turn. Each step of the turn sees the
+ * decisions of the steps before it, and every decision is recorded as one change with its
+ * preconditions.
  */
 import type { PlacementHost, PlaceableJob } from '../placement/placeable.js';
 import { addResources, noResources } from '../placement/placeable.js';
@@ -15,17 +16,20 @@
 import type { HostId, JobId, WaveId } from '../shared/ids.js';
 import { placementHosts, sizeOfPlacement, type PoolWorld } from './world.js';
 
-/** One decision of a turn: a set of writes that happen together or not at all. */
+/** One decision of a turn: a set of writes that are committed in one transaction. */
 export type ControlChange = {
   readonly kind: 'write';
-  /** What it is about, for logs and explanations. */
+  /** The key of the row that the decision is about, for logs and explanations. */
   readonly subject: string;
   readonly reason: string;
   readonly checks: readonly RowCheck[];
   readonly writes: readonly RowWrite[];
 };
 
-/** A request to the platform to reboot a host; it is idempotent by its request name. */
+/**
+ * A request to the platform to reboot a host. Requests with the same `requestName` reboot the host
+ * once.
+ */
 export type RebootRequest = {
   readonly kind: 'reboot';
   readonly hostId: HostId;
@@ -34,23 +38,28 @@
 
 export type ControlAction = ControlChange | RebootRequest;
 
-/** Something that was considered and not done, with the reason. */
+/** An action that was considered and not taken, with the key of its row and the reason. */
 export type Withheld = { readonly subject: string; readonly reason: string };
 
-/** The working copy. It changes in place during one turn. */
+/** The working copy of one turn, which the steps change in place. */
 export type Draft = {
   readonly world: PoolWorld;
+  /** The start of the turn, by the lease holder's monotonic clock. */
   readonly nowMs: number;
   readonly hosts: Map<HostId, PlacementHost>;
   readonly placements: Map<JobId, PlacementRow>;
   readonly actions: ControlAction[];
   readonly withheld: Withheld[];
-  /** Hosts that a running wave still has to take down: what is moved there would move again. */
+  /**
+   * Hosts that a running wave has yet to maintain. An executor that is moved to one of them would
+   * have to move again.
+   */
   readonly hostsAhead: ReadonlySet<HostId>;
+  /** The epoch that the next placement gets. */
   nextEpoch: number;
 };
 
-const hostsAhead = (world: PoolWorld): ReadonlySet<HostId> =>
+const findHostsAwaitingMaintenance = (world: PoolWorld): ReadonlySet<HostId> =>
   new Set(
     Array.from(world.waves.values())
       .filter(({ value }) => value.phase === 'running')
@@ -60,10 +69,10 @@
   );
 
 /**
- * Starts a turn.
+ * Creates the working copy for a turn.
  *
- * @param world - What is known.
- * @param nowMs - The time by the watcher's monotonic clock.
+ * @param world - The pool's snapshot.
+ * @param nowMs - The time by the lease holder's monotonic clock.
  * @returns The working copy.
  */
 export const createDraft = (world: PoolWorld, nowMs: number): Draft => ({
@@ -73,13 +82,13 @@
   placements: new Map(Array.from(world.placements, ([id, { value }]) => [id, value])),
   actions: [],
   withheld: [],
-  hostsAhead: hostsAhead(world),
+  hostsAhead: findHostsAwaitingMaintenance(world),
   nextEpoch: world.nextEpoch,
 });
 
-type Versions = ReadonlyMap<string, { readonly version: number }>;
+type VersionedRows = ReadonlyMap<string, { readonly version: number }>;
 
-const checkOf = (rows: Versions, id: string, key: string): RowCheck => ({
+const versionCheckOf = (rows: VersionedRows, id: string, key: string): RowCheck => ({
   key,
   version: rows.get(id)?.version ?? 0,
 });
@@ -90,10 +99,10 @@
 };
 
 /**
- * Writes a host's row.
+ * Writes a host's row. Does nothing for a host that is not declared.
  *
  * @param draft - The working copy, changed in place.
- * @param row - The row.
+ * @param row - The new row.
  */
 export const writeHost = (draft: Draft, row: HostRow): void => {
   const { hostId } = row;
@@ -111,7 +120,7 @@
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [checkOf(draft.world.hosts, hostId, key)],
+    checks: [versionCheckOf(draft.world.hosts, hostId, key)],
     writes: [{ key, value: row }],
   });
 };
@@ -122,7 +131,7 @@
   readonly reason: string;
 };
 
-const standOn = (draft: Draft, hostId: HostId, job: PlaceableJob): void => {
+const reserveResources = (draft: Draft, hostId: HostId, job: PlaceableJob): void => {
   const host = draft.hosts.get(hostId);
   if (!host) return;
   const executors = new Map(host.executors);
@@ -133,8 +142,8 @@
 };
 
 /**
- * Places a job. The transaction depends on the version of the host's row, so that a job cannot
- * land on a host that has just changed its pool.
+ * Places a job. The transaction checks the version of the host's row, so that a job cannot be
+ * placed on a host that has just been moved to another pool.
  *
  * @param draft - The working copy, changed in place.
  * @param options - The job, its host and the reason.
@@ -156,25 +165,26 @@
     phaseReason: '',
   };
   state.nextEpoch += 1;
-  standOn(state, hostId, job);
+  reserveResources(state, hostId, job);
   state.placements.set(job.jobId, row);
   pushChange(state, {
     subject: key,
     reason,
     checks: [
-      checkOf(state.world.placements, job.jobId, key),
-      checkOf(state.world.hosts, hostId, rowKey.host(hostId)),
+      versionCheckOf(state.world.placements, job.jobId, key),
+      versionCheckOf(state.world.hosts, hostId, rowKey.host(hostId)),
     ],
     writes: [{ key, value: row }],
   });
 };
 
 /**
- * Changes a placement that stands.
+ * Updates an existing placement.
  *
  * @param draft - The working copy, changed in place.
- * @param row - The placement with its new phase.
- * @param reason - Why it changes; why it stands on its host is kept.
+ * @param row - The placement with its new phase. Its `reason`, which says why the host was chosen,
+ *   is kept.
+ * @param reason - Why the phase changes; it is stored as `phaseReason`.
  */
 export const writePlacement = (draft: Draft, row: PlacementRow, reason: string): void => {
   const key = rowKey.placement(row.jobId);
@@ -182,12 +192,12 @@
   pushChange(draft, {
     subject: key,
     reason,
-    checks: [checkOf(draft.world.placements, row.jobId, key)],
+    checks: [versionCheckOf(draft.world.placements, row.jobId, key)],
     writes: [{ key, value: { ...row, phaseReason: reason } }],
   });
 };
 
-const freeRoom = (draft: Draft, row: PlacementRow): void => {
+const releaseResources = (draft: Draft, row: PlacementRow): void => {
   const host = draft.hosts.get(row.hostId);
   if (!host) return;
   const size = sizeOfPlacement(draft.world, row);
@@ -208,12 +218,12 @@
 export type RemoveOptions = {
   readonly row: PlacementRow;
   readonly reason: string;
-  /** The job's row, where the end of the placement changes it too. */
+  /** The job's new row; undefined if the removal does not change it. */
   readonly jobRow?: JobRow;
 };
 
 /**
- * Takes a placement away, together with what its end means for the job.
+ * Removes a placement and, in the same transaction, updates the job's row if one is given.
  *
  * @param draft - The working copy, changed in place.
  * @param options - The placement, the reason and the job's new row.
@@ -221,14 +231,14 @@
 export const removePlacement = (draft: Draft, { row, reason, jobRow }: RemoveOptions): void => {
   const key = rowKey.placement(row.jobId);
   const jobKey = rowKey.job(row.jobId);
-  freeRoom(draft, row);
+  releaseResources(draft, row);
   draft.placements.delete(row.jobId);
-  const placementCheck = checkOf(draft.world.placements, row.jobId, key);
+  const placementCheck = versionCheckOf(draft.world.placements, row.jobId, key);
   pushChange(draft, {
     subject: jobRow ? jobKey : key,
     reason,
     checks: jobRow
-      ? [placementCheck, checkOf(draft.world.jobs, row.jobId, jobKey)]
+      ? [placementCheck, versionCheckOf(draft.world.jobs, row.jobId, jobKey)]
       : [placementCheck],
     writes: jobRow
       ? [
@@ -244,14 +254,14 @@
  *
  * @param draft - The working copy, changed in place.
  * @param jobId - The job.
- * @param row - The row.
+ * @param row - The new row.
  */
 export const writeJob = (draft: Draft, jobId: JobId, row: JobRow): void => {
   const key = rowKey.job(jobId);
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [checkOf(draft.world.jobs, jobId, key)],
+    checks: [versionCheckOf(draft.world.jobs, jobId, key)],
     writes: [{ key, value: row }],
   });
 };
@@ -261,24 +271,24 @@
  *
  * @param draft - The working copy, changed in place.
  * @param waveId - The wave.
- * @param row - The row.
+ * @param row - The new row.
  */
 export const writeWave = (draft: Draft, waveId: WaveId, row: WaveRow): void => {
   const key = rowKey.wave(waveId);
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [checkOf(draft.world.waves, waveId, key)],
+    checks: [versionCheckOf(draft.world.waves, waveId, key)],
     writes: [{ key, value: row }],
   });
 };
 
 /**
- * Notes what was considered and not done.
+ * Records an action that was considered and not taken.
  *
  * @param draft - The working copy, changed in place.
- * @param subject - What it is about, in the form of a row key.
- * @param reason - Why not, in the operator's terms.
+ * @param subject - The key of the row that the action would have changed.
+ * @param reason - Why it was not taken, for operators.
  */
 export const withhold = (draft: Draft, subject: string, reason: string): void => {
   draft.withheld.push({ subject, reason });
--- a/packages/core/src/control/executors.ts
+++ b/packages/core/src/control/executors.ts
@@ -1,7 +1,7 @@
 /**
- * The executors of a service: how many stand, and how they move. A replacement gets an identity of
- * its own and is ready before the one it replaces is stopped, so that a planned move never lowers
- * the number that is ready.
+ * Plans how many executors a service has and how they move between hosts. A replacement gets an id
+ * of its own and must be ready before the executor that it replaces is stopped, so that a planned
+ * move never lowers the number of ready executors.
  */
 import * as B from 'fp-ts/lib/boolean.js';
 import { pipe } from 'fp-ts/lib/function.js';
@@ -19,21 +19,21 @@
 
 type ServiceDeclaration = DeclarationOf<'Service'>;
 
-/** How a placement counts towards the executors that a service wants. */
-type Standing = 'staying' | 'on-draining-host' | 'on-lost-host' | 'parked' | 'ending';
+/** How a placement counts towards the declared number of executors of its service. */
+type ExecutorState = 'staying' | 'on-draining-host' | 'on-lost-host' | 'parked' | 'ending';
 
-const endingPhases: Partial<Record<PlacementPhase, Standing>> = {
+const stateByEndingPhase: Partial<Record<PlacementPhase, ExecutorState>> = {
   stopping: 'ending',
   stopped: 'ending',
   parking: 'parked',
   parked: 'parked',
 };
 
-const standingOf = (draft: Draft, placement: PlacementRow): Standing => {
+const executorStateOf = (draft: Draft, placement: PlacementRow): ExecutorState => {
   const host = draft.hosts.get(placement.hostId);
   if (!host || !host.isLive) return 'on-lost-host';
-  const ended = endingPhases[placement.phase];
-  if (ended !== undefined) return ended;
+  const endingState = stateByEndingPhase[placement.phase];
+  if (endingState !== undefined) return endingState;
   return host.row.phase === 'assigned' ? 'staying' : 'on-draining-host';
 };
 
@@ -47,11 +47,11 @@
 };
 
 /**
- * Leaves out the hosts that a running wave is still to take down.
+ * Leaves out the hosts that a running wave has yet to maintain.
  *
  * @param draft - The working copy.
  * @param hosts - The hosts.
- * @returns Those from which an executor need not move again.
+ * @returns The hosts that an executor will not have to leave again for a running wave.
  */
 export const settledHosts = (
   draft: Draft,
@@ -59,13 +59,13 @@
 ): readonly PlacementHost[] => hosts.filter(({ spec }) => !draft.hostsAhead.has(spec.hostId));
 
 /**
- * Chooses the host for an executor: one that no running wave is still to take down, if there is
- * one that fits.
+ * Chooses the host for an executor. A host that a running wave has yet to maintain is chosen only
+ * if no other host fits, because the executor would have to move again.
  *
  * @param draft - The working copy.
  * @param job - The executor.
  * @param hosts - The hosts to choose from.
- * @returns The choice, or why there is none.
+ * @returns The chosen host, or the reason why no host fits.
  */
 export const chooseForExecutor = (
   draft: Draft,
@@ -73,73 +73,84 @@
   hosts: readonly PlacementHost[],
 ): HostChoice => {
   if (draft.hostsAhead.size === 0) return chooseHost(job, hosts);
-  const first = chooseHost(job, settledHosts(draft, hosts));
-  return first.kind === 'chosen' ? first : chooseHost(job, hosts);
+  const settledChoice = chooseHost(job, settledHosts(draft, hosts));
+  return settledChoice.kind === 'chosen' ? settledChoice : chooseHost(job, hosts);
 };
 
-const placeOne = (draft: Draft, service: ServiceDeclaration, why: string): boolean => {
+const placeExecutor = (draft: Draft, service: ServiceDeclaration, reason: string): boolean => {
   const job = executorJob(service, firstFreeId(draft, service.name));
   const chosen = chooseForExecutor(draft, job, Array.from(draft.hosts.values()));
   if (chosen.kind === 'none') {
     withhold(draft, rowKey.placement(job.jobId), chosen.reason);
     return false;
   }
-  placeOn(draft, { job, hostId: chosen.hostId, reason: `${why}; ${chosen.reason}` });
+  placeOn(draft, { job, hostId: chosen.hostId, reason: `${reason}; ${chosen.reason}` });
   return true;
 };
 
-const fillUp = (draft: Draft, service: ServiceDeclaration, missing: number, why: string): void => {
-  let left = missing;
-  while (left > 0 && placeOne(draft, service, why)) left -= 1;
+const placeMissing = (
+  draft: Draft,
+  service: ServiceDeclaration,
+  missing: number,
+  reason: string,
+): void => {
+  let remaining = missing;
+  while (remaining > 0 && placeExecutor(draft, service, reason)) remaining -= 1;
 };
 
 const isRunning = ({ phase }: PlacementRow): boolean => phase === 'running';
 
-const countIn = (all: readonly PlacementRow[], hostId: HostId): number =>
-  all.filter((one) => one.hostId === hostId).length;
+const countOnHost = (all: readonly PlacementRow[], hostId: HostId): number =>
+  all.filter((placement) => placement.hostId === hostId).length;
 
-/** Stops executors on draining hosts, each only once another is ready in its place. */
-const retireReplaced = (
+/** Stops executors on draining hosts, each only after a replacement is ready elsewhere. */
+const stopReplaced = (
   draft: Draft,
   service: ServiceDeclaration,
   staying: readonly PlacementRow[],
-  leaving: readonly PlacementRow[],
+  onDrainingHosts: readonly PlacementRow[],
   parked: number,
 ): void => {
-  // Those that are parked are missing by plan, within the budget; nobody stays on for them.
+  // Parked executors are stopped on purpose, within the availability budget, so no executor is
+  // kept on a draining host to stand in for them.
   const wanted = service.spec.executors - parked;
   const readyElsewhere = staying.filter(isRunning).length;
   const stillNeeded = Math.max(0, wanted - readyElsewhere);
-  leaving.slice(0, Math.max(0, leaving.length - stillNeeded)).forEach((placement) => {
-    writePlacement(
-      draft,
-      { ...placement, phase: 'stopping' },
-      `replaced before its host ${placement.hostId} drains`,
-    );
-  });
+  onDrainingHosts
+    .slice(0, Math.max(0, onDrainingHosts.length - stillNeeded))
+    .forEach((placement) => {
+      writePlacement(
+        draft,
+        { ...placement, phase: 'stopping' },
+        `replaced before its host ${placement.hostId} drains`,
+      );
+    });
 };
 
-/** Those that do not run yet go first, then those that share a host, then the youngest. */
-const firstToGo = (staying: readonly PlacementRow[]): readonly Ord.Ord<PlacementRow>[] => [
+/**
+ * The order in which excess executors are stopped: those that do not run yet, then those that share
+ * a host with most others, then those with the highest epoch.
+ */
+const stopOrder = (staying: readonly PlacementRow[]): readonly Ord.Ord<PlacementRow>[] => [
   pipe(B.Ord, Ord.contramap(isRunning)),
   pipe(
     N.Ord,
-    Ord.contramap((one: PlacementRow) => -countIn(staying, one.hostId)),
+    Ord.contramap((placement: PlacementRow) => -countOnHost(staying, placement.hostId)),
   ),
   pipe(
     N.Ord,
-    Ord.contramap((one: PlacementRow) => -one.epoch),
+    Ord.contramap((placement: PlacementRow) => -placement.epoch),
   ),
 ];
 
-const retireExcess = (
+const stopExcess = (
   draft: Draft,
   service: ServiceDeclaration,
   staying: readonly PlacementRow[],
 ): void => {
   const excess = staying.length - service.spec.executors;
   if (excess <= 0) return;
-  pipe(staying, RA.sortBy(firstToGo(staying)))
+  pipe(staying, RA.sortBy(stopOrder(staying)))
     .slice(0, excess)
     .forEach((placement) => {
       writePlacement(
@@ -150,7 +161,7 @@
     });
 };
 
-/** An executor that stays on its host through maintenance starts again there: no move. */
+/** Restarts parked executors on their own hosts once these are back in use after maintenance. */
 const restartParked = (draft: Draft, parked: readonly PlacementRow[]): void => {
   parked.forEach((placement) => {
     if (placement.phase !== 'parked') return;
@@ -162,7 +173,7 @@
   });
 };
 
-const clearEnded = (draft: Draft, placements: readonly PlacementRow[]): void => {
+const removeStopped = (draft: Draft, placements: readonly PlacementRow[]): void => {
   placements
     .filter(({ phase }) => phase === 'stopped')
     .forEach((row) => removePlacement(draft, { row, reason: 'its executor has stopped' }));
@@ -170,21 +181,24 @@
 
 const planService = (draft: Draft, service: ServiceDeclaration): void => {
   const all = placementsOf(draft, brand<ServiceName>(service.name));
-  clearEnded(draft, all);
-  const of = (standing: Standing) => all.filter((one) => standingOf(draft, one) === standing);
-  const staying = of('staying');
-  const leaving = of('on-draining-host');
-  const parked = of('parked');
+  removeStopped(draft, all);
+  const inState = (state: ExecutorState) =>
+    all.filter((placement) => executorStateOf(draft, placement) === state);
+  const staying = inState('staying');
+  const onDrainingHosts = inState('on-draining-host');
+  const parked = inState('parked');
   restartParked(draft, parked);
   const missing = service.spec.executors - staying.length - parked.length;
-  fillUp(
+  placeMissing(
     draft,
     service,
     missing,
-    leaving.length > 0 ? `replaces one on draining ${leaving[0]?.hostId}` : 'fills up the service',
+    onDrainingHosts.length > 0
+      ? `replaces one on draining ${onDrainingHosts[0]?.hostId}`
+      : 'fills up the service',
   );
-  retireReplaced(draft, service, staying, leaving, parked.length);
-  if (leaving.length === 0) retireExcess(draft, service, staying);
+  stopReplaced(draft, service, staying, onDrainingHosts, parked.length);
+  if (onDrainingHosts.length === 0) stopExcess(draft, service, staying);
 };
 
 /**
@@ -199,7 +213,7 @@
 };
 
 /**
- * Plans the end of executors whose service is not declared any more.
+ * Stops executors whose service is no longer declared, and removes those that have stopped.
  *
  * @param draft - The working copy, changed in place.
  */
--- a/packages/core/src/control/hosts.ts
+++ b/packages/core/src/control/hosts.ts
@@ -1,4 +1,7 @@
-/** The way of a host through its phases: into use, drained, emptied, rebooted and back. */
+/**
+ * The life cycle of a host: it is put into use, drained, verified empty, rebooted, verified and put
+ * back into use.
+ */
 import type { DrainPurpose, HostRow, HostSpec } from '../rows/rows.js';
 import { writeHost, type Draft } from './draft.js';
 
@@ -12,14 +15,14 @@
   maintainedBy: null,
 });
 
-const addDeclared = (draft: Draft): void => {
+const addDeclaredHosts = (draft: Draft): void => {
   draft.world.specs.forEach((spec) => {
     if (spec.firstPool !== draft.world.pool || draft.world.hosts.has(spec.hostId)) return;
     writeHost(draft, newRow(spec));
   });
 };
 
-const backInUse = (row: HostRow, reason: string): HostRow => ({
+const returnToUse = (row: HostRow, reason: string): HostRow => ({
   ...row,
   phase: 'assigned',
   drain: null,
@@ -28,8 +31,8 @@
 
 type PurposeOf<Kind extends DrainPurpose['kind']> = Extract<DrainPurpose, { kind: Kind }>;
 
-/** What becomes of a host that is verified empty. */
-const whenEmpty: {
+/** Gives the next row of a host that is verified empty, by the purpose of its drain. */
+const emptyHostHandlers: {
   readonly [Kind in DrainPurpose['kind']]: (
     draft: Draft,
     row: HostRow,
@@ -39,45 +42,46 @@
   wave: (draft, row, { waveId }) => {
     const wave = draft.world.waves.get(waveId)?.value;
     if (wave?.phase === 'paused') return row;
-    if (!wave || wave.phase === 'cancelled') return backInUse(row, `wave ${waveId} was cancelled`);
+    if (!wave || wave.phase === 'cancelled')
+      return returnToUse(row, `wave ${waveId} was cancelled`);
     const bootsBefore = draft.world.sightings.get(row.hostId)?.boots ?? 0;
     return { ...row, phase: 'rebooting', bootsBefore, reason: `wave ${waveId}: empty, reboots` };
   },
   transfer: (_, row, { toPool }) => ({
-    ...backInUse(row, `moved from pool=${row.pool} to pool=${toPool}, verified empty`),
+    ...returnToUse(row, `moved from pool=${row.pool} to pool=${toPool}, verified empty`),
     pool: toPool,
   }),
   operator: (_, row) => row,
   platform: (draft, row) =>
     draft.world.sightings.get(row.hostId)?.state === 'live'
-      ? backInUse(row, 'the platform lists it as live again')
+      ? returnToUse(row, 'the platform lists it as live again')
       : row,
 };
 
-const afterEmpty = (draft: Draft, row: HostRow): HostRow => {
-  if (row.drain === null) return backInUse(row, 'no reason to keep it empty');
-  const handler = whenEmpty[row.drain.kind] as (
-    one: Draft,
-    host: HostRow,
+const advanceEmpty = (draft: Draft, row: HostRow): HostRow => {
+  if (row.drain === null) return returnToUse(row, 'no reason to keep it empty');
+  const handler = emptyHostHandlers[row.drain.kind] as (
+    draft: Draft,
+    row: HostRow,
     purpose: DrainPurpose,
   ) => HostRow;
   return handler(draft, row, row.drain);
 };
 
-/** A host that has not come back after so long is taken for broken. */
+/** A host that has not come back from its reboot after this time is treated as broken. */
 export const REBOOT_TIMEOUT_MS = 15 * 60 * 1000;
 
 const isOverdue = (draft: Draft, row: HostRow): boolean =>
   draft.nowMs - (draft.world.hostSinceMs.get(row.hostId) ?? draft.nowMs) > REBOOT_TIMEOUT_MS;
 
-const brokenInWave = (row: HostRow): HostRow => ({
+const quarantineOverdue = (row: HostRow): HostRow => ({
   ...row,
   phase: 'quarantined',
   reason: `did not come back from its reboot in ${REBOOT_TIMEOUT_MS / 60_000} minutes`,
 });
 
-const afterReboot = (draft: Draft, row: HostRow): HostRow => {
-  if (isOverdue(draft, row)) return brokenInWave(row);
+const advanceRebooting = (draft: Draft, row: HostRow): HostRow => {
+  if (isOverdue(draft, row)) return quarantineOverdue(row);
   const boots = draft.world.sightings.get(row.hostId)?.boots ?? 0;
   if (boots > row.bootsBefore) {
     return { ...row, phase: 'verifying', reason: 'rebooted, being verified' };
@@ -91,11 +95,11 @@
   return row;
 };
 
-const afterVerify = (draft: Draft, row: HostRow): HostRow => {
-  if (isOverdue(draft, row)) return brokenInWave(row);
+const advanceVerifying = (draft: Draft, row: HostRow): HostRow => {
+  if (isOverdue(draft, row)) return quarantineOverdue(row);
   if (draft.world.sightings.get(row.hostId)?.state !== 'live') return row;
   const waveId = row.drain?.kind === 'wave' ? row.drain.waveId : row.maintainedBy;
-  return { ...backInUse(row, `maintained by wave ${waveId}`), maintainedBy: waveId };
+  return { ...returnToUse(row, `maintained by wave ${waveId}`), maintainedBy: waveId };
 };
 
 const isCancelled = (draft: Draft, row: HostRow): boolean =>
@@ -114,30 +118,32 @@
           reason: 'the platform lists it as leaving',
         }
       : row,
-  // The agent of its data centre tells when it is empty: rows alone do not show what runs there.
+  // The agent of the host's data centre reports when the host is empty. Control can't tell that
+  // itself, because the rows do not show which tasks still run there.
   draining: (draft, row) =>
-    isCancelled(draft, row) ? backInUse(row, 'its wave was cancelled') : row,
-  empty: (draft, row) => afterEmpty(draft, row),
-  rebooting: (draft, row) => afterReboot(draft, row),
-  verifying: (draft, row) => afterVerify(draft, row),
+    isCancelled(draft, row) ? returnToUse(row, 'its wave was cancelled') : row,
+  empty: (draft, row) => advanceEmpty(draft, row),
+  rebooting: (draft, row) => advanceRebooting(draft, row),
+  verifying: (draft, row) => advanceVerifying(draft, row),
   quarantined: (_, row) => row,
 };
 
-/** A host whose next phase is due already passes through several phases in one turn. */
+/** Moves a host on until no further phase is due, so it may pass several phases in one turn. */
 const advance = (draft: Draft, row: HostRow): HostRow => {
   const next = advanceByPhase[row.phase](draft, row);
-  // The request to reboot waits until the row that says so has been committed.
+  // The reboot is requested in a later turn, after the row with the phase 'rebooting' is committed.
   if (next === row || next.phase === 'rebooting') return next;
   return advance(draft, next);
 };
 
 /**
- * Takes declared hosts into use and moves each host of the pool to its next phase, if it is due.
+ * Creates rows for newly declared hosts, and moves each host of the pool to its next phase if that
+ * is due.
  *
  * @param draft - The working copy, changed in place.
  */
 export const planHosts = (draft: Draft): void => {
-  addDeclared(draft);
+  addDeclaredHosts(draft);
   draft.world.hosts.forEach(({ value: row }) => {
     if (row.pool !== draft.world.pool) return;
     const next = advance(draft, row);
--- a/packages/core/src/control/jobs.ts
+++ b/packages/core/src/control/jobs.ts
@@ -1,4 +1,4 @@
-/** Submitted jobs: from pending to placed, ended, refused or tried again. */
+/** Plans submitted jobs: they are placed, refused, ended or retried. */
 import { pipe } from 'fp-ts/lib/function.js';
 import * as N from 'fp-ts/lib/number.js';
 import * as Ord from 'fp-ts/lib/Ord.js';
@@ -28,40 +28,41 @@
   Ord.contramap(({ job }) => urgencyRank[job.urgency]),
 );
 
-const FIRST_BACKOFF_MS = 1000;
-const LONGEST_BACKOFF_MS = 60_000;
-/** How many of its last hosts a job remembers as those it failed on. */
-const REMEMBERED_FAILURES = 3;
-/** So many distinct jobs must fail on a host before the host is blamed. */
-const QUARANTINE_AFTER_JOBS = 3;
-/** No more than this share of a pool's hosts is quarantined. */
-const MOST_QUARANTINED_SHARE = 0.1;
+const INITIAL_BACKOFF_MS = 1000;
+const MAX_BACKOFF_MS = 60_000;
+/** How many hosts a job's row remembers of those on which it failed last. */
+const MAX_REMEMBERED_HOSTS = 3;
+/** A host is quarantined after this many distinct jobs have failed on it. */
+const MIN_FAILED_JOBS_TO_QUARANTINE = 3;
+/** At most this fraction of a pool's hosts is quarantined, but always at least one host may be. */
+const MAX_QUARANTINED_FRACTION = 0.1;
 
 /**
- * Counts what speaks for a wait before a job is tried again. One host may be lost for any reason; a job that
- * brings hosts down would bring down the next one, too.
+ * Counts the failures of a job that lengthen its retry backoff. The first host that is lost while it
+ * runs the job does not count, because a host may be lost for any reason. Further ones do: a job that
+ * crashes its hosts would crash the next one, too.
  *
  * @param row - The job's row.
- * @returns How often it failed, with the hosts lost under it beyond the first.
+ * @returns The job's failures, plus the hosts lost while they ran it beyond the first.
  */
 export const setbacksOf = ({ failures, hostsLost = 0 }: JobRow): number =>
   failures + Math.max(0, hostsLost - 1);
 
 /**
- * Gives the wait before a job is tried again.
+ * Computes the delay before a job is retried. It doubles with each failure, up to a maximum.
  *
- * @param setbacks - What speaks for a wait.
- * @returns The wait in milliseconds.
+ * @param failureCount - The failures that count for the backoff.
+ * @returns The delay in milliseconds; 0 without a failure.
  */
-export const retryDelayMs = (setbacks: number): number =>
-  setbacks === 0 ? 0 : Math.min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (setbacks - 1));
+export const retryDelayMs = (failureCount: number): number =>
+  failureCount === 0 ? 0 : Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (failureCount - 1));
 
 /**
- * Gives the row of a job whose host was lost while it ran there.
+ * Updates the row of a job whose host was lost while it ran there.
  *
  * @param row - The job's row.
- * @param hostId - The host.
- * @returns The row, with one host more that was lost under it.
+ * @param hostId - The lost host.
+ * @returns The row with one more lost host counted.
  */
 export const afterLostHost = (row: JobRow, hostId: HostId): JobRow => {
   const hostsLost = (row.hostsLost ?? 0) + 1;
@@ -69,34 +70,34 @@
   return { ...row, hostsLost, reason };
 };
 
-type Ended = (row: JobRow, placement: PlacementRow) => JobRow;
+type EndHandler = (row: JobRow, placement: PlacementRow) => JobRow;
 
-const afterEnd: Record<PlacementRow['outcome'], Ended> = {
+const endHandlers: Record<PlacementRow['outcome'], EndHandler> = {
   none: (row) => ({ ...row, reason: 'stopped on its host, to be placed again' }),
   lost: (row, { hostId }) => afterLostHost(row, hostId),
   done: (row, { hostId }) => ({ ...row, phase: 'done', reason: `done on ${hostId}` }),
   failed: (row, { hostId }) => ({
     ...row,
     failures: row.failures + 1,
-    failedOn: [hostId, ...row.failedOn.filter((one) => one !== hostId)].slice(
+    failedOn: [hostId, ...row.failedOn.filter((host) => host !== hostId)].slice(
       0,
-      REMEMBERED_FAILURES,
+      MAX_REMEMBERED_HOSTS,
     ),
     reason: `failed on ${hostId}, ${row.failures + 1} times in all`,
   }),
 };
 
-const endStopped = (draft: Draft, placement: PlacementRow, jobRow: JobRow): void => {
-  const next = afterEnd[placement.outcome](jobRow, placement);
+const finishStopped = (draft: Draft, placement: PlacementRow, jobRow: JobRow): void => {
+  const next = endHandlers[placement.outcome](jobRow, placement);
   removePlacement(draft, { row: placement, reason: next.reason, jobRow: next });
 };
 
-const mayInterrupt = (draft: Draft): boolean =>
+const mayInterruptJobs = (draft: Draft): boolean =>
   findDeclaration(draft.world.configuration, 'Pool', draft.world.pool)?.spec.prefer !== 'moves';
 
-const planPlaced = (draft: Draft, placement: PlacementRow, jobRow: JobRow): void => {
+const planPlacedJob = (draft: Draft, placement: PlacementRow, jobRow: JobRow): void => {
   if (placement.phase === 'stopped') {
-    endStopped(draft, placement, jobRow);
+    finishStopped(draft, placement, jobRow);
     return;
   }
   if (placement.phase === 'stopping') return;
@@ -106,7 +107,7 @@
   }
   const host = draft.hosts.get(placement.hostId);
   if (!host?.isLive || host.row.phase === 'assigned') return;
-  if (mayInterrupt(draft)) {
+  if (mayInterruptJobs(draft)) {
     writePlacement(
       draft,
       { ...placement, phase: 'stopping' },
@@ -121,22 +122,22 @@
   }
 };
 
-const coresByTeam = (draft: Draft): Map<TeamName, number> => {
-  const used = new Map<TeamName, number>();
+const sumCoresByTeam = (draft: Draft): Map<TeamName, number> => {
+  const usedCoresByTeam = new Map<TeamName, number>();
   draft.placements.forEach((placement) => {
     const team = draft.world.jobs.get(placement.jobId)?.value.job.spec.team as TeamName | undefined;
     if (team === undefined) return;
-    const declared = draft.world.jobs.get(placement.jobId)?.value.job.spec.cores ?? 0;
-    used.set(team, (used.get(team) ?? 0) + declared);
+    const declaredCores = draft.world.jobs.get(placement.jobId)?.value.job.spec.cores ?? 0;
+    usedCoresByTeam.set(team, (usedCoresByTeam.get(team) ?? 0) + declaredCores);
   });
-  return used;
+  return usedCoresByTeam;
 };
 
-const placePending = (
+const placePendingJob = (
   draft: Draft,
   job: PlaceableJob,
   row: JobRow,
-  used: Map<TeamName, number>,
+  usedCoresByTeam: Map<TeamName, number>,
 ): void => {
   const subject = rowKey.job(job.jobId);
   const chosen = chooseHost(job, Array.from(draft.hosts.values()));
@@ -145,49 +146,49 @@
     return;
   }
   const quota = teamQuotaCores(draft.world.configuration, job.team);
-  const usedCores = used.get(job.team) ?? 0;
+  const usedCores = usedCoresByTeam.get(job.team) ?? 0;
   if (usedCores + job.cores > quota) {
-    const over = `team=${job.team} uses ${usedCores} of its ${quota} cores, ${job.jobId} wants ${job.cores}`;
-    withhold(draft, subject, over);
+    const reason = `team=${job.team} uses ${usedCores} of its ${quota} cores, ${job.jobId} wants ${job.cores}`;
+    withhold(draft, subject, reason);
     return;
   }
   if (chosen.kind === 'none') {
     withhold(draft, subject, chosen.reason);
     return;
   }
-  used.set(job.team, usedCores + job.cores);
+  usedCoresByTeam.set(job.team, usedCores + job.cores);
   placeOn(draft, { job, hostId: chosen.hostId, reason: chosen.reason });
 };
 
-const isDue = (draft: Draft, jobId: JobId): boolean =>
+const isRetryDue = (draft: Draft, jobId: JobId): boolean =>
   draft.nowMs >= (draft.world.retryAtMs.get(jobId) ?? 0);
 
-const ofThisPool = (draft: Draft): readonly (readonly [JobId, JobRow])[] =>
+const listPoolJobs = (draft: Draft): readonly (readonly [JobId, JobRow])[] =>
   Array.from(draft.world.jobs)
     .filter(([, { value }]) => value.job.spec.pool === draft.world.pool)
     .map(([jobId, { value }]) => [jobId, value] as const);
 
 /**
- * Plans the submitted jobs of the pool, the urgent ones first.
+ * Plans the submitted jobs of the pool. Pending jobs are placed in order of urgency.
  *
  * @param draft - The working copy, changed in place.
  */
 export const planJobs = (draft: Draft): void => {
-  const jobs = ofThisPool(draft);
+  const jobs = listPoolJobs(draft);
   jobs.forEach(([jobId, row]) => {
     const placement = draft.placements.get(jobId);
-    if (placement) planPlaced(draft, placement, row);
+    if (placement) planPlacedJob(draft, placement, row);
   });
-  const used = coresByTeam(draft);
+  const usedCoresByTeam = sumCoresByTeam(draft);
   pipe(
     jobs,
     RA.filter(
       ([jobId, { phase }]) =>
-        phase === 'pending' && !draft.world.placements.has(jobId) && isDue(draft, jobId),
+        phase === 'pending' && !draft.world.placements.has(jobId) && isRetryDue(draft, jobId),
     ),
     RA.map(([, row]) => ({ row, job: submittedJob(row.job, row.failedOn) })),
     RA.sort(byUrgency),
-  ).forEach(({ row, job }) => placePending(draft, job, row, used));
+  ).forEach(({ row, job }) => placePendingJob(draft, job, row, usedCoresByTeam));
 };
 
 const failedJobsByHost = (draft: Draft): ReadonlyMap<HostId, readonly JobId[]> => {
@@ -199,7 +200,7 @@
 };
 
 /**
- * Takes hosts out of use on which several distinct jobs have failed.
+ * Quarantines hosts on which several distinct jobs have failed.
  *
  * @param draft - The working copy, changed in place.
  */
@@ -211,8 +212,8 @@
   const failed = failedJobsByHost(draft);
   inPool.forEach(({ spec, row }) => {
     const jobs = failed.get(spec.hostId) ?? [];
-    if (row.phase !== 'assigned' || jobs.length < QUARANTINE_AFTER_JOBS) return;
-    if (quarantined + 1 > Math.max(1, inPool.length * MOST_QUARANTINED_SHARE)) {
+    if (row.phase !== 'assigned' || jobs.length < MIN_FAILED_JOBS_TO_QUARANTINE) return;
+    if (quarantined + 1 > Math.max(1, inPool.length * MAX_QUARANTINED_FRACTION)) {
       withhold(
         draft,
         rowKey.host(spec.hostId),
--- a/packages/core/src/control/lost-hosts.ts
+++ b/packages/core/src/control/lost-hosts.ts
@@ -1,38 +1,41 @@
 /**
- * Placements on hosts that are gone. A submitted job ends once its lease has surely ended; its data
- * centre renews no such lease without the platform. An executor is renewed there all the same, so
- * that a data centre that is cut off goes on serving; its row stays, and so its name is not given
- * to another, until the host is seen again or is not declared any more.
+ * Plans the placements on hosts that are gone. The placement of a submitted job ends once the lease
+ * of its task has certainly ended; its data centre does not renew the leases of submitted jobs while
+ * it cannot reach the platform. It does renew the leases of executors, so that a data centre that is
+ * cut off continues to serve. The placement row of an executor is therefore kept, and its id is not
+ * given to another executor, until the host is seen again or is no longer declared.
  */
 import { rowKey, type PlacementRow } from '../rows/rows.js';
 import { afterLostHost } from './jobs.js';
 import { removePlacement, withhold, writePlacement, type Draft } from './draft.js';
 
-/** Longest time between reading a placement and starting its task, in milliseconds. */
+/** The longest time between reading a placement and starting its task, in milliseconds. */
 export const START_WINDOW_MS = 5000;
-/** Allowance for drift between the clocks of two hosts while a lease runs. */
+/** Allowance for drift between the clocks of two hosts, as a fraction of the lease. */
 export const LEASE_DRIFT_FRACTION = 0.05;
 
 /**
- * Gives the time after which a task on a host that has gone cannot be running any more.
+ * Computes the time after which a task on a host that is gone can no longer be running: the task may
+ * have started late, and the host's clock may be slow.
  *
- * @param leaseMs - The lease of the task.
- * @returns The wait in milliseconds, counted from when the placement was given up.
+ * @param leaseMs - The lease of the task in milliseconds.
+ * @returns The wait in milliseconds, counted from when the placement was marked as stopping.
  */
 export const surelyEndedAfterMs = (leaseMs: number): number =>
   START_WINDOW_MS + leaseMs * (1 + LEASE_DRIFT_FRACTION);
 
-const endLost = (draft: Draft, row: PlacementRow): void => {
+const endLostPlacement = (draft: Draft, row: PlacementRow): void => {
   if (row.phase !== 'stopping') {
-    // From now on nobody who reads the row renews the lease, so its end can be counted from here.
+    // Agents that read a stopping placement do not renew its lease, so the wait for the end of the
+    // lease is counted from this change.
     writePlacement(draft, { ...row, phase: 'stopping' }, `host ${row.hostId} is gone`);
     return;
   }
   const sinceMs = draft.world.placementSinceMs.get(row.jobId) ?? draft.nowMs;
-  const leftMs = surelyEndedAfterMs(row.leaseMs) - (draft.nowMs - sinceMs);
-  if (leftMs > 0) {
-    const leftS = Math.ceil(leftMs / 1000);
-    const reason = `host ${row.hostId} is gone; the lease may run for ${leftS} s more`;
+  const remainingMs = surelyEndedAfterMs(row.leaseMs) - (draft.nowMs - sinceMs);
+  if (remainingMs > 0) {
+    const remainingS = Math.ceil(remainingMs / 1000);
+    const reason = `host ${row.hostId} is gone; the lease may run for ${remainingS} s more`;
     withhold(draft, rowKey.placement(row.jobId), reason);
     return;
   }
@@ -45,7 +48,7 @@
 };
 
 /**
- * Ends placements on hosts that are gone, each once its lease has surely ended.
+ * Removes placements on hosts that are gone, each once its lease has certainly ended.
  *
  * @param draft - The working copy, changed in place.
  */
@@ -54,5 +57,5 @@
     .filter(({ pool }) => pool === draft.world.pool)
     .filter(({ service, hostId }) => service === null || !draft.world.specs.has(hostId))
     .filter(({ hostId }) => draft.world.sightings.get(hostId)?.state === 'gone')
-    .forEach((row) => endLost(draft, row));
+    .forEach((row) => endLostPlacement(draft, row));
 };
--- a/packages/core/src/control/overuse.ts
+++ b/packages/core/src/control/overuse.ts
@@ -1,4 +1,4 @@
-/** On a host that is over-used the least urgent job gives way and is placed again elsewhere. */
+/** Preempts the least urgent job on an overused host, so that it is placed again elsewhere. */
 import { pipe } from 'fp-ts/lib/function.js';
 import * as N from 'fp-ts/lib/number.js';
 import * as Ord from 'fp-ts/lib/Ord.js';
@@ -9,11 +9,11 @@
 import { groupBy } from '../shared/group-by.js';
 import { writePlacement, type Draft } from './draft.js';
 
-/** A host is over-used when its tasks use more than this share of its cores. */
-const OVERUSED_SHARE = 0.95;
+/** A host is overused when its tasks use more than this fraction of its cores. */
+const OVERUSE_THRESHOLD = 0.95;
 
-/** Who gives way first; what is not listed never does. */
-const givesWay: Partial<Record<Urgency, number>> = { batch: 0, normal: 1 };
+/** Jobs of the lowest rank are preempted first; jobs of an urgency without a rank never are. */
+const preemptionRank: Partial<Record<Urgency, number>> = { batch: 0, normal: 1 };
 
 type Candidate = { readonly row: PlacementRow; readonly urgency: Urgency; readonly rank: number };
 
@@ -22,39 +22,42 @@
   Ord.contramap(({ rank }) => rank),
 );
 
-const candidatesAmong = (draft: Draft, rows: readonly PlacementRow[]): readonly Candidate[] =>
+const listPreemptionCandidates = (
+  draft: Draft,
+  rows: readonly PlacementRow[],
+): readonly Candidate[] =>
   pipe(
     rows,
     RA.filter(({ phase }) => phase === 'running'),
     RA.chain((row) => {
       const urgency = draft.world.jobs.get(row.jobId)?.value.job.spec.urgency;
-      const rank = urgency && givesWay[urgency];
+      const rank = urgency && preemptionRank[urgency];
       return urgency === undefined || rank === undefined ? [] : [{ row, urgency, rank }];
     }),
     RA.sort(byRank),
   );
 
-const relieve = (draft: Draft, rows: readonly PlacementRow[], cores: number): void => {
+const preemptOneJob = (draft: Draft, rows: readonly PlacementRow[], cores: number): void => {
   const usedCores = rows.reduce(
     (sum, { jobId }) => sum + (draft.world.usedCores.get(jobId) ?? 0),
     0,
   );
-  if (usedCores <= cores * OVERUSED_SHARE) return;
-  // One at a time: the next report shows whether it was enough.
+  if (usedCores <= cores * OVERUSE_THRESHOLD) return;
+  // Only one job is preempted at a time: the next usage report shows whether that was enough.
   if (rows.some(({ phase }) => phase === 'stopping')) return;
-  const [first] = candidatesAmong(draft, rows);
+  const [first] = listPreemptionCandidates(draft, rows);
   if (!first) return;
   const { row, urgency } = first;
-  const use = `its tasks use ${usedCores.toFixed(1)} of ${cores} cores`;
+  const usage = `its tasks use ${usedCores.toFixed(1)} of ${cores} cores`;
   writePlacement(
     draft,
     { ...row, phase: 'stopping' },
-    `host ${row.hostId} is over-used, ${use}; ${row.jobId} (urgency ${urgency}) gives way`,
+    `host ${row.hostId} is over-used, ${usage}; ${row.jobId} (urgency ${urgency}) gives way`,
   );
 };
 
 /**
- * Relieves the over-used hosts of the pool.
+ * Preempts one job on each overused host of the pool, except where a task is already stopping.
  *
  * @param draft - The working copy, changed in place.
  */
@@ -62,6 +65,6 @@
   if (draft.world.usedCores.size === 0) return;
   groupBy(draft.placements.values(), ({ hostId }) => hostId).forEach((rows, hostId) => {
     const host = draft.hosts.get(hostId);
-    if (host?.row.pool === draft.world.pool) relieve(draft, rows, host.spec.cores);
+    if (host?.row.pool === draft.world.pool) preemptOneJob(draft, rows, host.spec.cores);
   });
 };
--- a/packages/core/src/control/plan-turn.ts
+++ b/packages/core/src/control/plan-turn.ts
@@ -1,4 +1,4 @@
-/** One control turn of a pool: what is known goes in, decisions with their preconditions come out. */
+/** Plans one control turn of a pool: maps its snapshot to decisions with their preconditions. */
 import { createDraft, type ControlAction, type Withheld } from './draft.js';
 import { planExecutors, planUndeclared } from './executors.js';
 import { planHosts } from './hosts.js';
@@ -11,12 +11,16 @@
 /** The outcome of a turn. */
 export type TurnPlan = {
   readonly actions: readonly ControlAction[];
-  /** What was considered and not done, for explanations. */
+  /** Actions that were considered and not taken, for explanations. */
   readonly withheld: readonly Withheld[];
+  /** The epoch that the first placement of the next turn gets. */
   readonly nextEpoch: number;
 };
 
-/** The order matters: what ends makes room, and the budget is counted after what is placed. */
+/**
+ * The steps of a turn, in their order. Placements end first, because that frees resources for new
+ * ones. Waves come last, because the availability budgets must count what the turn has placed.
+ */
 const steps = [
   planLostHosts,
   planHosts,
@@ -31,9 +35,9 @@
 /**
  * Plans one turn.
  *
- * @param world - What the holder of the pool's lease knows.
- * @param nowMs - The time by its monotonic clock.
- * @returns The actions, in the order in which they are to be carried out.
+ * @param world - The snapshot of the pool, read by the holder of its control lease.
+ * @param nowMs - The time by the lease holder's monotonic clock.
+ * @returns The plan, with its actions in the order in which they are to be carried out.
  */
 export const planPoolTurn = (world: PoolWorld, nowMs: number): TurnPlan => {
   const draft = createDraft(world, nowMs);
--- a/packages/core/src/control/pool-turn.test.ts
+++ b/packages/core/src/control/pool-turn.test.ts
@@ -21,7 +21,7 @@
 
 const configuration = configurationOf(twoPools);
 const allHosts = (fleet: FleetModel): readonly HostId[] => Array.from(fleet.workers.hosts.keys());
-const newFleet = (): FleetModel => {
+const createFleet = (): FleetModel => {
   const fleet = createFleetModel({ configuration, rebootMs: 3000, stepMs: 250 });
   run(fleet, 5000);
   return fleet;
@@ -31,10 +31,10 @@
 const placements = (fleet: FleetModel): readonly PlacementRow[] =>
   fleet.rows<PlacementRow>(rowPrefix.placement);
 
-describe('control of pools', () => {
+describe('control turns of pools', () => {
   describe('executors', () => {
     it('are all placed, spread over data centres and racks', () => {
-      const fleet = newFleet();
+      const fleet = createFleet();
       expect(fleet.readyOf('routing')).toBe(4);
       const racks = placements(fleet)
         .filter(({ service }) => service === 'routing')
@@ -42,8 +42,8 @@
       expect(new Set(racks).size).toBe(3);
     });
 
-    it('move off a drained host without fewer being ready', () => {
-      const fleet = newFleet();
+    it('move off a drained host while the number of ready ones never falls', () => {
+      const fleet = createFleet();
       const { hostId } = placements(fleet)[0] as PlacementRow;
       changeHost(fleet, hostId, (row) => ({
         ...row,
@@ -58,8 +58,8 @@
       expect(placements(fleet).filter((one) => one.hostId === hostId)).toEqual([]);
     });
 
-    it('are replaced when their host is lost, and none stays in excess when it comes back', () => {
-      const fleet = newFleet();
+    it('are replaced when their host is lost, and the excess one is stopped when the host comes back', () => {
+      const fleet = createFleet();
       const { hostId } = placements(fleet)[0] as PlacementRow;
       fleet.workers.kill(hostId);
       run(fleet, 15_000);
@@ -72,8 +72,8 @@
   });
 
   describe('jobs', () => {
-    it('are refused at once where no host can ever take them, with counts by reason', () => {
-      const fleet = newFleet();
+    it('are refused at once, with host counts by reason, if no host can ever take them', () => {
+      const fleet = createFleet();
       submit(fleet, jobOf('huge', 'pool: main, team: crew, cores: 17, memoryMb: 1'));
       submit(
         fleet,
@@ -86,8 +86,8 @@
       expect(jobRow(fleet, 'odd').reason).toContain('3 hosts: pool is not main');
     });
 
-    it('start urgent ones first where there is not room for all', () => {
-      const fleet = newFleet();
+    it('start in order of urgency when resources do not suffice for all', () => {
+      const fleet = createFleet();
       const size = 'pool: spare, team: crew, cores: 16, memoryMb: 1, runTimeS: 60';
       ['a', 'b', 'c', 'd'].forEach((name) =>
         submit(fleet, jobOf(name, `${size}, urgency: ${name === 'd' ? 'urgent' : 'batch'}`)),
@@ -97,8 +97,8 @@
       expect(placements(fleet).filter(({ service }) => service === null)).toHaveLength(3);
     });
 
-    it('wait for the quota of their team, and say so', () => {
-      const fleet = newFleet();
+    it('are withheld with a reason while they exceed the quota of their team', () => {
+      const fleet = createFleet();
       ['a', 'b', 'c', 'd'].forEach((name) =>
         submit(fleet, jobOf(name, 'pool: spare, team: crew, cores: 14, memoryMb: 1, runTimeS: 60')),
       );
@@ -108,10 +108,10 @@
       );
     });
 
-    it('are tried again elsewhere, and a host on which distinct jobs fail is quarantined', () => {
-      const fleet = newFleet();
-      const bad = brand<HostId>('w2-1');
-      (fleet.workers.hosts.get(bad) as { failsTasks: boolean }).failsTasks = true;
+    it('are retried on other hosts, and a host on which several distinct jobs fail is quarantined', () => {
+      const fleet = createFleet();
+      const failingHost = brand<HostId>('w2-1');
+      (fleet.workers.hosts.get(failingHost) as { failsTasks: boolean }).failsTasks = true;
       for (let index = 0; index < 12; index += 1) {
         submit(
           fleet,
@@ -119,15 +119,15 @@
         );
       }
       run(fleet, 40_000);
-      const row = hostRows(fleet).find(({ hostId }) => hostId === bad);
+      const row = hostRows(fleet).find(({ hostId }) => hostId === failingHost);
       expect(row).toMatchObject({ phase: 'quarantined' });
       expect(row?.reason).toMatch(/distinct jobs failed on it/);
       const phases = Array.from({ length: 12 }, (_, index) => jobRow(fleet, `j${index}`).phase);
       expect(phases).toEqual(phases.map(() => 'done'));
     });
 
-    it('give way, the least urgent first, where a host is over-used', () => {
-      const fleet = newFleet();
+    it('are preempted on an overused host, the least urgent first', () => {
+      const fleet = createFleet();
       const size = 'pool: spare, team: crew, cores: 4, memoryMb: 1, runTimeS: 500, leaseS: 6';
       ['normal', 'batch', 'urgent'].forEach((urgency) => {
         submit(fleet, jobOf(urgency, `${size}, urgency: ${urgency}, selector: 'host=w2-1'`));
@@ -138,8 +138,8 @@
         (name) => (fleet.table.read(rowKey.placement(name)).value as PlacementRow | null)?.phase,
       );
       expect(phases).toEqual(['running', undefined, 'running']);
-      const told = fleet.decisions.map(({ reason }) => reason);
-      expect(told).toContain(
+      const reasons = fleet.decisions.map(({ reason }) => reason);
+      expect(reasons).toContain(
         'host w2-1 is over-used, its tasks use 18.0 of 16 cores; batch (urgency batch) gives way',
       );
       expect(fleet.withheld().some(({ reason }) => /fewer than 4 cores free/.test(reason))).toBe(
@@ -147,7 +147,7 @@
       );
     });
 
-    it('count with what they use: less room where they use more, more where they use less', () => {
+    it('count with their measured use: with more cores than declared, or with fewer', () => {
       const declared = { cores: 4, memoryMb: 1, accelerators: 0 };
       expect(correctedSize(declared, 8, false).cores).toBe(10);
       expect(correctedSize(declared, 0.1, false).cores).toBe(2);
@@ -155,8 +155,8 @@
       expect(correctedSize(declared, undefined, false)).toEqual(declared);
     });
 
-    it('are not started again while the lease of a lost host may run', () => {
-      const fleet = newFleet();
+    it('are not started again on another host while the lease on a lost host may still run', () => {
+      const fleet = createFleet();
       submit(
         fleet,
         jobOf('a', 'pool: spare, team: crew, cores: 1, memoryMb: 1, runTimeS: 300, leaseS: 20'),
@@ -172,43 +172,47 @@
     });
   });
 
-  describe('a job under which hosts are lost', () => {
-    /** The job's hosts are lost as soon as it runs there, and come back later; gives how many were. */
-    const lostUnder = (forMs: number): { readonly hosts: number; readonly row: JobRow } => {
-      const fleet = newFleet();
+  describe('a job whose hosts are lost while they run it', () => {
+    /**
+     * Kills each host on which the job runs as soon as it runs there, and revives it 30 s later.
+     * Returns the number of lost hosts and the job's row after `forMs`.
+     */
+    const loseHostsOf = (forMs: number): { readonly hosts: number; readonly row: JobRow } => {
+      const fleet = createFleet();
       const spec = 'pool: main, team: crew, cores: 1, memoryMb: 1, runTimeS: 300, leaseS: 5';
       submit(fleet, jobOf('a', spec));
       const lost = new Set<string>();
-      const comingBack: [number, HostId][] = [];
+      const toRevive: [number, HostId][] = [];
       const untilMs = fleet.nowMs() + forMs;
       while (fleet.nowMs() < untilMs) {
         run(fleet, 1000);
         const placed = fleet.table.read(rowKey.placement('a')).value as PlacementRow | null;
-        const name = placed && `${placed.hostId}/${placed.epoch}`;
-        if (placed && name && placed.phase === 'running' && !lost.has(name)) {
-          lost.add(name);
+        const runKey = placed && `${placed.hostId}/${placed.epoch}`;
+        if (placed && runKey && placed.phase === 'running' && !lost.has(runKey)) {
+          lost.add(runKey);
           fleet.workers.kill(placed.hostId);
-          comingBack.push([fleet.nowMs() + 30_000, placed.hostId]);
+          toRevive.push([fleet.nowMs() + 30_000, placed.hostId]);
         }
-        comingBack
+        toRevive
           .filter(([atMs]) => atMs <= fleet.nowMs())
           .forEach(([, hostId]) => fleet.workers.revive(hostId));
       }
       return { hosts: lost.size, row: jobRow(fleet, 'a') };
     };
-    it('waits longer before each further one, by a count in its row that says why', () => {
-      const { hosts, row } = lostUnder(300_000);
+    it('is retried with a growing delay, and its row counts the lost hosts and names the count as the reason', () => {
+      const { hosts, row } = loseHostsOf(300_000);
       expect(row.hostsLost).toBe(hosts);
       expect(hosts).toBeGreaterThan(2);
-      // The waits double up to 60 s: with 1, 2, 4, 8, 16, 32 and three of 60 s the eleventh comes after 243 s.
+      // The first host does not count for the delay, which then doubles from 1 s to at most 60 s. The
+      // delays 1, 2, 4, 8, 16, 32 and three times 60 s put the eleventh loss at 243 s or later.
       expect(hosts).toBeLessThanOrEqual(11);
       expect(row.reason).toContain(`${hosts} hosts`);
     });
   });
 
   describe('waves', () => {
-    it('bring every host through once, within every budget, and cut nothing', () => {
-      const fleet = newFleet();
+    it('reboot every host exactly once without lowering the number of ready executors or cutting a task', () => {
+      const fleet = createFleet();
       startWave(fleet, 'all', allHosts(fleet));
       let steps = 0;
       while (wavePhase(fleet, 'all') !== 'done' && steps < 2000) {
@@ -224,7 +228,7 @@
       expect(fleet.workers.faults).toEqual({ cutTasks: 0, doubleRuns: 0 });
     });
 
-    it('keep why an executor stands where it does when it starts again there', () => {
+    it('keep the placement reason of an executor that is parked and restarted on its host', () => {
       const parking = configurationOf(
         twoPools.replace('spec: { reserveFor: rack }', 'spec: { reserveFor: none, prefer: moves }'),
       );
@@ -238,8 +242,8 @@
       );
     });
 
-    it('begin with a single host', () => {
-      const fleet = newFleet();
+    it('start by draining a single host', () => {
+      const fleet = createFleet();
       startWave(
         fleet,
         'all',
@@ -249,30 +253,30 @@
       expect(hostRows(fleet).filter(({ drain }) => drain !== null)).toHaveLength(1);
     });
 
-    it('hold when an operator says so, go on, and give hosts back when cancelled', () => {
-      const fleet = newFleet();
+    it('drain no further hosts while held, continue when resumed, and return hosts to use when cancelled', () => {
+      const fleet = createFleet();
       startWave(fleet, 'all', allHosts(fleet));
       run(fleet, 2000);
-      const change = (phase: string) => {
+      const setWavePhase = (phase: string) => {
         const { value } = fleet.table.read(rowKey.wave('all'));
         fleet.table.transact(
           [],
           [{ key: rowKey.wave('all'), value: { ...(value as object), phase } }],
         );
       };
-      change('held');
+      setWavePhase('held');
       run(fleet, 20_000);
       const done = hostRows(fleet).filter(({ maintainedBy }) => maintainedBy !== null).length;
       expect(hostRows(fleet).filter(({ phase }) => phase !== 'assigned')).toEqual([]);
       expect(done).toBeLessThan(12);
-      change('running');
+      setWavePhase('running');
       run(fleet, 3000);
-      change('cancelled');
+      setWavePhase('cancelled');
       run(fleet, 20_000);
       expect(hostRows(fleet).filter(({ phase }) => phase !== 'assigned')).toEqual([]);
     });
 
-    it('pause when a host does not come back, and say which', () => {
+    it('pause when a host does not come back from its reboot', () => {
       const fleet = createFleetModel({ configuration, rebootMs: 60 * 60 * 1000, stepMs: 2000 });
       run(fleet, 10_000);
       startWave(fleet, 'all', allHosts(fleet));
@@ -281,26 +285,26 @@
     });
   });
 
-  describe('under any interleaving', () => {
+  describe('under random interleavings of faults, operations and paused turns', () => {
     type Operation = (fleet: FleetModel, draw: () => number) => void;
     const paused: PausedTurn[] = [];
-    const someHost = (fleet: FleetModel, draw: () => number) =>
+    const pickHost = (fleet: FleetModel, draw: () => number) =>
       pick(allHosts(fleet), draw) as HostId;
-    const somePool = (draw: () => number) => brand<PoolName>(draw() < 0.5 ? 'main' : 'spare');
+    const pickPool = (draw: () => number) => brand<PoolName>(draw() < 0.5 ? 'main' : 'spare');
     const operations: readonly Operation[] = [
-      (fleet, draw) => moveHost(fleet, someHost(fleet, draw), somePool(draw)),
-      (fleet, draw) => fleet.workers.kill(someHost(fleet, draw)),
+      (fleet, draw) => moveHost(fleet, pickHost(fleet, draw), pickPool(draw)),
+      (fleet, draw) => fleet.workers.kill(pickHost(fleet, draw)),
       (fleet) => allHosts(fleet).forEach(fleet.workers.revive),
       (fleet, draw) => {
-        paused.push(fleet.planOnly(somePool(draw)));
+        paused.push(fleet.planOnly(pickPool(draw)));
       },
       (fleet) => paused.splice(0).forEach(fleet.write),
-      (fleet, draw) => fleet.takeControl(somePool(draw)),
+      (fleet, draw) => fleet.takeControl(pickPool(draw)),
       (fleet, draw) => fleet.setPlatformAway(draw() < 0.5),
       (fleet, draw) => fleet.setCut(brand<DataCentreId>('west'), draw() < 0.5),
       (fleet, draw) => {
         const name = `j${Math.floor(draw() * 1e6)}`;
-        const pool = somePool(draw);
+        const pool = pickPool(draw);
         submit(
           fleet,
           jobOf(name, `pool: ${pool}, team: crew, cores: 4, memoryMb: 1, runTimeS: 20, leaseS: 6`),
@@ -309,7 +313,7 @@
       (fleet, draw) => startWave(fleet, `wave-${Math.floor(draw() * 3)}`, allHosts(fleet)),
     ];
 
-    /** Plain checks, since they are made after each of very many steps. */
+    /** Checks in plain code, because expect() after each of very many steps would be slow. */
     const faultsOf = (fleet: FleetModel): readonly string[] => {
       const { cutTasks, doubleRuns } = fleet.workers.faults;
       const pools = new Map(hostRows(fleet).map(({ hostId, pool }) => [hostId, pool]));
@@ -319,10 +323,10 @@
         ...(pools.size === 12 ? [] : ['a host has no row']),
         ...placements(fleet)
           .filter(({ hostId, pool }) => pools.get(hostId) !== pool)
-          .map(({ jobId }) => `${jobId} stands on a host of another pool`),
+          .map(({ jobId }) => `${jobId} is placed on a host of another pool`),
         ...hostRows(fleet)
           .filter(({ phase, drain }) => (phase === 'draining' || phase === 'empty') && !drain)
-          .map(({ hostId }) => `${hostId} is being emptied for nothing`),
+          .map(({ hostId }) => `${hostId} is being drained without a purpose`),
       ];
     };
     const checkAll = (fleet: FleetModel): void => {
@@ -331,10 +335,10 @@
     };
 
     test.prop([fc.integer()], { seed: 51, numRuns: 60 })(
-      'no job runs twice, no host is in two pools, none is lost from sight, nothing is cut',
+      'no job runs twice, no task is cut, every host keeps its row, and every placement is in the pool of its host',
       (seed) => {
         const draw = createRng(seed);
-        const fleet = newFleet();
+        const fleet = createFleet();
         paused.length = 0;
         for (let change = 0; change < 25; change += 1) {
           (pick(operations, draw) as Operation)(fleet, draw);
@@ -349,7 +353,8 @@
         allHosts(fleet).forEach(fleet.workers.revive);
         run(fleet, 120_000);
         checkAll(fleet);
-        // A move to the spare pool may leave too little room for all; what can be there is there.
+        // Moves of hosts to the spare pool may leave too few resources for all executors, so only the
+        // upper bounds are checked.
         expect(fleet.readyOf('routing')).toBeLessThanOrEqual(4);
         expect(fleet.readyOf('convoy')).toBeLessThanOrEqual(3);
       },
--- a/packages/core/src/control/reconcile.ts
+++ b/packages/core/src/control/reconcile.ts
@@ -1,6 +1,7 @@
 /**
- * Reconciling the workers of one data centre with the placements: what to start, drain, stop,
- * renew and report. Starting is idempotent by job and epoch, so two entries may do it at once.
+ * Reconciles the tasks of one data centre's workers with the placements: decides what to start,
+ * drain, stop, renew and report. Starting a task is idempotent by job and epoch, so two entries may
+ * do it at the same time.
  */
 import type {
   HostRow,
@@ -11,7 +12,7 @@
 } from '../rows/rows.js';
 import type { HostId, JobId } from '../shared/ids.js';
 
-/** A task as its worker tells of it. */
+/** A task as its worker reports it. */
 export type ObservedTask = {
   readonly jobId: JobId;
   readonly epoch: number;
@@ -21,14 +22,15 @@
   readonly address: string | null;
 };
 
-/** What to do at the workers or in the table. */
+/** An action to carry out at the workers or in the table. */
 export type ReconcileAction =
   | { readonly kind: 'start'; readonly placement: PlacementRow }
-  /** Mark as leaving: no new requests, those in flight go on. */
+  /** Mark the task as leaving: it gets no new requests, and those in flight continue. */
   | { readonly kind: 'drain'; readonly task: ObservedTask }
-  /** Stop for good, once the entries have nothing in flight there. */
+  /** Stop the task once the entries have no requests in flight to it. */
   | { readonly kind: 'stop'; readonly task: ObservedTask }
   | { readonly kind: 'renew'; readonly task: ObservedTask }
+  /** Remove a task that has ended and is not wanted any more. */
   | { readonly kind: 'forget'; readonly task: ObservedTask }
   | {
       readonly kind: 'report';
@@ -37,19 +39,19 @@
       readonly outcome: TaskOutcome;
     };
 
-type Pair = {
+type PlacementWithTask = {
   readonly placement: Versioned<PlacementRow>;
-  /** The task of the placement's own epoch. */
+  /** The task of the placement's epoch; undefined if the workers report none. */
   readonly task: ObservedTask | undefined;
 };
 
 const report = (
-  { placement }: Pair,
+  { placement }: PlacementWithTask,
   phase: PlacementPhase,
   outcome: TaskOutcome,
 ): ReconcileAction => ({ kind: 'report', placement, phase, outcome });
 
-type TaskHandler = (pair: Pair, task: ObservedTask) => readonly ReconcileAction[];
+type TaskHandler = (pair: PlacementWithTask, task: ObservedTask) => readonly ReconcileAction[];
 
 const reportEnd =
   (outcome: TaskOutcome): TaskHandler =>
@@ -57,11 +59,11 @@
 
 const keepRunning: TaskHandler = (pair, task) => {
   const renewal: ReconcileAction = { kind: 'renew', task };
-  const isKnown = pair.placement.value.phase === 'running';
-  return isKnown ? [renewal] : [renewal, report(pair, 'running', 'none')];
+  const isReported = pair.placement.value.phase === 'running';
+  return isReported ? [renewal] : [renewal, report(pair, 'running', 'none')];
 };
 
-const whenWanted: Record<ObservedTask['phase'], TaskHandler> = {
+const wantedTaskHandlers: Record<ObservedTask['phase'], TaskHandler> = {
   starting: (_, task) => [{ kind: 'renew', task }],
   running: keepRunning,
   leaving: (_, task) => [{ kind: 'renew', task }],
@@ -69,21 +71,21 @@
   failed: reportEnd('failed'),
 };
 
-const wanted = (pair: Pair): readonly ReconcileAction[] => {
+const handleWanted = (pair: PlacementWithTask): readonly ReconcileAction[] => {
   const { task, placement } = pair;
-  if (task) return whenWanted[task.phase](pair, task);
+  if (task) return wantedTaskHandlers[task.phase](pair, task);
   if (placement.value.phase === 'running') return [report(pair, 'stopped', 'lost')];
   return [{ kind: 'start', placement: placement.value }];
 };
 
-const unwanted =
+const handleUnwanted =
   (endPhase: PlacementPhase) =>
-  (pair: Pair): readonly ReconcileAction[] => {
+  (pair: PlacementWithTask): readonly ReconcileAction[] => {
     const { task, placement } = pair;
     if (!task) return [report(pair, endPhase, placement.value.outcome)];
     if (task.phase === 'done') return [report(pair, 'stopped', 'done')];
     if (task.phase === 'failed') return [report(pair, 'stopped', 'failed')];
-    // A job that is given up may be placed again once its lease has ended, so it is not renewed.
+    // A submitted job may be placed again once its lease has ended, so the lease is not renewed.
     if (task.service === null) return [{ kind: 'stop', task }];
     const renewal: ReconcileAction = { kind: 'renew', task };
     return task.phase === 'leaving'
@@ -91,19 +93,22 @@
       : [renewal, { kind: 'drain', task }];
   };
 
-const handlers: Record<PlacementPhase, (pair: Pair) => readonly ReconcileAction[]> = {
-  assigned: wanted,
-  running: wanted,
-  stopping: unwanted('stopped'),
-  parking: unwanted('parked'),
+const placementHandlers: Record<
+  PlacementPhase,
+  (pair: PlacementWithTask) => readonly ReconcileAction[]
+> = {
+  assigned: handleWanted,
+  running: handleWanted,
+  stopping: handleUnwanted('stopped'),
+  parking: handleUnwanted('parked'),
   stopped: () => [],
   parked: () => [],
 };
 
 const isEnded = ({ phase }: ObservedTask): boolean => phase === 'done' || phase === 'failed';
 
-/** A task without a placement of its epoch is left over; it is drained before it is stopped. */
-const leftOver = (task: ObservedTask): ReconcileAction => {
+/** Handles a task without an active placement of its epoch: it is drained before it is stopped. */
+const handleOrphanedTask = (task: ObservedTask): ReconcileAction => {
   if (isEnded(task)) return { kind: 'forget', task };
   return task.phase === 'leaving' ? { kind: 'stop', task } : { kind: 'drain', task };
 };
@@ -111,9 +116,9 @@
 const taskKey = (jobId: string, epoch: number): string => `${jobId}@${epoch}`;
 
 /**
- * Compares placements with tasks.
+ * Compares the placements with the tasks and decides what to do about each.
  *
- * @param placements - The placements on hosts of the data centre, freshly read.
+ * @param placements - The placements on hosts of the data centre, read just now.
  * @param tasks - The tasks of the data centre's workers.
  * @returns The actions, in the order in which they are to be carried out.
  */
@@ -123,25 +128,32 @@
 ): readonly ReconcileAction[] => {
   const tasksByKey = new Map(tasks.map((task) => [taskKey(task.jobId, task.epoch), task]));
   const keyOf = ({ value }: Versioned<PlacementRow>) => taskKey(value.jobId, value.epoch);
-  const wantedKeys = new Set(
+  const activeKeys = new Set(
     placements
       .filter(({ value }) => value.phase !== 'stopped' && value.phase !== 'parked')
       .map(keyOf),
   );
   return [
     ...placements.flatMap((placement) =>
-      handlers[placement.value.phase]({ placement, task: tasksByKey.get(keyOf(placement)) }),
+      placementHandlers[placement.value.phase]({
+        placement,
+        task: tasksByKey.get(keyOf(placement)),
+      }),
     ),
-    ...tasks.filter((task) => !wantedKeys.has(taskKey(task.jobId, task.epoch))).map(leftOver),
+    ...tasks
+      .filter((task) => !activeKeys.has(taskKey(task.jobId, task.epoch)))
+      .map(handleOrphanedTask),
   ];
 };
 
 /**
- * Lists the draining hosts that are empty: no placement but parked ones, and no task.
+ * Lists the draining hosts that are empty, which means that they have no task and no placement other
+ * than parked ones.
  *
  * @param hosts - The rows of hosts of the data centre, read first.
- * @param placements - The placements, read after them.
- * @param tasks - The tasks, read last: so nothing can have come in between.
+ * @param placements - The placements, read after the hosts.
+ * @param tasks - The tasks, read last. In this order, no placement or task can be missed that was
+ *   added between the reads.
  * @returns The hosts that are verified empty.
  */
 export const emptyHosts = (
@@ -157,9 +169,9 @@
 };
 
 /**
- * Lists the tasks whose leases are to be renewed while the table cannot be read: the executors
- * that were wanted when it was last read. A submitted job is not renewed: it may be placed again
- * elsewhere, and must have ended here by then.
+ * Lists the tasks whose leases are to be renewed while the table cannot be read: the executors that
+ * had a placement when it was last read. The lease of a submitted job is not renewed, because the job
+ * may be placed again elsewhere and must have ended here by then.
  *
  * @param placements - The placements as last read.
  * @param tasks - The tasks of the data centre's workers.
@@ -169,10 +181,12 @@
   placements: readonly Versioned<PlacementRow>[],
   tasks: readonly ObservedTask[],
 ): readonly ObservedTask[] => {
-  const known = new Set(
+  const renewableKeys = new Set(
     placements
       .filter(({ value }) => value.service !== null)
       .map(({ value }) => taskKey(value.jobId, value.epoch)),
   );
-  return tasks.filter((task) => !isEnded(task) && known.has(taskKey(task.jobId, task.epoch)));
+  return tasks.filter(
+    (task) => !isEnded(task) && renewableKeys.has(taskKey(task.jobId, task.epoch)),
+  );
 };
--- a/packages/core/src/control/row-ages.ts
+++ b/packages/core/src/control/row-ages.ts
@@ -1,9 +1,12 @@
-/** Since when rows have been as they are, by the clock of the one that watches them. */
+/** Tracks since when rows have had their present version, by the clock of the process that reads them. */
 import type { Versioned } from '../rows/rows.js';
 
-/** Remembers when each version of a row was first seen. */
+/** Tracks when the present version of each row was first seen. */
 export type RowAges<Id> = {
-  /** Takes in a reading and gives the times, by id. */
+  /**
+   * Takes the rows as read at `nowMs` and returns when the version of each was first seen, in
+   * milliseconds, by id.
+   */
   readonly see: (
     rows: ReadonlyMap<Id, Versioned<unknown>>,
     nowMs: number,
@@ -11,21 +14,21 @@
 };
 
 /**
- * Builds an empty memory; rows that vanish are forgotten.
+ * Creates an empty tracker. Rows that are missing from a reading are forgotten.
  *
- * @returns The memory.
+ * @returns The tracker.
  */
 export const createRowAges = <Id>(): RowAges<Id> => {
-  let seen = new Map<Id, { readonly version: number; readonly sinceMs: number }>();
+  let firstSeen = new Map<Id, { readonly version: number; readonly sinceMs: number }>();
   return {
     see: (rows, nowMs) => {
-      seen = new Map(
+      firstSeen = new Map(
         Array.from(rows, ([id, { version }]) => {
-          const known = seen.get(id);
-          return [id, known?.version === version ? known : { version, sinceMs: nowMs }];
+          const previous = firstSeen.get(id);
+          return [id, previous?.version === version ? previous : { version, sinceMs: nowMs }];
         }),
       );
-      return new Map(Array.from(seen, ([id, { sinceMs }]) => [id, sinceMs]));
+      return new Map(Array.from(firstSeen, ([id, { sinceMs }]) => [id, sinceMs]));
     },
   };
 };
--- a/packages/core/src/control/wave-trial.ts
+++ b/packages/core/src/control/wave-trial.ts
@@ -1,6 +1,7 @@
 /**
- * Trials of a wave: the hosts as they would be if one more were emptied, and whether every budget
- * would still hold after the largest loss that the pool reserves for.
+ * Simulates draining hosts for a wave: computes the state of the hosts if one more were emptied, and
+ * checks whether every availability budget would still hold after the largest loss that the pool
+ * reserves for.
  */
 import { declarationsOf, findDeclaration } from '../configuration/configuration.js';
 import type { DeclarationOf } from '../declarations/schema.js';
@@ -19,21 +20,25 @@
 
 type Reserve = DeclarationOf<'Pool'>['spec']['reserveFor'];
 
-/** The domain that is lost together, for each kind of reserve; none is never lost. */
-const domainOf: Record<Reserve, (host: PlacementHost) => string | null> = {
+/** The failure domain of a host, by the kind of reserve; null if the pool reserves for no loss. */
+const failureDomainOf: Record<Reserve, (host: PlacementHost) => string | null> = {
   none: () => null,
   host: ({ spec }) => `host=${spec.hostId}`,
   rack: ({ spec }) => `rack=${spec.rack}`,
   'data-centre': ({ spec }) => `data-centre=${spec.dataCentre}`,
 };
 
-/** The hosts as they would be if some more were emptied. */
+/** The simulated state of the hosts, as if some more of them were emptied. */
 export type Trial = Map<HostId, PlacementHost>;
 
-/** Empties a host in a trial, and tells what stands in the way. */
-type TryInTrial = (
+/**
+ * Empties a host in the simulation, changing `simulated` in place. Returns the obstacle for
+ * operators, or undefined if there is none. With `mayMoveTwice` an executor may be moved to a host
+ * that a running wave has yet to maintain.
+ */
+type SimulateDrain = (
   draft: Draft,
-  trial: Trial,
+  simulated: Trial,
   host: PlacementHost,
   mayMoveTwice: boolean,
 ) => string | undefined;
@@ -42,7 +47,7 @@
  * Finds the declaration of the draft's pool.
  *
  * @param draft - The working copy.
- * @returns Its specification, or undefined where it is not declared any more.
+ * @returns The pool's specification, or undefined if the pool is no longer declared.
  */
 export const poolSpec = (draft: Draft): DeclarationOf<'Pool'>['spec'] | undefined =>
   findDeclaration(draft.world.configuration, 'Pool', draft.world.pool)?.spec;
@@ -58,30 +63,33 @@
 };
 
 /**
- * Counts what is ready. An executor that still starts counts only if the one that it replaces is
- * running yet on a draining host; after a loss it does not count until it runs.
+ * Starts a simulation from the hosts and their ready executors. An executor that is still starting
+ * counts as ready only if the executor that it replaces is still running on a draining host. One that
+ * replaces a lost executor does not count until it runs.
  *
  * @param draft - The working copy.
- * @returns The hosts, with the executors that are ready or surely will be.
+ * @returns The hosts, with the number of executors that are ready or count as ready.
  */
 export const readyTrial = (draft: Draft): Trial => {
   const executors = Array.from(draft.placements.values()).filter(({ service }) => service !== null);
-  const onServing = ({ hostId }: PlacementRow): boolean => {
+  const isOnServingHost = ({ hostId }: PlacementRow): boolean => {
     const host = draft.hosts.get(hostId);
     return host !== undefined && isServing(host);
   };
   const running = executors.filter(({ phase }) => phase === 'running');
-  const yetToReplace = countBy(
-    running.filter((one) => draft.hosts.get(one.hostId)?.isLive && !onServing(one)),
+  const replaceableByService = countBy(
+    running.filter(
+      (placement) => draft.hosts.get(placement.hostId)?.isLive && !isOnServingHost(placement),
+    ),
     ({ service }) => service as string,
   );
   const replacing = executors.filter(({ phase, service }) => {
-    const left = yetToReplace[service as string] ?? 0;
-    if (phase !== 'assigned' || left === 0) return false;
-    yetToReplace[service as string] = left - 1;
+    const replaceable = replaceableByService[service as string] ?? 0;
+    if (phase !== 'assigned' || replaceable === 0) return false;
+    replaceableByService[service as string] = replaceable - 1;
     return true;
   });
-  const ready = groupBy([...running.filter(onServing), ...replacing], ({ hostId }) => hostId);
+  const ready = groupBy([...running.filter(isOnServingHost), ...replacing], ({ hostId }) => hostId);
   return new Map(
     Array.from(draft.hosts, ([hostId, host]) => [
       hostId,
@@ -93,36 +101,40 @@
   );
 };
 
-/** How many executors of a service stand on hosts in use, in all and in the worst domain. */
-const standingOf = (trial: Trial, service: ServiceName, reserve: Reserve) => {
+/**
+ * Counts the ready executors of a service on hosts in use, in total and in the failure domain that
+ * has the most of them.
+ */
+const countReady = (simulated: Trial, service: ServiceName, reserve: Reserve) => {
   const byDomain = new Map<string, number>();
   let total = 0;
-  trial.forEach((host) => {
-    const here = isServing(host) ? (host.executors.get(service) ?? 0) : 0;
-    if (here === 0) return;
-    total += here;
-    const domain = domainOf[reserve](host);
-    if (domain !== null) byDomain.set(domain, (byDomain.get(domain) ?? 0) + here);
+  simulated.forEach((host) => {
+    const readyOnHost = isServing(host) ? (host.executors.get(service) ?? 0) : 0;
+    if (readyOnHost === 0) return;
+    total += readyOnHost;
+    const domain = failureDomainOf[reserve](host);
+    if (domain !== null) byDomain.set(domain, (byDomain.get(domain) ?? 0) + readyOnHost);
   });
   const [worst = ['no loss', 0] as const] = Array.from(byDomain).sort((a, b) => b[1] - a[1]);
   return { total, worstDomain: worst[0], worstLoss: worst[1] };
 };
 
 /**
- * Finds a service whose budget would not survive the loss that the pool reserves for.
+ * Finds a service whose availability budget would not hold after the loss that the pool reserves
+ * for.
  *
  * @param draft - The working copy.
- * @param trial - The hosts as they would be.
- * @returns The obstacle in the operator's terms, or undefined if every budget holds.
+ * @param simulated - The simulated hosts.
+ * @returns The violated budget, described for operators, or undefined if every budget holds.
  */
-export const budgetObstacle = (draft: Draft, trial: Trial): string | undefined => {
+export const budgetObstacle = (draft: Draft, simulated: Trial): string | undefined => {
   const reserve = poolSpec(draft)?.reserveFor ?? 'rack';
-  const broken = declarationsOf(draft.world.configuration, 'Service')
+  const violated = declarationsOf(draft.world.configuration, 'Service')
     .filter(({ spec }) => spec.pool === draft.world.pool)
-    .map((service) => ({ service, ...standingOf(trial, service.name as ServiceName, reserve) }))
+    .map((service) => ({ service, ...countReady(simulated, service.name as ServiceName, reserve) }))
     .find(({ service, total, worstLoss }) => total - worstLoss < service.spec.minReady);
-  if (!broken) return undefined;
-  const { service, total, worstDomain, worstLoss } = broken;
+  if (!violated) return undefined;
+  const { service, total, worstDomain, worstLoss } = violated;
   return (
     `${service.name} would have ${total} executors and could lose ${worstLoss} ` +
     `with ${worstDomain}; its minReady is ${service.spec.minReady}`
@@ -130,34 +142,35 @@
 };
 
 /**
- * Lists the executors that stand on a host.
+ * Lists the executors on a host.
  *
  * @param draft - The working copy.
  * @param hostId - The host.
- * @returns Their placements, but for those that have stopped.
+ * @returns Their placements, without those that have stopped.
  */
 export const executorsOn = (draft: Draft, hostId: HostId): readonly PlacementRow[] =>
   Array.from(draft.placements.values()).filter(
-    (one) => one.hostId === hostId && one.service !== null && one.phase !== 'stopped',
+    (placement) =>
+      placement.hostId === hostId && placement.service !== null && placement.phase !== 'stopped',
   );
 
-const jobOf = (draft: Draft, placement: PlacementRow): PlaceableJob | undefined => {
+const executorJobOf = (draft: Draft, placement: PlacementRow): PlaceableJob | undefined => {
   const { service: name } = placement;
   if (name === null) return undefined;
   const service = findDeclaration(draft.world.configuration, 'Service', name);
   return service && executorJob(service, `trial/${placement.jobId}` as JobId);
 };
 
-const settleInTrial = (trial: Trial, hostId: HostId, job: PlaceableJob): void => {
-  const host = trial.get(hostId) as PlacementHost;
+const simulatePlacement = (simulated: Trial, hostId: HostId, job: PlaceableJob): void => {
+  const host = simulated.get(hostId) as PlacementHost;
   const executors = new Map(host.executors);
   const service = job.service as ServiceName;
   executors.set(service, (executors.get(service) ?? 0) + 1);
-  trial.set(hostId, { ...host, used: addResources(host.used, job), executors });
+  simulated.set(hostId, { ...host, used: addResources(host.used, job), executors });
 };
 
-const emptyInTrial = (trial: Trial, host: PlacementHost): void => {
-  trial.set(host.spec.hostId, {
+const simulateEmptying = (simulated: Trial, host: PlacementHost): void => {
+  simulated.set(host.spec.hostId, {
     ...host,
     row: { ...host.row, phase: 'draining' },
     executors: new Map(),
@@ -165,70 +178,81 @@
 };
 
 /**
- * Moves all that stands on a host elsewhere in the trial; tells what finds no room. An executor
- * goes only where it need not move again, unless the wave could not go on otherwise.
+ * Moves all executors of a host to other hosts in the simulation. The obstacle is the first executor
+ * that fits on no other host. An executor is moved only to hosts that no running wave has yet to
+ * maintain, unless the wave could not continue otherwise.
  */
-const moveInTrial: TryInTrial = (draft, trial, host, mayMoveTwice) => {
-  emptyInTrial(trial, host);
+const simulateMove: SimulateDrain = (draft, simulated, host, mayMoveTwice) => {
+  simulateEmptying(simulated, host);
   const unplaced = executorsOn(draft, host.spec.hostId).flatMap((placement) => {
-    const job = jobOf(draft, placement);
+    const job = executorJobOf(draft, placement);
     if (!job) return [];
-    const all = Array.from(trial.values());
+    const all = Array.from(simulated.values());
     const chosen = mayMoveTwice
       ? chooseForExecutor(draft, job, all)
       : chooseHost(job, settledHosts(draft, all));
     if (chosen.kind === 'none') return [`${placement.jobId} finds no room: ${chosen.reason}`];
-    settleInTrial(trial, chosen.hostId, job);
+    simulatePlacement(simulated, chosen.hostId, job);
     return [];
   });
   return unplaced[0];
 };
 
-/** Keeps the executors on their host, which counts as not serving until it is back. */
-const parkInTrial: TryInTrial = (_, trial, host) => {
-  emptyInTrial(trial, host);
+/**
+ * Leaves the executors stopped on their host. The simulated host does not count as serving, as it
+ * will not until it is back.
+ */
+const simulateParking: SimulateDrain = (_, simulated, host) => {
+  simulateEmptying(simulated, host);
   return undefined;
 };
 
-/** How a host is emptied: its executors move, or stay stopped on it until it is back. */
+/** How a host is emptied: its executors are moved, or they stay on it, stopped, until it is back. */
 export type DrainMode = 'move' | 'park';
 
-const tryInTrial: Record<DrainMode, TryInTrial> = { move: moveInTrial, park: parkInTrial };
+const drainSimulations: Record<DrainMode, SimulateDrain> = {
+  move: simulateMove,
+  park: simulateParking,
+};
 
 /**
- * Operators who weigh moves most keep executors on their host where the budget allows, and wait
- * for that; they are moved only where the wave could not go on otherwise.
+ * Lists the drain modes to try, in order. With `prefer: moves`, a pool avoids moves: executors are
+ * parked on their hosts, and the wave waits until the budgets allow that. They are moved only if the
+ * wave could not continue otherwise.
  */
-const modesFor = (draft: Draft, isOnly: boolean): readonly DrainMode[] => {
+const drainModesFor = (draft: Draft, isWaveBlocked: boolean): readonly DrainMode[] => {
   if (poolSpec(draft)?.prefer !== 'moves') return ['move'];
-  return isOnly ? ['park', 'move'] : ['park'];
+  return isWaveBlocked ? ['park', 'move'] : ['park'];
 };
 
-/** What came of a trial. */
+/** The result of a simulated drain: the mode and the hosts afterwards, or the obstacle. */
 export type TrialOutcome =
   { readonly mode: DrainMode; readonly trial: Trial } | { readonly obstacle: string };
 
 /**
- * Tries to empty one more host.
+ * Simulates emptying one more host.
  *
  * @param draft - The working copy.
- * @param trial - The hosts as they would be before.
- * @param host - The host.
- * @param isOnly - True if the wave could not go on otherwise.
- * @returns How it can be emptied, with the hosts as they would be then, or what stands in the way.
+ * @param simulated - The simulated hosts before the drain; not changed.
+ * @param host - The host to empty.
+ * @param isWaveBlocked - True if no host of the wave is under way and every executor on a live host
+ *   is running, so that waiting would not help.
+ * @returns The drain mode with the simulated hosts afterwards, or the obstacle of the last mode
+ *   tried.
  */
 export const tryDrain = (
   draft: Draft,
-  trial: Trial,
+  simulated: Trial,
   host: PlacementHost,
-  isOnly: boolean,
+  isWaveBlocked: boolean,
 ): TrialOutcome => {
   const obstacles: string[] = [];
-  const modes = modesFor(draft, isOnly);
+  const modes = drainModesFor(draft, isWaveBlocked);
   for (let index = 0; index < modes.length; index += 1) {
     const mode = modes[index] as DrainMode;
-    const next: Trial = new Map(trial);
-    const obstacle = tryInTrial[mode](draft, next, host, isOnly) ?? budgetObstacle(draft, next);
+    const next: Trial = new Map(simulated);
+    const obstacle =
+      drainSimulations[mode](draft, next, host, isWaveBlocked) ?? budgetObstacle(draft, next);
     if (obstacle === undefined) return { mode, trial: next };
     obstacles.push(obstacle);
   }
--- a/packages/core/src/control/waves.test.ts
+++ b/packages/core/src/control/waves.test.ts
@@ -1,6 +1,7 @@
 /**
- * When a wave ends. The class of fault that these guard against: a host that cannot be seen at the
- * moment is counted as one that is not there, and the wave ends for good without it.
+ * Tests when a wave ends. They guard against counting a host that the platform does not see at the
+ * moment as one that no longer exists: the wave would end without it, and the host would never be
+ * maintained by that wave.
  */
 import { describe, expect, it } from 'vitest';
 
@@ -19,7 +20,7 @@
 const MINUTE_MS = 60_000;
 
 describe('the end of a wave', () => {
-  const newFleet = (): FleetModel => {
+  const createFleet = (): FleetModel => {
     const configuration = configurationOf(twoPools);
     const fleet = createFleetModel({ configuration, rebootMs: 3000, stepMs: 250 });
     run(fleet, 5000);
@@ -29,7 +30,7 @@
   const hostsOf = (fleet: FleetModel, group: string): HostId[] =>
     Array.from(fleet.workers.hosts.keys()).filter((hostId) => hostId.startsWith(group));
 
-  const maintained = (fleet: FleetModel): readonly HostId[] =>
+  const maintainedHosts = (fleet: FleetModel): readonly HostId[] =>
     hostRows(fleet)
       .filter(({ maintainedBy }) => maintainedBy === 'all')
       .map(({ hostId }) => hostId);
@@ -37,73 +38,74 @@
   const reasonOf = (fleet: FleetModel): string =>
     (fleet.table.read(rowKey.wave('all')).value as WaveRow).reason;
 
-  describe('with a host that is silent', () => {
-    const silentHost = () => {
-      const fleet = newFleet();
+  describe('with a host that the platform does not see', () => {
+    const runWaveWithUnseenHost = () => {
+      const fleet = createFleet();
       const hosts = hostsOf(fleet, 'w2');
-      const [silent] = hosts as [HostId];
-      fleet.workers.kill(silent);
+      const [unseen] = hosts as [HostId];
+      fleet.workers.kill(unseen);
       run(fleet, 8000);
       startWave(fleet, 'all', hosts);
       run(fleet, MINUTE_MS);
-      return { fleet, hosts, silent };
+      return { fleet, hosts, unseen };
     };
 
-    it('waits for it, says so, and takes it down when it is back', () => {
-      const { fleet, hosts, silent } = silentHost();
+    it('is delayed with a stated reason, and the host is maintained when it is back', () => {
+      const { fleet, hosts, unseen } = runWaveWithUnseenHost();
       expect(wavePhase(fleet, 'all')).toBe('running');
-      expect(maintained(fleet)).toHaveLength(hosts.length - 1);
-      const why = fleet.withheld().find(({ subject }) => subject === rowKey.host(silent));
-      expect(why?.reason).toMatch(/wave all: the platform has not seen it for \d+ s/);
-      fleet.workers.revive(silent);
+      expect(maintainedHosts(fleet)).toHaveLength(hosts.length - 1);
+      const entry = fleet.withheld().find(({ subject }) => subject === rowKey.host(unseen));
+      expect(entry?.reason).toMatch(/wave all: the platform has not seen it for \d+ s/);
+      fleet.workers.revive(unseen);
       run(fleet, MINUTE_MS);
       expect(wavePhase(fleet, 'all')).toBe('done');
-      expect(maintained(fleet)).toHaveLength(hosts.length);
+      expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
     });
 
-    it('comes after five minutes without it, and names it', () => {
-      const { fleet, silent } = silentHost();
+    it('comes after five minutes without the host, and the reason names it', () => {
+      const { fleet, unseen } = runWaveWithUnseenHost();
       run(fleet, 5 * MINUTE_MS);
       expect(wavePhase(fleet, 'all')).toBe('done');
-      expect(reasonOf(fleet)).toBe(`ended without ${silent}: gone`);
+      expect(reasonOf(fleet)).toBe(`ended without ${unseen}: gone`);
     });
   });
 
-  describe('with a host that the wave itself has taken down', () => {
-    it('waits for it, however silent it is while it reboots', () => {
-      const fleet = newFleet();
+  describe('with a host that is rebooting for the wave', () => {
+    it('is delayed until the host is back, although the platform does not see it meanwhile', () => {
+      const fleet = createFleet();
       const hosts = hostsOf(fleet, 'w2');
       startWave(fleet, 'all', hosts);
       const rebooting = (): readonly HostId[] =>
         hostRows(fleet)
           .filter(({ phase }) => phase === 'rebooting')
           .map(({ hostId }) => hostId);
-      const isLastRound = (): boolean =>
-        rebooting().length > 0 && maintained(fleet).length + rebooting().length === hosts.length;
-      for (let steps = 0; steps < 400 && !isLastRound(); steps += 1) fleet.step();
-      const [silent] = rebooting() as [HostId];
-      fleet.workers.kill(silent);
+      const areRemainingHostsRebooting = (): boolean =>
+        rebooting().length > 0 &&
+        maintainedHosts(fleet).length + rebooting().length === hosts.length;
+      for (let steps = 0; steps < 400 && !areRemainingHostsRebooting(); steps += 1) fleet.step();
+      const [unseen] = rebooting() as [HostId];
+      fleet.workers.kill(unseen);
       run(fleet, MINUTE_MS);
       expect(wavePhase(fleet, 'all')).toBe('running');
-      fleet.workers.revive(silent);
+      fleet.workers.revive(unseen);
       run(fleet, MINUTE_MS);
       expect(wavePhase(fleet, 'all')).toBe('done');
-      expect(maintained(fleet)).toHaveLength(hosts.length);
+      expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
     });
   });
 
-  describe('by a holder whose configuration is older than the wave', () => {
-    it('waits for hosts that this configuration does not declare yet', () => {
-      const fleet = newFleet();
+  describe('with hosts that the configuration of the lease holder does not declare', () => {
+    it('is delayed if the configuration is older than the wave', () => {
+      const fleet = createFleet();
       const hosts = hostsOf(fleet, 'w2');
       startWave(fleet, 'all', [...hosts, brand<HostId>('n1-0')], 2);
       run(fleet, MINUTE_MS);
-      expect(maintained(fleet)).toHaveLength(hosts.length);
+      expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
       expect(wavePhase(fleet, 'all')).toBe('running');
     });
 
-    it('comes without hosts that a newer configuration has taken out', () => {
-      const fleet = newFleet();
+    it('comes without these hosts if the configuration is as new as the wave', () => {
+      const fleet = createFleet();
       const hosts = hostsOf(fleet, 'w2');
       startWave(fleet, 'all', [...hosts, brand<HostId>('n1-0')], 1);
       run(fleet, MINUTE_MS);
--- a/packages/core/src/control/waves.ts
+++ b/packages/core/src/control/waves.ts
@@ -1,7 +1,7 @@
 /**
- * Maintenance waves: which hosts to empty next. A host may be emptied if all that stands on it
- * finds room elsewhere and if, for every service, the largest correlated loss that the pool
- * reserves for would still leave the availability budget.
+ * Decides which hosts a maintenance wave empties next. A host may be emptied if all its executors fit
+ * on other hosts (or may be parked on it) and if, for every service, the availability budget would
+ * still hold after the largest correlated loss that the pool reserves for.
  */
 import { pipe } from 'fp-ts/lib/function.js';
 import * as N from 'fp-ts/lib/number.js';
@@ -25,22 +25,28 @@
 import type { WaveStrategy } from './world.js';
 
 const MS_PER_S = 1000;
-/** A turn is bounded: after so many hosts that cannot be emptied now, the others wait. */
-const MOST_OBSTACLES_PER_TURN = 16;
+/**
+ * Bounds the work of a turn: after this many hosts that cannot be emptied now, the remaining hosts
+ * are not tried in this turn.
+ */
+const MAX_OBSTACLES_PER_TURN = 16;
 
-/** The state of one wave in one turn. */
+/** The state of one wave at one turn. */
 type WaveView = {
   readonly waveId: WaveId;
   readonly row: WaveRow;
+  /** Hosts of the pool that are in use and that the wave has yet to maintain. */
   readonly remaining: readonly PlacementHost[];
+  /** Hosts that are being drained, rebooted or verified for the wave, or that broke in it. */
   readonly underWay: readonly PlacementHost[];
+  /** The number of hosts that the wave has maintained. */
   readonly maintained: number;
 };
 
 const isUnderWay = (row: HostRow, waveId: WaveId): boolean =>
   row.drain?.kind === 'wave' && row.drain.waveId === waveId;
 
-const viewOf = (draft: Draft, waveId: WaveId, row: WaveRow): WaveView => {
+const createWaveView = (draft: Draft, waveId: WaveId, row: WaveRow): WaveView => {
   const hosts = row.hosts.flatMap((hostId) => draft.hosts.get(hostId) ?? []);
   const inPool = hosts.filter((host) => host.row.pool === draft.world.pool);
   return {
@@ -73,10 +79,12 @@
 };
 
 /**
- * How many hosts may be under way at one time, besides what the budgets allow. A canary comes
- * first. Operators who weigh roll-out most then go as far as the budgets allow; the others grow.
+ * The number of hosts that may be under way at the same time, in addition to the limit that the
+ * budgets set. A growing wave starts with a single host as a canary. After that, only the budgets
+ * limit it, unless the pool has `prefer: moves`: then it may have twice as many hosts under way as it
+ * has maintained.
  */
-const allowedUnderWay: Record<WaveStrategy, (draft: Draft, view: WaveView) => number> = {
+const maxUnderWay: Record<WaveStrategy, (draft: Draft, view: WaveView) => number> = {
   growing: (draft, { maintained }) => {
     if (maintained === 0) return 1;
     return poolSpec(draft)?.prefer === 'moves' ? maintained * 2 : Infinity;
@@ -85,9 +93,9 @@
   rack: () => Infinity,
 };
 
-/** The hosts that come into question next, in their order. */
-const candidates: Record<WaveStrategy, (view: WaveView) => readonly PlacementHost[]> = {
-  growing: ({ remaining }) => pipe(remaining, RA.sortBy(byFewestExecutors)),
+/** The hosts that may be drained next, in the order in which they are tried. */
+const candidatesByStrategy: Record<WaveStrategy, (view: WaveView) => readonly PlacementHost[]> = {
+  growing: ({ remaining }) => pipe(remaining, RA.sortBy(byUsedCores)),
   'one-host': ({ remaining }) => remaining,
   rack: ({ remaining, underWay }) => {
     const rack = (underWay[0] ?? remaining[0])?.spec.rack;
@@ -95,7 +103,7 @@
   },
 };
 
-const byFewestExecutors: readonly Ord.Ord<PlacementHost>[] = [
+const byUsedCores: readonly Ord.Ord<PlacementHost>[] = [
   pipe(
     N.Ord,
     Ord.contramap((host: PlacementHost) => host.used.cores),
@@ -106,8 +114,11 @@
   ),
 ];
 
-/** While executors start or stop, what stands in the way of a wave may be gone in a moment. */
-const isSettled = (draft: Draft): boolean =>
+/**
+ * Tells whether every executor on a live host is running. While one starts or stops, the obstacle of
+ * a wave may be about to disappear, so the wave does not count as blocked.
+ */
+const areExecutorsSettled = (draft: Draft): boolean =>
   Array.from(draft.placements.values()).every(
     ({ service, phase, hostId }) =>
       service === null || phase === 'running' || !draft.hosts.get(hostId)?.isLive,
@@ -115,71 +126,76 @@
 
 const drainNext = (draft: Draft, view: WaveView): void => {
   const { waveStrategy } = draft.world;
-  let trial: Trial = readyTrial(draft);
+  let simulated: Trial = readyTrial(draft);
   let underWay = view.underWay.length;
-  let room = allowedUnderWay[waveStrategy](draft, view) - underWay;
+  let freeSlots = maxUnderWay[waveStrategy](draft, view) - underWay;
   let obstacles = 0;
-  const isStuck = underWay === 0 && isSettled(draft);
-  const hold = ({ spec }: PlacementHost, why: string): void =>
-    withhold(draft, rowKey.host(spec.hostId), `wave ${view.waveId}: ${why}`);
-  candidates[waveStrategy](view).forEach((host) => {
-    if (room <= 0 || obstacles >= MOST_OBSTACLES_PER_TURN) {
-      hold(host, 'waits for the hosts before it');
+  const isWaveBlocked = underWay === 0 && areExecutorsSettled(draft);
+  const withholdHost = ({ spec }: PlacementHost, reason: string): void =>
+    withhold(draft, rowKey.host(spec.hostId), `wave ${view.waveId}: ${reason}`);
+  candidatesByStrategy[waveStrategy](view).forEach((host) => {
+    if (freeSlots <= 0 || obstacles >= MAX_OBSTACLES_PER_TURN) {
+      withholdHost(host, 'waits for the hosts before it');
       return;
     }
-    const result = tryDrain(draft, trial, host, isStuck && underWay === 0);
+    const result = tryDrain(draft, simulated, host, isWaveBlocked && underWay === 0);
     if ('obstacle' in result) {
       obstacles += 1;
-      hold(host, result.obstacle);
+      withholdHost(host, result.obstacle);
       return;
     }
-    trial = result.trial;
-    room -= 1;
+    simulated = result.trial;
+    freeSlots -= 1;
     underWay += 1;
     startDrain(draft, host, view.waveId, result.mode);
   });
 };
 
 /**
- * A host that the platform has not seen for so long does not hold up its wave. The list lags by seconds,
- * and a host that reboots, by itself or for the wave, is silent for some 2 minutes: twice that, and a
- * minute. A rack that is lost with three hosts in their reboot must not keep a wave from its end.
+ * A wave ends without a host that the platform has not seen for this time. The platform's list lags
+ * by seconds, and a host that reboots, by itself or for the wave, is unseen for about 2 minutes. The
+ * limit is twice that plus one minute. Without a limit, the loss of a rack with three hosts in their
+ * reboot would keep the wave from ending.
  */
-const GONE_AFTER_MS = 5 * 60 * 1000;
+const MAX_UNSEEN_MS = 5 * 60 * 1000;
 
-/** For how long the platform has not seen a host; 0 while it does. */
-const silentForMs = ({ world, nowMs }: Draft, hostId: HostId): number => {
+/** For how many milliseconds the platform has not seen a host; 0 while it sees the host. */
+const unseenForMs = ({ world, nowMs }: Draft, hostId: HostId): number => {
   const sighting = world.sightings.get(hostId);
   return sighting?.state === 'gone' ? nowMs - sighting.sinceMs : 0;
 };
 
-/** Tells whether a host will not be maintained by its wave: it is gone, or not declared any more. */
-const hasLeft = (draft: Draft, { revision = 0 }: WaveRow, hostId: HostId): boolean => {
+/** Tells whether the wave ends without a host, because it is gone or no longer declared. */
+const isExcluded = (draft: Draft, { revision = 0 }: WaveRow, hostId: HostId): boolean => {
   const host = draft.hosts.get(hostId);
-  // A configuration from before the wave may not declare its hosts yet.
+  // A configuration that is older than the wave may not declare all of the wave's hosts yet.
   if (!host) return draft.world.configuration.revision >= revision;
-  return silentForMs(draft, hostId) >= GONE_AFTER_MS;
+  return unseenForMs(draft, hostId) >= MAX_UNSEEN_MS;
 };
 
 const isFinished = (draft: Draft, row: WaveRow, waveId: WaveId): boolean =>
   row.hosts.every(
-    (hostId) => draft.hosts.get(hostId)?.row.maintainedBy === waveId || hasLeft(draft, row, hostId),
+    (hostId) =>
+      draft.hosts.get(hostId)?.row.maintainedBy === waveId || isExcluded(draft, row, hostId),
   );
 
-/** Says of hosts that cannot be taken down how long they have been silent. */
-const holdSilent = (draft: Draft, row: WaveRow, waveId: WaveId): void => {
+/** Records, for hosts that the wave cannot drain, for how long the platform has not seen them. */
+const withholdUnseenHosts = (draft: Draft, row: WaveRow, waveId: WaveId): void => {
   row.hosts
     .filter((hostId) => draft.hosts.get(hostId)?.row.maintainedBy !== waveId)
     .forEach((hostId) => {
-      const silentS = Math.round(silentForMs(draft, hostId) / MS_PER_S);
-      if (silentS === 0) return;
-      const why = `the platform has not seen it for ${silentS} s; after ${GONE_AFTER_MS / MS_PER_S} s the wave goes on without it`;
-      withhold(draft, rowKey.host(hostId), `wave ${waveId}: ${why}`);
+      const unseenS = Math.round(unseenForMs(draft, hostId) / MS_PER_S);
+      if (unseenS === 0) return;
+      const reason = `the platform has not seen it for ${unseenS} s; after ${MAX_UNSEEN_MS / MS_PER_S} s the wave goes on without it`;
+      withhold(draft, rowKey.host(hostId), `wave ${waveId}: ${reason}`);
     });
 };
 
-/** A host that was broken by its maintenance stops the wave until an operator has looked. */
-const brokenHosts = (draft: Draft, row: WaveRow, waveId: WaveId): readonly HostId[] =>
+/**
+ * Lists the hosts that did not come back from their maintenance by this wave. They pause the wave
+ * until an operator has dealt with them.
+ */
+const hostsFailedInWave = (draft: Draft, row: WaveRow, waveId: WaveId): readonly HostId[] =>
   row.hosts.filter((hostId) => {
     const host = draft.hosts.get(hostId)?.row;
     return host?.phase === 'quarantined' && isUnderWay(host, waveId);
@@ -187,29 +203,29 @@
 
 const planWave = (draft: Draft, waveId: WaveId, row: WaveRow): void => {
   if (row.phase !== 'running') return;
-  const broken = brokenHosts(draft, row, waveId);
-  if (broken.length > 0) {
-    const reason = `${broken.join(', ')} did not come back; return or replace it, then resume`;
+  const failed = hostsFailedInWave(draft, row, waveId);
+  if (failed.length > 0) {
+    const reason = `${failed.join(', ')} did not come back; return or replace it, then resume`;
     writeWave(draft, waveId, { ...row, phase: 'paused', reason });
     return;
   }
   if (isFinished(draft, row, waveId)) {
-    const missed = row.hosts.filter(
+    const unmaintained = row.hosts.filter(
       (hostId) => draft.hosts.get(hostId)?.row.maintainedBy !== waveId,
     );
     const reason =
-      missed.length === 0
+      unmaintained.length === 0
         ? `all ${row.hosts.length} hosts were maintained`
-        : `ended without ${missed.join(', ')}: gone`;
+        : `ended without ${unmaintained.join(', ')}: gone`;
     writeWave(draft, waveId, { ...row, phase: 'done', reason });
     return;
   }
-  holdSilent(draft, row, waveId);
-  drainNext(draft, viewOf(draft, waveId, row));
+  withholdUnseenHosts(draft, row, waveId);
+  drainNext(draft, createWaveView(draft, waveId, row));
 };
 
 /**
- * Plans the next hosts of each running wave.
+ * Drains the next hosts of each running wave, and pauses or ends waves.
  *
  * @param draft - The working copy, changed in place.
  */
@@ -218,10 +234,10 @@
 };
 
 /**
- * Sums up a wave for an operator.
+ * Summarizes the progress of a wave for an operator.
  *
  * @param hosts - The rows of the wave's hosts.
- * @returns Counts by phase.
+ * @returns The number of hosts by phase.
  */
 export const waveProgress = (hosts: readonly HostRow[]): Record<string, number> =>
   countBy(hosts, ({ phase }) => phase);
--- a/packages/core/src/control/world.ts
+++ b/packages/core/src/control/world.ts
@@ -1,4 +1,4 @@
-/** What the holder of a pool's control lease knows when it takes a turn. */
+/** The snapshot of a pool from which the holder of its control lease plans a turn. */
 import type { Configuration } from '../configuration/configuration.js';
 import { correctedSize } from '../placement/corrected-size.js';
 import {
@@ -11,50 +11,56 @@
 import { findDeclaration } from '../configuration/configuration.js';
 import type { HostId, JobId, PoolName, ServiceName, WaveId } from '../shared/ids.js';
 
-/** What the platform's lagging list says of a host. */
+/** The state of a host by the platform's list of hosts, which lags. */
 export type HostSighting = {
   readonly state: 'live' | 'leaving' | 'gone';
-  /** How often the host has booted. */
+  /** The number of times that the host has booted. */
   readonly boots: number;
-  /** Since when it has been in this state, by the clock of the watcher. */
+  /** Since when the host has been in this state, by the lease holder's monotonic clock. */
   readonly sinceMs: number;
 };
 
-/** How a wave chooses its next hosts. */
+/**
+ * How a wave chooses its next hosts: a growing number of hosts with the least used first, one host at
+ * a time, or all hosts of one rack after another.
+ */
 export type WaveStrategy = 'growing' | 'one-host' | 'rack';
 
-/** All that a control turn of one pool depends on. */
+/** The input of a control turn of one pool. */
 export type PoolWorld = {
   readonly pool: PoolName;
   readonly configuration: Configuration;
-  /** The fence row of the lease: each write of the turn depends on its version. */
+  /** The fence row of the control lease; every write of the turn checks its version. */
   readonly fence: { readonly key: string; readonly version: number };
-  /** Larger than any epoch that was handed out before under this lease. */
+  /** The next placement epoch; larger than every epoch assigned before under this lease. */
   readonly nextEpoch: number;
+  /** The declared hosts. */
   readonly specs: ReadonlyMap<HostId, HostSpec>;
   readonly hosts: ReadonlyMap<HostId, Versioned<HostRow>>;
   readonly placements: ReadonlyMap<JobId, Versioned<PlacementRow>>;
   readonly jobs: ReadonlyMap<JobId, Versioned<JobRow>>;
   readonly waves: ReadonlyMap<WaveId, Versioned<WaveRow>>;
+  /** The last state of each host by the platform's list; a host that it never listed has none. */
   readonly sightings: ReadonlyMap<HostId, HostSighting>;
-  /** Since when each host's row has been as it is, by the clock of the watcher. */
+  /** Since when each host's row has had its present version, by the lease holder's monotonic clock. */
   readonly hostSinceMs: ReadonlyMap<HostId, number>;
-  /** Since when each placement's row has been as it is, by the clock of the watcher. */
+  /** Since when each placement's row has had its present version, by the same clock. */
   readonly placementSinceMs: ReadonlyMap<JobId, number>;
-  /** How waves choose their hosts; others than the usual one serve as baselines. */
+  /** How waves choose their hosts. Strategies other than 'growing' serve as baselines. */
   readonly waveStrategy: WaveStrategy;
-  /** Cores that tasks were measured to use; the reports lag. */
+  /** The measured number of cores that each task uses; the reports lag. */
   readonly usedCores: ReadonlyMap<JobId, number>;
-  /** When a job may be tried again, by the clock of the watcher. */
+  /** The earliest time at which a job may be retried, by the same clock. */
   readonly retryAtMs: ReadonlyMap<JobId, number>;
 };
 
 /**
- * Gives what a placed job takes: its declared size, corrected by its measured use.
+ * Computes the resources that a placed job counts with: its declared size, corrected by its measured
+ * use.
  *
- * @param world - The world.
+ * @param world - The snapshot.
  * @param placement - The placement.
- * @returns The size to count with.
+ * @returns The resources to count with.
  */
 export const sizeOfPlacement = (
   world: Pick<PoolWorld, 'configuration' | 'jobs' | 'usedCores'>,
@@ -70,10 +76,10 @@
   return correctedSize(declared, world.usedCores.get(jobId), service !== null);
 };
 
-type Load = { used: Resources; readonly executors: Map<ServiceName, number> };
+type HostLoad = { used: Resources; readonly executors: Map<ServiceName, number> };
 
-const loadByHost = (world: PoolWorld): Map<HostId, Load> => {
-  const loads = new Map<HostId, Load>();
+const computeLoadByHost = (world: PoolWorld): Map<HostId, HostLoad> => {
+  const loads = new Map<HostId, HostLoad>();
   world.placements.forEach(({ value: placement }) => {
     const load = loads.get(placement.hostId) ?? { used: noResources, executors: new Map() };
     load.used = addResources(load.used, sizeOfPlacement(world, placement));
@@ -85,23 +91,25 @@
 };
 
 /**
- * Tells whether a host is there: the platform's list may lag, so no word counts as live.
+ * Tells whether a host counts as live. The platform's list may lag, so a host that it does not
+ * mention counts as live.
  *
- * @param world - The world.
+ * @param world - The snapshot.
  * @param hostId - The host.
- * @returns False if the list says that the host is gone.
+ * @returns False if the platform's list says that the host is gone.
  */
 export const isLive = (world: Pick<PoolWorld, 'sightings'>, hostId: HostId): boolean =>
   world.sightings.get(hostId)?.state !== 'gone';
 
 /**
- * Lists the hosts that have a row, with what stands on them.
+ * Lists the hosts that have a row and are declared, with the resources and executors placed on them.
  *
- * @param world - The world.
- * @returns The hosts of all pools, so that a refusal can say how many are in another pool.
+ * @param world - The snapshot.
+ * @returns The hosts of all pools, so that the reason of a refusal can say how many hosts are in
+ *   another pool.
  */
 export const placementHosts = (world: PoolWorld): readonly PlacementHost[] => {
-  const loads = loadByHost(world);
+  const loads = computeLoadByHost(world);
   return Array.from(world.hosts).flatMap(([hostId, { value: row }]) => {
     const spec = world.specs.get(hostId);
     if (!spec) return [];
