--- a/packages/core/src/routing/choose-endpoint.ts
+++ b/packages/core/src/routing/choose-endpoint.ts
@@ -1,33 +1,43 @@
-/** The choice of an endpoint: the less loaded of two drawn at random. */
+/**
+ * Chooses an endpoint by the power of two choices: draws two usable endpoints at random and takes
+ * the one with the shorter expected response time.
+ */
 import { pick, type Rng } from '../shared/rng.js';
 import type { EndpointId } from '../shared/ids.js';
 import { failureShareNow, isEjected, type Endpoint } from './endpoint.js';
 
 export type ChooseEndpointOptions = {
-  /** Endpoints that this request has already been tried at. */
+  /**
+   * Endpoints that must not be chosen, such as those that this request has already been sent to.
+   */
   readonly exclude?: readonly EndpointId[];
 };
 
-/** An endpoint that always fails counts as so many times slower than one that never does. */
+/**
+ * Weight of the failure share in the expected response time: an endpoint that always fails is
+ * ranked as if it took 1 + FAILURE_WEIGHT times as long as one that never fails.
+ */
 const FAILURE_WEIGHT = 20;
 
 /**
- * Expected time to get a good answer: the queue that would stand there, times the usual time. A
- * fast failure must not look like a fast answer.
+ * Returns the expected time to a successful response, in milliseconds: the queue length per slot
+ * including this request, times the smoothed response time, times a penalty for failures. Without
+ * the penalty, an endpoint that fails fast would be preferred as if it answered fast.
  */
-const expectedMs = (endpoint: Endpoint, nowMs: number): number => {
+const expectedResponseMs = (endpoint: Endpoint, nowMs: number): number => {
   const { inFlight, slotShare, smoothedMs } = endpoint;
   const penalty = 1 + FAILURE_WEIGHT * failureShareNow(endpoint, nowMs);
   return ((inFlight + 1) / slotShare) * smoothedMs * penalty;
 };
 
 /**
- * Lists the endpoints that may take a request now.
+ * Lists the endpoints that can take a request now.
  *
  * @param endpoints - All endpoints of the service.
- * @param nowMs - The time.
- * @param options - Endpoints to leave out.
- * @returns Those that are neither leaving nor ejected and have a slot free.
+ * @param nowMs - The current time, in milliseconds.
+ * @param options - Endpoints to exclude.
+ * @returns The endpoints that are not excluded, leaving or ejected, whose slot share has not
+ * expired and which have a free slot.
  */
 export const usableEndpoints = (
   endpoints: readonly Endpoint[],
@@ -35,22 +45,22 @@
   { exclude = [] }: ChooseEndpointOptions = {},
 ): readonly Endpoint[] =>
   endpoints.filter(
-    (one) =>
-      !one.isLeaving &&
-      one.inFlight < one.slotShare &&
-      nowMs < one.shareUntilMs &&
-      !isEjected(one, nowMs) &&
-      !exclude.includes(one.endpointId),
+    (endpoint) =>
+      !endpoint.isLeaving &&
+      endpoint.inFlight < endpoint.slotShare &&
+      nowMs < endpoint.shareUntilMs &&
+      !isEjected(endpoint, nowMs) &&
+      !exclude.includes(endpoint.endpointId),
   );
 
 /**
  * Chooses an endpoint for one attempt.
  *
  * @param endpoints - All endpoints of the service.
- * @param nowMs - The time.
+ * @param nowMs - The current time, in milliseconds.
  * @param rng - The source of random numbers.
- * @param options - Endpoints to leave out.
- * @returns The endpoint, or undefined if none has a slot free.
+ * @param options - Endpoints to exclude.
+ * @returns The endpoint, or undefined if no endpoint is usable.
  */
 export const chooseEndpoint = (
   endpoints: readonly Endpoint[],
@@ -62,5 +72,5 @@
   if (usable.length < 2) return usable[0];
   const first = pick(usable, rng) as Endpoint;
   const second = pick(usable, rng) as Endpoint;
-  return expectedMs(second, nowMs) < expectedMs(first, nowMs) ? second : first;
+  return expectedResponseMs(second, nowMs) < expectedResponseMs(first, nowMs) ? second : first;
 };
--- a/packages/core/src/routing/endpoint.ts
+++ b/packages/core/src/routing/endpoint.ts
@@ -1,32 +1,41 @@
 /**
- * Endpoints as one entry sees them: load, health and ejection. The records change in place, since
- * each request touches them; all functions take the time as an argument.
+ * Load, health and ejection of endpoints, as observed by one entry. The records are changed in
+ * place, because each request updates them. All functions take the time as an argument.
  */
 import { change } from '../shared/change.js';
 import type { EndpointId, HostId, ServiceName } from '../shared/ids.js';
 
-/** One executor of a service, with what this entry has seen of it. */
+/** One executor of a service, with the load and health that this entry has observed. */
 export type Endpoint = {
   readonly endpointId: EndpointId;
   readonly service: ServiceName;
   readonly hostId: HostId;
   /** Base address, for example `http://127.0.0.1:4000`. */
   readonly address: string;
-  /** How many requests this entry may have at the endpoint at one time. */
+  /** The number of requests that this entry may have in flight at the endpoint at one time. */
   slotShare: number;
-  /** Until when the share may be relied on; an entry that was frozen finds it run out. */
+  /**
+   * The time at which `slotShare` expires, in milliseconds. An entry whose process was
+   * suspended finds its share expired and stops using it.
+   */
   shareUntilMs: number;
+  /** Whether the endpoint is shutting down and takes no new requests. */
   isLeaving: boolean;
   inFlight: number;
-  /** Smoothed time of a good answer, in milliseconds. */
+  /** Smoothed response time in milliseconds; a failed attempt can only raise it. */
   smoothedMs: number;
-  /** Smoothed share of attempts that failed, from 0 to 1, as of its last outcome. */
+  /** Smoothed share of attempts that failed, from 0 to 1, as of `lastOutcomeMs`. */
   failureShare: number;
+  /** When the last attempt ended, in milliseconds. */
   lastOutcomeMs: number;
+  /** The end of the current or last ejection, in milliseconds. */
   ejectedUntilMs: number;
-  /** When it last answered, or got its first request after being idle. */
+  /** When an attempt last ended, or when the first request after an idle period was sent. */
   lastProgressMs: number;
-  /** How often it was ejected in a row; the ejection grows with it. */
+  /**
+   * Consecutive ejections because of failures. The ejection time doubles with each; the count is
+   * reset once the failure share has fallen far enough.
+   */
   ejections: number;
 };
 
@@ -39,12 +48,13 @@
   readonly shareUntilMs?: number;
 };
 
-const FIRST_GUESS_MS = 20;
+/** Assumed response time of an endpoint that has not answered yet. */
+const INITIAL_RESPONSE_MS = 20;
 
 /**
- * Builds the record of an endpoint that has not been used yet.
+ * Creates the record of an endpoint that has not been used yet.
  *
- * @param options - Its identity, address and slots.
+ * @param options - The identity and address of the endpoint, and this entry's share of its slots.
  * @returns The record.
  */
 export const createEndpoint = ({
@@ -63,7 +73,7 @@
   shareUntilMs,
   isLeaving: false,
   inFlight: 0,
-  smoothedMs: FIRST_GUESS_MS,
+  smoothedMs: INITIAL_RESPONSE_MS,
   failureShare: 0,
   lastOutcomeMs: 0,
   ejectedUntilMs: 0,
@@ -74,29 +84,38 @@
 /** How one attempt at an endpoint ended. */
 export type AttemptOutcome = 'answered' | 'failed' | 'refused';
 
-const SMOOTHING = 0.2;
+/** Weight of the newest sample in the smoothed response time. */
+const RESPONSE_SMOOTHING = 0.2;
+/** Weight of the newest outcome in the failure share. */
 const FAILURE_SMOOTHING = 0.3;
-/** An endpoint is ejected when its failure share is above this and above that of its peers. */
-const EJECT_ABOVE = 0.5;
-const EJECT_OVER_PEERS = 0.3;
+/**
+ * An endpoint is ejected when its failure share reaches EJECTION_THRESHOLD and exceeds the average
+ * failure share of its peers by EJECTION_MARGIN.
+ */
+const EJECTION_THRESHOLD = 0.5;
+const EJECTION_MARGIN = 0.3;
 const FIRST_EJECTION_MS = 2000;
-const LONGEST_EJECTION_MS = 30_000;
-/** No more than this share of a service's endpoints is ejected at a time. */
+const MAX_EJECTION_MS = 30_000;
+/** The largest share of a service's endpoints that may be ejected at the same time. */
 export const MOST_EJECTED_SHARE = 0.5;
 
-/** Old failures count for less and less: this is the time after which they count half. */
+/** The half-life of the failure share: a failure that is this old counts half. */
 const FAILURE_HALF_LIFE_MS = 2000;
 
 /**
- * Gives the share of attempts that failed, with old failures counting for less.
+ * Returns the share of attempts that failed, decayed by the time since the last outcome.
  *
  * @param endpoint - The endpoint.
- * @param nowMs - The time.
+ * @param nowMs - The current time, in milliseconds.
  * @returns The share, from 0 to 1.
  */
 export const failureShareNow = (endpoint: Endpoint, nowMs: number): number =>
   endpoint.failureShare * 0.5 ** ((nowMs - endpoint.lastOutcomeMs) / FAILURE_HALF_LIFE_MS);
 
+/**
+ * Returns the average failure share of the other endpoints. For an endpoint without peers this is
+ * 1, so that the only endpoint of a service is never ejected because of failures.
+ */
 const peerFailureShare = (
   endpoint: Endpoint,
   peers: readonly Endpoint[],
@@ -109,23 +128,24 @@
 };
 
 /**
- * Tells whether an endpoint is ejected.
+ * Checks whether an endpoint is ejected.
  *
  * @param endpoint - The endpoint.
- * @param nowMs - The time.
- * @returns True while no request is sent to it.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns True while no request is sent to it because of an ejection.
  */
 export const isEjected = (endpoint: Endpoint, nowMs: number): boolean =>
   nowMs < endpoint.ejectedUntilMs;
 
-const LEAST_STALL_MS = 500;
+/** An endpoint is stalled after max(MIN_STALL_MS, STALL_FACTOR times the typical time). */
+const MIN_STALL_MS = 500;
 const STALL_FACTOR = 10;
 
 /**
- * Notes that a request goes to the endpoint.
+ * Records that a request is sent to the endpoint.
  *
  * @param endpoint - The endpoint, changed in place.
- * @param nowMs - The time.
+ * @param nowMs - The current time, in milliseconds.
  */
 export const noteSent = (endpoint: Endpoint, nowMs: number): void => {
   const lastProgressMs = endpoint.inFlight === 0 ? nowMs : endpoint.lastProgressMs;
@@ -133,68 +153,76 @@
 };
 
 /**
- * Tells whether an endpoint has requests under way and has answered none for far longer than usual.
+ * Checks whether an endpoint has requests in flight and has ended none of them for much longer than
+ * the typical time.
  *
  * @param endpoint - The endpoint.
- * @param usualMs - The usual time of a request of the service.
- * @param nowMs - The time.
- * @returns True if it is likely to be frozen or cut off.
+ * @param typicalMs - The typical response time of the service, in milliseconds.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns True if it is probably suspended or unreachable.
  */
-export const isStalled = (endpoint: Endpoint, usualMs: number, nowMs: number): boolean =>
+export const isStalled = (endpoint: Endpoint, typicalMs: number, nowMs: number): boolean =>
   endpoint.inFlight > 0 &&
-  nowMs - endpoint.lastProgressMs > Math.max(LEAST_STALL_MS, usualMs * STALL_FACTOR);
+  nowMs - endpoint.lastProgressMs > Math.max(MIN_STALL_MS, typicalMs * STALL_FACTOR);
 
 /**
- * Ejects endpoints that are stalled, but never more than the allowed share.
+ * Ejects stalled endpoints, up to the largest share that may be ejected at the same time.
  *
  * @param endpoints - All endpoints of the service.
- * @param usualMs - The usual time of a request.
- * @param nowMs - The time.
+ * @param typicalMs - The typical response time of the service, in milliseconds.
+ * @param nowMs - The current time, in milliseconds.
  */
 export const ejectStalled = (
   endpoints: readonly Endpoint[],
-  usualMs: number,
+  typicalMs: number,
   nowMs: number,
 ): void => {
   endpoints.forEach((endpoint) => {
-    if (isEjected(endpoint, nowMs) || !isStalled(endpoint, usualMs, nowMs)) return;
-    if (!mayEjectOneMore(endpoints, nowMs)) return;
+    if (isEjected(endpoint, nowMs) || !isStalled(endpoint, typicalMs, nowMs)) return;
+    if (!canEjectOneMore(endpoints, nowMs)) return;
     change(endpoint, { ejectedUntilMs: nowMs + FIRST_EJECTION_MS });
   });
 };
 
-const mayEjectOneMore = (peers: readonly Endpoint[], nowMs: number): boolean => {
+/** Checks whether one more ejection stays within MOST_EJECTED_SHARE. */
+const canEjectOneMore = (peers: readonly Endpoint[], nowMs: number): boolean => {
   const ejected = peers.filter((peer) => isEjected(peer, nowMs)).length;
   return ejected + 1 <= peers.length * MOST_EJECTED_SHARE;
 };
 
-const ejectIfWorse = (endpoint: Endpoint, peers: readonly Endpoint[], nowMs: number): void => {
+/** Ejects an endpoint that fails often and clearly more often than its peers. */
+const ejectIfWorseThanPeers = (
+  endpoint: Endpoint,
+  peers: readonly Endpoint[],
+  nowMs: number,
+): void => {
   const { failureShare, ejections } = endpoint;
-  if (failureShare < EJECT_ABOVE || isEjected(endpoint, nowMs)) return;
-  if (failureShare < peerFailureShare(endpoint, peers, nowMs) + EJECT_OVER_PEERS) return;
-  if (!mayEjectOneMore(peers, nowMs)) return;
-  const durationMs = Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** ejections);
+  if (failureShare < EJECTION_THRESHOLD || isEjected(endpoint, nowMs)) return;
+  if (failureShare < peerFailureShare(endpoint, peers, nowMs) + EJECTION_MARGIN) return;
+  if (!canEjectOneMore(peers, nowMs)) return;
+  const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** ejections);
   change(endpoint, {
-    ejectedUntilMs: nowMs + durationMs,
+    ejectedUntilMs: nowMs + ejectionMs,
     ejections: ejections + 1,
-    // It comes back on probation: one more failure ejects it again, one success clears it.
-    failureShare: EJECT_ABOVE,
+    // Puts the endpoint on probation: the share starts at the threshold, so that one more failure
+    // can eject the endpoint again, while one success takes the share below the threshold.
+    failureShare: EJECTION_THRESHOLD,
   });
 };
 
 /**
- * Notes the outcome of an attempt and ejects the endpoint if it fails more than its peers.
+ * Records the outcome of an attempt and ejects the endpoint if it fails more than its peers.
  *
  * @param endpoint - The endpoint, changed in place.
  * @param outcome - How the attempt ended.
- * @param tookMs - How long it took.
+ * @param durationMs - How long it took, in milliseconds.
  * @param peers - All endpoints of the service, the endpoint among them.
- * @param nowMs - The time.
+ * @param nowMs - The current time, in milliseconds.
  */
 export const noteOutcome = (
   endpoint: Endpoint,
   outcome: AttemptOutcome,
-  tookMs: number,
+  durationMs: number,
   peers: readonly Endpoint[],
   nowMs: number,
 ): void => {
@@ -204,17 +232,17 @@
   if (outcome === 'answered') {
     const failureShare = shareBefore * (1 - FAILURE_SMOOTHING);
     change(endpoint, {
-      smoothedMs: smoothedMs + SMOOTHING * (tookMs - smoothedMs),
+      smoothedMs: smoothedMs + RESPONSE_SMOOTHING * (durationMs - smoothedMs),
       failureShare,
-      ejections: failureShare < EJECT_ABOVE / 2 ? 0 : ejections,
+      ejections: failureShare < EJECTION_THRESHOLD / 2 ? 0 : ejections,
     });
     return;
   }
   if (outcome === 'failed') {
     change(endpoint, {
       failureShare: shareBefore + FAILURE_SMOOTHING * (1 - shareBefore),
-      smoothedMs: Math.max(smoothedMs, tookMs),
+      smoothedMs: Math.max(smoothedMs, durationMs),
     });
-    ejectIfWorse(endpoint, peers, nowMs);
+    ejectIfWorseThanPeers(endpoint, peers, nowMs);
   }
 };
