--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Membership of the entries: a hint, never a ground for safety. Each entry watches the few peers
- * that it has links to; only changes travel further. A suspect that is alive refutes the suspicion
- * with a higher incarnation.
+ * Gossip membership of the entries. The result is a hint: no safety property may depend on it. Each
+ * entry monitors only the few peers that it has links to, and only changes are gossiped further. An
+ * entry that is suspected while it is alive refutes the suspicion with a higher incarnation.
  */
 import { pipe } from 'fp-ts/lib/function.js';
 import * as Ord from 'fp-ts/lib/Ord.js';
@@ -11,14 +11,14 @@
 import type { DataCentreId, EntryId } from '../shared/ids.js';
 import { hash32, rendezvousOrder } from '../shared/hash.js';
 
-/** How a member is doing, as far as is known. */
+/** The state of a member, as far as this entry knows. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
 
-/** What the entries know of one another. */
+/** The record of one entry that is gossiped to the others. */
 export type Member = {
   readonly entryId: EntryId;
   readonly dataCentre: DataCentreId;
-  /** Raised by the member alone, at each start and at each refutation. */
+  /** Raised only by the member itself, at each start and at each refutation. */
   readonly incarnation: number;
   readonly status: MemberStatus;
   readonly meshUrl: string;
@@ -26,35 +26,37 @@
   readonly operatorsUrl: string;
 };
 
-type Known = { readonly member: Member; readonly sinceMs: number };
+/** A record with the time at which it was stored, in milliseconds. */
+type KnownMember = { readonly member: Member; readonly sinceMs: number };
 
-/** The state of membership at one entry. */
+/** The membership as one entry knows it. */
 export type Membership = {
   readonly self: EntryId;
-  readonly members: ReadonlyMap<EntryId, Known>;
+  readonly members: ReadonlyMap<EntryId, KnownMember>;
 };
 
-/** A new state, with the news that is to be passed on. */
+/** A new state, with the changed records that are to be gossiped to other entries. */
 export type MembershipStep = { readonly state: Membership; readonly news: readonly Member[] };
 
-/** A suspect that has not refuted within this time is taken for dead. */
+/** A suspect that has not refuted the suspicion within this time is considered dead. */
 export const SUSPECT_MS = 3000;
-/** The dead and those that left are forgotten after this time. */
+/** The records of dead members and of members that left are removed after this time. */
 export const FORGET_MS = 120_000;
-/** A data centre with no more members than this is fully linked. */
-const FULLY_LINKED_MEMBERS = 8;
-/** Links to members of the own data centre where it is larger. */
+/** In a data centre with at most this many live members, each member links to all others. */
+const MAX_FULLY_LINKED_MEMBERS = 8;
+/** The number of links of an entry within its data centre if that has more members. */
 const LOCAL_LINKS = 4;
-/** Entries of each data centre that hold links to each other data centre. */
-const GATEWAYS = 2;
+/** The number of entries of each data centre that hold links to each other data centre. */
+const GATEWAYS_PER_DATA_CENTRE = 2;
 
-const rank: Record<MemberStatus, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
+/** Of two records with the same incarnation, the one with the higher rank wins. */
+const statusRank: Record<MemberStatus, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
 /**
- * Builds the state of an entry that knows only itself.
+ * Creates the state of an entry that knows only itself.
  *
  * @param self - The entry's own record.
- * @param nowMs - The time.
+ * @param nowMs - The current time, in milliseconds.
  * @returns The state.
  */
 export const createMembership = (self: Member, nowMs: number): Membership => ({
@@ -62,14 +64,19 @@
   members: new Map([[self.entryId, { member: self, sinceMs: nowMs }]]),
 });
 
-const isNews = (known: Known | undefined, update: Member): boolean => {
+/** Checks whether an update replaces the known record of the member. */
+const supersedes = (known: KnownMember | undefined, update: Member): boolean => {
   if (!known) return true;
   if (update.incarnation !== known.member.incarnation) {
     return update.incarnation > known.member.incarnation;
   }
-  return rank[update.status] > rank[known.member.status];
+  return statusRank[update.status] > statusRank[known.member.status];
 };
 
+/**
+ * Replaces an update about this entry itself by its own record, with an incarnation above that of
+ * the update if the update says that this entry is not alive. An entry that left refutes nothing.
+ */
 const refuteIfSelf = (state: Membership, update: Member): Member => {
   const own = state.members.get(state.self)?.member;
   if (update.entryId !== state.self || !own || own.status === 'left') return update;
@@ -78,12 +85,12 @@
 };
 
 /**
- * Takes in what a peer says of members.
+ * Merges the records that a peer sent.
  *
- * @param state - What was known.
- * @param updates - The records, in any order and any age.
- * @param nowMs - The time.
- * @returns What is known now, and what of it is news for others.
+ * @param state - The previous state.
+ * @param updates - The records, in any order and of any age.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns The new state, and the records that changed and are to be gossiped further.
  */
 export const takeGossip = (
   state: Membership,
@@ -91,9 +98,9 @@
   nowMs: number,
 ): MembershipStep => {
   const news = updates
-    .filter((update) => isNews(state.members.get(update.entryId), update))
+    .filter((update) => supersedes(state.members.get(update.entryId), update))
     .map((update) => refuteIfSelf(state, update))
-    .filter((update) => isNews(state.members.get(update.entryId), update));
+    .filter((update) => supersedes(state.members.get(update.entryId), update));
   if (news.length === 0) return { state, news };
   const members = new Map(state.members);
   news.forEach((member) => members.set(member.entryId, { member, sinceMs: nowMs }));
@@ -101,12 +108,12 @@
 };
 
 /**
- * Notes that a linked peer has been silent for too long.
+ * Records that a linked peer has been silent for too long.
  *
- * @param state - What was known.
+ * @param state - The previous state.
  * @param peer - The peer.
- * @param nowMs - The time.
- * @returns The state in which the peer is suspect.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns The state in which the peer is a suspect, if it was considered alive before.
  */
 export const noteSilent = (state: Membership, peer: EntryId, nowMs: number): MembershipStep => {
   const known = state.members.get(peer)?.member;
@@ -115,11 +122,11 @@
 };
 
 /**
- * Notes that the entry itself leaves. Nobody refutes this.
+ * Records that the entry itself leaves. This is never refuted.
  *
- * @param state - What was known.
- * @param nowMs - The time.
- * @returns The state in which the entry has left, as news.
+ * @param state - The previous state.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns The state in which the entry has left, and its record, to be gossiped.
  */
 export const leaveMembership = (state: Membership, nowMs: number): MembershipStep => {
   const own = state.members.get(state.self)?.member;
@@ -130,11 +137,12 @@
 };
 
 /**
- * Moves on what depends on time: suspects die, the dead are forgotten.
+ * Applies the timeouts: overdue suspects become dead, and old records of dead members and of
+ * members that left are removed.
  *
- * @param state - What was known.
- * @param nowMs - The time.
- * @returns What is known now, and the news.
+ * @param state - The previous state.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns The new state, and the records that changed.
  */
 export const tickMembership = (state: Membership, nowMs: number): MembershipStep => {
   const overdue = Array.from(state.members.values()).filter(
@@ -146,7 +154,8 @@
     nowMs,
   );
   const kept = Array.from(step.state.members).filter(
-    ([, { member, sinceMs }]) => rank[member.status] < rank.dead || nowMs - sinceMs < FORGET_MS,
+    ([, { member, sinceMs }]) =>
+      statusRank[member.status] < statusRank.dead || nowMs - sinceMs < FORGET_MS,
   );
   if (kept.length === step.state.members.size) return step;
   return { ...step, state: { ...step.state, members: new Map(kept) } };
@@ -158,22 +167,22 @@
 );
 
 /**
- * Lists the members that are taken to be alive; a suspect still is.
+ * Lists the members that are considered alive, including suspects.
  *
- * @param state - What is known.
- * @returns The members, the entry itself among them, in the order of their ids.
+ * @param state - The membership.
+ * @returns The members, including the entry itself, in the order of their ids.
  */
 export const liveMembers = (state: Membership): readonly Member[] =>
   pipe(
     Array.from(state.members.values(), ({ member }) => member),
-    RA.filter(({ status }) => rank[status] < rank.dead),
+    RA.filter(({ status }) => statusRank[status] < statusRank.dead),
     RA.sort(byEntryId),
   );
 
 /**
- * Sums up who is taken to be alive, so that two entries can see whether they agree.
+ * Hashes the set of live members, so that two entries can check whether they agree on it.
  *
- * @param state - What is known.
+ * @param state - The membership.
  * @returns A hash of the live members and their incarnations.
  */
 export const membershipHash = (state: Membership): number =>
@@ -186,19 +195,25 @@
 const idsOf = (members: readonly Member[]): readonly EntryId[] =>
   members.map(({ entryId }) => entryId);
 
-/** The ring keeps a large data centre connected; the hashed links keep its diameter small. */
+/**
+ * Returns the peers of the own data centre to link to. In a large data centre the link to the
+ * successor forms a ring that keeps all members connected; the links chosen by hash keep the
+ * diameter small.
+ */
 const localLinks = (self: EntryId, locals: readonly Member[]): readonly EntryId[] => {
   const ids = idsOf(locals);
   const others = ids.filter((id) => id !== self);
-  if (others.length < FULLY_LINKED_MEMBERS) return others;
-  const place = ids.indexOf(self);
-  const successor = ids[(place + 1) % ids.length] as EntryId;
+  if (others.length < MAX_FULLY_LINKED_MEMBERS) return others;
+  const index = ids.indexOf(self);
+  const successor = ids[(index + 1) % ids.length] as EntryId;
   const hashed = rendezvousOrder(self, others).slice(0, LOCAL_LINKS - 1);
   return Array.from(new Set([successor, ...hashed]));
 };
 
+/** Returns a key for a pair of data centres that is the same on both sides. */
 const pairKey = (a: DataCentreId, b: DataCentreId): string => (a < b ? `${a}|${b}` : `${b}|${a}`);
 
+/** Returns the peers of other data centres that this entry links to, if it is a gateway to them. */
 const remoteLinks = (self: Member, live: readonly Member[]): readonly EntryId[] => {
   const centres = Array.from(new Set(live.map(({ dataCentre }) => dataCentre)));
   const membersIn = (centre: DataCentreId) =>
@@ -207,19 +222,23 @@
     .filter((centre) => centre !== self.dataCentre)
     .flatMap((centre) => {
       const key = pairKey(self.dataCentre, centre);
-      const own = rendezvousOrder(key, membersIn(self.dataCentre)).slice(0, GATEWAYS);
-      const place = own.indexOf(self.entryId);
-      if (place < 0) return [];
-      const theirs = rendezvousOrder(key, membersIn(centre)).slice(0, GATEWAYS);
-      return [theirs[place % theirs.length] as EntryId];
+      const own = rendezvousOrder(key, membersIn(self.dataCentre)).slice(
+        0,
+        GATEWAYS_PER_DATA_CENTRE,
+      );
+      const index = own.indexOf(self.entryId);
+      if (index < 0) return [];
+      const theirs = rendezvousOrder(key, membersIn(centre)).slice(0, GATEWAYS_PER_DATA_CENTRE);
+      return [theirs[index % theirs.length] as EntryId];
     });
 };
 
 /**
- * Decides which peers the entry keeps links to. All entries decide alike without talking.
+ * Chooses the peers that the entry keeps links to. The choice is deterministic: entries that know
+ * the same members make consistent choices without communicating.
  *
- * @param state - What is known.
- * @returns The peers to link to; peers may hold further links to this entry.
+ * @param state - The membership.
+ * @returns The peers to link to. Other peers may hold links to this entry.
  */
 export const wantedLinks = (state: Membership): readonly EntryId[] => {
   const self = state.members.get(state.self)?.member;
@@ -230,12 +249,13 @@
 };
 
 /**
- * Chooses who of the own data centre does a thing that one entry should do. It is a hint: two may
- * do it for a while, so the thing itself must bear that.
+ * Checks whether this entry is one of those of its data centre that should perform a duty. This is
+ * a hint: entries whose membership differs may choose different performers, so the duty must
+ * tolerate being performed by more entries than intended for a while.
  *
- * @param state - What is known.
+ * @param state - The membership.
  * @param duty - The name of the duty.
- * @param count - How many should do it.
+ * @param count - The number of entries that should perform it.
  * @returns True if this entry is one of them.
  */
 export const hasDuty = (state: Membership, duty: string, count: number): boolean => {
--- a/packages/core/src/membership/messages.ts
+++ b/packages/core/src/membership/messages.ts
@@ -3,38 +3,38 @@
 import type { ServiceName } from '../shared/ids.js';
 import type { Member } from './membership.js';
 
-/** The first message on a link: who speaks. */
+/** The first message on a link; it identifies the sender. */
 export type HelloMessage = { readonly type: 'hello'; readonly member: Member };
 
-/** Sent each second on each link: the sender is alive and at this revision. */
+/** Sent each second on each link: the sender is alive and has this configuration revision. */
 export type HeartbeatMessage = {
   readonly type: 'heartbeat';
   readonly revision: number;
-  /** Sums up whom the sender takes to be alive; where it differs, the whole list is sent. */
+  /** Hash of the sender's live members; a receiver with another hash sends its whole list. */
   readonly membersHash: number;
   /** The services that the sender has endpoints for. */
   readonly ready: readonly ServiceName[];
 };
 
-/** News of members. */
+/** Changed records of members. */
 export type GossipMessage = { readonly type: 'gossip'; readonly members: readonly Member[] };
 
-/** Accepted changes of configuration. */
+/** Accepted changes of the configuration. */
 export type DeltasMessage = {
   readonly type: 'deltas';
   readonly deltas: readonly ConfigurationDelta[];
 };
 
-/** Asks for what comes after a revision. */
+/** Requests the changes after the revision `have`. */
 export type CatchUpMessage = { readonly type: 'catch-up'; readonly have: number };
 
-/** A whole configuration, for one that is too far behind for deltas. */
+/** A whole configuration, for an entry that is too far behind to be sent deltas. */
 export type SnapshotMessage = {
   readonly type: 'snapshot';
   readonly snapshot: ConfigurationSnapshot;
 };
 
-/** A question to one entry. */
+/** A request to one entry. */
 export type AskMessage = {
   readonly type: 'ask';
   readonly askId: number;
@@ -42,7 +42,7 @@
   readonly payload: unknown;
 };
 
-/** The answer to a question. */
+/** The response to an `AskMessage` with the same `askId`. */
 export type AnswerMessage = {
   readonly type: 'answer';
   readonly askId: number;
