--- a/packages/core/src/leases/lease.ts
+++ b/packages/core/src/leases/lease.ts
@@ -1,44 +1,49 @@
 /**
- * Leases with fencing. No clocks are compared between hosts: the taker waits until it has itself
- * watched the row unchanged for the whole duration plus a margin, and the holder counts from
- * before it sent the renewal.
+ * Leases with fencing epochs. Clocks of different hosts are never compared: an entry takes a lease
+ * only after it has itself observed the row unchanged for the whole duration plus a margin, and the
+ * holder counts the duration from before it sent the renewal.
  */
 import type { EntryId } from '../shared/ids.js';
 
-/** The row of a lease. `renewals` changes at each renewal, so that watchers see that its holder runs. */
+/**
+ * The row of a lease. `renewals` grows at each renewal and shows watchers that the holder is alive.
+ */
 export type LeaseRow = {
   readonly holder: EntryId | null;
   readonly epoch: number;
   readonly renewals: number;
   readonly durationMs: number;
-  /** In a row that was given up: how long its holder had not acted on what must not be hurried. */
+  /**
+   * Only in a row whose holder released the lease: for how long the holder had not performed those
+   * actions that a new holder must delay after taking over, in milliseconds.
+   */
   readonly idleMs?: number;
   /**
-   * For how long after this row was written holders before this one may still act, by their own
-   * clocks. Left out for none.
+   * For how many milliseconds after this row was written earlier holders may still act, according
+   * to their own clocks. Omitted if no earlier holder may still act.
    */
   readonly earlierMs?: number;
 };
 
-/** What one entry knows of a lease. Times are of its own monotonic clock. */
+/** The state of a lease at one entry. Times are in milliseconds of its own monotonic clock. */
 export type LeaseState = {
   readonly self: EntryId;
   readonly durationMs: number;
   readonly marginMs: number;
   readonly renewAfterMs: number;
-  /** The row as last read, with its version in the table. */
+  /** The row as last read, with its version in the table; version -1 before the first read. */
   readonly seen: { readonly row: LeaseRow | null; readonly version: number };
-  /** When the row was first seen with this content. */
+  /** When the row was first observed with this version. */
   readonly unchangedSinceMs: number;
-  /** Until when this entry may act as the holder. */
+  /** The time until which this entry may act as the holder. */
   readonly heldUntilMs: number;
-  /** The epoch under which this process took the lease last; -1 before. */
+  /** The epoch under which this process last took the lease; -1 if it never did. */
   readonly ownEpoch: number;
-  /** Until when holders before may still act, by their own clocks. */
+  /** The time until which earlier holders may still act, according to their own clocks. */
   readonly earlierUntilMs: number;
 };
 
-/** What to do about a lease at this moment. */
+/** The next action on a lease. */
 export type LeaseStep =
   | { readonly kind: 'wait' }
   | { readonly kind: 'write'; readonly row: LeaseRow; readonly expectedVersion: number };
@@ -47,19 +52,19 @@
   readonly self: EntryId;
   readonly durationMs?: number;
   readonly marginMs?: number;
-  /** How long after a renewal the holder renews again; a third of the duration if left out. */
+  /** Time from one renewal to the next, in milliseconds; by default a third of the duration. */
   readonly renewAfterMs?: number;
 };
 
 const DEFAULT_DURATION_MS = 6000;
 const DEFAULT_MARGIN_MS = 1500;
-/** A holder renews after this share of the duration. */
+/** The default time between renewals, as a fraction of the duration. */
 const RENEW_FRACTION = 0.33;
 
 /**
- * Builds the state of an entry that has not read the row yet.
+ * Creates the state of an entry that has not read the row yet.
  *
- * @param options - Who asks, the duration, and the margin for drift of clocks, in milliseconds.
+ * @param options - The entry, the duration, and the margin for clock drift, in milliseconds.
  * @returns The state.
  */
 export const createLeaseState = ({
@@ -80,12 +85,12 @@
 });
 
 /**
- * Takes in a reading of the row.
+ * Updates the state with a reading of the row.
  *
- * @param state - What was known.
+ * @param state - The previous state.
  * @param reading - The row and its version; version 0 means that there is no row.
- * @param nowMs - The monotonic time at which the reading came in.
- * @returns What is known now.
+ * @param nowMs - The monotonic time at which the reading arrived, in milliseconds.
+ * @returns The new state.
  */
 export const observeLease = (
   state: LeaseState,
@@ -93,25 +98,30 @@
   nowMs: number,
 ): LeaseState => {
   if (reading.version === state.seen.version) return state;
-  const lost = reading.row?.holder !== state.self;
+  const isNotHolder = reading.row?.holder !== state.self;
   return {
     ...state,
     seen: reading,
     unchangedSinceMs: nowMs,
-    heldUntilMs: lost ? -Infinity : state.heldUntilMs,
+    heldUntilMs: isNotHolder ? -Infinity : state.heldUntilMs,
   };
 };
 
 /**
- * Tells whether the entry may act as the holder.
+ * Checks whether the entry may act as the holder.
  *
- * @param state - What is known.
- * @param nowMs - The monotonic time.
- * @returns True while the lease surely has not been taken by another.
+ * @param state - The state.
+ * @param nowMs - The monotonic time, in milliseconds.
+ * @returns True while no other entry can have taken the lease by waiting out its full duration.
  */
 export const holdsLease = (state: LeaseState, nowMs: number): boolean => nowMs < state.heldUntilMs;
 
-const isFree = (state: LeaseState, nowMs: number, freeAfterMs: number | undefined): boolean => {
+/** Checks whether the lease has no holder or its holder has not renewed it for long enough. */
+const isFreeToTake = (
+  state: LeaseState,
+  nowMs: number,
+  freeAfterMs: number | undefined,
+): boolean => {
   const { row } = state.seen;
   if (!row || row.holder === null) return true;
   const neededMs = freeAfterMs ?? row.durationMs + state.marginMs;
@@ -119,21 +129,23 @@
 };
 
 /**
- * For how long holders before may still act if the lease is taken now. All of them count, not only the
- * last: one that was cut off may outlive two that took the lease early and gave it up or died.
+ * Returns for how many milliseconds earlier holders may still act if the lease is taken now. All
+ * earlier holders count, not only the last one: a holder that was cut off may still be active after
+ * two later holders took the lease early and released it or crashed.
  */
-const earlierForMs = (
+const earlierRemainingMs = (
   { seen: { row }, self, marginMs, unchangedSinceMs }: LeaseState,
   nowMs: number,
 ): number => {
   if (!row) return 0;
-  const isOver = row.holder === null || row.holder === self;
-  const lastMs = isOver ? 0 : row.durationMs + marginMs;
-  const watchedMs = nowMs - unchangedSinceMs;
-  return Math.max(lastMs, row.earlierMs ?? 0) - watchedMs;
+  const hasHolderStopped = row.holder === null || row.holder === self;
+  const holderRemainingMs = hasHolderStopped ? 0 : row.durationMs + marginMs;
+  const unchangedMs = nowMs - unchangedSinceMs;
+  return Math.max(holderRemainingMs, row.earlierMs ?? 0) - unchangedMs;
 };
 
-const withEarlier = (
+/** Returns the row with `earlierMs` set, or without it if no earlier holder may still act. */
+const withEarlierMs = (
   { holder, epoch, renewals, durationMs }: LeaseRow,
   earlierMs: number,
 ): LeaseRow => ({
@@ -147,11 +159,12 @@
 /**
  * Decides whether to take or renew the lease now.
  *
- * @param state - What is known; the row must have been read.
- * @param nowMs - The monotonic time.
- * @param freeAfterMs - Without a change for so long the lease is free; its duration and the margin
- * if left out. A shorter time is only for owners whose orders are fenced: the holder may still act.
- * @returns A write with the version that it depends on, or a wait.
+ * @param state - The state; without a reading of the row the result is a wait.
+ * @param nowMs - The monotonic time, in milliseconds.
+ * @param freeAfterMs - The lease is free once its row has not changed for this time; by default the
+ * duration plus the margin. A shorter time is safe only for a lease whose holder's orders are
+ * fenced, because the previous holder may still act.
+ * @returns A write with the row version that it depends on, or a wait.
  */
 export const nextLeaseStep = (
   state: LeaseState,
@@ -161,27 +174,28 @@
   const { row, version } = state.seen;
   if (version < 0) return { kind: 'wait' };
   const { durationMs, renewAfterMs, self, earlierUntilMs } = state;
-  // The epoch is this process's own: nobody has held the lease since, however long ago it lapsed.
+  // This process took the current epoch, so no other entry has held the lease since, however long
+  // ago it expired: it can be renewed.
   if (row && row.holder === self && row.epoch === state.ownEpoch) {
     if (state.heldUntilMs - nowMs > durationMs - renewAfterMs) return { kind: 'wait' };
-    const renewed = { ...row, durationMs, renewals: row.renewals + 1 };
-    const renewal = withEarlier(renewed, earlierUntilMs - nowMs);
+    const renewedRow = { ...row, durationMs, renewals: row.renewals + 1 };
+    const renewal = withEarlierMs(renewedRow, earlierUntilMs - nowMs);
     return { kind: 'write', row: renewal, expectedVersion: version };
   }
-  if (row?.holder !== self && !isFree(state, nowMs, freeAfterMs)) return { kind: 'wait' };
-  // A process that was started anew takes a new epoch: writes of its last life must not pass.
-  const taken = { holder: self, epoch: (row?.epoch ?? 0) + 1, renewals: 0, durationMs };
-  const taking = withEarlier(taken, earlierForMs(state, nowMs));
-  return { kind: 'write', row: taking, expectedVersion: version };
+  if (row?.holder !== self && !isFreeToTake(state, nowMs, freeAfterMs)) return { kind: 'wait' };
+  // A restarted process takes a new epoch, so that late writes of its previous run are fenced off.
+  const takenRow = { holder: self, epoch: (row?.epoch ?? 0) + 1, renewals: 0, durationMs };
+  const takeover = withEarlierMs(takenRow, earlierRemainingMs(state, nowMs));
+  return { kind: 'write', row: takeover, expectedVersion: version };
 };
 
 /**
- * Takes in that a write of this entry was committed.
+ * Updates the state after a write of this entry was committed.
  *
- * @param state - What was known.
- * @param written - The row and its new version.
- * @param sentAtMs - The monotonic time before the write was sent.
- * @returns The state of the holder.
+ * @param state - The previous state.
+ * @param written - The written row and its new version.
+ * @param sentAtMs - The monotonic time just before the write was sent, in milliseconds.
+ * @returns The state in which this entry holds the lease as of `sentAtMs`.
  */
 export const confirmLease = (
   state: LeaseState,
