--- a/packages/core/src/admission/admission-queue.ts
+++ b/packages/core/src/admission/admission-queue.ts
@@ -1,8 +1,9 @@
 /**
- * The queue in front of the endpoints of one service. Slots are shared freely while nobody waits.
- * Once somebody waits, a free slot goes to the caller that has the fewest requests in flight, and
- * a full queue turns away the heaviest caller first. So a heavy caller is throttled only while
- * another gets less than its share.
+ * The queue of requests to one service that wait for a slot. While no request waits, callers share
+ * the slots without limits. Once requests wait, a free slot goes to the caller with the fewest
+ * requests in flight, and a full queue displaces a request of the caller with the most requests in
+ * flight and waiting. A caller with many requests is thus throttled only while another one gets
+ * less than its share.
  */
 import type { CallerId } from '../shared/ids.js';
 
@@ -13,43 +14,47 @@
   readonly payload: Payload;
 };
 
-/** The state of a queue. It changes in place, since it is touched by each request. */
+/** The state of a queue. It is changed in place, because each request updates it. */
 export type AdmissionQueue<Payload> = {
+  /** The maximum number of waiting requests of all callers. */
   readonly mostWaiting: number;
   waitingCount: number;
+  /** The waiting requests of each caller, in the order of their deadlines. */
   readonly waiting: Map<CallerId, Waiting<Payload>[]>;
+  /** The number of requests in flight of each caller. */
   readonly inFlight: Map<CallerId, number>;
 };
 
 export type AdmissionQueueOptions = { readonly mostWaiting?: number };
 
-/** What came of a request that asked to wait. */
+/** The result of enqueueing a request. */
 export type EnqueueOutcome<Payload> =
   | { readonly kind: 'waits' }
-  /** The newcomer waits; this one, of a heavier caller, was turned away for it. */
+  /** The new request waits; `displaced`, of a caller with more requests, was removed for it. */
   | { readonly kind: 'displaced'; readonly displaced: Waiting<Payload> }
   | { readonly kind: 'full' }
   | { readonly kind: 'too-late'; readonly expectedWaitMs: number };
 
-/** The capacity that the estimate of a wait is based on. */
+/** The capacity on which the estimated wait is based. */
 export type Capacity = {
-  /** Slots of this entry at all usable endpoints of the service. */
+  /** The slots that this entry may use at all usable endpoints of the service. */
   readonly slots: number;
-  /** The usual time of one request. */
+  /** The typical time of one request, in milliseconds. */
   readonly requestMs: number;
 };
 
-/** What was taken out of the queue. */
+/** The requests that were taken out of the queue. */
 export type Dequeued<Payload> = {
+  /** The request that gets the free slot; undefined if no slot is free or no request waits. */
   readonly next: Waiting<Payload> | undefined;
-  /** Those that could not be answered in time any more. */
+  /** The requests that can no longer be answered before their deadline. */
   readonly expired: readonly Waiting<Payload>[];
 };
 
 /**
- * Builds an empty queue.
+ * Creates an empty queue.
  *
- * @param options - The most requests that may wait.
+ * @param options - The maximum number of waiting requests.
  * @returns The queue.
  */
 export const createAdmissionQueue = <Payload>({
@@ -64,11 +69,12 @@
 const inFlightOf = <P>(queue: AdmissionQueue<P>, callerId: CallerId): number =>
   queue.inFlight.get(callerId) ?? 0;
 
-const weightOf = <P>(queue: AdmissionQueue<P>, callerId: CallerId): number =>
+/** Returns the number of requests that a caller has in flight and waiting. */
+const requestCountOf = <P>(queue: AdmissionQueue<P>, callerId: CallerId): number =>
   inFlightOf(queue, callerId) + (queue.waiting.get(callerId)?.length ?? 0);
 
 /**
- * Notes that a request of a caller got a slot.
+ * Records that a request of a caller got a slot.
  *
  * @param queue - The queue, changed in place.
  * @param callerId - The caller.
@@ -78,55 +84,61 @@
 };
 
 /**
- * Notes that a request of a caller gave its slot back.
+ * Records that a request of a caller released its slot.
  *
  * @param queue - The queue, changed in place.
  * @param callerId - The caller.
  */
 export const noteFinished = <P>(queue: AdmissionQueue<P>, callerId: CallerId): void => {
-  const left = inFlightOf(queue, callerId) - 1;
-  if (left > 0) queue.inFlight.set(callerId, left);
+  const remaining = inFlightOf(queue, callerId) - 1;
+  if (remaining > 0) queue.inFlight.set(callerId, remaining);
   else queue.inFlight.delete(callerId);
 };
 
-const insertByDeadline = <P>(queue: AdmissionQueue<P>, one: Waiting<P>): void => {
+const insertByDeadline = <P>(queue: AdmissionQueue<P>, request: Waiting<P>): void => {
   const state = queue;
-  const line = state.waiting.get(one.callerId) ?? [];
-  const place = line.findIndex((other) => other.deadlineMs > one.deadlineMs);
-  line.splice(place < 0 ? line.length : place, 0, one);
-  state.waiting.set(one.callerId, line);
+  const callerQueue = state.waiting.get(request.callerId) ?? [];
+  const index = callerQueue.findIndex((queued) => queued.deadlineMs > request.deadlineMs);
+  callerQueue.splice(index < 0 ? callerQueue.length : index, 0, request);
+  state.waiting.set(request.callerId, callerQueue);
   state.waitingCount += 1;
 };
 
 const removeFrom = <P>(queue: AdmissionQueue<P>, callerId: CallerId, index: number): Waiting<P> => {
   const state = queue;
-  const line = state.waiting.get(callerId) as Waiting<P>[];
-  const [removed] = line.splice(index, 1);
-  if (line.length === 0) state.waiting.delete(callerId);
+  const callerQueue = state.waiting.get(callerId) as Waiting<P>[];
+  const [removed] = callerQueue.splice(index, 1);
+  if (callerQueue.length === 0) state.waiting.delete(callerId);
   state.waitingCount -= 1;
   return removed as Waiting<P>;
 };
 
-const heaviestWaiting = <P>(queue: AdmissionQueue<P>): CallerId | undefined => {
-  let heaviest: CallerId | undefined;
+const busiestWaitingCaller = <P>(queue: AdmissionQueue<P>): CallerId | undefined => {
+  let busiest: CallerId | undefined;
   let most = -1;
   queue.waiting.forEach((_, callerId) => {
-    const weight = weightOf(queue, callerId);
-    if (weight > most) {
-      most = weight;
-      heaviest = callerId;
+    const requestCount = requestCountOf(queue, callerId);
+    if (requestCount > most) {
+      most = requestCount;
+      busiest = callerId;
     }
   });
-  return heaviest;
+  return busiest;
 };
 
-/** A caller's turn comes once per round, so only so many of each other caller are ahead of it. */
-const aheadOf = <P>(queue: AdmissionQueue<P>, callerId: CallerId): number => {
-  const own = weightOf(queue, callerId);
+/**
+ * Returns how many waiting requests would be served before a new request of the caller: all of its
+ * own waiting requests, and a bounded number of each other caller. A free slot goes to the caller
+ * with the fewest requests in flight, so each caller is served once per round, and another caller
+ * is served before the new request only until it has as many requests in flight as the caller has
+ * requests, including the new one.
+ */
+const countAhead = <P>(queue: AdmissionQueue<P>, callerId: CallerId): number => {
+  const ownCount = requestCountOf(queue, callerId);
   let ahead = 0;
-  queue.waiting.forEach((line, other) => {
-    const spare = Math.max(0, own + 1 - inFlightOf(queue, other));
-    ahead += other === callerId ? line.length : Math.min(line.length, spare);
+  queue.waiting.forEach((callerQueue, other) => {
+    const otherTurns = Math.max(0, ownCount + 1 - inFlightOf(queue, other));
+    ahead += other === callerId ? callerQueue.length : Math.min(callerQueue.length, otherTurns);
   });
   return ahead;
 };
@@ -136,85 +148,90 @@
  *
  * @param queue - The queue.
  * @param callerId - The caller.
- * @param capacity - The slots and the usual time of a request.
- * @returns The wait in milliseconds.
+ * @param capacity - The slots and the typical time of a request.
+ * @returns The wait, in milliseconds.
  */
 export const expectedWaitMs = <P>(
   queue: AdmissionQueue<P>,
   callerId: CallerId,
   { slots, requestMs }: Capacity,
-): number => ((aheadOf(queue, callerId) + 1) * requestMs) / Math.max(1, slots);
+): number => ((countAhead(queue, callerId) + 1) * requestMs) / Math.max(1, slots);
 
 /**
- * Puts a request in line, unless it could not be answered in time.
+ * Enqueues a request, unless it could not be answered before its deadline.
  *
  * @param queue - The queue, changed in place.
- * @param one - The request.
- * @param capacity - The slots and the usual time of a request.
- * @param nowMs - The time.
- * @returns Whether it waits, and which other request had to give way.
+ * @param request - The request.
+ * @param capacity - The slots and the typical time of a request.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns Whether it waits, and which waiting request was displaced for it.
  */
 export const enqueue = <P>(
   queue: AdmissionQueue<P>,
-  one: Waiting<P>,
+  request: Waiting<P>,
   capacity: Capacity,
   nowMs: number,
 ): EnqueueOutcome<P> => {
-  const waitMs = expectedWaitMs(queue, one.callerId, capacity);
-  if (nowMs + waitMs + capacity.requestMs > one.deadlineMs) {
+  const waitMs = expectedWaitMs(queue, request.callerId, capacity);
+  if (nowMs + waitMs + capacity.requestMs > request.deadlineMs) {
     return { kind: 'too-late', expectedWaitMs: waitMs };
   }
   if (queue.waitingCount < queue.mostWaiting) {
-    insertByDeadline(queue, one);
+    insertByDeadline(queue, request);
     return { kind: 'waits' };
   }
-  const heaviest = heaviestWaiting(queue);
-  if (heaviest === undefined || weightOf(queue, heaviest) <= weightOf(queue, one.callerId) + 1) {
+  const busiest = busiestWaitingCaller(queue);
+  if (
+    busiest === undefined ||
+    requestCountOf(queue, busiest) <= requestCountOf(queue, request.callerId) + 1
+  ) {
     return { kind: 'full' };
   }
-  const line = queue.waiting.get(heaviest) as Waiting<P>[];
-  const displaced = removeFrom(queue, heaviest, line.length - 1);
-  insertByDeadline(queue, one);
+  const callerQueue = queue.waiting.get(busiest) as Waiting<P>[];
+  const displaced = removeFrom(queue, busiest, callerQueue.length - 1);
+  insertByDeadline(queue, request);
   return { kind: 'displaced', displaced };
 };
 
-const takeExpired = <P>(
+const removeExpired = <P>(
   queue: AdmissionQueue<P>,
   requestMs: number,
   nowMs: number,
 ): readonly Waiting<P>[] => {
   const expired: Waiting<P>[] = [];
-  Array.from(queue.waiting).forEach(([callerId, line]) => {
-    while (line[0] && nowMs + requestMs > line[0].deadlineMs) {
+  Array.from(queue.waiting).forEach(([callerId, callerQueue]) => {
+    while (callerQueue[0] && nowMs + requestMs > callerQueue[0].deadlineMs) {
       expired.push(removeFrom(queue, callerId, 0));
     }
   });
   return expired;
 };
 
-const lightestWaiting = <P>(queue: AdmissionQueue<P>): CallerId | undefined => {
-  let lightest: CallerId | undefined;
-  let fewest = Infinity;
+const leastBusyWaitingCaller = <P>(queue: AdmissionQueue<P>): CallerId | undefined => {
+  let leastBusy: CallerId | undefined;
+  let fewestInFlight = Infinity;
   let earliestMs = Infinity;
   queue.waiting.forEach(([first], callerId) => {
     const inFlight = inFlightOf(queue, callerId);
     const deadlineMs = first?.deadlineMs ?? Infinity;
-    if (inFlight > fewest || (inFlight === fewest && deadlineMs >= earliestMs)) return;
-    lightest = callerId;
-    fewest = inFlight;
+    if (inFlight > fewestInFlight || (inFlight === fewestInFlight && deadlineMs >= earliestMs))
+      return;
+    leastBusy = callerId;
+    fewestInFlight = inFlight;
     earliestMs = deadlineMs;
   });
-  return lightest;
+  return leastBusy;
 };
 
 /**
- * Takes the next request out of the queue, and those that cannot be answered in time any more.
+ * Removes the next request, and the requests that can no longer be answered before their deadline.
  *
  * @param queue - The queue, changed in place.
- * @param requestMs - The usual time of a request.
- * @param nowMs - The time.
- * @param hasSlot - Whether there is a slot for the next one.
- * @returns The next request and the expired ones.
+ * @param requestMs - The typical time of a request, in milliseconds.
+ * @param nowMs - The current time, in milliseconds.
+ * @param hasSlot - Whether a slot is free; without one, only expired requests are removed.
+ * @returns The next request, or undefined if there is none or no slot is free, and the expired
+ * ones.
  */
 export const dequeue = <P>(
   queue: AdmissionQueue<P>,
@@ -222,7 +239,7 @@
   nowMs: number,
   hasSlot: boolean,
 ): Dequeued<P> => {
-  const expired = takeExpired(queue, requestMs, nowMs);
-  const lightest = hasSlot ? lightestWaiting(queue) : undefined;
-  return { next: lightest === undefined ? undefined : removeFrom(queue, lightest, 0), expired };
+  const expired = removeExpired(queue, requestMs, nowMs);
+  const leastBusy = hasSlot ? leastBusyWaitingCaller(queue) : undefined;
+  return { next: leastBusy === undefined ? undefined : removeFrom(queue, leastBusy, 0), expired };
 };
