--- a/packages/core/src/retry/may-retry.ts
+++ b/packages/core/src/retry/may-retry.ts
@@ -1,29 +1,37 @@
-/** Whether a failed attempt may be made again. */
+/** Decides whether a failed request may be retried. */
 import type { Verdict } from '../verdict/verdict.js';
 
-/** What the decision depends on. */
+/** The state of a request whose last attempt failed. */
 export type RetryQuestion = {
+  /** Whether running the request more than once is harmless. */
   readonly isRepeatable: boolean;
   /** The verdict of the attempt that failed. */
   readonly verdict: Verdict;
   readonly attemptsMade: number;
-  /** Endpoints that took the request and broke off without an answer. */
+  /**
+   * The number of endpoints that accepted the request and closed the connection without an answer.
+   */
   readonly brokenOff: number;
+  /** The time left until the deadline. */
   readonly remainingMs: number;
   /** The time that one attempt is expected to take. */
   readonly expectedAttemptMs: number;
 };
 
-/** No request is tried more often than this. */
+/** The maximum number of attempts at one request. */
 export const MAX_ATTEMPTS = 3;
-/** A request that brings down each endpoint that takes it goes to no more than this. */
+/**
+ * A request is not retried once this many endpoints have closed the connection without an answer, so
+ * that a request that crashes each endpoint that accepts it crashes at most this many.
+ */
 export const MAX_BROKEN_OFF = 2;
 
 /**
- * Decides whether another attempt is allowed; the retry budget is asked separately.
+ * Checks whether another attempt is allowed. The retry budget is checked separately.
  *
  * @param question - The request and its failed attempt; times in milliseconds.
- * @returns True if another attempt can neither repeat an effect nor outlast the deadline.
+ * @returns True if another attempt is within the limits, cannot repeat a harmful effect and is
+ * expected to end before the deadline.
  */
 export const mayRetry = ({
   isRepeatable,
--- a/packages/core/src/retry/retry-budget.ts
+++ b/packages/core/src/retry/retry-budget.ts
@@ -1,26 +1,29 @@
 /**
- * The retry budget: first attempts earn a fraction of a retry each, so that retries stay a bounded
- * share of the load however many endpoints fail.
+ * The retry budget: each first attempt adds a fraction of a token and each retry takes one token,
+ * so that retries stay a bounded share of the load however many endpoints fail.
  */
 
-/** The state of a budget. It changes in place, since it is touched by each request. */
+/** The state of a budget. It is changed in place, because each request updates it. */
 export type RetryBudget = {
+  /** The retries that are available, including a fraction. */
   tokens: number;
+  /** The tokens that a first attempt adds. */
   readonly earnPerRequest: number;
+  /** The maximum number of tokens. */
   readonly most: number;
 };
 
 export type RetryBudgetOptions = {
-  /** Retries earned by one first attempt. */
+  /** The tokens that a first attempt adds. */
   readonly earnPerRequest?: number;
-  /** The most retries that can be saved up. */
+  /** The maximum number of tokens. */
   readonly most?: number;
 };
 
 /**
- * Builds a full budget.
+ * Creates a full budget.
  *
- * @param options - The rate of earning and the ceiling.
+ * @param options - The tokens that a first attempt adds, and the maximum.
  * @returns The budget.
  */
 export const createRetryBudget = ({
@@ -29,7 +32,7 @@
 }: RetryBudgetOptions = {}): RetryBudget => ({ tokens: most, earnPerRequest, most });
 
 /**
- * Notes a first attempt.
+ * Adds the tokens for a first attempt.
  *
  * @param budget - The budget, changed in place.
  */
@@ -39,7 +42,7 @@
 };
 
 /**
- * Takes one retry out of the budget, if there is one.
+ * Takes one token, if one is available.
  *
  * @param budget - The budget, changed in place.
  * @returns True if the retry may be made.
