--- a/packages/core/src/seats/seat.ts
+++ b/packages/core/src/seats/seat.ts
@@ -1,51 +1,65 @@
 /**
- * Seats: who may use which part of an endpoint's slots. The sum of what all entries use never
- * exceeds the slots, also while entries are cut off from each other or from the platform.
+ * Seats: a seat is a lease in the platform's table that entitles its holder to one part of the
+ * slots of each endpoint. The total that all entries use never exceeds the slots, even while
+ * entries are cut off from each other or from the platform.
  *
- * A seat is a lease of the platform's table. A holder that cannot renew goes on with half of its
- * part while every other holder of the data centre promises, again and again, not to let another
- * take the seat. A seat whose lease has lapsed is taken over whole only with the consent of each
- * other holder; one that has consented never promises again, and one that has promised does not
- * consent until the promise has run out. Without consent the taker gets the other half, until it
- * is sure that the former holder has stopped. The consent of one that holds its own seat without
- * consent does not count: the former holder may still count on the promises of the one before it.
+ * A holder that cannot renew its lease continues with half of its part for as long as every other
+ * holder of the data centre keeps promising not to let another entry take the seat. An entry that
+ * takes over an expired seat may use the whole part only with the consent of every other holder. An
+ * entry that has consented to the end of a term never promises for that term again, and an entry
+ * that has promised does not consent before its promise has expired. Without consent the new holder
+ * gets the other half, until it is certain that the former holder has stopped.
+ *
+ * The consent of an entry that holds its own seat without consent does not count: the former holder
+ * of that seat may still be relying on promises of the holder before it.
  */
 import type { EntryId } from '../shared/ids.js';
 
-/** Which part of a seat an entry may use. */
+/**
+ * Which part of a seat an entry may use: all of it, the half of a holder that continues without
+ * renewing its lease, or the half of a holder that took the seat without consent.
+ */
 export type SeatPortion = 'full' | 'continuing' | 'unconsented';
 
-/** How long a promise binds the one that gave it, in milliseconds. */
+/**
+ * How long a promise binds the entry that gave it, in milliseconds. Longer than PROMISE_USE_MS, so
+ * that the receiver stops relying on a promise before it stops being binding.
+ */
 export const PROMISE_MS = 3000;
-/** How long the receiver relies on a promise, counted from before it asked. */
+/** How long the receiver relies on a promise, in milliseconds from before it asked for it. */
 export const PROMISE_USE_MS = 2000;
-/** After so long without the platform a holder stops; only then may another use the whole seat. */
+/**
+ * How long a holder continues without the platform, in milliseconds. Without consent, a new holder
+ * may use the whole seat only after this time.
+ */
 export const LONGEST_CONTINUING_MS = 2 * 60 * 60 * 1000;
 
-/** One term of a seat: a promise or a consent speaks of this term alone. */
+/** One term of a seat: a promise or a consent is valid for this term only. */
 export type SeatTerm = { readonly seat: number; readonly epoch: number; readonly holder: EntryId };
 
-/** What a holder has promised and consented to. */
+/** The promises and consents that a holder has given. */
 export type SeatBook = {
+  /** The end of the last promise for each term, by key of the term. */
   readonly promisedUntilMs: ReadonlyMap<string, number>;
+  /** The keys of the terms to whose end this entry has consented. */
   readonly consented: ReadonlySet<string>;
 };
 
-/** An answer to a question about a term, with the book as it is afterwards. */
+/** The answer to a request for a promise or a consent, with the updated book. */
 export type SeatAnswer = { readonly isGranted: boolean; readonly book: SeatBook };
 
-/** A book with no entries. */
+/** A book without promises or consents. */
 export const emptySeatBook: SeatBook = { promisedUntilMs: new Map(), consented: new Set() };
 
 const termKey = ({ seat, epoch, holder }: SeatTerm): string => `${seat}/${epoch}/${holder}`;
 
 /**
- * Answers a holder that asks to go on without the platform.
+ * Answers a holder that asks for a promise, so that it can continue without the platform.
  *
- * @param book - What this entry has promised so far.
- * @param term - The term of the one that asks.
- * @param nowMs - The time.
- * @returns The promise, if it can be given.
+ * @param book - The promises and consents that this entry has given.
+ * @param term - The term of the holder that asks.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns Whether the promise is given, and the updated book.
  */
 export const answerPromise = (book: SeatBook, term: SeatTerm, nowMs: number): SeatAnswer => {
   const key = termKey(term);
@@ -55,13 +69,13 @@
 };
 
 /**
- * Answers an entry that wants to take over a lapsed seat.
+ * Answers an entry that asks for consent to take over an expired seat.
  *
- * @param book - What this entry has promised so far.
- * @param term - The term that has lapsed.
- * @param isEntitled - Whether this entry's own lease is in force and was taken with consent.
- * @param nowMs - The time.
- * @returns The consent, if it can be given.
+ * @param book - The promises and consents that this entry has given.
+ * @param term - The term that has expired.
+ * @param isEntitled - Whether this entry's own lease is valid and was taken with consent.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns Whether the consent is given, and the updated book.
  */
 export const answerConsent = (
   book: SeatBook,
@@ -77,9 +91,10 @@
 };
 
 /**
- * Tells whether this entry has consented to the end of a term; its holder's word counts no more.
+ * Checks whether this entry has consented to the end of a term. If so, the answers of the term's
+ * holder no longer count.
  *
- * @param book - What this entry has consented to.
+ * @param book - The promises and consents that this entry has given.
  * @param term - The term.
  * @returns True if the term may have been taken over.
  */
@@ -87,29 +102,29 @@
   book.consented.has(termKey(term));
 
 /**
- * Tells until when this entry's promise may carry a holder.
+ * Returns the time until which a holder may rely on a promise of this entry.
  *
- * @param book - What this entry has promised.
+ * @param book - The promises and consents that this entry has given.
  * @param holder - The holder.
- * @returns The end of the last promise to it, or minus infinity.
+ * @returns The end of the last promise to the holder, in milliseconds, or -Infinity without one.
  */
 export const promisedUntilMs = (book: SeatBook, holder: EntryId): number =>
   Array.from(book.promisedUntilMs)
     .filter(([key]) => key.endsWith(`/${holder}`))
     .reduce((latest, [, untilMs]) => Math.max(latest, untilMs), -Infinity);
 
-const portions: Record<SeatPortion, (share: number) => number> = {
+const portionSizes: Record<SeatPortion, (share: number) => number> = {
   full: (share) => share,
   continuing: (share) => Math.ceil(share / 2),
   unconsented: (share) => Math.floor(share / 2),
 };
 
 /**
- * Gives the usable part of a seat's share.
+ * Returns the usable part of a seat's share.
  *
  * @param share - The seat's whole share of a limit.
  * @param portion - Which part may be used.
- * @returns The part; `continuing` and `unconsented` add up to the whole.
+ * @returns The part, a whole number; `continuing` and `unconsented` add up to the whole share.
  */
 export const portionOfShare = (share: number, portion: SeatPortion): number =>
-  portions[portion](share);
+  portionSizes[portion](share);
