--- a/packages/core/src/claims/claim.ts
+++ b/packages/core/src/claims/claim.ts
@@ -1,11 +1,11 @@
 /**
- * At most once: a request that is not repeatable is claimed under its key before it is sent. The
- * row of the claim says who sent it and, later, what came of it.
+ * At-most-once execution: a request that is not repeatable is claimed under its idempotency key
+ * before it is sent. The row of the claim names the entry that sent it and, later, its outcome.
  */
 import type { EntryId } from '../shared/ids.js';
 import type { RefusalReason, Verdict } from '../verdict/verdict.js';
 
-/** An answer that is kept for a caller that asks again. */
+/** An answer that is stored, so that it can be returned if the caller repeats the request. */
 export type KeptAnswer = {
   readonly status: number;
   readonly contentType: string;
@@ -14,17 +14,19 @@
 
 export type ClaimRow = {
   readonly service: string;
-  /** A hash of method, path and body, so that a key used for another request is noticed. */
+  /** A hash of method, path and body, to detect that a key is reused for a different request. */
   readonly fingerprint: string;
   readonly entryId: EntryId;
-  /** Tells this claim from another under the same key: the request that made it. */
+  /** Identifies the request that made this claim, among all claims under the same key. */
   readonly claimId: string;
+  /** `released` is a claim whose request has certainly not run. */
   readonly state: 'claimed' | 'released' | 'done';
+  /** The stored answer; null if there is none. */
   readonly answer: KeptAnswer | null;
   readonly claimedAtMs: number;
 };
 
-/** What to do with a request whose claim row was read. */
+/** What to do with a request after its claim row was read. */
 export type ClaimDecision =
   | { readonly kind: 'claim' }
   | { readonly kind: 'replay'; readonly answer: KeptAnswer }
@@ -37,8 +39,8 @@
 
 type Decide = (row: ClaimRow) => ClaimDecision;
 
-const decideByState: Record<ClaimRow['state'], Decide> = {
-  // It was claimed and surely not run: whoever asks again may have it.
+const decisionByState: Record<ClaimRow['state'], Decide> = {
+  // The request was claimed but has certainly not run, so the key can be claimed again.
   released: () => ({ kind: 'claim' }),
   claimed: ({ entryId }) => ({
     kind: 'refuse',
@@ -58,11 +60,12 @@
 };
 
 /**
- * Decides about a request from the claim under its key.
+ * Decides what to do with a request, based on the claim under its key.
  *
  * @param row - The claim, or null if there is none.
- * @param fingerprint - The fingerprint of the request at hand.
- * @returns Whether to claim and send, to give the kept answer, or to refuse.
+ * @param fingerprint - The fingerprint of the request.
+ * @returns Whether to claim the key and send the request, to return the stored answer, or to
+ * refuse.
  */
 export const decideClaim = (row: ClaimRow | null, fingerprint: string): ClaimDecision => {
   if (row === null) return { kind: 'claim' };
@@ -74,5 +77,5 @@
       detail: 'the key was used before for another request',
     };
   }
-  return decideByState[row.state](row);
+  return decisionByState[row.state](row);
 };
--- a/packages/core/src/claims/doubt.ts
+++ b/packages/core/src/claims/doubt.ts
@@ -1,35 +1,37 @@
 /**
- * Doubt about claims. While a data centre is without the platform, its entries may take claims in
- * memory, which the table does not show yet. A data centre is free of doubt while at least one of
- * its seats is seen to be renewed: an entry acknowledges no claim in memory until its own lease has
- * been over for a whole duration, and renews only after it has written its claims to the table.
+ * Finds the data centres that are in doubt: those whose entries may hold claims that the table does
+ * not contain. While a data centre is cut off from the platform, its entries may accept claims in
+ * memory. A data centre is not in doubt while at least one of its seats is observed to be renewed,
+ * because an entry acknowledges no claim in memory until its own lease has been expired for a whole
+ * duration, and renews the lease only after it has written its claims to the table.
  */
 import type { LeaseRow } from '../leases/lease.js';
 
-/** What has been seen of one seat's row. */
+/** The last observation of one seat's row. */
 export type SeatSight = {
   readonly version: number;
   readonly row: LeaseRow;
-  /** No earlier than this was the row renewed; a time before the reading that showed it. */
+  /** A lower bound of the time at which this version was written: the start of the read before. */
   readonly renewedSinceMs: number;
 };
 
-/** What has been seen of all seats, by key of the row. */
+/** The last observations of all seats, by key of the row. */
 export type SeatSights = {
+  /** The time just before the last read was sent; -Infinity before the first. */
   readonly lastReadMs: number;
   readonly seats: ReadonlyMap<string, SeatSight>;
 };
 
-/** Nothing has been seen yet. */
+/** The observations before the first read. */
 export const noSights: SeatSights = { lastReadMs: -Infinity, seats: new Map() };
 
 /**
- * Takes in a reading of all seat rows.
+ * Updates the observations with a read of all seat rows.
  *
- * @param sights - What was seen before.
+ * @param sights - The previous observations.
  * @param rows - The rows with their versions, by key.
- * @param startedMs - The time before the reading was sent.
- * @returns What has been seen now.
+ * @param startedMs - The time just before the read was sent, in milliseconds.
+ * @returns The new observations.
  */
 export const takeSeatRows = (
   sights: SeatSights,
@@ -39,31 +41,33 @@
   lastReadMs: startedMs,
   seats: new Map(
     rows.map(({ key, row, version }) => {
-      const known = sights.seats.get(key);
-      if (known?.version === version) return [key, known];
-      // The renewal came after the reading before this one, at any moment since.
+      const previous = sights.seats.get(key);
+      if (previous?.version === version) return [key, previous];
+      // The row was renewed at an unknown time after the start of the previous read.
       return [key, { version, row, renewedSinceMs: sights.lastReadMs }];
     }),
   ),
 });
 
+/** Returns the data centre in a seat's key, `lease/seat/<data centre>/...`. */
 const dataCentreOf = (key: string): string => key.split('/')[2] ?? '';
 
 /**
- * Lists the data centres that may hold claims which the table does not show.
+ * Lists the data centres whose entries may hold claims that the table does not contain.
  *
- * @param sights - What has been seen of the seats.
- * @param nowMs - The time.
- * @returns The data centres in doubt. One with a single seat takes no claims in memory.
+ * @param sights - The observations of the seats.
+ * @param nowMs - The current time, in milliseconds.
+ * @returns The data centres in doubt. A data centre with fewer than two held seats is never in
+ * doubt, because a data centre with a single seat accepts no claims in memory.
  */
 export const dataCentresInDoubt = (sights: SeatSights, nowMs: number): readonly string[] => {
   const seats = Array.from(sights.seats, ([key, sight]) => ({ key, sight }));
-  const centres = Array.from(new Set(seats.map(({ key }) => dataCentreOf(key))));
-  return centres.filter((centre) => {
-    const local = seats.filter(
-      ({ key, sight }) => dataCentreOf(key) === centre && sight.row.holder !== null,
+  const dataCentres = Array.from(new Set(seats.map(({ key }) => dataCentreOf(key))));
+  return dataCentres.filter((dataCentre) => {
+    const heldSeats = seats.filter(
+      ({ key, sight }) => dataCentreOf(key) === dataCentre && sight.row.holder !== null,
     );
-    if (local.length < 2) return false;
-    return local.every(({ sight }) => nowMs - sight.renewedSinceMs > sight.row.durationMs);
+    if (heldSeats.length < 2) return false;
+    return heldSeats.every(({ sight }) => nowMs - sight.renewedSinceMs > sight.row.durationMs);
   });
 };
