--- a/packages/core/src/rows/rows.ts
+++ b/packages/core/src/rows/rows.ts
@@ -1,4 +1,4 @@
-/** The rows of the platform's table: their keys and their contents. */
+/** The keys and values of the rows in the platform's table. */
 import type { JobDeclaration } from '../declarations/schema.js';
 import type {
   DataCentreId,
@@ -11,35 +11,35 @@
 } from '../shared/ids.js';
 import type { Labels } from '../selectors/selector.js';
 
-/** Where a host stands between two owners or two states of maintenance. */
+/** The state of a host in the course of a move to another pool or of maintenance. */
 export type HostPhase =
   'assigned' | 'draining' | 'empty' | 'rebooting' | 'verifying' | 'quarantined';
 
-/** What a host is emptied for. */
+/** Why a host is drained. */
 export type DrainPurpose =
   | { readonly kind: 'wave'; readonly waveId: WaveId }
-  /** The host goes to another pool once it is verified empty. */
+  /** The host moves to another pool once it is verified to be empty. */
   | { readonly kind: 'transfer'; readonly toPool: PoolName }
   | { readonly kind: 'operator' }
-  /** The platform lists the host as leaving. */
+  /** The platform's list shows the host as leaving. */
   | { readonly kind: 'platform' };
 
-/** The row of a host. It names exactly one pool at any moment. */
+/** The row of a host. A host belongs to exactly one pool at any time. */
 export type HostRow = {
   readonly hostId: HostId;
   readonly pool: PoolName;
   readonly phase: HostPhase;
-  /** Why the host is not simply assigned, in words for the operator. */
+  /** Why the host is in a phase other than `assigned`, as text for the operator. */
   readonly reason: string;
-  /** What the host is being emptied for; null while it is in use. */
+  /** Why the host is being drained; null while it is in use. */
   readonly drain: DrainPurpose | null;
-  /** How often it had booted before the reboot that is under way. */
+  /** The number of boots of the host before the current reboot. */
   readonly bootsBefore: number;
-  /** The wave that last brought this host through maintenance. */
+  /** The wave in which the host was last maintained; null if there is none. */
   readonly maintainedBy: WaveId | null;
 };
 
-/** What is declared of a host: its place, its size and its labels. */
+/** The declaration of a host: its location, size and labels. */
 export type HostSpec = {
   readonly hostId: HostId;
   readonly dataCentre: DataCentreId;
@@ -52,20 +52,20 @@
   readonly labels: Labels;
 };
 
-/** Where a job's task stands. */
+/** The state of a job's task. */
 export type PlacementPhase =
   | 'assigned'
   | 'running'
   | 'stopping'
   | 'stopped'
-  /** Stopped for maintenance of its host, to start there again. */
+  /** Being stopped for maintenance of its host, to start there again afterwards. */
   | 'parking'
   | 'parked';
 
-/** How a task ended, as its worker told it. */
+/** How a task ended, as reported by its worker. */
 export type TaskOutcome = 'none' | 'done' | 'failed' | 'lost';
 
-/** The row of a placement. There is one per job, so a job has one place at most. */
+/** The row of a placement. There is one row per job, so a job is placed on at most one host. */
 export type PlacementRow = {
   readonly jobId: JobId;
   readonly service: ServiceName | null;
@@ -75,11 +75,11 @@
   readonly phase: PlacementPhase;
   readonly outcome: TaskOutcome;
   readonly leaseMs: number;
-  /** The configuration revision that the decision used. */
+  /** The configuration revision on which the decision was based. */
   readonly revision: number;
-  /** Why this host, in terms of labels and selectors. */
+  /** Why this host was chosen, in terms of labels and selectors. */
   readonly reason: string;
-  /** Why it is in its phase; empty where the reason says it. */
+  /** Why it is in its phase; empty if `reason` already says so. */
   readonly phaseReason: string;
 };
 
@@ -91,9 +91,9 @@
   readonly job: JobDeclaration;
   readonly phase: JobPhase;
   readonly failures: number;
-  /** The hosts on which it failed last. */
+  /** The hosts on which it failed most recently. */
   readonly failedOn: readonly HostId[];
-  /** How many hosts were lost while it ran there; rows from before it was kept have none. */
+  /** How many hosts were lost while it ran there; undefined in rows written by older versions. */
   readonly hostsLost?: number;
   readonly reason: string;
 };
@@ -101,28 +101,31 @@
 /** The state of a wave. */
 export type WavePhase = 'running' | 'held' | 'paused' | 'done' | 'cancelled';
 
-/** The row of a wave of maintenance. */
+/** The row of a maintenance wave. */
 export type WaveRow = {
   readonly waveId: WaveId;
   readonly selector: string;
-  /** Of the configuration by which the selector named them; rows from before it was kept have none. */
+  /**
+   * The configuration revision against which the selector was evaluated; undefined in rows written
+   * by older versions.
+   */
   readonly revision?: number;
   readonly phase: WavePhase;
   readonly reason: string;
-  /** The hosts that the selector named when the wave was declared. */
+  /** The hosts that the selector matched when the wave was declared. */
   readonly hosts: readonly HostId[];
 };
 
 /**
- * The row that says that claims taken in memory may have been lost for good: the entries of a data
- * centre were all replaced while they were without the platform.
+ * The row that records that claims accepted in memory may be lost permanently, because all entries
+ * of a data centre were replaced while they were cut off from the platform.
  */
 export type DoubtRow = { readonly dataCentres: readonly string[] };
 
-/** What the tasks of one data centre were measured to use, in cores, by job. */
+/** The measured use of the tasks in one data centre, in cores by job id. */
 export type UsageRow = { readonly usedCores: Readonly<Record<string, number>> };
 
-/** Keys of rows, by kind. */
+/** The keys of rows, by kind. */
 export const rowKey = {
   configHead: 'config/head',
   configRevision: (revision: number) => `config/revision/${String(revision).padStart(12, '0')}`,
@@ -134,7 +137,10 @@
   fence: (name: string) => `fence/${name}`,
   claim: (key: string) => `claim/${key}`,
   doubt: 'doubt',
-  /** Written with each change of a row that control reads, so that an unchanged table is seen. */
+  /**
+   * Written with each change of a row that the controller reads. While its version is unchanged,
+   * those rows need not be read again.
+   */
   pulse: 'pulse',
   usage: (dataCentre: string) => `usage/${dataCentre}`,
 } as const;
@@ -150,7 +156,7 @@
   usage: 'usage/',
 } as const;
 
-/** The prefixes of the rows that control reads. */
+/** The prefixes of the rows that the controller reads. */
 export const controlPrefixes: readonly string[] = [
   rowPrefix.host,
   rowPrefix.placement,
--- a/packages/core/src/rows/transaction.ts
+++ b/packages/core/src/rows/transaction.ts
@@ -1,4 +1,7 @@
-/** Transactions on the platform's table: all writes happen, or none, if each check holds. */
+/**
+ * Transactions on the platform's table. If every check holds, all writes are applied atomically;
+ * otherwise none is.
+ */
 import type { ChangeId } from '../shared/ids.js';
 
 /** A precondition: the row must be at this version; 0 means that it must not exist. */
