--- a/packages/core/src/verdict/verdict.ts
+++ b/packages/core/src/verdict/verdict.ts
@@ -1,8 +1,8 @@
 /**
- * The verdict type: every refused or failed request says whether it may have run.
+ * Verdicts: the response to every refused or failed request says whether the request may have run.
  *
- * `notRun` is a promise. It is given only where no byte of the request left for an endpoint, or
- * where the endpoint itself said that it did not run it.
+ * `notRun` is a guarantee. It is given only if no byte of the request was sent to an endpoint, or
+ * if the endpoint itself reported that it did not run the request.
  */
 import type { RequestId } from '../shared/ids.js';
 
@@ -40,13 +40,13 @@
   | 'store-unavailable'
   | 'outcome-unknown';
 
-/** A refusal or failure in the form in which the caller gets it. */
+/** A refusal or failure as it is sent to the caller. */
 export type Refusal = {
   readonly verdict: Verdict;
   readonly reason: RefusalReason;
-  /** One sentence for people. */
+  /** A human-readable explanation in one sentence. */
   readonly detail: string;
-  /** When the caller should come back, in whole seconds. */
+  /** After how many whole seconds the caller should retry. */
   readonly retryAfterS: number;
   readonly requestId: RequestId;
 };
@@ -83,14 +83,14 @@
 };
 
 /**
- * Gives the HTTP status of a refusal.
+ * Returns the HTTP status of a refusal.
  *
  * @param reason - The reason of the refusal.
  * @returns The status code.
  */
 export const statusOfRefusal = (reason: RefusalReason): number => statusByReason[reason];
 
-/** What one attempt at an endpoint has shown about whether the request ran. */
+/** What an attempt at an endpoint shows about whether the request ran. */
 export type AttemptEvidence =
   | { readonly kind: 'nothing-sent' }
   | { readonly kind: 'endpoint-said-not-run' }
@@ -107,22 +107,24 @@
 /**
  * Derives the verdict of one attempt.
  *
- * @param evidence - What was seen of the attempt.
- * @returns The verdict that may honestly be told.
+ * @param evidence - What was observed of the attempt.
+ * @returns The verdict that the evidence supports.
  */
 export const verdictOfAttempt = (evidence: AttemptEvidence): Verdict =>
   verdictByEvidence[evidence.kind];
 
-const certainty: Record<Verdict, number> = { notRun: 0, mayHaveRun: 1, ran: 2 };
+/** The higher the number, the stronger the evidence that the request ran. */
+const runEvidence: Record<Verdict, number> = { notRun: 0, mayHaveRun: 1, ran: 2 };
 
 /**
  * Combines the verdicts of several attempts at one request.
  *
  * @param verdicts - The verdict of each attempt.
- * @returns `notRun` only if each attempt was `notRun`; else the strongest sign that it ran.
+ * @returns `notRun` only if every attempt was `notRun`; otherwise the verdict with the strongest
+ * evidence that the request ran.
  */
 export const combineVerdicts = (verdicts: readonly Verdict[]): Verdict =>
   verdicts.reduce<Verdict>(
-    (sum, next) => (certainty[next] > certainty[sum] ? next : sum),
+    (strongest, next) => (runEvidence[next] > runEvidence[strongest] ? next : strongest),
     'notRun',
   );
