--- a/packages/core/src/placement/choose-host.ts
+++ b/packages/core/src/placement/choose-host.ts
@@ -1,13 +1,14 @@
 /**
- * The choice of a host for one job: ruled out by pool, phase, selector and room, in that order,
- * then ranked by spread over data centres, racks and hosts, then the fullest first.
+ * Chooses a host for one job. Hosts are filtered by pool, selector, size, phase and free resources;
+ * the remaining ones are ranked by spread over data centres, racks and hosts, then by cores in use,
+ * fullest first.
  */
 import { firstUnmet, requirementText } from '../selectors/selector.js';
 import { builtInLabel } from '../fleet/fleet.js';
 import type { HostId } from '../shared/ids.js';
 import type { PlaceableJob, PlacementHost } from './placeable.js';
 
-/** How many hosts each reason ruled out. */
+/** The number of hosts that were ruled out, by reason. */
 export type RuledOut = Readonly<Record<string, number>>;
 
 /** A chosen host, with the reason in terms of the operator's labels and selectors. */
@@ -17,27 +18,31 @@
   readonly reason: string;
 };
 
-/** Why no host was chosen. */
+/** No host was chosen; says why. */
 export type NoHost = {
   readonly kind: 'none';
-  /** True if no host could take the job even if all of them were idle. */
+  /** True if no host could run the job even if all hosts were idle. */
   readonly never: boolean;
   readonly ruledOut: RuledOut;
   readonly reason: string;
 };
 
-/** The outcome of a choice. Thousands may fail in one turn, so a failure costs no stack trace. */
+/**
+ * The result of a choice. Thousands of jobs may find no host in one control turn, so this is
+ * reported as a value, without the cost of a stack trace.
+ */
 export type HostChoice = ChosenHost | NoHost;
 
-/** Counts of the executors of one service by place. */
+/** The number of executors of one service by data centre and by rack. */
 type Spread = {
   readonly byDataCentre: ReadonlyMap<string, number>;
   readonly byRack: ReadonlyMap<string, number>;
 };
 
+/** A host that can run the job. Ranks are compared element by element; the lowest one wins. */
 type Candidate = { readonly host: PlacementHost; readonly rank: readonly number[] };
 
-const lacksSize = (job: PlaceableJob, { spec }: PlacementHost): string | undefined => {
+const sizeObstacle = (job: PlaceableJob, { spec }: PlacementHost): string | undefined => {
   if (spec.cores < job.cores) return `has fewer than ${job.cores} cores`;
   if (spec.memoryMb < job.memoryMb) return `has less than ${job.memoryMb} MB`;
   if (spec.accelerators < job.accelerators) {
@@ -46,8 +51,8 @@
   return undefined;
 };
 
-/** What rules a host out for good, whatever runs on it now. */
-const lastingObstacle = (job: PlaceableJob, host: PlacementHost): string | undefined => {
+/** Returns why a host can never run the job, whatever runs on it now, or undefined if it can. */
+const permanentObstacle = (job: PlaceableJob, host: PlacementHost): string | undefined => {
   if (host.row.pool !== job.pool) return `pool is not ${job.pool}`;
   if (job.selector.requirements.length > 0) {
     const { labels } = host.spec;
@@ -56,11 +61,11 @@
     );
     if (unmet) return `selector ${requirementText(unmet)} not met`;
   }
-  return lacksSize(job, host);
+  return sizeObstacle(job, host);
 };
 
-/** What rules a host out only now. */
-const passingObstacle = (job: PlaceableJob, { spec, row, isLive, used }: PlacementHost) => {
+/** Returns why a host cannot run the job at present, or undefined if it can. */
+const temporaryObstacle = (job: PlaceableJob, { spec, row, isLive, used }: PlacementHost) => {
   if (!isLive) return 'host is gone';
   if (row.phase !== 'assigned') return `host is ${row.phase}`;
   if (spec.cores - used.cores < job.cores) return `fewer than ${job.cores} cores free`;
@@ -71,8 +76,8 @@
   return undefined;
 };
 
-const add = (counts: Map<string, number>, key: string, more: number): void => {
-  counts.set(key, (counts.get(key) ?? 0) + more);
+const increaseCount = (counts: Map<string, number>, key: string, increment: number): void => {
+  counts.set(key, (counts.get(key) ?? 0) + increment);
 };
 
 const spreadOf = (job: PlaceableJob, hosts: readonly PlacementHost[]): Spread => {
@@ -81,10 +86,10 @@
   const { service } = job;
   if (service === null) return { byDataCentre, byRack };
   hosts.forEach(({ spec, executors }) => {
-    const standing = executors.get(service) ?? 0;
-    if (standing === 0) return;
-    add(byDataCentre, spec.dataCentre, standing);
-    add(byRack, spec.rack, standing);
+    const executorCount = executors.get(service) ?? 0;
+    if (executorCount === 0) return;
+    increaseCount(byDataCentre, spec.dataCentre, executorCount);
+    increaseCount(byRack, spec.rack, executorCount);
   });
   return { byDataCentre, byRack };
 };
@@ -94,14 +99,15 @@
   spread.byDataCentre.get(host.spec.dataCentre) ?? 0,
   spread.byRack.get(host.spec.rack) ?? 0,
   job.service === null ? 0 : (host.executors.get(job.service) ?? 0),
-  // The fullest host that fits: hosts that stay empty are maintained without moving anything.
+  // Prefers the fullest host that fits, because hosts that stay empty can be maintained without
+  // moving any task.
   -host.used.cores / host.spec.cores,
 ];
 
 const isBefore = (a: Candidate, b: Candidate): boolean => {
-  const differing = a.rank.findIndex((value, index) => value !== b.rank[index]);
-  if (differing < 0) return a.host.spec.hostId < b.host.spec.hostId;
-  return (a.rank[differing] as number) < (b.rank[differing] as number);
+  const firstDifference = a.rank.findIndex((value, index) => value !== b.rank[index]);
+  if (firstDifference < 0) return a.host.spec.hostId < b.host.spec.hostId;
+  return (a.rank[firstDifference] as number) < (b.rank[firstDifference] as number);
 };
 
 const reasonFor = (job: PlaceableJob, { host, rank }: Candidate, candidates: number): string => {
@@ -118,7 +124,7 @@
   );
 };
 
-const explainNone = (job: PlaceableJob, ruledOut: RuledOut, never: boolean): string => {
+const explainNoHost = (job: PlaceableJob, ruledOut: RuledOut, never: boolean): string => {
   const counts = Object.entries(ruledOut)
     .map(([reason, hosts]) => `${hosts} hosts: ${reason}`)
     .join('; ');
@@ -130,21 +136,21 @@
  * Chooses the host for a job.
  *
  * @param job - The job.
- * @param hosts - All hosts that may come into question, as they are now.
- * @returns The host with the reason, or the counts of what ruled the hosts out.
+ * @param hosts - All hosts to consider, in their present state.
+ * @returns The host with the reason, or the number of hosts ruled out by each reason.
  */
 export const chooseHost = (job: PlaceableJob, hosts: readonly PlacementHost[]): HostChoice => {
   const ruledOut = new Map<string, number>();
   const spread = spreadOf(job, hosts);
-  let fitting = 0;
+  let possibleHosts = 0;
   let candidates = 0;
   let best: Candidate | undefined;
   hosts.forEach((host) => {
-    const lasting = lastingObstacle(job, host);
-    if (lasting === undefined) fitting += 1;
-    const obstacle = lasting ?? passingObstacle(job, host);
+    const permanent = permanentObstacle(job, host);
+    if (permanent === undefined) possibleHosts += 1;
+    const obstacle = permanent ?? temporaryObstacle(job, host);
     if (obstacle !== undefined) {
-      add(ruledOut, obstacle, 1);
+      increaseCount(ruledOut, obstacle, 1);
       return;
     }
     candidates += 1;
@@ -156,6 +162,6 @@
     return { kind: 'chosen', hostId, reason: reasonFor(job, best, candidates) };
   }
   const counts = Object.fromEntries(ruledOut);
-  const never = fitting === 0;
-  return { kind: 'none', never, ruledOut: counts, reason: explainNone(job, counts, never) };
+  const never = possibleHosts === 0;
+  return { kind: 'none', never, ruledOut: counts, reason: explainNoHost(job, counts, never) };
 };
--- a/packages/core/src/placement/corrected-size.ts
+++ b/packages/core/src/placement/corrected-size.ts
@@ -1,21 +1,25 @@
 /**
- * Declared sizes corrected by measured use, as they may be far off. A task that uses more than it
- * declared counts with what it uses; a submitted job that uses less gives part of the rest back.
+ * Corrects declared sizes by measured use, because declarations may be far off. A task that uses
+ * more than it declared counts with what it uses; a submitted job that uses less counts with less,
+ * so that part of the unused cores becomes available.
  */
 import type { Resources } from './placeable.js';
 
-/** What is kept free above the measured use, since reports lag. */
-const HEADROOM = 1.25;
-/** A job that uses little still counts with this share of its declared cores. */
-const LEAST_SHARE = 0.5;
+/** The measured use is multiplied by this factor, because usage reports lag behind. */
+const HEADROOM_FACTOR = 1.25;
+/**
+ * A submitted job counts with at least this share of its declared cores, however little it uses.
+ */
+const MIN_DECLARED_SHARE = 0.5;
 
 /**
  * Corrects the declared size of a task by its measured use.
  *
  * @param declared - The declared size.
- * @param usedCores - The measured use, or undefined while there is no report.
- * @param isExecutor - Whether it serves requests: then it never counts with less than declared.
- * @returns The size to count with.
+ * @param usedCores - The measured use in cores, or undefined while there is no report.
+ * @param isExecutor - Whether the task is an executor of a service, which never counts with less
+ * than its declared size.
+ * @returns The size to use for placement.
  */
 export const correctedSize = (
   declared: Resources,
@@ -23,6 +27,6 @@
   isExecutor: boolean,
 ): Resources => {
   if (usedCores === undefined) return declared;
-  const least = declared.cores * (isExecutor ? 1 : LEAST_SHARE);
-  return { ...declared, cores: Math.max(least, usedCores * HEADROOM) };
+  const minCores = declared.cores * (isExecutor ? 1 : MIN_DECLARED_SHARE);
+  return { ...declared, cores: Math.max(minCores, usedCores * HEADROOM_FACTOR) };
 };
--- a/packages/core/src/placement/placeable.ts
+++ b/packages/core/src/placement/placeable.ts
@@ -1,4 +1,4 @@
-/** What placement knows of jobs and hosts. */
+/** Jobs and hosts as the input of placement. */
 import { findDeclaration, type Configuration } from '../configuration/configuration.js';
 import type { DeclarationOf, JobDeclaration, Urgency } from '../declarations/schema.js';
 import type { HostRow, HostSpec } from '../rows/rows.js';
@@ -13,14 +13,14 @@
   type TeamName,
 } from '../shared/ids.js';
 
-/** An amount of what a host has and a job takes. */
+/** Resources that a host provides or a job uses. */
 export type Resources = {
   readonly cores: number;
   readonly memoryMb: number;
   readonly accelerators: number;
 };
 
-/** A job that wants a host: an executor of a service, or a submitted job. */
+/** A job to be placed on a host: an executor of a service, or a submitted job. */
 export type PlaceableJob = Resources & {
   readonly jobId: JobId;
   readonly service: ServiceName | null;
@@ -29,23 +29,25 @@
   readonly selector: Selector;
   readonly urgency: Urgency;
   readonly leaseMs: number;
-  /** Hosts that are not to be chosen while there is another, such as those it failed on. */
+  /**
+   * Hosts that are chosen only if no other host is possible, such as hosts that the job failed on.
+   */
   readonly avoid: readonly HostId[];
 };
 
-/** A host as placement sees it. */
+/** The state of a host that placement depends on. */
 export type PlacementHost = {
   readonly spec: HostSpec;
   readonly row: HostRow;
-  /** False once the platform's list says that the host is gone. */
+  /** False once the platform's list shows that the host is gone. */
   readonly isLive: boolean;
-  /** What the jobs on it take. */
+  /** The resources that the jobs on it use. */
   readonly used: Resources;
-  /** How many executors of each service stand on it. */
+  /** The number of executors of each service on it. */
   readonly executors: ReadonlyMap<ServiceName, number>;
 };
 
-/** Executors hold their lease long enough to outlive a replacement of all entries. */
+/** The lease of an executor: long enough that it does not expire while all entries are replaced. */
 const EXECUTOR_LEASE_MS = 30_000;
 
 /**
@@ -73,7 +75,7 @@
  * Describes a submitted job.
  *
  * @param job - Its declaration.
- * @param avoid - Hosts on which it has failed.
+ * @param avoid - Hosts on which the job has failed.
  * @returns The job.
  */
 export const submittedJob = (job: JobDeclaration, avoid: readonly HostId[] = []): PlaceableJob => ({
@@ -107,11 +109,11 @@
 });
 
 /**
- * Gives the cores that a team may use at one time.
+ * Returns the cores that a team may use at one time.
  *
  * @param configuration - The configuration.
  * @param team - The team.
- * @returns Its quota in cores; none for a team that is not declared.
+ * @returns Its quota in cores; 0 for a team that is not declared.
  */
 export const teamQuotaCores = (configuration: Configuration, team: TeamName): number =>
   findDeclaration(configuration, 'Team', team)?.spec.quotaCores ?? 0;
