--- a/packages/core/src/fleet/fleet.ts
+++ b/packages/core/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** The fleet as declared: host groups written out as hosts, services as the executors they want. */
+/** The declared fleet: expands host groups into hosts and evaluates selectors over them. */
 import type { Configuration } from '../configuration/configuration.js';
 import { declarationsOf } from '../configuration/configuration.js';
 import type { DeclarationOf } from '../declarations/schema.js';
@@ -12,7 +12,7 @@
   type RackId,
 } from '../shared/ids.js';
 
-/** Labels that each host has without being given them. */
+/** The keys of the labels that every host has without declaring them. */
 export const builtInLabel = {
   host: 'host',
   rack: 'rack',
@@ -20,6 +20,7 @@
   pool: 'pool',
 } as const;
 
+/** Expands a host group into its hosts, which are numbered from 1. */
 const toHosts = ({ name, labels, spec }: DeclarationOf<'HostGroup'>): readonly HostSpec[] =>
   Array.from({ length: spec.hosts }, (_, index) => {
     const hostId = brand<HostId>(`${name}-${index + 1}`);
@@ -44,16 +45,17 @@
  * Lists the declared hosts.
  *
  * @param configuration - The configuration.
- * @returns Each host, with its place and labels.
+ * @returns The hosts, with their locations and labels.
  */
 export const declaredHosts = (configuration: Configuration): readonly HostSpec[] =>
   declarationsOf(configuration, 'HostGroup').flatMap(toHosts);
 
 /**
- * Lists the declared hosts that a selector names; the pool label is the pool that a host is in now.
+ * Lists the declared hosts that match a selector. The pool label is the pool that a host is
+ * currently in; it is empty for a host without a row.
  *
  * @param configuration - The configuration.
- * @param rows - The rows of hosts.
+ * @param rows - The rows of the hosts.
  * @param selector - The selector.
  * @returns The hosts' identifiers.
  */
@@ -62,10 +64,10 @@
   rows: readonly HostRow[],
   selector: Selector,
 ): readonly HostId[] => {
-  const pools = new Map(rows.map(({ hostId, pool }) => [hostId, pool]));
+  const poolByHost = new Map(rows.map(({ hostId, pool }) => [hostId, pool]));
   return declaredHosts(configuration)
     .filter(({ hostId, labels }) =>
-      matches(selector, { ...labels, [builtInLabel.pool]: pools.get(hostId) ?? '' }),
+      matches(selector, { ...labels, [builtInLabel.pool]: poolByHost.get(hostId) ?? '' }),
     )
     .map(({ hostId }) => hostId);
 };
