--- a/packages/core/src/explain/explain.ts
+++ b/packages/core/src/explain/explain.ts
@@ -1,21 +1,22 @@
-/** Records of decisions, so that an operator can ask why. */
+/** Stores recent decisions, so that an operator can query the reason for each of them. */
 
-/** One decision, as it is told to an operator. */
+/** One decision, as it is shown to an operator. */
 export type DecisionRecord = {
-  /** What it is about, in the form of a row key or `request/ID`. */
+  /** What the decision is about: a row key, or `request/ID`. */
   readonly subject: string;
   readonly outcome: string;
   /** Why, in terms of the operator's own labels and selectors. */
   readonly reason: string;
-  /** The configuration revision that was used. */
+  /** The configuration revision on which it was based. */
   readonly revision: number;
-  /** What was tried on the way, in order. */
+  /** The attempts that led to the outcome, in order. */
   readonly tried: readonly string[];
   readonly atMs: number;
 };
 
-/** A bounded memory of decisions. It changes in place. */
+/** A bounded store of decisions, one for each subject. It is changed in place. */
 export type DecisionMemory = {
+  /** The maximum number of subjects. */
   readonly most: number;
   readonly records: Map<string, DecisionRecord>;
 };
@@ -23,20 +24,20 @@
 export type DecisionMemoryOptions = { readonly most?: number };
 
 /**
- * Builds an empty memory.
+ * Creates an empty store.
  *
- * @param options - How many subjects are remembered at most.
- * @returns The memory.
+ * @param options - The maximum number of subjects.
+ * @returns The store.
  */
 export const createDecisionMemory = ({
   most = 10_000,
 }: DecisionMemoryOptions = {}): DecisionMemory => ({ most, records: new Map() });
 
 /**
- * Remembers a decision; the oldest subject is forgotten where there is no room.
+ * Stores a decision. If there are too many subjects, the one with the oldest decision is removed.
  *
- * @param memory - The memory, changed in place.
- * @param record - The decision; it takes the place of an earlier one on the same subject.
+ * @param memory - The store, changed in place.
+ * @param record - The decision; it replaces an earlier one on the same subject.
  */
 export const rememberDecision = (memory: DecisionMemory, record: DecisionRecord): void => {
   memory.records.delete(record.subject);
@@ -47,11 +48,11 @@
 };
 
 /**
- * Recalls the last decision on a subject.
+ * Returns the last decision on a subject.
  *
- * @param memory - The memory.
+ * @param memory - The store.
  * @param subject - The subject.
- * @returns The decision, or undefined if none is remembered.
+ * @returns The decision, or undefined if none is stored.
  */
 export const recallDecision = (
   memory: DecisionMemory,
