--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * Configuration as a log of revisions. A state moves only to a higher revision, so whatever a
- * stale peer or a late message brings, nothing reverts.
+ * Configuration as a log of revisions. A state only ever moves to a higher revision, so a stale
+ * peer or a late message cannot revert a change.
  */
 import { pipe } from 'fp-ts/lib/function.js';
 import * as N from 'fp-ts/lib/number.js';
@@ -19,13 +19,13 @@
 } from '../declarations/schema.js';
 import type { ChangeId } from '../shared/ids.js';
 
-/** The declarations in force at one revision. Revision 0 is the empty one. */
+/** The declarations that are in effect at one revision. Revision 0 is the empty configuration. */
 export type Configuration = {
   readonly revision: number;
   readonly declarations: ReadonlyMap<DeclarationKey, Declaration>;
 };
 
-/** One accepted change: what turns revision `revision - 1` into `revision`. */
+/** One accepted change, which turns revision `revision - 1` into `revision`. */
 export type ConfigurationDelta = {
   readonly revision: number;
   readonly changeId: ChangeId;
@@ -34,19 +34,21 @@
   readonly deletes: readonly DeclarationKey[];
 };
 
-/** A whole configuration in a form fit for a message or an object. */
+/** A whole configuration in a form that can be sent in a message or stored as an object. */
 export type ConfigurationSnapshot = {
   readonly revision: number;
   readonly declarations: readonly Declaration[];
 };
 
-/** The configuration before anything was applied. */
+/** The configuration before any change was applied. */
 export const emptyConfiguration: Configuration = { revision: 0, declarations: new Map() };
 
 const applyDelta = (state: Configuration, delta: ConfigurationDelta): Configuration => {
   const declarations = new Map(state.declarations);
   delta.deletes.forEach((key) => declarations.delete(key));
-  delta.upserts.forEach((one) => declarations.set(declarationKey(one), one));
+  delta.upserts.forEach((declaration) =>
+    declarations.set(declarationKey(declaration), declaration),
+  );
   return { revision: delta.revision, declarations };
 };
 
@@ -56,10 +58,10 @@
 );
 
 /**
- * Takes in deltas in any order, with repeats and gaps.
+ * Applies deltas. They may be in any order and contain duplicates and gaps.
  *
- * @param state - The configuration in force.
- * @param deltas - The deltas that are at hand.
+ * @param state - The current configuration.
+ * @param deltas - The deltas.
  * @returns The configuration at the highest revision that can be reached without a gap.
  */
 export const takeDeltas = (
@@ -69,15 +71,15 @@
   pipe(
     deltas,
     RA.sort(byRevision),
-    RA.reduce(state, (sum, delta) =>
-      delta.revision === sum.revision + 1 ? applyDelta(sum, delta) : sum,
+    RA.reduce(state, (current, delta) =>
+      delta.revision === current.revision + 1 ? applyDelta(current, delta) : current,
     ),
   );
 
 /**
- * Takes in a snapshot, if it is newer.
+ * Replaces the configuration by a snapshot if that has a higher revision.
  *
- * @param state - The configuration in force.
+ * @param state - The current configuration.
  * @param snapshot - The snapshot.
  * @returns The newer of the two.
  */
@@ -88,15 +90,17 @@
   if (snapshot.revision <= state.revision) return state;
   return {
     revision: snapshot.revision,
-    declarations: new Map(snapshot.declarations.map((one) => [declarationKey(one), one])),
+    declarations: new Map(
+      snapshot.declarations.map((declaration) => [declarationKey(declaration), declaration]),
+    ),
   };
 };
 
 /**
- * Writes a configuration as a snapshot.
+ * Converts a configuration to a snapshot.
  *
  * @param state - The configuration.
- * @returns Its snapshot, with the declarations in the order of their keys.
+ * @returns The snapshot, with the declarations sorted by key.
  */
 export const toSnapshot = (state: Configuration): ConfigurationSnapshot => ({
   revision: state.revision,
@@ -108,14 +112,14 @@
  *
  * @param state - The configuration.
  * @param kind - The kind.
- * @returns The declarations, in the order in which they are held.
+ * @returns The declarations, in the iteration order of the configuration's map.
  */
 export const declarationsOf = <Kind extends DeclarationKind>(
   state: Configuration,
   kind: Kind,
 ): readonly DeclarationOf<Kind>[] =>
   Array.from(state.declarations.values()).filter(
-    (one): one is DeclarationOf<Kind> => one.kind === kind,
+    (declaration): declaration is DeclarationOf<Kind> => declaration.kind === kind,
   );
 
 /**
@@ -124,7 +128,7 @@
  * @param state - The configuration.
  * @param kind - Its kind.
  * @param name - Its name.
- * @returns The declaration, or undefined.
+ * @returns The declaration, or undefined if there is none.
  */
 export const findDeclaration = <Kind extends DeclarationKind>(
   state: Configuration,
--- a/packages/core/src/configuration/difference.ts
+++ b/packages/core/src/configuration/difference.ts
@@ -1,10 +1,10 @@
-/** The difference between a configuration and a wanted set of declarations. */
+/** The difference between a configuration and a desired set of declarations. */
 import { isDeepStrictEqual } from 'node:util';
 
 import { declarationKey, type Declaration, type DeclarationKey } from '../declarations/schema.js';
 import type { Configuration } from './configuration.js';
 
-/** What would change if a set of declarations were applied. */
+/** The keys of the declarations that would change if a set of declarations were applied. */
 export type ConfigurationDifference = {
   readonly added: readonly DeclarationKey[];
   readonly changed: readonly DeclarationKey[];
@@ -12,29 +12,30 @@
 };
 
 /**
- * Compares a wanted set of declarations with the configuration in force.
+ * Compares a desired set of declarations with the current configuration.
  *
- * @param state - The configuration in force.
- * @param wanted - The whole wanted set; what it does not name is removed.
+ * @param state - The current configuration.
+ * @param desired - The complete desired set; declarations that it does not contain are removed.
  * @returns The keys that would be added, changed and removed.
  */
 export const differenceOf = (
   state: Configuration,
-  wanted: readonly Declaration[],
+  desired: readonly Declaration[],
 ): ConfigurationDifference => {
-  const wantedKeys = new Set(wanted.map(declarationKey));
-  const isNew = (one: Declaration) => !state.declarations.has(declarationKey(one));
-  const differs = (one: Declaration) =>
-    !isNew(one) && !isDeepStrictEqual(state.declarations.get(declarationKey(one)), one);
+  const desiredKeys = new Set(desired.map(declarationKey));
+  const isNew = (declaration: Declaration) => !state.declarations.has(declarationKey(declaration));
+  const isChanged = (declaration: Declaration) =>
+    !isNew(declaration) &&
+    !isDeepStrictEqual(state.declarations.get(declarationKey(declaration)), declaration);
   return {
-    added: wanted.filter(isNew).map(declarationKey),
-    changed: wanted.filter(differs).map(declarationKey),
-    removed: Array.from(state.declarations.keys()).filter((key) => !wantedKeys.has(key)),
+    added: desired.filter(isNew).map(declarationKey),
+    changed: desired.filter(isChanged).map(declarationKey),
+    removed: Array.from(state.declarations.keys()).filter((key) => !desiredKeys.has(key)),
   };
 };
 
 /**
- * Tells whether a difference is empty.
+ * Checks whether a difference is empty.
  *
  * @param difference - The difference.
  * @returns True if nothing would change.
