--- a/packages/core/src/selectors/parse-selector.ts
+++ b/packages/core/src/selectors/parse-selector.ts
@@ -1,15 +1,15 @@
 /**
- * The grammar of label selectors, as operators know it:
- * `a=b`, `a==b`, `a!=b`, `a in (b,c)`, `a notin (b,c)`, `a`, `!a`, joined by commas.
+ * Parses label selectors. The grammar that operators write:
+ * `a=b`, `a==b`, `a!=b`, `a in (b,c)`, `a notin (b,c)`, `a`, `!a`, separated by commas.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 
 import type { Requirement, Selector } from './selector.js';
 
-/** A selector that cannot be read, with the place in its text. */
+/** A syntax error in a selector, with its position in the text. */
 export type SelectorError = {
   readonly text: string;
-  /** Zero-based offset of the first character that does not fit. */
+  /** The zero-based offset of the first unexpected character. */
   readonly position: number;
   readonly message: string;
 };
@@ -36,10 +36,10 @@
 const tokenize = (text: string): readonly Token[] => {
   const tokens = Array.from(text.matchAll(TOKEN), (match): Token => {
     const [whole, word, symbol, stray] = match;
-    const found = word ?? symbol ?? stray ?? '';
-    const position = match.index + whole.length - found.length;
+    const matched = word ?? symbol ?? stray ?? '';
+    const position = match.index + whole.length - matched.length;
     if (stray !== undefined) throw new SelectorSyntaxError(position, `unexpected '${stray}'`);
-    return { kind: word === undefined ? 'symbol' : 'word', text: found, position };
+    return { kind: word === undefined ? 'symbol' : 'word', text: matched, position };
   });
   return [...tokens, { kind: 'end', text: 'the end', position: text.length }];
 };
@@ -47,12 +47,12 @@
 const describeToken = (token: Token): string =>
   token.kind === 'end' ? 'the end' : `'${token.text}'`;
 
-type Reader = {
+type TokenReader = {
   readonly peek: () => Token;
   readonly next: () => Token;
 };
 
-const createReader = (tokens: readonly Token[]): Reader => {
+const createTokenReader = (tokens: readonly Token[]): TokenReader => {
   let index = 0;
   const peek = () => tokens[Math.min(index, tokens.length - 1)] as Token;
   return {
@@ -65,7 +65,7 @@
   };
 };
 
-const readKey = (reader: Reader): string => {
+const readKey = (reader: TokenReader): string => {
   const token = reader.next();
   if (token.kind !== 'word' || !KEY.test(token.text)) {
     throw new SelectorSyntaxError(
@@ -76,7 +76,7 @@
   return token.text;
 };
 
-const readValue = (reader: Reader): string => {
+const readValue = (reader: TokenReader): string => {
   const token = reader.next();
   if (token.kind !== 'word' || !VALUE.test(token.text)) {
     throw new SelectorSyntaxError(
@@ -87,7 +87,7 @@
   return token.text;
 };
 
-const expectSymbol = (reader: Reader, symbol: string): void => {
+const expectSymbol = (reader: TokenReader, symbol: string): void => {
   const token = reader.next();
   if (token.kind === 'symbol' && token.text === symbol) return;
   throw new SelectorSyntaxError(
@@ -96,7 +96,7 @@
   );
 };
 
-const readValueSet = (reader: Reader): readonly string[] => {
+const readValueSet = (reader: TokenReader): readonly string[] => {
   expectSymbol(reader, '(');
   const values = [readValue(reader)];
   while (reader.peek().text === ',') {
@@ -107,7 +107,7 @@
   return values;
 };
 
-type OperatorReader = (key: string, reader: Reader) => Requirement;
+type OperatorReader = (key: string, reader: TokenReader) => Requirement;
 
 const readEqual: OperatorReader = (key, reader) => ({
   operator: 'in',
@@ -125,7 +125,7 @@
 
 const endsRequirement = (token: Token): boolean => token.kind === 'end' || token.text === ',';
 
-const readRequirement = (reader: Reader): Requirement => {
+const readRequirement = (reader: TokenReader): Requirement => {
   if (reader.peek().text === '!') {
     reader.next();
     return { operator: 'does-not-exist', key: readKey(reader) };
@@ -133,21 +133,21 @@
   const key = readKey(reader);
   if (endsRequirement(reader.peek())) return { operator: 'exists', key };
   const operator = reader.next();
-  const read = Object.hasOwn(operatorReaders, operator.text)
+  const readOperator = Object.hasOwn(operatorReaders, operator.text)
     ? operatorReaders[operator.text]
     : undefined;
-  if (!read) {
+  if (!readOperator) {
     throw new SelectorSyntaxError(
       operator.position,
       `expected one of = == != in notin, found ${describeToken(operator)}`,
     );
   }
-  return read(key, reader);
+  return readOperator(key, reader);
 };
 
 const readSelector = (text: string): Selector => {
   if (text.trim() === '') return { text, requirements: [] };
-  const reader = createReader(tokenize(text));
+  const reader = createTokenReader(tokenize(text));
   const requirements = [readRequirement(reader)];
   while (reader.peek().kind !== 'end') {
     expectSymbol(reader, ',');
@@ -160,7 +160,7 @@
  * Parses a selector. An empty text selects everything.
  *
  * @param text - The selector as the operator wrote it.
- * @returns The selector, or the position and message of the first thing that does not fit.
+ * @returns The selector, or the position and message of the first syntax error.
  */
 export const parseSelector = (text: string): Result<Selector, SelectorError> => {
   try {
--- a/packages/core/src/selectors/selector.test.ts
+++ b/packages/core/src/selectors/selector.test.ts
@@ -16,27 +16,27 @@
 
 describe('selectors', () => {
   describe('matching', () => {
-    it('requires every condition', () => {
+    it('matches only if every requirement is met', () => {
       const selector = parsed('rack in (r1, r2),!dirty,pool=dispatch,tier!=old,ssd');
       expect(matches(selector, { rack: 'r2', pool: 'dispatch', ssd: 'yes' })).toBe(true);
       expect(matches(selector, { rack: 'r3', pool: 'dispatch', ssd: 'yes' })).toBe(false);
       expect(matches(selector, { rack: 'r1', pool: 'dispatch', ssd: 'y', dirty: 'x' })).toBe(false);
     });
 
-    it('names the condition that ruled the labels out', () => {
+    it('returns the first requirement that the labels do not meet', () => {
       const labels: Record<string, string> = { a: '1', b: 'y' };
       const unmet = firstUnmet(parsed('a,b notin (x,y)'), (key) => labels[key]);
       expect(unmet && requirementText(unmet)).toBe('b notin (x,y)');
     });
 
-    it('selects everything with an empty selector', () => {
+    it('matches all labels with an empty selector', () => {
       expect(matches(parsed('  '), {})).toBe(true);
     });
   });
 
   describe('parsing', () => {
     test.prop([fc.array(requirement, { minLength: 1, maxLength: 4 })], { seed: 11 })(
-      'reads back what it writes',
+      'parses the formatted text back to the same requirements',
       (requirements) => {
         const text = requirements.map(requirementText).join(',');
         expect(parsed(text).requirements).toEqual(requirements);
@@ -44,7 +44,7 @@
     );
 
     test.prop([fc.string({ maxLength: 24 })], { seed: 12 })(
-      'never throws and points inside the text',
+      'never throws, and reports error positions within the text',
       (text) => {
         const result = parseSelector(text);
         if (result.isErr()) {
@@ -60,7 +60,7 @@
       ['a,,b', 2, "expected a label name, found ','"],
       ['a ~ b', 2, "unexpected '~'"],
       ['a constructor b', 2, "expected one of = == != in notin, found 'constructor'"],
-    ])('points at the fault in %j', (text, position, message) => {
+    ])('reports the position of the syntax error in %j', (text, position, message) => {
       expect(parseSelector(text).unwrapErr()).toMatchObject({ position, message });
     });
   });
--- a/packages/core/src/selectors/selector.ts
+++ b/packages/core/src/selectors/selector.ts
@@ -1,4 +1,4 @@
-/** Label selectors: the parsed form and its matching. */
+/** Label selectors: the parsed form, and how it is matched against labels. */
 
 /** The labels of a host, a job or a service. */
 export type Labels = Readonly<Record<string, string>>;
@@ -10,7 +10,7 @@
   | { readonly operator: 'in'; readonly key: string; readonly values: readonly string[] }
   | { readonly operator: 'not-in'; readonly key: string; readonly values: readonly string[] };
 
-/** A parsed selector, together with the operator's own text of it. */
+/** A parsed selector, with the text that the operator wrote. */
 export type Selector = {
   readonly text: string;
   readonly requirements: readonly Requirement[];
@@ -28,11 +28,14 @@
   'not-in': ({ values }, value) => value === undefined || !values.includes(value),
 };
 
-/** Gives the value of a label, or undefined where there is none. */
+/** Returns the value of a label, or undefined if there is no such label. */
 export type LabelLookup = (key: string) => string | undefined;
 
 const meets = (requirement: Requirement, value: string | undefined): boolean => {
-  const matcher = matchers[requirement.operator] as (one: Requirement, value?: string) => boolean;
+  const matcher = matchers[requirement.operator] as (
+    candidate: Requirement,
+    value?: string,
+  ) => boolean;
   return matcher(requirement, value);
 };
 
@@ -40,23 +43,23 @@
  * Finds the first requirement that is not met.
  *
  * @param selector - The selector.
- * @param lookup - Gives the values of labels.
- * @returns The requirement that ruled the labels out, or undefined if they match.
+ * @param lookup - Returns the value of a label.
+ * @returns The first requirement that the labels do not meet, or undefined if they match.
  */
 export const firstUnmet = (selector: Selector, lookup: LabelLookup): Requirement | undefined =>
   selector.requirements.find((requirement) => !meets(requirement, lookup(requirement.key)));
 
 /**
- * Tells whether labels match a selector.
+ * Checks whether labels match a selector.
  *
  * @param selector - The selector.
  * @param labels - The labels.
- * @returns True if each requirement is met.
+ * @returns True if every requirement is met.
  */
 export const matches = (selector: Selector, labels: Labels): boolean =>
   firstUnmet(selector, (key) => labels[key]) === undefined;
 
-const writers: {
+const formatters: {
   readonly [Name in Operator]: (requirement: RequirementOf<Name>) => string;
 } = {
   exists: ({ key }) => key,
@@ -68,10 +71,10 @@
 };
 
 /**
- * Writes a requirement in the operators' own grammar.
+ * Formats a requirement in the grammar that operators write.
  *
  * @param requirement - The requirement.
  * @returns Its text, for example `rack in (r1,r2)`.
  */
 export const requirementText = (requirement: Requirement): string =>
-  (writers[requirement.operator] as (one: Requirement) => string)(requirement);
+  (formatters[requirement.operator] as (candidate: Requirement) => string)(requirement);
