--- a/packages/core/src/shared/group-by.ts
+++ b/packages/core/src/shared/group-by.ts
@@ -1,11 +1,11 @@
 /** Grouping of lists by a key. */
 
 /**
- * Groups items by a key, keeping their order.
+ * Groups items by a key. The order of the items within a group is kept.
  *
  * @param items - The items.
- * @param keyOf - Gives the key of an item.
- * @returns A map from key to the items that have it.
+ * @param keyOf - Returns the key of an item.
+ * @returns A map from each key to its items.
  */
 export const groupBy = <Key, Item>(
   items: Iterable<Item>,
@@ -25,8 +25,8 @@
  * Counts items by a key.
  *
  * @param items - The items.
- * @param keyOf - Gives the key of an item.
- * @returns A plain object from key to count, fit for an explanation.
+ * @param keyOf - Returns the key of an item.
+ * @returns A plain object from key to count, for use in an explanation.
  */
 export const countBy = <Item>(
   items: Iterable<Item>,
--- a/packages/core/src/shared/hash.ts
+++ b/packages/core/src/shared/hash.ts
@@ -1,4 +1,4 @@
-/** Stable hashing of names, used where several entries must choose alike without talking. */
+/** Stable hashing of names, with which entries make the same choice without communicating. */
 import { pipe } from 'fp-ts/lib/function.js';
 import * as N from 'fp-ts/lib/number.js';
 import * as Ord from 'fp-ts/lib/Ord.js';
@@ -16,23 +16,24 @@
  */
 export const hash32 = (text: string): number => h32(text);
 
-type Weighed = { readonly name: string; readonly weight: number };
+type WeightedName = { readonly name: string; readonly weight: number };
 
-const heaviestFirst: Ord.Ord<Weighed> = pipe(
+const byWeightDescending: Ord.Ord<WeightedName> = pipe(
   Ord.reverse(N.Ord),
   Ord.contramap(({ weight }) => weight),
 );
-const byName: Ord.Ord<Weighed> = pipe(
+const byName: Ord.Ord<WeightedName> = pipe(
   S.Ord,
   Ord.contramap(({ name }) => name),
 );
 
 /**
- * Orders candidates by rendezvous hashing for one key: all who know the same candidates agree.
+ * Orders candidates by rendezvous hashing for one key. All entries that know the same candidates
+ * compute the same order.
  *
- * @param key - What is being assigned.
- * @param candidates - The names that may take it.
- * @returns The candidates, best first.
+ * @param key - The key of what is being assigned.
+ * @param candidates - The names of those to which it can be assigned.
+ * @returns The candidates, highest weight first; equal weights are ordered by name.
  */
 export const rendezvousOrder = <Name extends string>(
   key: string,
@@ -41,6 +42,6 @@
   pipe(
     candidates,
     RA.map((name) => ({ name, weight: hash32(`${key}/${name}`) })),
-    RA.sortBy([heaviestFirst, byName]),
+    RA.sortBy([byWeightDescending, byName]),
     RA.map(({ name }) => name),
   );
--- a/packages/core/src/shared/ids.ts
+++ b/packages/core/src/shared/ids.ts
@@ -1,12 +1,14 @@
-/** Branded identifiers, so that one kind of name cannot be passed where another is meant. */
+/**
+ * Branded identifiers, so that one kind of identifier cannot be passed where another is expected.
+ */
 
-/** A string that carries the name of its kind in the type only. */
+/** A string whose kind exists only in its type, not at run time. */
 export type Branded<Kind extends string> = string & { readonly brand: Kind };
 
 export type HostId = Branded<'HostId'>;
 export type RackId = Branded<'RackId'>;
 export type DataCentreId = Branded<'DataCentreId'>;
-/** A rack or a data centre, as a set of endpoints that fail together. */
+/** A failure domain: a rack or a data centre, whose endpoints can fail together. */
 export type DomainId = Branded<'DomainId'>;
 export type PoolName = Branded<'PoolName'>;
 export type TeamName = Branded<'TeamName'>;
@@ -14,20 +16,20 @@
 export type JobId = Branded<'JobId'>;
 export type WaveId = Branded<'WaveId'>;
 export type EntryId = Branded<'EntryId'>;
-/** One life of an endpoint: the next one that starts in its place has another. */
+/** One incarnation of an endpoint: each restart in the same place gets a new id. */
 export type EndpointId = Branded<'EndpointId'>;
-/** What a platform calls an endpoint; lives that follow each other may share it. */
+/** The platform's id of an endpoint, which successive incarnations may share. */
 export type InstanceId = Branded<'InstanceId'>;
-/** A client account: whoever holds one of its keys acts for it. */
+/** A client account: any holder of one of its API keys acts on its behalf. */
 export type AccountName = Branded<'AccountName'>;
 export type CallerId = Branded<'CallerId'>;
 export type RequestId = Branded<'RequestId'>;
 export type ChangeId = Branded<'ChangeId'>;
 
 /**
- * Marks a plain string as an identifier of the wanted kind.
+ * Casts a plain string to an identifier of the given kind, without validation.
  *
- * @param value - The text that was read from a setting, a row or a message.
- * @returns The same text, typed.
+ * @param value - The text read from a setting, a row or a message.
+ * @returns The same text, with the identifier type.
  */
 export const brand = <Id extends Branded<string>>(value: string): Id => value as Id;
--- a/packages/core/src/shared/once.ts
+++ b/packages/core/src/shared/once.ts
@@ -1,15 +1,15 @@
-/** Values that are reckoned when they are first asked for. */
+/** Lazily computed values. */
 
 /**
- * Builds a value that is reckoned at its first use, and kept.
+ * Creates a value that is computed at its first use and then cached.
  *
- * @param reckon - Gives the value.
- * @returns A function that gives the same value each time.
+ * @param compute - Computes the value.
+ * @returns A function that returns the same value at each call.
  */
-export const once = <Value>(reckon: () => Value): (() => Value) => {
-  let known: { readonly value: Value } | undefined;
+export const once = <Value>(compute: () => Value): (() => Value) => {
+  let cached: { readonly value: Value } | undefined;
   return () => {
-    known ??= { value: reckon() };
-    return known.value;
+    cached ??= { value: compute() };
+    return cached.value;
   };
 };
--- a/packages/core/src/shared/rng.ts
+++ b/packages/core/src/shared/rng.ts
@@ -1,4 +1,4 @@
-/** Random numbers as an argument: every decision that draws one takes an `Rng`. */
+/** Random numbers. Every function that uses randomness takes an `Rng` as an argument. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
@@ -6,7 +6,7 @@
 export type Rng = () => number;
 
 /**
- * Builds a generator with a fixed sequence.
+ * Creates a generator with a reproducible sequence.
  *
  * @param seed - The seed; equal seeds give equal sequences.
  * @returns The generator.
@@ -17,7 +17,7 @@
 };
 
 /**
- * Draws one item of a list.
+ * Draws one item of a list with equal probability.
  *
  * @param items - The list.
  * @param rng - The source of random numbers.
