--- a/packages/daemon/src/data-path/attempt.ts
+++ b/packages/daemon/src/data-path/attempt.ts
@@ -1,31 +1,36 @@
 /**
- * One attempt at an endpoint: the request goes out, and the answer is taken whole or not at all.
- * What was seen on the way is the evidence for the verdict.
+ * Sends a request once to an endpoint or to another entry. Only a complete response is returned; a
+ * failed attempt returns the evidence from which the verdict is derived.
  */
 import type { AttemptEvidence } from '@valvelatch/core';
 import type { Dispatcher } from 'undici';
 
-/** A request as it goes to an endpoint. */
+/** A request as it is sent to an endpoint or to another entry. */
 export type AttemptRequest = {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer | null;
   readonly requestId: string;
+  /** Time until the complete response must have been received, in milliseconds. */
   readonly timeoutMs: number;
+  /** Maximum size of the response body, in bytes. */
   readonly mostAnswerBytes: number;
-  /** Asked once more in the moment before the request goes out. */
+  /**
+   * Checked immediately before the request is sent; if it returns false, the attempt fails with
+   * `not-sent`. Undefined if the request may always be sent.
+   */
   readonly mayStillSend?: () => boolean;
 };
 
-/** A whole answer of an endpoint. */
+/** A response that was received completely. */
 export type WholeAnswer = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
 };
 
-/** How an attempt ended. */
+/** The result of an attempt: a complete response, or the failure and its evidence. */
 export type AttemptResult =
   | { readonly kind: 'answered'; readonly answer: WholeAnswer }
   | {
@@ -36,40 +41,43 @@
       readonly detail: string;
     };
 
-/** Headers by which an endpoint tells of a request and of itself. */
+/** Response headers in which an endpoint reports on a request and on its own state. */
 export const endpointHeader = {
   requestId: 'valvelatch-request-id',
   notRun: 'valvelatch-not-run',
   leaving: 'valvelatch-leaving',
 } as const;
 
-const NO_CONTENT = 204;
-const NOT_MODIFIED = 304;
-/** A timeout is settled here; the error that undici raises for the abort says nothing more. */
+const HTTP_NO_CONTENT = 204;
+const HTTP_NOT_MODIFIED = 304;
+/** Detail of a timeout. The error that undici raises for the abort adds no information to it. */
 const TIMEOUT_DETAIL = 'no whole answer before the deadline';
 
 type Failure = Extract<AttemptResult, { kind: 'failed' }>;
 type Headers = WholeAnswer['headers'];
 
-/** Without a length or chunks the end of the body cannot be told from a cut. */
-const hasTellableEnd = (method: string, status: number, headers: Headers): boolean =>
+/**
+ * Returns whether the end of the body can be told from a connection that was cut: the response has
+ * no body, a length, or a transfer encoding such as chunked.
+ */
+const hasDelimitedBody = (method: string, status: number, headers: Headers): boolean =>
   method === 'HEAD' ||
-  status === NO_CONTENT ||
-  status === NOT_MODIFIED ||
+  status === HTTP_NO_CONTENT ||
+  status === HTTP_NOT_MODIFIED ||
   headers['content-length'] !== undefined ||
   headers['transfer-encoding'] !== undefined;
 
-const isOfOther = (headers: Headers, requestId: string): boolean => {
+const belongsToOtherRequest = (headers: Headers, requestId: string): boolean => {
   const echoed = headers[endpointHeader.requestId];
   return typeof echoed === 'string' && echoed !== '' && echoed !== requestId;
 };
 
 /**
- * Makes one attempt.
+ * Sends a request once.
  *
- * @param dispatcher - The connections to the endpoint.
- * @param request - The request, with its bounds on time and size.
- * @returns The whole answer, or how the attempt failed; it never rejects.
+ * @param dispatcher - The connection pool of the receiver.
+ * @param request - The request, with its limits on time and size.
+ * @returns The complete response, or the reason of the failure. The promise never rejects.
  */
 export const attempt = (dispatcher: Dispatcher, request: AttemptRequest): Promise<AttemptResult> =>
   new Promise((resolve) => {
@@ -77,7 +85,7 @@
     let evidence: AttemptEvidence['kind'] = 'nothing-sent';
     let status = 0;
     let headers: Headers = {};
-    let sizeBytes = 0;
+    let receivedBytes = 0;
     let controller: Dispatcher.DispatchController | undefined;
     let isSettled = false;
 
@@ -99,14 +107,14 @@
         path: request.path,
         headers: request.headers,
         body: request.body,
-        // Only this module decides what may be sent twice.
+        // Keeps undici from resending the request: only serve-request.ts decides on retries.
         idempotent: false,
       },
       {
-        onRequestStart: (started) => {
-          controller = started;
+        onRequestStart: (startedController) => {
+          controller = startedController;
           if (isSettled) {
-            started.abort(new Error(TIMEOUT_DETAIL));
+            startedController.abort(new Error(TIMEOUT_DETAIL));
             return;
           }
           if (request.mayStillSend?.() === false) {
@@ -115,19 +123,19 @@
           }
           evidence = 'bytes-may-have-left';
         },
-        onResponseStart: (_, code, received) => {
+        onResponseStart: (_, statusCode, receivedHeaders) => {
           evidence = 'answer-began';
-          status = code;
-          headers = received as Headers;
-          if (isOfOther(headers, request.requestId)) {
+          status = statusCode;
+          headers = receivedHeaders as Headers;
+          if (belongsToOtherRequest(headers, request.requestId)) {
             fail('not-its-own', 'the answer names another request');
-          } else if (!hasTellableEnd(request.method, code, headers)) {
+          } else if (!hasDelimitedBody(request.method, statusCode, headers)) {
             fail('incomplete', 'the answer has neither a length nor chunks');
           }
         },
         onResponseData: (_, chunk) => {
-          sizeBytes += chunk.length;
-          if (sizeBytes > request.mostAnswerBytes) {
+          receivedBytes += chunk.length;
+          if (receivedBytes > request.mostAnswerBytes) {
             fail('too-large', `the answer is larger than ${request.mostAnswerBytes} bytes`);
           } else {
             chunks.push(chunk);
--- a/packages/daemon/src/data-path/attempts.test.ts
+++ b/packages/daemon/src/data-path/attempts.test.ts
@@ -12,28 +12,29 @@
   type TestEntry,
 } from '../testing/deployment.fixtures.js';
 
-describe('attempts at endpoints that fail', () => {
+describe('attempts at failing endpoints', () => {
   let deployment: Deployment;
-  let at: TestEntry;
+  let entry: TestEntry;
   let workers: StandInWorkers;
 
   beforeAll(async () => {
     deployment = await startDeployment({ executors: 3, requestTimeoutMs: 1500 });
-    [at] = deployment.entries as [TestEntry];
+    [entry] = deployment.entries as [TestEntry];
     workers = deployment.workers.get('east') as StandInWorkers;
   });
   afterEach(async () => {
     workers.setExecutorFault('*', 'none');
-    // Good answers earn the retries that the case before has spent, and clear the endpoints.
-    await waitUntil('many good answers', async () => {
-      const answers = await Promise.all(Array.from({ length: 250 }, () => send(at)));
+    // Successful requests refill the retry budget that the previous test used, and end the
+    // ejection of endpoints.
+    await waitUntil('only successful responses in a batch of 250 requests', async () => {
+      const answers = await Promise.all(Array.from({ length: 250 }, () => send(entry)));
       return answers.every(({ status }) => status === 200);
     });
   });
   afterAll(() => deployment.close());
 
   const sendOnce = (key: string, headers: Record<string, string> = {}) =>
-    send(at, { body: key, headers: { 'idempotency-key': key, ...headers } });
+    send(entry, { body: key, headers: { 'idempotency-key': key, ...headers } });
 
   describe('a request that is not repeatable', () => {
     const cases: readonly [ExecutorFault, number, string, string, number][] = [
@@ -46,7 +47,7 @@
     ];
 
     it.each(cases)(
-      'meets %s: status %i, verdict %s',
+      'gets, from endpoints that fail with %s, status %i and verdict %s',
       async (fault, status, verdict, reason, executions) => {
         workers.setExecutorFault('*', fault);
         const key = randomUUID();
@@ -55,7 +56,7 @@
       },
     );
 
-    it('gets its final answer at the deadline, not later than that', async () => {
+    it('is refused once its deadline has passed, and not before', async () => {
       workers.setExecutorFault('*', 'hang');
       const key = randomUUID();
       const startedMs = performance.now();
@@ -69,7 +70,7 @@
       expect(executionsOf(deployment, key)).toBe(1);
     });
 
-    it('is sent on where an endpoint says that it did not run it', async () => {
+    it('is sent to another endpoint if the first one reports that it did not run the request', async () => {
       workers.setExecutorFault('routing-0', 'not-run');
       const keys = Array.from({ length: 12 }, () => randomUUID());
       const answers = await Promise.all(keys.map((key) => sendOnce(key)));
@@ -81,18 +82,18 @@
 
   describe('a repeatable request', () => {
     it.each(['fail-fast', 'half-answer', 'wrong-answer', 'reset-before', 'reset-after'] as const)(
-      'is answered by another endpoint where one meets %s',
+      'is answered by another endpoint if one endpoint fails with %s',
       async (fault) => {
         workers.setExecutorFault('routing-1', fault);
         const bodies = Array.from({ length: 20 }, () => randomUUID());
-        const answers = await Promise.all(bodies.map((body) => send(at, { body })));
+        const answers = await Promise.all(bodies.map((body) => send(entry, { body })));
         expect(answers.filter(({ status }) => status !== 200)).toEqual([]);
         expect(answers.map(({ text }) => text)).toEqual(bodies);
       },
     );
 
-    it('is sent to no third endpoint once two broke off without an answer', async () => {
-      // A request that brings down each endpoint that takes it would bring down the next one, too.
+    it('is not sent to a third endpoint after two closed the connection without a response', async () => {
+      // A request that crashes every endpoint that receives it must not crash a third one as well.
       workers.setExecutorFault('*', 'reset-after');
       const bodies = Array.from({ length: 5 }, () => randomUUID());
       const repeatable = { 'valvelatch-repeatable': 'true' };
@@ -103,17 +104,17 @@
       expect(Math.max(...bodies.map((body) => executionsOf(deployment, body)))).toBe(2);
     });
 
-    it('is not retried without end where all endpoints fail', async () => {
+    it('is not retried indefinitely if all endpoints fail', async () => {
       const before = workers.report().served;
       workers.setExecutorFault('*', 'reset-before');
-      const answers = await Promise.all(Array.from({ length: 40 }, () => send(at)));
+      const answers = await Promise.all(Array.from({ length: 40 }, () => send(entry)));
       expect(answers.every(({ status }) => status === 503)).toBe(true);
       expect(workers.report().served).toBe(before);
     });
   });
 
-  describe('whole answers', () => {
-    it('gives each of many callers exactly its own answer or an honest error', async () => {
+  describe('complete responses', () => {
+    it('returns to each of many callers its own response or an error with a verdict', async () => {
       const [first, second] = deployment.entries as [TestEntry, TestEntry];
       const faults: readonly ExecutorFault[] = [
         'none',
--- a/packages/daemon/src/data-path/callers-server.ts
+++ b/packages/daemon/src/data-path/callers-server.ts
@@ -1,4 +1,4 @@
-/** The port towards callers: reads requests, writes whole answers and refusals. */
+/** HTTP server for callers: parses requests, and sends complete responses or refusals. */
 import type { IncomingMessage } from 'node:http';
 import {
   brand,
@@ -14,56 +14,60 @@
 import type { CallerRequest, RequestOutcome } from './request-types.js';
 
 export type CallersServerOptions = {
+  /** Serves one request and returns its outcome. */
   readonly serve: (request: CallerRequest) => Promise<RequestOutcome>;
   readonly newRequestId: () => RequestId;
+  /** Returns whether a proof shows that an entry with the mesh key forwarded the request. */
   readonly isForwardProof: (proof: string, requestId: string) => boolean;
-  /** False once the entry wants no more requests from the balancer. */
+  /** False once the load balancer is to send no more requests to this entry. */
   readonly isHealthy: () => boolean;
+  /** Called for each refused request, with a description of each failed attempt. */
   readonly onRefusal: (refusal: Refusal, tried: readonly string[], service: string) => void;
   readonly mostBodyBytes: number;
   readonly mostHeaderBytes: number;
+  /** Time limit for receiving a request, in milliseconds. */
   readonly receiveTimeoutMs: number;
 };
 
-const PREFIX = '/services/';
-const MOST_NAME_LENGTH = 128;
+const PATH_PREFIX = '/services/';
+const MAX_SERVICE_NAME_LENGTH = 128;
 const NOT_FOUND = 404;
-const KEY_PATTERN = /^[\x21-\x7e]{1,200}$/;
-const methods = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
+const IDEMPOTENCY_KEY_PATTERN = /^[\x21-\x7e]{1,200}$/;
+const METHODS = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
 
-type Wanted = { readonly Params: { readonly service: string; readonly '*': string } };
+type ServiceRoute = { readonly Params: { readonly service: string; readonly '*': string } };
 
-const single = (value: string | string[] | undefined): string | undefined =>
+const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-const malformation = (request: FastifyRequest): string | undefined => {
-  const key = single(request.headers[callerHeader.key]);
-  if (key !== undefined && !KEY_PATTERN.test(key)) {
+const findHeaderError = (request: FastifyRequest): string | undefined => {
+  const key = firstValue(request.headers[callerHeader.key]);
+  if (key !== undefined && !IDEMPOTENCY_KEY_PATTERN.test(key)) {
     return `${callerHeader.key} must be 1 to 200 visible ASCII characters`;
   }
-  const deadline = single(request.headers[callerHeader.deadlineMs]);
+  const deadline = firstValue(request.headers[callerHeader.deadlineMs]);
   if (deadline !== undefined && !/^[1-9]\d{0,8}$/.test(deadline)) {
     return `${callerHeader.deadlineMs} must be a whole number of milliseconds`;
   }
-  const mark = single(request.headers[callerHeader.repeatable]);
-  if (mark !== undefined && mark !== 'true' && mark !== 'false') {
+  const repeatable = firstValue(request.headers[callerHeader.repeatable]);
+  if (repeatable !== undefined && repeatable !== 'true' && repeatable !== 'false') {
     return `${callerHeader.repeatable} must be true or false`;
   }
   return undefined;
 };
 
-const pathBehind = (url: string, service: string): string => {
-  const rest = url.slice(PREFIX.length + service.length);
+const pathAfterService = (url: string, service: string): string => {
+  const rest = url.slice(PATH_PREFIX.length + service.length);
   return rest.startsWith('/') ? rest : `/${rest}`;
 };
 
 /**
- * Writes a refusal as the caller gets it.
+ * Sends a refusal to the caller, in the body and in the headers.
  *
- * @param reply - The reply.
+ * @param reply - The reply to send it with.
  * @param refusal - The refusal.
- * @param status - The HTTP status, where it is not the usual one of the reason.
- * @returns The reply, sent.
+ * @param status - The HTTP status; defaults to the status that belongs to the reason.
+ * @returns The reply, which has been sent.
  */
 export const sendRefusal = (
   reply: FastifyReply,
@@ -101,9 +105,9 @@
 };
 
 /**
- * Builds the server; it is not listening yet.
+ * Creates the server without starting to listen.
  *
- * @param options - How requests are served, and the bounds on what callers send.
+ * @param options - The functions that serve requests, and the limits on requests.
  * @returns The server.
  */
 export const createCallersServer = ({
@@ -120,7 +124,7 @@
     bodyLimit: mostBodyBytes,
     requestTimeout: receiveTimeoutMs,
     http: { maxHeaderSize: mostHeaderBytes, headersTimeout: receiveTimeoutMs },
-    routerOptions: { maxParamLength: MOST_NAME_LENGTH },
+    routerOptions: { maxParamLength: MAX_SERVICE_NAME_LENGTH },
     exposeHeadRoutes: false,
     return503OnClosing: false,
     genReqId: newRequestId,
@@ -129,60 +133,81 @@
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'buffer' }, (_, body, done) => done(null, body));
 
-  const malformed = (reply: FastifyReply, requestId: RequestId, detail: string, status?: number) =>
+  const sendMalformed = (
+    reply: FastifyReply,
+    requestId: RequestId,
+    detail: string,
+    status?: number,
+  ) =>
     sendRefusal(
       reply,
       { verdict: 'notRun', reason: 'malformed-request', detail, retryAfterS: 1, requestId },
       status,
     );
 
-  // Only faults in reading the request get here; nothing has been sent to an endpoint yet.
+  // Only errors in reading the request get here, before anything is sent to an endpoint. The
+  // verdict `notRun` is therefore correct.
   app.setErrorHandler((error: { statusCode?: number; message: string }, request, reply) =>
-    malformed(reply, brand<RequestId>(String(request.id)), error.message, error.statusCode ?? 500),
+    sendMalformed(
+      reply,
+      brand<RequestId>(String(request.id)),
+      error.message,
+      error.statusCode ?? 500,
+    ),
   );
   app.setNotFoundHandler((request, reply) => {
-    const detail = `expected a path of the form ${PREFIX}NAME/...`;
-    return malformed(reply, brand<RequestId>(String(request.id)), detail, NOT_FOUND);
+    const detail = `expected a path of the form ${PATH_PREFIX}NAME/...`;
+    return sendMalformed(reply, brand<RequestId>(String(request.id)), detail, NOT_FOUND);
   });
 
   app.get('/healthz', (_, reply) =>
     isHealthy() ? reply.send('ok\n') : reply.code(503).send('stopping\n'),
   );
 
-  const read = (request: FastifyRequest<Wanted>): CallerRequest => {
+  const parseRequest = (request: FastifyRequest<ServiceRoute>): CallerRequest => {
     const { headers } = request;
     const { service } = request.params;
-    const deadline = single(headers[callerHeader.deadlineMs]);
-    const proof = single(headers[callerHeader.forwarded]);
-    const givenId = single(headers[callerHeader.requestId]) ?? '';
-    const isForwarded = proof !== undefined && isForwardProof(proof, givenId);
+    const deadline = firstValue(headers[callerHeader.deadlineMs]);
+    const proof = firstValue(headers[callerHeader.forwarded]);
+    const suppliedId = firstValue(headers[callerHeader.requestId]) ?? '';
+    const isForwarded = proof !== undefined && isForwardProof(proof, suppliedId);
     return {
-      requestId: brand<RequestId>(isForwarded ? givenId : request.id),
+      requestId: brand<RequestId>(isForwarded ? suppliedId : request.id),
       service: brand<ServiceName>(service),
       method: request.method,
-      path: pathBehind(request.url, service),
+      path: pathAfterService(request.url, service),
       headers,
       body: (request.body as Buffer | undefined) ?? null,
-      callerId: brand<CallerId>(single(headers[callerHeader.caller]) ?? request.ip),
-      isRepeatable: isRepeatable(request.method, single(headers[callerHeader.repeatable])),
-      key: single(headers[callerHeader.key]) ?? null,
-      isFirstAttempt: single(headers[callerHeader.attempt]) === 'first',
+      callerId: brand<CallerId>(firstValue(headers[callerHeader.caller]) ?? request.ip),
+      isRepeatable: isRepeatable(request.method, firstValue(headers[callerHeader.repeatable])),
+      key: firstValue(headers[callerHeader.key]) ?? null,
+      isFirstAttempt: firstValue(headers[callerHeader.attempt]) === 'first',
       isForwarded,
       wantedMs: deadline === undefined ? null : Number(deadline),
     };
   };
 
-  const handle = async (request: FastifyRequest<Wanted>, reply: FastifyReply) => {
-    const fault = malformation(request);
-    if (fault !== undefined) return malformed(reply, brand<RequestId>(request.id), fault);
-    const wanted = read(request);
-    const outcome = await serve(wanted);
-    if (outcome.kind === 'refusal') onRefusal(outcome.refusal, outcome.tried, wanted.service);
-    return sendOutcome(reply, wanted.requestId, outcome);
+  const handleRequest = async (request: FastifyRequest<ServiceRoute>, reply: FastifyReply) => {
+    const headerError = findHeaderError(request);
+    if (headerError !== undefined)
+      return sendMalformed(reply, brand<RequestId>(request.id), headerError);
+    const callerRequest = parseRequest(request);
+    const outcome = await serve(callerRequest);
+    if (outcome.kind === 'refusal')
+      onRefusal(outcome.refusal, outcome.tried, callerRequest.service);
+    return sendOutcome(reply, callerRequest.requestId, outcome);
   };
 
-  app.route<Wanted>({ method: [...methods], url: `${PREFIX}:service/*`, handler: handle });
-  app.route<Wanted>({ method: [...methods], url: `${PREFIX}:service`, handler: handle });
+  app.route<ServiceRoute>({
+    method: [...METHODS],
+    url: `${PATH_PREFIX}:service/*`,
+    handler: handleRequest,
+  });
+  app.route<ServiceRoute>({
+    method: [...METHODS],
+    url: `${PATH_PREFIX}:service`,
+    handler: handleRequest,
+  });
 
   app.server.on('clientError', (_: Error, socket: IncomingMessage['socket']) => {
     if (socket.writable) socket.end('HTTP/1.1 400 Bad Request\r\nconnection: close\r\n\r\n');
--- a/packages/daemon/src/data-path/claim-keeper.ts
+++ b/packages/daemon/src/data-path/claim-keeper.ts
@@ -1,4 +1,7 @@
-/** Claims of requests that are not repeatable: in the platform's table, or in memory without it. */
+/**
+ * Claims the keys of requests that are not repeatable. Claims are stored in the platform's table, or
+ * in memory while the platform is unavailable.
+ */
 import { createHash } from 'node:crypto';
 
 import {
@@ -16,7 +19,7 @@
 import type { WholeAnswer } from './attempt.js';
 import type { OutageClaims } from './outage-claims.js';
 
-/** A request that wants to be claimed. */
+/** A request whose key is to be claimed. */
 export type ClaimRequest = {
   readonly requestId: RequestId;
   readonly key: string;
@@ -24,11 +27,11 @@
   readonly method: string;
   readonly path: string;
   readonly body: Buffer | null;
-  /** True if the caller says that it has never sent this key before. */
+  /** True if the caller states that it has never sent this key before. */
   readonly isFirstAttempt: boolean;
 };
 
-/** What came of a claim. */
+/** The outcome of claiming a key: claimed, an earlier response to replay, or a refusal. */
 export type ClaimOutcome =
   | { readonly kind: 'claimed'; readonly claim: HeldClaim }
   | { readonly kind: 'replay'; readonly answer: KeptAnswer }
@@ -39,43 +42,52 @@
       readonly detail: string;
     };
 
-/** A claim that this entry holds while the request is under way. */
+/** A claim that this entry holds while the request is in flight. */
 export type HeldClaim = {
-  /** The request surely did not run: another attempt may claim the key. */
+  /** Frees the key for another attempt. Only for a request that certainly did not run. */
   readonly release: () => Promise<void>;
-  /** The request ran; its answer is kept if it is small. */
+  /** Records that the request ran, and stores its response unless that is too large. */
   readonly finish: (answer: WholeAnswer | null) => Promise<void>;
 };
 
+/** Store of the claims of this entry's requests. */
 export type ClaimKeeper = {
+  /** Claims the key of a request. */
   readonly claim: (request: ClaimRequest) => Promise<ClaimOutcome>;
-  /** Releases claims whose writing was in doubt and whose requests were refused. */
+  /** Releases claims whose write had an unknown outcome and whose requests were not sent. */
   readonly releaseStrays: () => Promise<void>;
 };
 
 export type ClaimKeeperOptions = {
   readonly table: TableClient;
+  /** Groups the writes of claims into transactions. */
   readonly commits: GroupCommit;
   readonly outage: OutageClaims;
-  /** Data centres that may hold claims which the table does not show. */
+  /** Returns the data centres that may hold unflushed claims, which are not in the table yet. */
   readonly inDoubt: () => readonly string[];
+  /** The id of this entry. */
   readonly self: EntryId;
-  /** Larger answers are not kept; a resend is told that the request ran. */
+  /**
+   * Maximum size of a stored response body, in bytes. Larger responses are not stored; a resend is
+   * then refused with the information that the request ran.
+   */
   readonly mostKeptBytes?: number;
 };
 
-type Stray = { readonly key: string; readonly row: ClaimRow };
+/** A claim whose write had an unknown outcome and which may be in the table. */
+type UncertainClaim = { readonly key: string; readonly row: ClaimRow };
+/** `raced`: the claim's row has another version. `away`: the table did not confirm the write. */
 type WriteResult = ClaimOutcome | 'raced' | 'away';
 
-const MOST_STRAYS = 10_000;
+const MAX_UNCERTAIN_CLAIMS = 10_000;
 
 const fingerprintOf = ({ method, path, body }: ClaimRequest): string => {
   const hash = createHash('sha256').update(`${method} ${path}\n`);
   return (body === null ? hash : hash.update(body)).digest('base64url');
 };
 
-const keep = (answer: WholeAnswer | null, mostBytes: number): KeptAnswer | null => {
-  if (!answer || answer.body.length > mostBytes) return null;
+const toStoredResponse = (answer: WholeAnswer | null, maxBytes: number): KeptAnswer | null => {
+  if (!answer || answer.body.length > maxBytes) return null;
   const contentType = answer.headers['content-type'];
   return {
     status: answer.status,
@@ -84,16 +96,16 @@
   };
 };
 
-const unknownClaim = (where: string): ClaimOutcome => ({
+const claimUnknownRefusal = (location: string): ClaimOutcome => ({
   kind: 'refused',
   verdict: 'mayHaveRun',
   reason: 'claim-unknown',
   detail:
-    `${where} may hold an earlier claim of this key that cannot be seen now; ` +
+    `${location} may hold an earlier claim of this key that cannot be seen now; ` +
     'a request that was never sent before may say valvelatch-attempt: first',
 });
 
-const raceLost: ClaimOutcome = {
+const ALREADY_RUNNING_REFUSAL: ClaimOutcome = {
   kind: 'refused',
   verdict: 'mayHaveRun',
   reason: 'already-running',
@@ -101,10 +113,10 @@
 };
 
 /**
- * Builds the keeper.
+ * Creates the claim store.
  *
- * @param options - The table, the group commit, the claims in memory, and who claims.
- * @returns The keeper.
+ * @param options - The table, the group commit, the claims in memory, and the id of this entry.
+ * @returns The claim store.
  */
 export const createClaimKeeper = ({
   table,
@@ -114,25 +126,29 @@
   self,
   mostKeptBytes = 16_384,
 }: ClaimKeeperOptions): ClaimKeeper => {
-  const strays: Stray[] = [];
+  const uncertainClaims: UncertainClaim[] = [];
 
   const holdInTable = (key: string, row: ClaimRow, version: number): HeldClaim => {
-    const write = async (next: ClaimRow): Promise<void> => {
+    const updateRow = async (next: ClaimRow): Promise<void> => {
       await commits.submit({
         checks: [{ key: rowKey.claim(key), version }],
         writes: [{ key: rowKey.claim(key), value: next }],
       });
     };
     return {
-      release: () => write({ ...row, state: 'released' }),
-      finish: (answer) => write({ ...row, state: 'done', answer: keep(answer, mostKeptBytes) }),
+      release: () => updateRow({ ...row, state: 'released' }),
+      finish: (answer) =>
+        updateRow({ ...row, state: 'done', answer: toStoredResponse(answer, mostKeptBytes) }),
     };
   };
 
   const holdInMemory = (key: string, row: ClaimRow): HeldClaim => ({
     release: async () => outage.settle({ key, row: { ...row, state: 'released' } }),
     finish: async (answer) =>
-      outage.settle({ key, row: { ...row, state: 'done', answer: keep(answer, mostKeptBytes) } }),
+      outage.settle({
+        key,
+        row: { ...row, state: 'done', answer: toStoredResponse(answer, mostKeptBytes) },
+      }),
   });
 
   const newRow = (request: ClaimRequest, fingerprint: string): ClaimRow => ({
@@ -145,29 +161,33 @@
     claimedAtMs: Date.now(),
   });
 
-  const write = async (
+  const writeClaim = async (
     { key, isFirstAttempt }: ClaimRequest,
     row: ClaimRow,
     version: number,
   ): Promise<WriteResult> => {
-    const doubtCheck = isFirstAttempt ? [] : [{ key: rowKey.doubt, version: 0 }];
+    // Fails once a loss of claims has been recorded. A first attempt cannot have an earlier claim.
+    const claimLossCheck = isFirstAttempt ? [] : [{ key: rowKey.doubt, version: 0 }];
     const outcome = await commits.submit({
-      checks: [{ key: rowKey.claim(key), version }, ...doubtCheck],
+      checks: [{ key: rowKey.claim(key), version }, ...claimLossCheck],
       writes: [{ key: rowKey.claim(key), value: row }],
     });
     if (outcome.isErr()) {
-      // The request will not be sent; the claim may stand all the same and is released later.
-      if (outcome.error.kind === 'unknown' && strays.length < MOST_STRAYS)
-        strays.push({ key, row });
+      // The request will not be sent, but the claim may have been written; it is released later.
+      if (outcome.error.kind === 'unknown' && uncertainClaims.length < MAX_UNCERTAIN_CLAIMS)
+        uncertainClaims.push({ key, row });
       return 'away';
     }
     if (outcome.value.kind === 'committed') {
       return { kind: 'claimed', claim: holdInTable(key, row, outcome.value.version) };
     }
-    return outcome.value.key === rowKey.doubt ? unknownClaim('a replaced data centre') : 'raced';
+    return outcome.value.key === rowKey.doubt
+      ? claimUnknownRefusal('a replaced data centre')
+      : 'raced';
   };
 
-  const decide = (row: ClaimRow | null, fingerprint: string): ClaimOutcome | 'claim' => {
+  /** Decides about a request from the row of its key; `claim` means that the key may be claimed. */
+  const decideFromRow = (row: ClaimRow | null, fingerprint: string): ClaimOutcome | 'claim' => {
     const decision = decideClaim(row, fingerprint);
     if (decision.kind === 'claim') return 'claim';
     return decision.kind === 'refuse' ? { ...decision, kind: 'refused' } : decision;
@@ -182,7 +202,7 @@
         detail: 'the platform is away and the claim cannot be kept safely without it',
       };
     }
-    if (!request.isFirstAttempt) return unknownClaim('another data centre');
+    if (!request.isFirstAttempt) return claimUnknownRefusal('another data centre');
     const { key } = request;
     if (await outage.take({ key, row })) {
       return { kind: 'claimed', claim: holdInMemory(key, row) };
@@ -195,39 +215,41 @@
     };
   };
 
-  const claimOverExisting = async (
+  /** Claims a key after reading its row; used if the row may exist or may be missing wrongly. */
+  const claimAfterRead = async (
     request: ClaimRequest,
     row: ClaimRow,
   ): Promise<ClaimOutcome | 'away'> => {
     const read = await table.read([rowKey.claim(request.key)]);
     if (read.isErr()) return 'away';
     const [stored] = read.value;
-    const known = (stored?.value ?? null) as ClaimRow | null;
-    const decision = decide(known, row.fingerprint);
+    const storedRow = (stored?.value ?? null) as ClaimRow | null;
+    const decision = decideFromRow(storedRow, row.fingerprint);
     if (decision !== 'claim') return decision;
-    const [centre] = request.isFirstAttempt || known !== null ? [] : inDoubt();
-    if (centre !== undefined) return unknownClaim(`data centre ${centre}`);
-    const again = await write(request, row, stored?.version ?? 0);
-    return again === 'raced' ? raceLost : again;
+    const [centre] = request.isFirstAttempt || storedRow !== null ? [] : inDoubt();
+    if (centre !== undefined) return claimUnknownRefusal(`data centre ${centre}`);
+    const retried = await writeClaim(request, row, stored?.version ?? 0);
+    return retried === 'raced' ? ALREADY_RUNNING_REFUSAL : retried;
   };
 
   const claimInTable = async (
     request: ClaimRequest,
     row: ClaimRow,
   ): Promise<ClaimOutcome | 'away'> => {
-    // Without doubt it is written blind: one trip to the table where nothing stands in its way.
-    const mayWriteBlind = request.isFirstAttempt || inDoubt().length === 0;
-    if (!mayWriteBlind) return claimOverExisting(request, row);
-    const written = await write(request, row, 0);
-    return written === 'raced' ? claimOverExisting(request, row) : written;
+    // If no data centre may hold an unflushed claim of the key, the claim is written without reading
+    // the row first, which takes a single round trip unless the row exists.
+    const maySkipRead = request.isFirstAttempt || inDoubt().length === 0;
+    if (!maySkipRead) return claimAfterRead(request, row);
+    const written = await writeClaim(request, row, 0);
+    return written === 'raced' ? claimAfterRead(request, row) : written;
   };
 
   const claim = async (request: ClaimRequest): Promise<ClaimOutcome> => {
     const fingerprint = fingerprintOf(request);
     const row = newRow(request, fingerprint);
-    const remembered = outage.find(request.key);
-    if (remembered) {
-      const decision = decide(remembered, fingerprint);
+    const inMemoryRow = outage.find(request.key);
+    if (inMemoryRow) {
+      const decision = decideFromRow(inMemoryRow, fingerprint);
       if (decision !== 'claim') return decision;
     }
     if (outage.isOpen()) return claimInMemory(request, row);
@@ -235,12 +257,12 @@
     return inTable === 'away' ? claimInMemory(request, row) : inTable;
   };
 
-  const releaseStray = async ({ key, row }: Stray): Promise<boolean> => {
+  const releaseUncertainClaim = async ({ key, row }: UncertainClaim): Promise<boolean> => {
     const read = await table.read([rowKey.claim(key)]);
     if (read.isErr()) return false;
     const [stored] = read.value;
-    const known = (stored?.value ?? null) as ClaimRow | null;
-    if (!stored || known?.claimId !== row.claimId || known.state !== 'claimed') return true;
+    const storedRow = (stored?.value ?? null) as ClaimRow | null;
+    if (!stored || storedRow?.claimId !== row.claimId || storedRow.state !== 'claimed') return true;
     const outcome = await table.transact({
       checks: [{ key: rowKey.claim(key), version: stored.version }],
       writes: [{ key: rowKey.claim(key), value: { ...row, state: 'released' } }],
@@ -249,9 +271,9 @@
   };
 
   const releaseStrays = async (): Promise<void> => {
-    while (strays.length > 0) {
-      if (!(await releaseStray(strays[0] as Stray))) return;
-      strays.shift();
+    while (uncertainClaims.length > 0) {
+      if (!(await releaseUncertainClaim(uncertainClaims[0] as UncertainClaim))) return;
+      uncertainClaims.shift();
     }
   };
 
--- a/packages/daemon/src/data-path/claims.test.ts
+++ b/packages/daemon/src/data-path/claims.test.ts
@@ -14,11 +14,11 @@
 
 const first = { 'valvelatch-attempt': 'first' };
 
-describe('at most once', () => {
+describe('requests that are not repeatable run at most once', () => {
   let deployment: Deployment;
 
-  const sendOnce = (at: TestEntry, key: string, headers: Record<string, string> = {}) =>
-    send(at, { body: key, headers: { 'idempotency-key': key, ...headers } });
+  const sendOnce = (entry: TestEntry, key: string, headers: Record<string, string> = {}) =>
+    send(entry, { body: key, headers: { 'idempotency-key': key, ...headers } });
   const newKeys = (count: number): readonly string[] =>
     Array.from({ length: count }, () => randomUUID() as string);
 
@@ -27,11 +27,11 @@
   });
   afterEach(() => deployment.close());
 
-  describe('with the platform there', () => {
-    it('runs a key once that comes through all entries at the same moment', async () => {
+  describe('while the platform is available', () => {
+    it('runs a key once if it is sent through all entries concurrently', async () => {
       const keys = newKeys(30);
-      const sends = keys.flatMap((key) => deployment.entries.map((at) => ({ at, key })));
-      const answers = await Promise.all(sends.map(({ at, key }) => sendOnce(at, key)));
+      const sends = keys.flatMap((key) => deployment.entries.map((entry) => ({ entry, key })));
+      const answers = await Promise.all(sends.map(({ entry, key }) => sendOnce(entry, key)));
       expect(keys.map((key) => executionsOf(deployment, key))).toEqual(keys.map(() => 1));
       const refused = answers.filter(({ status }) => status !== 200);
       expect(refused.every(({ verdict }) => verdict === 'mayHaveRun')).toBe(true);
@@ -40,28 +40,31 @@
       );
     });
 
-    it('gives the kept answer to a resend, through any entry', async () => {
-      const [a, , c] = deployment.entries as [TestEntry, TestEntry, TestEntry];
+    it('replays the stored response to a resend through any entry', async () => {
+      const [eastEntry, , westEntry] = deployment.entries as [TestEntry, TestEntry, TestEntry];
       const key = randomUUID();
-      expect((await sendOnce(a, key)).status).toBe(200);
-      await waitUntil('the kept answer', async () => (await sendOnce(c, key)).status === 200);
-      const again = await sendOnce(c, key);
+      expect((await sendOnce(eastEntry, key)).status).toBe(200);
+      await waitUntil(
+        'the stored response',
+        async () => (await sendOnce(westEntry, key)).status === 200,
+      );
+      const again = await sendOnce(westEntry, key);
       expect(again).toMatchObject({ text: key, verdict: 'ran' });
       expect(again.headers['valvelatch-replayed']).toBe('true');
       expect(executionsOf(deployment, key)).toBe(1);
     });
 
-    it('refuses a key that was used for another request', async () => {
-      const [a] = deployment.entries as [TestEntry];
+    it('refuses a key that was used for a different request', async () => {
+      const [eastEntry] = deployment.entries as [TestEntry];
       const key = randomUUID();
-      await sendOnce(a, key);
-      const other = await send(a, { body: 'another', headers: { 'idempotency-key': key } });
+      await sendOnce(eastEntry, key);
+      const other = await send(eastEntry, { body: 'another', headers: { 'idempotency-key': key } });
       expect(other).toMatchObject({ status: 400, verdict: 'notRun' });
     });
   });
 
-  describe('with a platform whose answers are lost', () => {
-    it('runs nothing twice, and what it calls not run did not run', async () => {
+  describe('while responses of the platform are lost', () => {
+    it('runs no request twice, and none whose verdict is notRun', async () => {
       const keys = newKeys(20);
       deployment.platform.setFault({ mode: 'lose-answers' });
       const answers = await Promise.all(
@@ -74,7 +77,7 @@
       });
       deployment.platform.setFault({ mode: 'none' });
       const [key] = keys as [string];
-      await waitUntil('a key that did not run to be free again', async () => {
+      await waitUntil('a released claim', async () => {
         const again = await sendOnce(deployment.entries[1] as TestEntry, key);
         return again.status === 200;
       });
@@ -82,33 +85,37 @@
     });
   });
 
-  describe('with the platform away', () => {
-    const untilOpen = (at: TestEntry): Promise<void> =>
-      waitUntil('claims in memory', async () => {
-        const answer = await sendOnce(at, randomUUID(), first);
+  describe('while the platform is unavailable', () => {
+    const untilOpen = (entry: TestEntry): Promise<void> =>
+      waitUntil('a claim held in memory', async () => {
+        const answer = await sendOnce(entry, randomUUID(), first);
         return answer.status === 200;
       });
 
-    it('serves first attempts, and nobody runs them again, then or later', async () => {
-      const [a, b, c] = deployment.entries as [TestEntry, TestEntry, TestEntry];
+    it('serves first attempts, and no resend runs them again during the outage or after it', async () => {
+      const [eastEntry, otherEastEntry, westEntry] = deployment.entries as [
+        TestEntry,
+        TestEntry,
+        TestEntry,
+      ];
       deployment.platform.setFault({ mode: 'down' });
-      await untilOpen(a);
+      await untilOpen(eastEntry);
       const keys = newKeys(10);
-      const answers = await Promise.all(keys.map((key) => sendOnce(a, key, first)));
+      const answers = await Promise.all(keys.map((key) => sendOnce(eastEntry, key, first)));
       expect(answers.map(({ status }) => status)).toEqual(keys.map(() => 200));
 
-      // Through the other entry of the data centre, which holds the claims too.
-      const resent = await Promise.all(keys.map((key) => sendOnce(b, key)));
+      // Resent through the other entry of the data centre, which holds copies of the claims.
+      const resent = await Promise.all(keys.map((key) => sendOnce(otherEastEntry, key)));
       expect(
         resent.every(({ status, verdict }) => status === 200 || verdict === 'mayHaveRun'),
       ).toBe(true);
-      // Through another data centre, which cannot know of them.
-      const elsewhere = await Promise.all(keys.map((key) => sendOnce(c, key)));
-      expect(elsewhere.every(({ status }) => status !== 200)).toBe(true);
+      // Resent through another data centre, which has no copies of the claims.
+      const resentInWest = await Promise.all(keys.map((key) => sendOnce(westEntry, key)));
+      expect(resentInWest.every(({ status }) => status !== 200)).toBe(true);
 
       deployment.platform.setFault({ mode: 'none' });
-      await waitUntil('the claims in the table', async () => {
-        const later = await Promise.all(keys.map((key) => sendOnce(c, key)));
+      await waitUntil('the claims to be written to the table', async () => {
+        const later = await Promise.all(keys.map((key) => sendOnce(westEntry, key)));
         return later.every(
           ({ status, headers }) => status === 200 && headers['valvelatch-replayed'] === 'true',
         );
@@ -116,29 +123,36 @@
       expect(keys.map((key) => executionsOf(deployment, key))).toEqual(keys.map(() => 1));
     });
 
-    it('refuses a resend elsewhere while a data centre that is cut off may hold its claim', async () => {
-      const [a, b, c] = deployment.entries as [TestEntry, TestEntry, TestEntry];
-      [a, b].forEach(({ platformRelay }) => platformRelay.cut());
-      await untilOpen(a);
+    it('refuses a resend in another data centre while a disconnected one may hold its claim', async () => {
+      const [eastEntry, otherEastEntry, westEntry] = deployment.entries as [
+        TestEntry,
+        TestEntry,
+        TestEntry,
+      ];
+      [eastEntry, otherEastEntry].forEach(({ platformRelay }) => platformRelay.cut());
+      await untilOpen(eastEntry);
       const key = randomUUID();
-      expect((await sendOnce(a, key, first)).status).toBe(200);
-      // The platform is there for this entry, and the table shows no claim.
-      expect(await sendOnce(c, key)).toMatchObject({
+      expect((await sendOnce(eastEntry, key, first)).status).toBe(200);
+      // This entry reaches the platform, but the table holds no claim of the key yet.
+      expect(await sendOnce(westEntry, key)).toMatchObject({
         verdict: 'mayHaveRun',
         reason: 'claim-unknown',
       });
-      expect((await sendOnce(c, randomUUID(), first)).status).toBe(200);
-      [a, b].forEach(({ platformRelay }) => platformRelay.heal());
-      await waitUntil('the kept answer', async () => (await sendOnce(c, key)).status === 200);
+      expect((await sendOnce(westEntry, randomUUID(), first)).status).toBe(200);
+      [eastEntry, otherEastEntry].forEach(({ platformRelay }) => platformRelay.heal());
+      await waitUntil(
+        'the stored response',
+        async () => (await sendOnce(westEntry, key)).status === 200,
+      );
       expect(executionsOf(deployment, key)).toBe(1);
     });
 
-    it('refuses at once, as not run, what it cannot claim', async () => {
-      const [a] = deployment.entries as [TestEntry];
+    it('either runs a request once or refuses it as not run, right after the outage begins', async () => {
+      const [eastEntry] = deployment.entries as [TestEntry];
       deployment.platform.setFault({ mode: 'down' });
       await pause(50);
       const key = randomUUID();
-      const answer = await sendOnce(a, key, first);
+      const answer = await sendOnce(eastEntry, key, first);
       if (answer.status !== 200)
         expect(answer).toMatchObject({ verdict: 'notRun', reason: 'claim-unavailable' });
       expect(executionsOf(deployment, key)).toBe(answer.status === 200 ? 1 : 0);
--- a/packages/daemon/src/data-path/classify.ts
+++ b/packages/daemon/src/data-path/classify.ts
@@ -1,4 +1,4 @@
-/** From the end of an attempt to its verdict. */
+/** Derives the verdict and the refusal reason from the result of an attempt. */
 import {
   verdictOfAttempt,
   type AttemptOutcome,
@@ -9,9 +9,12 @@
 import { endpointHeader, type AttemptResult, type WholeAnswer } from './attempt.js';
 import { callerHeader } from './headers.js';
 
-const FIRST_SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** What an attempt means for the request. */
+/**
+ * A classified attempt: a response for the caller, or a failure. `answer` of a failure is the
+ * endpoint's own error response, or null if there is none.
+ */
 export type Classified =
   | { readonly kind: 'good'; readonly answer: WholeAnswer }
   | {
@@ -23,25 +26,31 @@
       readonly answer: WholeAnswer | null;
     };
 
-const reasonOfFailure: Record<Extract<AttemptResult, { kind: 'failed' }>['reason'], RefusalReason> =
-  {
-    'not-sent': 'seat-missing',
-    unreachable: 'endpoint-unreachable',
-    incomplete: 'answer-incomplete',
-    'not-its-own': 'answer-incomplete',
-    'too-large': 'answer-too-large',
-    timeout: 'deadline-passed',
-  };
+const refusalReasonByFailure: Record<
+  Extract<AttemptResult, { kind: 'failed' }>['reason'],
+  RefusalReason
+> = {
+  'not-sent': 'seat-missing',
+  unreachable: 'endpoint-unreachable',
+  incomplete: 'answer-incomplete',
+  'not-its-own': 'answer-incomplete',
+  'too-large': 'answer-too-large',
+  timeout: 'deadline-passed',
+};
 
-const saysNotRun = ({ headers }: WholeAnswer): boolean => headers[endpointHeader.notRun] === 'true';
+const reportsNotRun = ({ headers }: WholeAnswer): boolean =>
+  headers[endpointHeader.notRun] === 'true';
 
-/** Another entry says itself whether the request ran; its refusals are not the endpoint's answers. */
-const classifyRemote = (answer: WholeAnswer): Classified => {
-  const told = answer.headers[callerHeader.verdict];
-  if (told === 'ran') return { kind: 'good', answer };
+/**
+ * Classifies the response of another entry. That entry states the verdict in a header, and its
+ * refusals are not responses of an endpoint.
+ */
+const classifyEntryResponse = (answer: WholeAnswer): Classified => {
+  const reportedVerdict = answer.headers[callerHeader.verdict];
+  if (reportedVerdict === 'ran') return { kind: 'good', answer };
   return {
     kind: 'bad',
-    verdict: told === 'notRun' ? 'notRun' : 'mayHaveRun',
+    verdict: reportedVerdict === 'notRun' ? 'notRun' : 'mayHaveRun',
     outcome: 'refused',
     reason: (answer.headers[callerHeader.reason] as RefusalReason | undefined) ?? 'endpoint-failed',
     detail: `another entry answered ${answer.status}`,
@@ -50,11 +59,12 @@
 };
 
 /**
- * Says what an attempt means for the request.
+ * Classifies the result of an attempt.
  *
- * @param result - How the attempt ended.
- * @param isRemote - Whether it went to another entry.
- * @returns A good answer, or the verdict, the reason and what counts against the endpoint.
+ * @param result - The result of the attempt.
+ * @param isRemote - Whether the request was sent to another entry instead of an endpoint.
+ * @returns A response for the caller, or the verdict, the refusal reason and the outcome that is
+ * recorded for the endpoint.
  */
 export const classify = (result: AttemptResult, isRemote: boolean): Classified => {
   if (result.kind === 'failed') {
@@ -62,15 +72,15 @@
       kind: 'bad',
       verdict: verdictOfAttempt({ kind: result.evidence }),
       outcome: 'failed',
-      reason: reasonOfFailure[result.reason],
+      reason: refusalReasonByFailure[result.reason],
       detail: result.detail,
       answer: null,
     };
   }
   const { answer } = result;
-  if (isRemote) return classifyRemote(answer);
-  if (answer.status < FIRST_SERVER_ERROR) return { kind: 'good', answer };
-  if (saysNotRun(answer)) {
+  if (isRemote) return classifyEntryResponse(answer);
+  if (answer.status < MIN_SERVER_ERROR_STATUS) return { kind: 'good', answer };
+  if (reportsNotRun(answer)) {
     return {
       kind: 'bad',
       verdict: 'notRun',
--- a/packages/daemon/src/data-path/connections.ts
+++ b/packages/daemon/src/data-path/connections.ts
@@ -1,21 +1,24 @@
-/** Connections to endpoints and to other entries: one pool for each address. */
+/** Connection pools for endpoints and other entries, one per address. */
 import { Pool } from 'undici';
 
-/** The pools. */
+/** The connection pools of this entry. */
 export type Connections = {
+  /** Returns the pool of an address. `most` limits its connections only when it is created. */
   readonly to: (address: string, most: number) => Pool;
-  /** Closes pools of addresses that are not in use any more. */
+  /** Closes the pools of all addresses that are not in the given set. */
   readonly keepOnly: (addresses: ReadonlySet<string>) => void;
+  /** Destroys all pools, including their requests in flight. */
   readonly close: () => Promise<void>;
 };
 
+/** Options of the pools. `connectTimeoutMs` limits the time to establish a connection. */
 export type ConnectionsOptions = { readonly connectTimeoutMs?: number };
 
 /**
- * Builds the pools.
+ * Creates the set of pools, which is empty at first.
  *
- * @param options - The bound on connecting, in milliseconds.
- * @returns The pools.
+ * @param options - The timeout for establishing a connection.
+ * @returns The set of pools.
  */
 export const createConnections = ({
   connectTimeoutMs = 1000,
@@ -23,13 +26,13 @@
   const pools = new Map<string, Pool>();
 
   const to = (address: string, most: number): Pool => {
-    const known = pools.get(address);
-    if (known) return known;
+    const existing = pools.get(address);
+    if (existing) return existing;
     const pool = new Pool(address, {
       connections: Math.max(1, most),
       pipelining: 1,
       connect: { timeout: connectTimeoutMs },
-      // The deadline of each request bounds it; the pool's own timers would cost without use.
+      // Each request has its own deadline, so timers of the pool would only add overhead.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -43,7 +46,7 @@
       pools.forEach((pool, address) => {
         if (addresses.has(address)) return;
         pools.delete(address);
-        // Closing waits for what is in flight.
+        // `close` waits for requests in flight.
         pool.close().catch(() => undefined);
       });
     },
--- a/packages/daemon/src/data-path/doubt-watch.ts
+++ b/packages/daemon/src/data-path/doubt-watch.ts
@@ -1,4 +1,7 @@
-/** Watches the seats of all data centres for those that may hold claims which the table lacks. */
+/**
+ * Finds the data centres that may hold unflushed claims: claims that exist only in the memory of
+ * entries and not yet in the platform's table. They are inferred from the renewals of seat leases.
+ */
 import {
   dataCentresInDoubt,
   noSights,
@@ -10,10 +13,16 @@
 } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
+/** Monitor of the data centres that may hold unflushed claims. */
 export type DoubtWatch = {
+  /** Reads the seat rows of all data centres. */
   readonly tick: () => Promise<void>;
+  /** Returns the data centres that may hold unflushed claims. */
   readonly inDoubt: () => readonly string[];
-  /** Records for all that claims of a data centre may be lost; false where that cannot be written. */
+  /**
+   * Records in the table, for all entries, that claims of a data centre may be lost. Resolves to
+   * false if that could not be written.
+   */
   readonly raise: (dataCentre: string) => Promise<boolean>;
 };
 
@@ -22,30 +31,31 @@
   readonly nowMs?: () => number;
 };
 
-/** Until the seats have been read twice nothing is known of their renewals. */
-const NOT_WATCHED_YET = ['any'] as const;
-const READINGS_NEEDED = 2;
+/** Result before the seats have been read twice, because their renewals are not known until then. */
+const ANY_DATA_CENTRE = ['any'] as const;
+const MIN_SCANS = 2;
 
 /**
- * Builds the watch.
+ * Creates the monitor.
  *
- * @param options - The table.
- * @returns The watch; everything is in doubt until it has read the seats.
+ * @param options - The table client and the clock.
+ * @returns The monitor. Until it has read the seat rows twice, any data centre may hold unflushed
+ * claims.
  */
 export const createDoubtWatch = ({
   table,
   nowMs = () => performance.now(),
 }: DoubtWatchOptions): DoubtWatch => {
-  let sights = noSights;
-  let readings = 0;
+  let seatObservations = noSights;
+  let scanCount = 0;
 
   const tick = async (): Promise<void> => {
     const startedMs = nowMs();
     const rows = await table.scan(rowPrefix.seat);
     if (rows.isErr()) return;
-    readings += 1;
-    sights = takeSeatRows(
-      sights,
+    scanCount += 1;
+    seatObservations = takeSeatRows(
+      seatObservations,
       rows.value.map(({ key, value, version }) => ({ key, row: value as LeaseRow, version })),
       startedMs,
     );
@@ -55,11 +65,11 @@
     const rows = await table.read([rowKey.doubt]);
     if (rows.isErr()) return false;
     const [row] = rows.value;
-    const known = (row?.value as DoubtRow | null)?.dataCentres ?? [];
-    if (known.includes(dataCentre)) return true;
+    const recorded = (row?.value as DoubtRow | null)?.dataCentres ?? [];
+    if (recorded.includes(dataCentre)) return true;
     const outcome = await table.transact({
       checks: [{ key: rowKey.doubt, version: row?.version ?? 0 }],
-      writes: [{ key: rowKey.doubt, value: { dataCentres: [...known, dataCentre] } }],
+      writes: [{ key: rowKey.doubt, value: { dataCentres: [...recorded, dataCentre] } }],
     });
     return outcome.isOk() && outcome.value.kind === 'committed';
   };
@@ -67,7 +77,7 @@
   return {
     tick,
     inDoubt: () =>
-      readings < READINGS_NEEDED ? NOT_WATCHED_YET : dataCentresInDoubt(sights, nowMs()),
+      scanCount < MIN_SCANS ? ANY_DATA_CENTRE : dataCentresInDoubt(seatObservations, nowMs()),
     raise,
   };
 };
--- a/packages/daemon/src/data-path/endpoint-directory.test.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.test.ts
@@ -1,4 +1,4 @@
-/** Endpoints of the request path that start again: nothing of the life before counts for the next. */
+/** Tests that a restarted endpoint inherits no state from its previous incarnation. */
 import { describe, expect, it } from 'vitest';
 import {
   brand,
@@ -14,7 +14,7 @@
 
 const SERVICE = brand<ServiceName>('routing');
 
-const taskOf = (epoch: number, phase: ObservedTask['phase'] = 'running'): ObservedTask => ({
+const taskWithEpoch = (epoch: number, phase: ObservedTask['phase'] = 'running'): ObservedTask => ({
   jobId: brand('routing-0'),
   epoch,
   hostId: brand('h-1'),
@@ -23,8 +23,8 @@
   address: 'http://127.0.0.1:4000',
 });
 
-describe('the endpoints of a data centre', () => {
-  const directoryWith = () => {
+describe('endpoint directory', () => {
+  const createDirectory = () => {
     let offered: readonly Endpoint[] = [];
     const gate = {
       setEndpoints: (endpoints: readonly Endpoint[]) => {
@@ -37,22 +37,22 @@
       gate: () => gate,
       knownServices: () => [SERVICE],
     });
-    const only = (): Endpoint => {
+    const onlyEndpoint = (): Endpoint => {
       const [endpoint] = offered;
-      if (!endpoint || offered.length > 1) throw new Error('there is not one endpoint');
+      if (!endpoint || offered.length > 1) throw new Error('expected exactly one endpoint');
       return endpoint;
     };
-    return { directory, only };
+    return { directory, onlyEndpoint };
   };
 
-  it('begin anew with each epoch of a job: load, ejection and the mark that one is leaving', () => {
-    const { directory, only } = directoryWith();
-    directory.takeTasks([taskOf(1)]);
-    change(only(), { inFlight: 3, ejectedUntilMs: Infinity, failureShare: 1 });
-    directory.markLeaving(endpointIdOf(taskOf(1)));
-    directory.takeTasks([taskOf(2)]);
-    const { endpointId, inFlight, ejectedUntilMs, failureShare, isLeaving } = only();
-    expect(endpointId).toBe(endpointIdOf(taskOf(2)));
+  it('resets load, ejection and the leaving flag for each epoch of a job', () => {
+    const { directory, onlyEndpoint } = createDirectory();
+    directory.takeTasks([taskWithEpoch(1)]);
+    change(onlyEndpoint(), { inFlight: 3, ejectedUntilMs: Infinity, failureShare: 1 });
+    directory.markLeaving(endpointIdOf(taskWithEpoch(1)));
+    directory.takeTasks([taskWithEpoch(2)]);
+    const { endpointId, inFlight, ejectedUntilMs, failureShare, isLeaving } = onlyEndpoint();
+    expect(endpointId).toBe(endpointIdOf(taskWithEpoch(2)));
     expect({ inFlight, ejectedUntilMs, failureShare, isLeaving }).toEqual({
       inFlight: 0,
       ejectedUntilMs: 0,
@@ -61,16 +61,16 @@
     });
   });
 
-  it('count what is under way at the life before until it has ended, apart from the next', () => {
-    const { directory, only } = directoryWith();
-    directory.takeTasks([taskOf(1)]);
-    const before = only();
-    change(before, { inFlight: 1 });
-    directory.takeTasks([taskOf(2)]);
-    expect(directory.inFlightAt(endpointIdOf(taskOf(1)))).toBe(1);
-    expect(directory.inFlightAt(endpointIdOf(taskOf(2)))).toBe(0);
-    change(before, { inFlight: 0 });
-    directory.takeTasks([taskOf(2)]);
-    expect(directory.inFlightAt(endpointIdOf(taskOf(1)))).toBe(0);
+  it('counts requests in flight at the previous incarnation until they end, separately from the next', () => {
+    const { directory, onlyEndpoint } = createDirectory();
+    directory.takeTasks([taskWithEpoch(1)]);
+    const previous = onlyEndpoint();
+    change(previous, { inFlight: 1 });
+    directory.takeTasks([taskWithEpoch(2)]);
+    expect(directory.inFlightAt(endpointIdOf(taskWithEpoch(1)))).toBe(1);
+    expect(directory.inFlightAt(endpointIdOf(taskWithEpoch(2)))).toBe(0);
+    change(previous, { inFlight: 0 });
+    directory.takeTasks([taskWithEpoch(2)]);
+    expect(directory.inFlightAt(endpointIdOf(taskWithEpoch(1)))).toBe(0);
   });
 });
--- a/packages/daemon/src/data-path/endpoint-directory.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints of this data centre, as its workers tell of them. It needs neither the platform's
- * table nor the mesh, so a data centre that is cut off goes on.
+ * Keeps the endpoints of this data centre, as reported by its workers. It depends neither on the
+ * platform's table nor on the mesh, so that a disconnected data centre keeps serving requests.
  */
 import {
   brand,
@@ -20,30 +20,35 @@
 import type { HeldSeat } from '../seats/seat-keeper.js';
 import type { ServiceGate } from './service-gate.js';
 
+/** The endpoints of this data centre, from the tasks of its workers. */
 export type EndpointDirectory = {
-  /** Takes in the tasks of the data centre's workers. */
+  /** Replaces the endpoints by those of the tasks that the data centre's workers report. */
   readonly takeTasks: (tasks: readonly ObservedTask[]) => void;
+  /** Returns the tasks as last reported. */
   readonly tasks: () => readonly ObservedTask[];
-  /** Ends new work at an endpoint at once. */
+  /** Immediately stops sending new requests to an endpoint. */
   readonly markLeaving: (endpointId: string) => void;
-  /** How many requests this entry has under way at an endpoint. */
+  /** Returns the number of requests that this entry has in flight at an endpoint. */
   readonly inFlightAt: (endpointId: string) => number;
+  /** Returns the addresses of all endpoints, including removed ones with requests in flight. */
   readonly addresses: () => ReadonlySet<string>;
 };
 
 export type EndpointDirectoryOptions = {
   readonly configuration: () => Configuration;
-  /** Null while this entry holds no seat: then it may send nothing. */
+  /** Returns the held seat, or null if there is none: this entry must then send no requests. */
   readonly seat: () => HeldSeat | null;
+  /** Returns the admission of a service, which receives the service's endpoints. */
   readonly gate: (service: ServiceName) => ServiceGate;
+  /** Returns the services whose admission exists already, also if they have no endpoints now. */
   readonly knownServices: () => readonly ServiceName[];
 };
 
 /**
- * Gives the identity of the endpoint that a task runs.
+ * Builds the id of the endpoint that a task runs.
  *
- * @param task - The task.
- * @returns Job and epoch, so that a restarted executor is another endpoint.
+ * @param task - The job and the epoch of the task.
+ * @returns The id. It contains the epoch, so that a restarted executor is a new endpoint.
  */
 export const endpointIdOf = ({ jobId, epoch }: { jobId: string; epoch: number }): EndpointId =>
   brand<EndpointId>(`${jobId}@${epoch}`);
@@ -52,10 +57,10 @@
   service !== null && address !== null && (phase === 'running' || phase === 'leaving');
 
 /**
- * Builds the directory.
+ * Creates the directory.
  *
- * @param options - The configuration, the seat, and the gates to keep filled.
- * @returns The directory.
+ * @param options - The configuration, the held seat, and the admissions that receive the endpoints.
+ * @returns The directory, without endpoints.
  */
 export const createEndpointDirectory = ({
   configuration,
@@ -64,53 +69,56 @@
   knownServices,
 }: EndpointDirectoryOptions): EndpointDirectory => {
   const endpoints = new Map<EndpointId, Endpoint>();
-  /** Marks that came before the workers told of them; a mark is never taken back. */
-  const leaving = new Set<string>();
+  /**
+   * Endpoints that were marked as leaving before the workers reported it. A mark is kept for as long
+   * as the workers list the endpoint.
+   */
+  const leavingIds = new Set<string>();
   let tasks: readonly ObservedTask[] = [];
 
-  const slotsOf = (service: string): number =>
+  const slotsPerEndpoint = (service: string): number =>
     findDeclaration(configuration(), 'Service', service)?.spec.slots ?? 0;
 
-  const shareAt = (service: string, endpointId: EndpointId): number => {
-    const held = seat();
-    if (held === null) return 0;
-    const share = shareOfSeat(slotsOf(service), held.seats, held.seat, endpointId);
-    return portionOfShare(share, held.portion);
+  const slotShareOf = (service: string, endpointId: EndpointId): number => {
+    const heldSeat = seat();
+    if (heldSeat === null) return 0;
+    const share = shareOfSeat(slotsPerEndpoint(service), heldSeat.seats, heldSeat.seat, endpointId);
+    return portionOfShare(share, heldSeat.portion);
   };
 
-  const refresh = (task: ObservedTask): Endpoint => {
+  const refreshEndpoint = (task: ObservedTask): Endpoint => {
     const endpointId = endpointIdOf(task);
-    const known = endpoints.get(endpointId);
+    const existing = endpoints.get(endpointId);
     const endpoint =
-      known ??
+      existing ??
       createEndpoint({
         endpointId,
         service: brand<ServiceName>(task.service as string),
         hostId: task.hostId,
         address: task.address as string,
       });
-    endpoint.slotShare = shareAt(endpoint.service, endpointId);
+    endpoint.slotShare = slotShareOf(endpoint.service, endpointId);
     endpoint.shareUntilMs = seat()?.untilMs ?? -Infinity;
-    endpoint.isLeaving ||= task.phase === 'leaving' || leaving.has(endpointId);
+    endpoint.isLeaving ||= task.phase === 'leaving' || leavingIds.has(endpointId);
     endpoints.set(endpointId, endpoint);
     return endpoint;
   };
 
-  const dropAbsent = (present: ReadonlySet<EndpointId>): void => {
+  const removeAbsentEndpoints = (presentIds: ReadonlySet<EndpointId>): void => {
     endpoints.forEach((endpoint, endpointId) => {
-      if (present.has(endpointId)) return;
+      if (presentIds.has(endpointId)) return;
       change(endpoint, { isLeaving: true });
       if (endpoint.inFlight === 0) endpoints.delete(endpointId);
     });
-    leaving.forEach((endpointId) => {
-      if (!present.has(endpointId as EndpointId)) leaving.delete(endpointId);
+    leavingIds.forEach((endpointId) => {
+      if (!presentIds.has(endpointId as EndpointId)) leavingIds.delete(endpointId);
     });
   };
 
-  const takeTasks = (next: readonly ObservedTask[]): void => {
-    tasks = next;
-    const serving = next.filter(isServing).map(refresh);
-    dropAbsent(new Set(serving.map(({ endpointId }) => endpointId)));
+  const takeTasks = (reportedTasks: readonly ObservedTask[]): void => {
+    tasks = reportedTasks;
+    const serving = reportedTasks.filter(isServing).map(refreshEndpoint);
+    removeAbsentEndpoints(new Set(serving.map(({ endpointId }) => endpointId)));
     const byService = groupBy(serving, ({ service }) => service);
     const services = new Set([...knownServices(), ...byService.keys()]);
     services.forEach((service) => gate(service).setEndpoints(byService.get(service) ?? []));
@@ -120,7 +128,7 @@
     takeTasks,
     tasks: () => tasks,
     markLeaving: (endpointId) => {
-      leaving.add(endpointId);
+      leavingIds.add(endpointId);
       const endpoint = endpoints.get(endpointId as EndpointId);
       if (endpoint) endpoint.isLeaving = true;
     },
--- a/packages/daemon/src/data-path/headers.ts
+++ b/packages/daemon/src/data-path/headers.ts
@@ -1,7 +1,7 @@
-/** The headers of the callers' side: what a caller may say, and what is passed on. */
+/** HTTP headers between callers and entries, and the selection of headers to forward. */
 import type { IncomingHttpHeaders } from 'node:http';
 
-/** Headers that callers know. */
+/** Names of the headers between callers and entries. */
 export const callerHeader = {
   key: 'idempotency-key',
   repeatable: 'valvelatch-repeatable',
@@ -11,11 +11,11 @@
   requestId: 'valvelatch-request-id',
   verdict: 'valvelatch-verdict',
   reason: 'valvelatch-reason',
-  /** Shown by an entry that passes a request on; the value proves that it knows the mesh key. */
+  /** Set by an entry that forwards a request. The value proves that the entry has the mesh key. */
   forwarded: 'valvelatch-forwarded',
 } as const;
 
-const hopByHop: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -29,12 +29,18 @@
   'expect',
 ]);
 
-const repeatableMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
+const IDEMPOTENT_METHODS: ReadonlySet<string> = new Set([
+  'GET',
+  'HEAD',
+  'OPTIONS',
+  'PUT',
+  'DELETE',
+]);
 
 /**
- * Picks the headers that go on to the next hop.
+ * Selects the request headers to forward: all except hop-by-hop headers.
  *
- * @param headers - The headers that came in.
+ * @param headers - The headers of the received request.
  * @param added - Headers to add or replace.
  * @returns The headers to send.
  */
@@ -42,37 +48,38 @@
   headers: IncomingHttpHeaders,
   added: Readonly<Record<string, string>>,
 ): Record<string, string> => {
-  const sent: Record<string, string> = {};
+  const selected: Record<string, string> = {};
   Object.keys(headers).forEach((name) => {
     const value = headers[name];
-    if (value === undefined || hopByHop.has(name)) return;
-    sent[name] = Array.isArray(value) ? value.join(', ') : value;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) return;
+    selected[name] = Array.isArray(value) ? value.join(', ') : value;
   });
-  return Object.assign(sent, added);
+  return Object.assign(selected, added);
 };
 
 /**
- * Picks the headers of an answer that go back to the caller.
+ * Selects the response headers to return to the caller: all except hop-by-hop headers.
  *
- * @param headers - The endpoint's headers.
- * @returns The headers to give.
+ * @param headers - The headers of the endpoint's response.
+ * @returns The headers to return.
  */
 export const headersToReturn = (
   headers: Readonly<Record<string, string | string[]>>,
 ): Record<string, string | string[]> => {
-  const returned: Record<string, string | string[]> = {};
+  const selected: Record<string, string | string[]> = {};
   Object.keys(headers).forEach((name) => {
-    if (!hopByHop.has(name)) returned[name] = headers[name] as string | string[];
+    if (!HOP_BY_HOP_HEADERS.has(name)) selected[name] = headers[name] as string | string[];
   });
-  return returned;
+  return selected;
 };
 
 /**
- * Tells whether a request may be sent twice: by its mark, else by its method.
+ * Returns whether a request may be sent more than once. The caller's header decides; without it,
+ * the idempotent HTTP methods are repeatable.
  *
  * @param method - The HTTP method.
- * @param mark - The caller's mark, if there is one.
- * @returns True if it is repeatable.
+ * @param repeatable - The value of the header `valvelatch-repeatable`, or undefined without it.
+ * @returns True if the request is repeatable.
  */
-export const isRepeatable = (method: string, mark: string | undefined): boolean =>
-  mark === undefined ? repeatableMethods.has(method) : mark === 'true';
+export const isRepeatable = (method: string, repeatable: string | undefined): boolean =>
+  repeatable === undefined ? IDEMPOTENT_METHODS.has(method) : repeatable === 'true';
--- a/packages/daemon/src/data-path/outage-claims.ts
+++ b/packages/daemon/src/data-path/outage-claims.ts
@@ -1,53 +1,60 @@
 /**
- * Claims in memory, for the time that a data centre is without the platform. A claim counts only
- * once every other holder of a seat of the data centre has it too; all of them write it to the
- * table before they renew their seats.
+ * Claims in memory, for the time that a data centre cannot reach the platform. A claim is valid only
+ * after every other seat holder of the data centre has stored a replica. All holders write their
+ * claims to the table before they renew their seats.
  */
 import { rowKey, type ClaimRow, type EntryId } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
-/** A claim as it travels between entries. */
+/** A claim and its key, as sent between entries. */
 export type SharedClaim = { readonly key: string; readonly row: ClaimRow };
 
-/** The claims in memory. */
+/** The claims in memory, with their replication and their flush to the table. */
 export type OutageClaims = {
+  /** Returns the claim of a key, or null if there is none in memory. */
   readonly find: (key: string) => ClaimRow | null;
-  /** True while this entry may take claims in memory. */
+  /** Returns whether this entry may accept claims in memory. */
   readonly isOpen: () => boolean;
-  /** Takes a claim; false where another entry cannot hold it or has the key already. */
+  /**
+   * Stores and replicates a claim. Resolves to false if claims in memory are not accepted now, the
+   * key is already claimed, or another holder refused the replica.
+   */
   readonly take: (claim: SharedClaim) => Promise<boolean>;
-  /** Notes what came of a claim, here and at the others. */
+  /** Records the outcome of a claim here and at the other seat holders. */
   readonly settle: (claim: SharedClaim) => void;
-  /** Keeps a claim for another entry; false where that is not safe. */
+  /** Stores a replica of another entry's claim; false if that is unsafe or the memory is full. */
   readonly keepFor: (claim: SharedClaim) => boolean;
-  /** Writes all claims to the table; true once none is left. */
+  /** Writes all claims to the table and removes them; false if a write failed. */
   readonly flush: () => Promise<boolean>;
   readonly size: () => number;
 };
 
 export type OutageClaimsOptions = {
   readonly table: TableClient;
-  /** How long the own seat's lease has lapsed; negative while it is held. */
+  /** Time since this entry's seat lease lapsed, in milliseconds; negative while it is held. */
   readonly lapsedForMs: () => number;
-  /** Whether the entry goes on without the platform, carried by the others' promises. */
+  /** Whether this entry uses its seat without the platform, based on promises of other holders. */
   readonly isContinuing: () => boolean;
+  /** Duration of a seat lease, in milliseconds. */
   readonly leaseMs: number;
+  /** Returns the holders of the other seats of the data centre. */
   readonly otherHolders: () => readonly EntryId[];
-  readonly askKeep: (holder: EntryId, claim: SharedClaim) => Promise<boolean>;
-  /** No more claims than this are kept in memory. */
+  /** Asks a seat holder to store a replica; false if it refuses or cannot be reached. */
+  readonly askKeep: (seatHolder: EntryId, claim: SharedClaim) => Promise<boolean>;
+  /** Maximum number of claims in memory. */
   readonly most?: number;
 };
 
-/** Claims that are written in one transaction. */
-const FLUSHED_AT_ONCE = 50;
+/** Maximum number of claims written in one transaction. */
+const MAX_CLAIMS_PER_FLUSH = 50;
 
-const isSame = (a: ClaimRow | undefined, b: ClaimRow): boolean => a?.claimId === b.claimId;
+const isSameClaim = (a: ClaimRow | undefined, b: ClaimRow): boolean => a?.claimId === b.claimId;
 
 /**
- * Builds the claims.
+ * Creates the claims in memory.
  *
- * @param options - The table, the state of the seat, and the links to the other holders.
- * @returns The claims, none yet.
+ * @param options - The table, the state of this entry's seat, and the calls to other seat holders.
+ * @returns The claims, which are empty at first.
  */
 export const createOutageClaims = ({
   table,
@@ -60,48 +67,55 @@
 }: OutageClaimsOptions): OutageClaims => {
   const claims = new Map<string, ClaimRow>();
 
-  /** Until then watchers of the table may still take this data centre for connected. */
-  const hasLapsedForAll = (): boolean => lapsedForMs() >= leaseMs;
-  const hasRoom = (): boolean => claims.size < most;
+  /**
+   * Returns whether this entry's lease lapsed at least one lease duration ago. Before that, entries
+   * that watch the seats in the table may still consider this data centre connected, and assume that
+   * it holds no claims in memory.
+   */
+  const isLapseVisibleToAll = (): boolean => lapsedForMs() >= leaseMs;
+  const hasCapacity = (): boolean => claims.size < most;
 
   const keepFor = ({ key, row }: SharedClaim): boolean => {
-    const known = claims.get(key);
-    if (known && !isSame(known, row)) return false;
-    if (!known && (!hasLapsedForAll() || !hasRoom())) return false;
+    const existing = claims.get(key);
+    if (existing && !isSameClaim(existing, row)) return false;
+    if (!existing && (!isLapseVisibleToAll() || !hasCapacity())) return false;
     claims.set(key, row);
     return true;
   };
 
-  const shareWithAll = async (claim: SharedClaim): Promise<boolean> => {
-    const answers = await Promise.all(otherHolders().map((holder) => askKeep(holder, claim)));
-    return answers.every(Boolean);
+  const replicateToAll = async (claim: SharedClaim): Promise<boolean> => {
+    const confirmations = await Promise.all(
+      otherHolders().map((seatHolder) => askKeep(seatHolder, claim)),
+    );
+    return confirmations.every(Boolean);
   };
 
   const isOpen = (): boolean =>
-    isContinuing() && hasLapsedForAll() && hasRoom() && otherHolders().length > 0;
+    isContinuing() && isLapseVisibleToAll() && hasCapacity() && otherHolders().length > 0;
 
   const settle = (claim: SharedClaim): void => {
-    if (!isSame(claims.get(claim.key), claim.row)) return;
+    if (!isSameClaim(claims.get(claim.key), claim.row)) return;
     claims.set(claim.key, claim.row);
-    shareWithAll(claim).catch(() => undefined);
+    replicateToAll(claim).catch(() => undefined);
   };
 
   const take = async (claim: SharedClaim): Promise<boolean> => {
     if (!isOpen() || claims.has(claim.key)) return false;
     claims.set(claim.key, claim.row);
-    if (await shareWithAll(claim)) return true;
-    // It was surely not sent; whoever kept a copy learns that the key is free again.
+    if (await replicateToAll(claim)) return true;
+    // The request was certainly not sent, so the holders of replicas are told that the key is free.
     settle({ key: claim.key, row: { ...claim.row, state: 'released' } });
     return false;
   };
 
-  const flushOne = async ({ key, row }: SharedClaim): Promise<boolean> => {
+  const flushClaim = async ({ key, row }: SharedClaim): Promise<boolean> => {
     const read = await table.read([rowKey.claim(key)]);
     if (read.isErr()) return false;
     const [stored] = read.value;
-    const known = (stored?.value ?? null) as ClaimRow | null;
-    const isNewer = known === null || (isSame(known, row) && known.state === 'claimed');
-    if (!isNewer) return true;
+    const existing = (stored?.value ?? null) as ClaimRow | null;
+    const isUpdate =
+      existing === null || (isSameClaim(existing, row) && existing.state === 'claimed');
+    if (!isUpdate) return true;
     const outcome = await table.transact({
       checks: [{ key: rowKey.claim(key), version: stored?.version ?? 0 }],
       writes: [{ key: rowKey.claim(key), value: row }],
@@ -109,7 +123,10 @@
     return outcome.isOk();
   };
 
-  /** Most claims are new to the table, so they are written blind and together. */
+  /**
+   * Writes a group of claims in one transaction without reading their rows, because most claims are
+   * not in the table yet. After a conflict, each claim is written individually.
+   */
   const flushGroup = async (group: readonly SharedClaim[]): Promise<boolean> => {
     const outcome = await table.transact({
       checks: group.map(({ key }) => ({ key: rowKey.claim(key), version: 0 })),
@@ -117,16 +134,19 @@
     });
     if (outcome.isErr()) return false;
     if (outcome.value.kind === 'committed') return true;
-    const each = await Promise.all(group.map(flushOne));
-    return each.every(Boolean);
+    const results = await Promise.all(group.map(flushClaim));
+    return results.every(Boolean);
   };
 
   const flush = async (): Promise<boolean> => {
     while (claims.size > 0) {
-      const group = Array.from(claims, ([key, row]) => ({ key, row })).slice(0, FLUSHED_AT_ONCE);
+      const group = Array.from(claims, ([key, row]) => ({ key, row })).slice(
+        0,
+        MAX_CLAIMS_PER_FLUSH,
+      );
       if (!(await flushGroup(group))) return false;
       group.forEach(({ key, row }) => {
-        // One that was settled while it was being written is written again.
+        // A claim whose outcome was recorded during the write stays, and is written again.
         if (claims.get(key) === row) claims.delete(key);
       });
     }
--- a/packages/daemon/src/data-path/request-types.ts
+++ b/packages/daemon/src/data-path/request-types.ts
@@ -1,4 +1,4 @@
-/** What the request path speaks of: a caller's request, its end, and what serving depends on. */
+/** Types of the request path: requests, their outcomes, and the dependencies of serving them. */
 import type { IncomingHttpHeaders } from 'node:http';
 
 import type {
@@ -18,49 +18,62 @@
 import type { Connections } from './connections.js';
 import type { ServiceGate } from './service-gate.js';
 
-/** A request as it was read from the caller. */
+/** A request as parsed from the caller's HTTP request. */
 export type CallerRequest = {
   readonly requestId: RequestId;
   readonly service: ServiceName;
   readonly method: string;
-  /** Path and query behind the service's name, beginning with a slash. */
+  /** Path and query after the service's name, starting with a slash. */
   readonly path: string;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer | null;
   readonly callerId: CallerId;
+  /** True if the request may be sent more than once; otherwise its key must be claimed first. */
   readonly isRepeatable: boolean;
+  /** The idempotency key, or null if the caller sent none. */
   readonly key: string | null;
+  /** True if the caller states that it has never sent this key before. */
   readonly isFirstAttempt: boolean;
-  /** True if another entry passed the request on; it has claimed it, if that was needed. */
+  /** True if another entry forwarded the request; that entry has claimed the key if necessary. */
   readonly isForwarded: boolean;
-  /** The caller's own bound on time, if it gave one. */
+  /** The time limit that the caller requested, in milliseconds, or null if it requested none. */
   readonly wantedMs: number | null;
 };
 
-/** How a request ended. */
+/**
+ * The outcome of a request: the response of this request, the stored response of an earlier one with
+ * the same key, or a refusal with a description of each failed attempt.
+ */
 export type RequestOutcome =
   | { readonly kind: 'answer'; readonly answer: WholeAnswer }
   | { readonly kind: 'replay'; readonly answer: KeptAnswer }
   | { readonly kind: 'refusal'; readonly refusal: Refusal; readonly tried: readonly string[] };
 
-/** Another entry that can serve a service. */
+/** Another entry that has endpoints of a service. */
 export type RemoteEntry = { readonly entryId: string; readonly callersUrl: string };
 
-/** What the way of a request depends on. */
+/** The dependencies of serving a request. */
 export type ServeContext = {
   readonly configuration: () => Configuration;
   readonly isConfigurationKnown: () => boolean;
+  /** True if this entry accepts no new requests because it is being stopped. */
   readonly isStopping: () => boolean;
   readonly gate: (service: ServiceName) => ServiceGate;
   readonly connections: Connections;
+  /** Returns the maximum number of connections of this entry to an endpoint. */
   readonly connectionShare: (service: ServiceName, endpoint: Endpoint) => number;
   readonly claims: ClaimKeeper;
-  /** An entry that has endpoints of the service: of this data centre if there is one. */
+  /**
+   * Returns another entry that has endpoints of the service, preferably in this data centre.
+   * Undefined if there is none.
+   */
   readonly otherEntry: (service: ServiceName) => RemoteEntry | undefined;
-  /** Proves to another entry that a request was passed on by one of its own. */
+  /** Returns the proof to another entry that an entry with the mesh key forwarded the request. */
   readonly forwardProof: (requestId: RequestId) => string;
+  /** Maximum size of a response body, in bytes. */
   readonly mostAnswerBytes: number;
   readonly tracing: Tracing;
   readonly metrics: Metrics;
+  /** Monotonic time, in milliseconds. */
   readonly nowMs: () => number;
 };
--- a/packages/daemon/src/data-path/serve-request.ts
+++ b/packages/daemon/src/data-path/serve-request.ts
@@ -1,6 +1,6 @@
 /**
- * The way of one request through this entry: checks, claim, slot, attempts, answer. Each end is
- * either a whole answer or a refusal with an honest verdict.
+ * Serves a request: checks it, claims its key, acquires a slot, and attempts it. The outcome is either
+ * a complete response or a refusal whose verdict states whether the request may have run.
  */
 import {
   brand,
@@ -25,21 +25,25 @@
 import type { CallerRequest, RequestOutcome, ServeContext } from './request-types.js';
 import type { ServiceGate } from './service-gate.js';
 
+/** `retry-after` of refusals caused by the platform or a missing configuration, in seconds. */
 const OUTAGE_RETRY_AFTER_S = 2;
-const PROMPT_RETRY_AFTER_S = 1;
-const REMOTE_CONNECTIONS = 64;
+const DEFAULT_RETRY_AFTER_S = 1;
+/** Maximum number of connections to another entry for forwarded requests. */
+const MAX_CONNECTIONS_PER_ENTRY = 64;
 
-/** The state of one request under way. */
-type Run = {
+/** The state of one request in flight. */
+type RequestState = {
   readonly context: ServeContext;
   readonly request: CallerRequest;
+  /** Deadline on the monotonic clock, in milliseconds. */
   readonly deadlineMs: number;
+  /** A description of each failed attempt. */
   readonly tried: string[];
   readonly verdicts: Verdict[];
   readonly triedEndpoints: EndpointId[];
-  /** Endpoints that took the request and broke off without an answer. */
+  /** Number of attempts that may have run and ended without a response of the endpoint. */
   brokenOff: number;
-  /** The last whole answer that was an error of the endpoint's own. */
+  /** The last complete error response of an endpoint, or null if there was none. */
   lastError: WholeAnswer | null;
 };
 
@@ -51,17 +55,17 @@
 };
 
 const refuse = (
-  run: Pick<Run, 'request' | 'tried'>,
-  { reason, detail, verdict = 'notRun', retryAfterS = PROMPT_RETRY_AFTER_S }: RefusalOptions,
+  requestState: Pick<RequestState, 'request' | 'tried'>,
+  { reason, detail, verdict = 'notRun', retryAfterS = DEFAULT_RETRY_AFTER_S }: RefusalOptions,
 ): RequestOutcome => ({
   kind: 'refusal',
-  refusal: { reason, detail, verdict, retryAfterS, requestId: run.request.requestId },
-  tried: run.tried,
+  refusal: { reason, detail, verdict, retryAfterS, requestId: requestState.request.requestId },
+  tried: requestState.tried,
 });
 
-const remainingMs = ({ context, deadlineMs }: Run): number => deadlineMs - context.nowMs();
+const remainingMs = ({ context, deadlineMs }: RequestState): number => deadlineMs - context.nowMs();
 
-/** Where an attempt goes, and with which headers besides the caller's. */
+/** The receiver of an attempt, and the headers added to those of the caller. */
 type Target = {
   readonly address: string;
   readonly mostConnections: number;
@@ -69,8 +73,11 @@
   readonly mayStillSend?: () => boolean;
 };
 
-const sendTo = async (run: Run, { address, mostConnections, added, mayStillSend }: Target) => {
-  const { context, request } = run;
+const sendToTarget = async (
+  requestState: RequestState,
+  { address, mostConnections, added, mayStillSend }: Target,
+) => {
+  const { context, request } = requestState;
   const isRemote = added[callerHeader.forwarded] !== undefined;
   const { traceparent } = request.headers as TraceHeaders;
   const hop = context.tracing.startHop(
@@ -82,7 +89,7 @@
     ...added,
     ...hop.headers,
     [callerHeader.requestId]: request.requestId,
-    [callerHeader.deadlineMs]: String(Math.max(1, Math.floor(remainingMs(run)))),
+    [callerHeader.deadlineMs]: String(Math.max(1, Math.floor(remainingMs(requestState)))),
   });
   const result = await attempt(context.connections.to(address, mostConnections), {
     method: request.method,
@@ -90,7 +97,7 @@
     headers,
     body: request.body,
     requestId: request.requestId,
-    timeoutMs: Math.max(1, remainingMs(run)),
+    timeoutMs: Math.max(1, remainingMs(requestState)),
     mostAnswerBytes: context.mostAnswerBytes,
     mayStillSend,
   });
@@ -102,10 +109,10 @@
   return classified;
 };
 
-const tryEndpoint = async (run: Run, gate: ServiceGate, endpoint: Endpoint) => {
-  const { context, request } = run;
+const tryEndpoint = async (requestState: RequestState, gate: ServiceGate, endpoint: Endpoint) => {
+  const { context, request } = requestState;
   const startedMs = context.nowMs();
-  const classified = await sendTo(run, {
+  const classified = await sendToTarget(requestState, {
     address: endpoint.address,
     mostConnections: context.connectionShare(request.service, endpoint),
     added: {},
@@ -118,86 +125,105 @@
   return classified;
 };
 
-const noteBad = (run: Run, where: string, bad: Extract<Classified, { kind: 'bad' }>): void => {
-  const state = run;
-  state.tried.push(`${where}: ${bad.reason} (${bad.verdict}): ${bad.detail}`);
-  state.verdicts.push(bad.verdict);
-  const hasTaken = bad.verdict !== 'notRun' && bad.reason === 'endpoint-unreachable';
-  if (hasTaken) state.brokenOff += 1;
-  if (bad.answer) state.lastError = bad.answer;
+const recordFailure = (
+  requestState: RequestState,
+  receiver: string,
+  failure: Extract<Classified, { kind: 'bad' }>,
+): void => {
+  const mutableState = requestState;
+  mutableState.tried.push(`${receiver}: ${failure.reason} (${failure.verdict}): ${failure.detail}`);
+  mutableState.verdicts.push(failure.verdict);
+  const endedWithoutResponse =
+    failure.verdict !== 'notRun' && failure.reason === 'endpoint-unreachable';
+  if (endedWithoutResponse) mutableState.brokenOff += 1;
+  if (failure.answer) mutableState.lastError = failure.answer;
 };
 
-const giveUp = (run: Run, options: RefusalOptions): RequestOutcome => {
-  const verdict = combineVerdicts(run.verdicts);
-  // An endpoint's own whole answer says more than a refusal made up here.
-  if (run.lastError && verdict === 'ran') return { kind: 'answer', answer: run.lastError };
-  return refuse(run, { ...options, verdict });
+const endWithoutSuccess = (requestState: RequestState, options: RefusalOptions): RequestOutcome => {
+  const verdict = combineVerdicts(requestState.verdicts);
+  // The endpoint's own error response is more informative than a refusal of this entry.
+  if (requestState.lastError && verdict === 'ran')
+    return { kind: 'answer', answer: requestState.lastError };
+  return refuse(requestState, { ...options, verdict });
 };
 
-const mayGoOn = (run: Run, gate: ServiceGate, verdict: Verdict): boolean =>
+const mayAttemptAgain = (
+  requestState: RequestState,
+  gate: ServiceGate,
+  verdict: Verdict,
+): boolean =>
   mayRetry({
-    isRepeatable: run.request.isRepeatable,
+    isRepeatable: requestState.request.isRepeatable,
     verdict,
-    attemptsMade: run.verdicts.length,
-    brokenOff: run.brokenOff,
-    remainingMs: remainingMs(run),
+    attemptsMade: requestState.verdicts.length,
+    brokenOff: requestState.brokenOff,
+    remainingMs: remainingMs(requestState),
     expectedAttemptMs: gate.usualMs(),
   }) && spendRetry(gate.retryBudget);
 
-/** Passes a request on to an entry that can serve it, where this one cannot. */
-const tryRemote = async (run: Run): Promise<RequestOutcome | undefined> => {
-  const { context, request } = run;
+/**
+ * Forwards a request to another entry that has endpoints of the service. Returns undefined if there
+ * is none, or if the request has been forwarded before.
+ */
+const forwardToOtherEntry = async (
+  requestState: RequestState,
+): Promise<RequestOutcome | undefined> => {
+  const { context, request } = requestState;
   if (request.isForwarded) return undefined;
   const remote = context.otherEntry(request.service);
   if (!remote) return undefined;
   context.metrics.count('forwarded');
-  const classified = await sendTo(run, {
+  const classified = await sendToTarget(requestState, {
     address: remote.callersUrl,
-    mostConnections: REMOTE_CONNECTIONS,
+    mostConnections: MAX_CONNECTIONS_PER_ENTRY,
     added: {
       [callerHeader.forwarded]: context.forwardProof(request.requestId),
       [callerHeader.caller]: request.callerId,
     },
   });
   if (classified.kind === 'good') return { kind: 'answer', answer: classified.answer };
-  noteBad(run, `entry ${remote.entryId}`, classified);
-  return giveUp(run, classified);
+  recordFailure(requestState, `entry ${remote.entryId}`, classified);
+  return endWithoutSuccess(requestState, classified);
 };
 
-const attemptUntilDone = async (run: Run, gate: ServiceGate): Promise<RequestOutcome> => {
+const attemptUntilDone = async (
+  requestState: RequestState,
+  gate: ServiceGate,
+): Promise<RequestOutcome> => {
   earnRetry(gate.retryBudget);
   for (;;) {
     const slot = await gate.acquire({
-      callerId: run.request.callerId,
-      deadlineMs: run.deadlineMs,
-      exclude: run.triedEndpoints,
+      callerId: requestState.request.callerId,
+      deadlineMs: requestState.deadlineMs,
+      exclude: requestState.triedEndpoints,
     });
     if (slot.kind === 'none') {
-      const isNowhere = slot.reason === 'no-endpoint' && run.verdicts.length === 0;
-      const remote = isNowhere ? await tryRemote(run) : undefined;
-      return remote ?? giveUp(run, slot);
+      const canForward = slot.reason === 'no-endpoint' && requestState.verdicts.length === 0;
+      const remote = canForward ? await forwardToOtherEntry(requestState) : undefined;
+      return remote ?? endWithoutSuccess(requestState, slot);
     }
     const { endpoint } = slot;
-    const classified = await tryEndpoint(run, gate, endpoint);
+    const classified = await tryEndpoint(requestState, gate, endpoint);
     if (classified.kind === 'good') return { kind: 'answer', answer: classified.answer };
-    noteBad(run, endpoint.endpointId, classified);
-    run.triedEndpoints.push(endpoint.endpointId);
-    if (!mayGoOn(run, gate, classified.verdict)) return giveUp(run, classified);
-    run.context.metrics.count('retries');
+    recordFailure(requestState, endpoint.endpointId, classified);
+    requestState.triedEndpoints.push(endpoint.endpointId);
+    if (!mayAttemptAgain(requestState, gate, classified.verdict))
+      return endWithoutSuccess(requestState, classified);
+    requestState.context.metrics.count('retries');
   }
 };
 
-/** Waits for a claim no longer than the request may take; a claim that comes later is released. */
-const claimInTime = async (run: Run, key: string): Promise<ClaimOutcome> => {
-  const { context, request } = run;
+/** Waits for a claim until the deadline of the request; a claim made later is released. */
+const claimInTime = async (requestState: RequestState, key: string): Promise<ClaimOutcome> => {
+  const { context, request } = requestState;
   const pending = context.claims.claim({ ...request, key });
   let timer: NodeJS.Timeout | undefined;
-  const late = new Promise<'late'>((resolve) => {
-    timer = setTimeout(() => resolve('late'), Math.max(1, remainingMs(run)));
+  const timeout = new Promise<'late'>((resolve) => {
+    timer = setTimeout(() => resolve('late'), Math.max(1, remainingMs(requestState)));
   });
-  const first = await Promise.race([pending, late]);
+  const winner = await Promise.race([pending, timeout]);
   clearTimeout(timer);
-  if (first !== 'late') return first;
+  if (winner !== 'late') return winner;
   void pending.then((outcome) => (outcome.kind === 'claimed' ? outcome.claim.release() : null));
   return {
     kind: 'refused',
@@ -207,37 +233,41 @@
   };
 };
 
-const settled = (claim: HeldClaim, outcome: RequestOutcome): Promise<void> => {
+const writeClaimOutcome = (claim: HeldClaim, outcome: RequestOutcome): Promise<void> => {
   if (outcome.kind === 'answer') return claim.finish(outcome.answer);
   if (outcome.kind === 'refusal' && outcome.refusal.verdict === 'notRun') return claim.release();
   return Promise.resolve();
 };
 
 const settleClaim = (claim: HeldClaim, outcome: RequestOutcome): void => {
-  // Without its outcome the claim stands, and a resend is told that it may have run.
-  settled(claim, outcome).catch(() => undefined);
+  // If the outcome cannot be written, the claim stays, and a resend is told that the request may
+  // have run.
+  writeClaimOutcome(claim, outcome).catch(() => undefined);
 };
 
-const serveOnce = async (run: Run, gate: ServiceGate): Promise<RequestOutcome> => {
-  const { key } = run.request;
+const serveWithClaim = async (
+  requestState: RequestState,
+  gate: ServiceGate,
+): Promise<RequestOutcome> => {
+  const { key } = requestState.request;
   if (key === null) {
-    return refuse(run, {
+    return refuse(requestState, {
       reason: 'key-required',
       detail: `a request that is not repeatable needs the header ${callerHeader.key}`,
     });
   }
-  const claimed = await claimInTime(run, key);
+  const claimed = await claimInTime(requestState, key);
   if (claimed.kind === 'replay') return claimed;
   if (claimed.kind === 'refused') {
     const retryAfterS = OUTAGE_RETRY_AFTER_S;
-    return refuse(run, { ...claimed, retryAfterS });
+    return refuse(requestState, { ...claimed, retryAfterS });
   }
-  const outcome = await attemptUntilDone(run, gate);
+  const outcome = await attemptUntilDone(requestState, gate);
   settleClaim(claimed.claim, outcome);
   return outcome;
 };
 
-const openingRefusal = (
+const checkPreconditions = (
   context: ServeContext,
   request: CallerRequest,
 ): RefusalOptions | undefined => {
@@ -259,23 +289,24 @@
 /**
  * Serves one request.
  *
- * @param context - What this entry has and knows.
+ * @param context - The dependencies.
  * @param request - The request.
- * @returns The whole answer, or the refusal with its verdict; it never rejects for a fault outside.
+ * @returns A complete response, or a refusal with its verdict. Failures of endpoints, other entries or
+ * the platform never reject the promise.
  */
 export const serveRequest = async (
   context: ServeContext,
   request: CallerRequest,
 ): Promise<RequestOutcome> => {
   const tried: string[] = [];
-  const opening = openingRefusal(context, request);
-  if (opening) return refuse({ request, tried }, opening);
+  const preconditionRefusal = checkPreconditions(context, request);
+  if (preconditionRefusal) return refuse({ request, tried }, preconditionRefusal);
   const service = findDeclaration(context.configuration(), 'Service', request.service);
-  const longestMs = service?.spec.requestTimeoutMs ?? 0;
-  const run: Run = {
+  const maxTimeoutMs = service?.spec.requestTimeoutMs ?? 0;
+  const requestState: RequestState = {
     context,
     request,
-    deadlineMs: context.nowMs() + Math.min(longestMs, request.wantedMs ?? longestMs),
+    deadlineMs: context.nowMs() + Math.min(maxTimeoutMs, request.wantedMs ?? maxTimeoutMs),
     tried,
     verdicts: [],
     triedEndpoints: [],
@@ -284,5 +315,5 @@
   };
   const gate = context.gate(brand<ServiceName>(request.service));
   const needsClaim = !request.isRepeatable && !request.isForwarded;
-  return needsClaim ? serveOnce(run, gate) : attemptUntilDone(run, gate);
+  return needsClaim ? serveWithClaim(requestState, gate) : attemptUntilDone(requestState, gate);
 };
--- a/packages/daemon/src/data-path/service-gate.test.ts
+++ b/packages/daemon/src/data-path/service-gate.test.ts
@@ -1,4 +1,7 @@
-/** Slots for requests that have been tried at an endpoint before. */
+/**
+ * Guards against sending a refused request to the same endpoint again: this happened, up to the last
+ * attempt, if the only free slot was at the endpoint that had refused the request.
+ */
 import { createEndpoint, createRng } from '@valvelatch/core';
 import { brand, type EndpointId } from '@valvelatch/core/shared/ids';
 import { describe, expect, it } from 'vitest';
@@ -7,7 +10,7 @@
 
 const callerId = brand<Parameters<ReturnType<typeof createServiceGate>['release']>[1]>('caller');
 
-const endpointNamed = (name: string) =>
+const createNamedEndpoint = (name: string) =>
   createEndpoint({
     endpointId: brand(name),
     service: brand('routing'),
@@ -15,30 +18,29 @@
     address: 'http://127.0.0.1:1',
   });
 
-const settled = (): Promise<void> =>
+const flushPromises = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-describe('a slot for a request that an endpoint has refused', () => {
-  it('is waited for at the others, though the one that refused has a slot free', async () => {
-    // Such a request was sent to the same endpoint again, up to its last attempt.
-    const [refusing, busy] = [endpointNamed('refusing'), endpointNamed('busy')];
+describe('slot for a request that an endpoint has refused', () => {
+  it('waits for another endpoint even though the refusing one has a free slot', async () => {
+    const [refusing, busy] = [createNamedEndpoint('refusing'), createNamedEndpoint('busy')];
     const gate = createServiceGate({ service: brand('routing'), rng: createRng(1) });
     gate.setEndpoints([refusing, busy]);
-    const ask = (exclude: readonly EndpointId[]): Promise<Slot> =>
+    const acquireExcluding = (exclude: readonly EndpointId[]): Promise<Slot> =>
       gate.acquire({ callerId, deadlineMs: performance.now() + 5000, exclude });
-    const first = await ask([refusing.endpointId]);
-    let given: Slot | undefined;
-    void ask([refusing.endpointId]).then((slot) => {
-      given = slot;
+    const firstSlot = await acquireExcluding([refusing.endpointId]);
+    let secondSlot: Slot | undefined;
+    void acquireExcluding([refusing.endpointId]).then((slot) => {
+      secondSlot = slot;
     });
     gate.pump();
-    await settled();
-    expect([first, given]).toEqual([{ kind: 'slot', endpoint: busy }, undefined]);
+    await flushPromises();
+    expect([firstSlot, secondSlot]).toEqual([{ kind: 'slot', endpoint: busy }, undefined]);
     gate.release(busy, callerId);
     gate.pump();
-    await settled();
-    expect(given).toEqual({ kind: 'slot', endpoint: busy });
+    await flushPromises();
+    expect(secondSlot).toEqual({ kind: 'slot', endpoint: busy });
   });
 });
--- a/packages/daemon/src/data-path/service-gate.ts
+++ b/packages/daemon/src/data-path/service-gate.ts
@@ -1,4 +1,4 @@
-/** The gate of one service at this entry: its endpoints, its queue and its retry budget. */
+/** Admission of requests to one service at this entry: endpoints, queue and retry budget. */
 import {
   chooseEndpoint,
   createAdmissionQueue,
@@ -23,44 +23,59 @@
 } from '@valvelatch/core';
 import { change } from '@valvelatch/core/shared/change';
 
-/** Why no slot was given. */
+/** The reason why a request got no slot. */
 export type NoSlot = {
   readonly kind: 'none';
   readonly reason: RefusalReason;
   readonly detail: string;
+  /** Time after which the caller should send the request again, in seconds. */
   readonly retryAfterS: number;
 };
 
-/** A request that wants a slot. */
+/** A request for a slot. */
 export type SlotRequest = {
   readonly callerId: CallerId;
+  /** Deadline on the monotonic clock, in milliseconds. */
   readonly deadlineMs: number;
-  /** Endpoints that the request has already been tried at. */
+  /** Endpoints at which the request has already been attempted; none of them is chosen. */
   readonly exclude: readonly EndpointId[];
 };
 
-/** The outcome of asking for a slot. Under overload most are refused, without a stack trace. */
+/**
+ * The outcome of a request for a slot. A refusal is a value and not an exception, because most
+ * requests are refused under overload and a stack trace for each would be expensive.
+ */
 export type Slot = { readonly kind: 'slot'; readonly endpoint: Endpoint } | NoSlot;
 type Waiter = SlotRequest & { readonly resolve: (slot: Slot) => void };
 
+/** Admission of requests to the endpoints of one service. */
 export type ServiceGate = {
   readonly service: ServiceName;
   readonly retryBudget: RetryBudget;
+  /** Returns all endpoints, including leaving and ejected ones. */
   readonly endpoints: () => readonly Endpoint[];
   readonly setEndpoints: (endpoints: readonly Endpoint[]) => void;
-  /** True if an endpoint is there that is neither leaving nor ejected. */
+  /** Returns whether an endpoint has slots for this entry and is neither leaving nor ejected. */
   readonly isReady: () => boolean;
+  /** Waits for a slot at an endpoint; a slot that is given must be released. */
   readonly acquire: (request: SlotRequest) => Promise<Slot>;
+  /** Ends a request at an endpoint and gives its slot to the next queued request. */
   readonly release: (endpoint: Endpoint, callerId: CallerId) => void;
-  /** Gives out slots that have come free otherwise, and refuses what has become too late. */
+  /**
+   * Gives slots that became free without a release to queued requests, and refuses requests that can
+   * no longer be served before their deadline.
+   */
   readonly pump: () => void;
+  /** Returns the number of queued requests. */
   readonly waitingCount: () => number;
+  /** Returns the smoothed duration of a request, weighted by the endpoints' slots, in ms. */
   readonly usualMs: () => number;
 };
 
 export type ServiceGateOptions = {
   readonly service: ServiceName;
   readonly rng: Rng;
+  /** Maximum number of queued requests. */
   readonly mostWaiting?: number;
   readonly nowMs?: () => number;
 };
@@ -70,10 +85,10 @@
 const toRetryAfterS = (waitMs: number): number => Math.max(1, Math.ceil(waitMs / MS_PER_S));
 
 /**
- * Builds a gate.
+ * Creates the admission of a service.
  *
- * @param options - The service, the random numbers, and how many requests may wait.
- * @returns The gate, without endpoints.
+ * @param options - The service, the random number generator, and the limit of the queue.
+ * @returns The admission, without endpoints.
  */
 export const createServiceGate = ({
   service,
@@ -84,19 +99,24 @@
   const queue: AdmissionQueue<Waiter> = createAdmissionQueue({ mostWaiting });
   let endpoints: readonly Endpoint[] = [];
 
-  const inUse = () =>
-    endpoints.filter((one) => !one.isLeaving && one.slotShare > 0 && !isEjected(one, nowMs()));
+  const readyEndpoints = () =>
+    endpoints.filter(
+      (endpoint) => !endpoint.isLeaving && endpoint.slotShare > 0 && !isEjected(endpoint, nowMs()),
+    );
 
   const capacity = (): Capacity => {
-    const usable = inUse();
-    const slots = usable.reduce((sum, { slotShare }) => sum + slotShare, 0);
-    const totalMs = usable.reduce((sum, one) => sum + one.smoothedMs * one.slotShare, 0);
-    return { slots, requestMs: slots === 0 ? 0 : totalMs / slots };
+    const ready = readyEndpoints();
+    const slots = ready.reduce((sum, { slotShare }) => sum + slotShare, 0);
+    const weightedMs = ready.reduce(
+      (sum, endpoint) => sum + endpoint.smoothedMs * endpoint.slotShare,
+      0,
+    );
+    return { slots, requestMs: slots === 0 ? 0 : weightedMs / slots };
   };
 
   const usualMs = (): number => capacity().requestMs;
 
-  const give = (endpoint: Endpoint, callerId: CallerId): Slot => {
+  const grant = (endpoint: Endpoint, callerId: CallerId): Slot => {
     noteSent(endpoint, nowMs());
     noteStarted(queue, callerId);
     return { kind: 'slot', endpoint };
@@ -108,7 +128,7 @@
     return { kind: 'none', reason, detail, retryAfterS: toRetryAfterS(waitMs) };
   };
 
-  const join = (request: SlotRequest): Promise<Slot> =>
+  const joinQueue = (request: SlotRequest): Promise<Slot> =>
     new Promise((resolve) => {
       const waiter = { ...request, resolve };
       const { callerId, deadlineMs } = request;
@@ -129,54 +149,56 @@
       } else if (outcome.kind === 'full') {
         resolve(refuse('overloaded', `${queue.waitingCount} requests for ${service} wait already`));
       } else if (outcome.kind === 'displaced') {
-        const { payload } = outcome.displaced;
-        const detail = `caller ${payload.callerId} has the most requests waiting for ${service}`;
-        payload.resolve(refuse('caller-over-share', detail));
+        const { payload: displaced } = outcome.displaced;
+        const detail = `caller ${displaced.callerId} has the most requests waiting for ${service}`;
+        displaced.resolve(refuse('caller-over-share', detail));
       }
     });
 
-  const noEndpoint = (request: SlotRequest): Slot | undefined => {
-    const others = inUse().filter(({ endpointId }) => !request.exclude.includes(endpointId));
-    if (others.length > 0) return undefined;
+  const refuseIfNoEndpoint = (request: SlotRequest): Slot | undefined => {
+    const candidates = readyEndpoints().filter(
+      ({ endpointId }) => !request.exclude.includes(endpointId),
+    );
+    if (candidates.length > 0) return undefined;
     return refuse('no-endpoint', `no endpoint of ${service} is ready at this entry`);
   };
 
   const acquire = async (request: SlotRequest): Promise<Slot> => {
-    const none = noEndpoint(request);
-    if (none) return none;
+    const refusal = refuseIfNoEndpoint(request);
+    if (refusal) return refusal;
     if (queue.waitingCount === 0) {
       const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: request.exclude });
-      if (endpoint) return give(endpoint, request.callerId);
+      if (endpoint) return grant(endpoint, request.callerId);
     }
-    return join(request);
+    return joinQueue(request);
   };
 
-  const giveNext = (): boolean => {
-    const hasSlot = usableEndpoints(endpoints, nowMs()).length > 0;
-    const { next, expired } = dequeue(queue, capacity().requestMs, nowMs(), hasSlot);
-    expired.forEach(({ payload }) => {
-      payload.resolve(refuse('deadline-too-short', 'no slot came free in time for its deadline'));
+  const grantNext = (): boolean => {
+    const hasFreeSlot = usableEndpoints(endpoints, nowMs()).length > 0;
+    const { next, expired } = dequeue(queue, capacity().requestMs, nowMs(), hasFreeSlot);
+    expired.forEach(({ payload: waiter }) => {
+      waiter.resolve(refuse('deadline-too-short', 'no slot came free in time for its deadline'));
     });
     if (!next) return false;
-    const { payload } = next;
-    const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: payload.exclude });
+    const { payload: waiter } = next;
+    const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: waiter.exclude });
     if (endpoint) {
-      payload.resolve(give(endpoint, payload.callerId));
+      waiter.resolve(grant(endpoint, waiter.callerId));
       return true;
     }
-    const none = noEndpoint(payload);
-    if (none) {
-      payload.resolve(none);
+    const refusal = refuseIfNoEndpoint(waiter);
+    if (refusal) {
+      waiter.resolve(refusal);
       return true;
     }
-    // Only endpoints that it was tried at have a slot free: it waits for the others, which are busy
-    // and call here again when they are done.
-    void join(payload).then(payload.resolve);
+    // Only endpoints at which the request was already attempted have a free slot. The request waits
+    // for the others, which are busy; when one of them is released, the queue is processed again.
+    void joinQueue(waiter).then(waiter.resolve);
     return false;
   };
 
-  const refuseAllIfNoEndpoint = (): void => {
-    if (inUse().length > 0) return;
+  const refuseQueuedIfNoEndpoint = (): void => {
+    if (readyEndpoints().length > 0) return;
     let { next } = dequeue(queue, 0, nowMs(), true);
     while (next) {
       next.payload.resolve(
@@ -189,8 +211,8 @@
   const pump = (): void => {
     ejectStalled(endpoints, usualMs(), nowMs());
     if (queue.waitingCount === 0) return;
-    refuseAllIfNoEndpoint();
-    while (queue.waitingCount > 0 && giveNext());
+    refuseQueuedIfNoEndpoint();
+    while (queue.waitingCount > 0 && grantNext());
   };
 
   return {
@@ -201,7 +223,7 @@
       endpoints = next;
       pump();
     },
-    isReady: () => inUse().length > 0,
+    isReady: () => readyEndpoints().length > 0,
     acquire,
     release: (endpoint, callerId) => {
       change(endpoint, { inFlight: endpoint.inFlight - 1 });
