--- a/packages/daemon/src/seats/seat-keeper.ts
+++ b/packages/daemon/src/seats/seat-keeper.ts
@@ -1,4 +1,7 @@
-/** Keeps this entry's seat: takes one, renews it, and goes on through outages as far as is safe. */
+/**
+ * Manages this entry's seat: takes a seat, renews its lease, and keeps using it during an outage of the
+ * platform for as long as that is safe. The rules of promises and consent are in `@valvelatch/core`.
+ */
 import {
   answerConsent,
   answerPromise,
@@ -18,51 +21,70 @@
 import type { LeaseKeeper } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
 
-/** What this entry may use. */
+/** The seat that this entry may use at present. */
 export type HeldSeat = {
+  /** Number of seats of the data centre. */
   readonly seats: number;
+  /** Index of the seat, starting from 0. */
   readonly seat: number;
+  /** The part of the seat's share that may be used. */
   readonly portion: SeatPortion;
-  /** Until when it may be used, unless it is renewed. */
+  /** Time until which the seat may be used unless it is renewed, on the monotonic clock. */
   readonly untilMs: number;
 };
 
+/** Manager of this entry's seat. */
 export type SeatKeeper = {
-  /** Reads, takes and renews. */
+  /** Renews the held seat, or tries to take one, and reads the rows of the other seats. */
   readonly tick: () => Promise<void>;
+  /** Returns the seat that may be used now, or null if there is none. */
   readonly held: () => HeldSeat | null;
+  /** Handles a holder's request for a promise; returns whether the promise was given. */
   readonly onPromiseAsked: (term: SeatTerm) => boolean;
+  /** Handles a request for consent to take over a lapsed seat; returns whether it was given. */
   readonly onConsentAsked: (term: SeatTerm) => boolean;
-  /** The holders of the other seats of the data centre, as last read. */
+  /** Returns the holders of the data centre's other seats, as last read from the table. */
   readonly otherHolders: () => readonly EntryId[];
-  /** How long the own lease has lapsed, in milliseconds; negative while it is held. */
+  /**
+   * Returns the time since this entry's own lease lapsed, in milliseconds: negative while it is held,
+   * minus infinity without a seat.
+   */
   readonly lapsedForMs: () => number;
-  /** True if the holder has surely stopped sending: its lease has lapsed for long enough. */
+  /**
+   * Returns whether a holder has certainly stopped sending: `graceMs` milliseconds have passed since
+   * the last promise of this entry to it ended and since its leases, with a margin, have lapsed.
+   * False while this entry has no seat.
+   */
   readonly hasLapsed: (holder: EntryId, graceMs: number) => boolean;
+  /** Gives up the held seat. */
   readonly release: () => Promise<void>;
 };
 
 export type SeatKeeperOptions = {
+  /** The id of this entry. */
   readonly self: EntryId;
-  /** How many seats the data centre has; 0 while that is not known. */
+  /** Returns the number of seats of the data centre, or 0 while it is unknown. */
   readonly seats: () => number;
+  /** Creates the lease of a seat, which is only taken while `mayTake` returns true. */
   readonly createLease: (seat: number, mayTake: () => boolean) => LeaseKeeper;
-  /** Asks another entry; false where it refuses or cannot be reached. */
+  /** Asks a holder to promise not to consent to a takeover; false if it refuses or is unreachable. */
   readonly askPromise: (holder: EntryId, term: SeatTerm) => Promise<boolean>;
+  /** Asks a holder to consent to taking over a lapsed seat; false if it refuses or is unreachable. */
   readonly askConsent: (holder: EntryId, term: SeatTerm) => Promise<boolean>;
-  /** Called before a seat is taken without consent; false puts the taking off. */
+  /** Called before a seat is taken without consent; false postpones the taking. */
   readonly beforeUnconsented: () => Promise<boolean>;
   readonly log: Log;
   readonly nowMs?: () => number;
 };
 
+/** A seat of the data centre. `mayTake` is only true while its lease is being taken. */
 type Seat = { readonly index: number; readonly lease: LeaseKeeper; mayTake: boolean };
 
 /**
- * Builds the keeper.
+ * Creates the seat manager.
  *
- * @param options - Who asks, how many seats there are, and the links to the other holders.
- * @returns The keeper, without a seat.
+ * @param options - The id of this entry, the number of seats, and the calls to other holders.
+ * @returns The seat manager, without a seat.
  */
 export const createSeatKeeper = ({
   self,
@@ -75,14 +97,14 @@
   nowMs = () => performance.now(),
 }: SeatKeeperOptions): SeatKeeper => {
   const seats: Seat[] = [];
-  let book: SeatBook = emptySeatBook;
-  let own: Seat | null = null;
-  let isConsented = true;
-  /** Until when the promises of all other holders carry this entry. */
-  let carriedUntilMs = -Infinity;
-  let lapsedSinceMs: number | null = null;
-
-  const grow = (): void => {
+  let seatBook: SeatBook = emptySeatBook;
+  let ownSeat: Seat | null = null;
+  let takenWithConsent = true;
+  /** Time until which this entry may use its seat based on the promises of all other holders. */
+  let promisedUseUntilMs = -Infinity;
+  let outageSinceMs: number | null = null;
+
+  const createMissingSeats = (): void => {
     while (seats.length < seatCount()) {
       const index = seats.length;
       const seat: Seat = { index, lease: createLease(index, () => seat.mayTake), mayTake: false };
@@ -92,8 +114,8 @@
 
   const holderOf = ({ lease }: Seat): EntryId | null => lease.lastRow()?.holder ?? null;
 
-  const otherSeats = (except: Seat | null): readonly Seat[] =>
-    seats.filter((seat) => seat !== except && (holderOf(seat) ?? self) !== self);
+  const otherSeats = (excluded: Seat | null): readonly Seat[] =>
+    seats.filter((seat) => seat !== excluded && (holderOf(seat) ?? self) !== self);
 
   const termOf = (seat: Seat, row: LeaseRow): SeatTerm => ({
     seat: seat.index,
@@ -101,114 +123,123 @@
     holder: row.holder as EntryId,
   });
 
-  const allAgree = async (
+  /** Returns whether all holders of other seats grant a request about a seat's term. */
+  const allOthersGrant = async (
     seat: Seat,
     term: SeatTerm,
-    ask: (holder: EntryId, one: SeatTerm) => Promise<boolean>,
+    sendRequest: (holder: EntryId, other: SeatTerm) => Promise<boolean>,
   ): Promise<boolean> => {
-    const others = otherSeats(seat).map((one) => termOf(one, one.lease.lastRow() as LeaseRow));
-    // With no other holder there is nobody who could rule out that two use the seat.
-    if (others.length === 0) return false;
-    if (others.some((other) => hasConsented(book, other))) return false;
-    const answers = await Promise.all(others.map(({ holder }) => ask(holder, term)));
+    const otherTerms = otherSeats(seat).map((other) =>
+      termOf(other, other.lease.lastRow() as LeaseRow),
+    );
+    // Without another holder, nobody can guarantee that the seat is not used by two entries.
+    if (otherTerms.length === 0) return false;
+    if (otherTerms.some((other) => hasConsented(seatBook, other))) return false;
+    const answers = await Promise.all(otherTerms.map(({ holder }) => sendRequest(holder, term)));
     return answers.every(Boolean);
   };
 
-  const tryTake = async (seat: Seat): Promise<boolean> => {
+  const tryTakeSeat = async (seat: Seat): Promise<boolean> => {
     await seat.lease.tick();
     const row = seat.lease.lastRow();
-    const former = row?.holder ?? null;
+    const formerHolder = row?.holder ?? null;
     const isLapsed = row !== null && seat.lease.unchangedForMs() >= row.durationMs * 1.25;
-    if (former !== null && !isLapsed) return false;
-    const consent =
-      former === null || (await allAgree(seat, termOf(seat, row as LeaseRow), askConsent));
-    if (!consent && !(await beforeUnconsented())) return false;
+    if (formerHolder !== null && !isLapsed) return false;
+    const hasConsent =
+      formerHolder === null ||
+      (await allOthersGrant(seat, termOf(seat, row as LeaseRow), askConsent));
+    if (!hasConsent && !(await beforeUnconsented())) return false;
     change(seat, { mayTake: true });
     await seat.lease.tick();
     change(seat, { mayTake: false });
     if (!seat.lease.holds()) return false;
-    own = seat;
-    isConsented = consent;
-    log.info('seat-taken', { seat: seat.index, epoch: seat.lease.epoch(), isConsented });
+    ownSeat = seat;
+    takenWithConsent = hasConsent;
+    log.info('seat-taken', {
+      seat: seat.index,
+      epoch: seat.lease.epoch(),
+      isConsented: takenWithConsent,
+    });
     return true;
   };
 
-  const takeOne = async (): Promise<void> => {
+  const takeFreeSeat = async (): Promise<void> => {
     for (let index = 0; index < seats.length; index += 1) {
-      if (await tryTake(seats[index] as Seat)) return;
+      if (await tryTakeSeat(seats[index] as Seat)) return;
     }
   };
 
-  const goOnWithoutPlatform = async (seat: Seat): Promise<void> => {
-    const askedAtMs = nowMs();
-    lapsedSinceMs ??= askedAtMs;
+  const continueWithoutPlatform = async (seat: Seat): Promise<void> => {
+    const requestedAtMs = nowMs();
+    outageSinceMs ??= requestedAtMs;
     const row = seat.lease.lastRow();
-    if (row?.holder !== self || askedAtMs - lapsedSinceMs > LONGEST_CONTINUING_MS) {
-      own = null;
+    if (row?.holder !== self || requestedAtMs - outageSinceMs > LONGEST_CONTINUING_MS) {
+      ownSeat = null;
       return;
     }
-    const isCarried = await allAgree(seat, termOf(seat, row), askPromise);
-    if (isCarried) carriedUntilMs = askedAtMs + PROMISE_USE_MS;
+    const hasAllPromises = await allOthersGrant(seat, termOf(seat, row), askPromise);
+    if (hasAllPromises) promisedUseUntilMs = requestedAtMs + PROMISE_USE_MS;
   };
 
-  const keepOwn = async (seat: Seat): Promise<void> => {
+  const renewOwnSeat = async (seat: Seat): Promise<void> => {
     await seat.lease.tick();
     if (seat.lease.holds()) {
-      lapsedSinceMs = null;
+      outageSinceMs = null;
       return;
     }
     if (holderOf(seat) !== self) {
       log.warn('seat-lost', { seat: seat.index });
-      own = null;
+      ownSeat = null;
       return;
     }
-    await goOnWithoutPlatform(seat);
+    await continueWithoutPlatform(seat);
   };
 
-  const watchOthers = async (): Promise<void> => {
-    await Promise.all(seats.filter((seat) => seat !== own).map(({ lease }) => lease.tick()));
+  const readOtherSeats = async (): Promise<void> => {
+    await Promise.all(seats.filter((seat) => seat !== ownSeat).map(({ lease }) => lease.tick()));
   };
 
   const tick = async (): Promise<void> => {
-    grow();
-    if (own) await keepOwn(own);
-    else await takeOne();
-    if (own) await watchOthers();
+    createMissingSeats();
+    if (ownSeat) await renewOwnSeat(ownSeat);
+    else await takeFreeSeat();
+    if (ownSeat) await readOtherSeats();
   };
 
-  const portion = (seat: Seat): SeatPortion | null => {
-    if (seat.lease.holds()) return isConsented ? 'full' : 'unconsented';
-    return isConsented && nowMs() < carriedUntilMs ? 'continuing' : null;
+  const currentPortionOf = (seat: Seat): SeatPortion | null => {
+    if (seat.lease.holds()) return takenWithConsent ? 'full' : 'unconsented';
+    return takenWithConsent && nowMs() < promisedUseUntilMs ? 'continuing' : null;
   };
 
-  const held = (): HeldSeat | null => {
-    const usable = own && portion(own);
-    if (!own || !usable) return null;
-    const untilMs = usable === 'continuing' ? carriedUntilMs : own.lease.heldUntilMs();
-    return { seats: seats.length, seat: own.index, portion: usable, untilMs };
+  const heldSeat = (): HeldSeat | null => {
+    const currentPortion = ownSeat && currentPortionOf(ownSeat);
+    if (!ownSeat || !currentPortion) return null;
+    const untilMs =
+      currentPortion === 'continuing' ? promisedUseUntilMs : ownSeat.lease.heldUntilMs();
+    return { seats: seats.length, seat: ownSeat.index, portion: currentPortion, untilMs };
   };
 
-  const isEntitled = (): boolean => own !== null && own.lease.holds() && isConsented;
+  const mayConsent = (): boolean => ownSeat !== null && ownSeat.lease.holds() && takenWithConsent;
 
   return {
     tick,
-    held,
+    held: heldSeat,
     onPromiseAsked: (term) => {
-      const answer = answerPromise(book, term, nowMs());
-      book = answer.book;
+      const answer = answerPromise(seatBook, term, nowMs());
+      seatBook = answer.book;
       return answer.isGranted;
     },
     onConsentAsked: (term) => {
-      const answer = answerConsent(book, term, isEntitled(), nowMs());
-      book = answer.book;
+      const answer = answerConsent(seatBook, term, mayConsent(), nowMs());
+      seatBook = answer.book;
       return answer.isGranted;
     },
-    otherHolders: () => otherSeats(own).map((seat) => holderOf(seat) as EntryId),
-    lapsedForMs: () => (own ? nowMs() - own.lease.heldUntilMs() : -Infinity),
+    otherHolders: () => otherSeats(ownSeat).map((seat) => holderOf(seat) as EntryId),
+    lapsedForMs: () => (ownSeat ? nowMs() - ownSeat.lease.heldUntilMs() : -Infinity),
     hasLapsed: (holder, graceMs) =>
-      // Without a promise of this entry the holder cannot go on past its lease.
-      own !== null &&
-      nowMs() > promisedUntilMs(book, holder) + graceMs &&
+      // Without a promise of this entry, the holder cannot use its seat after its lease has lapsed.
+      ownSeat !== null &&
+      nowMs() > promisedUntilMs(seatBook, holder) + graceMs &&
       seats
         .filter((seat) => holderOf(seat) === holder)
         .every(({ lease }) => {
@@ -216,8 +247,8 @@
           return lease.unchangedForMs() > durationMs * 1.25 + graceMs;
         }),
     release: async () => {
-      await own?.lease.release();
-      own = null;
+      await ownSeat?.lease.release();
+      ownSeat = null;
     },
   };
 };
--- a/packages/daemon/src/seats/seats.test.ts
+++ b/packages/daemon/src/seats/seats.test.ts
@@ -19,12 +19,12 @@
   type TestEntry,
 } from '../testing/deployment.fixtures.js';
 
-const term = { seat: 0, epoch: 3, holder: brand<EntryId>('a') };
+const TERM = { seat: 0, epoch: 3, holder: brand<EntryId>('a') };
 
 describe('seats', () => {
   describe('shares', () => {
     test.prop([fc.nat(64), fc.integer({ min: 1, max: 12 }), fc.string()], { seed: 21 })(
-      'add up to the limit, and the two halves of each to the share',
+      'add up to the limit, and the two halves of a share add up to the share',
       (limit, seats, name) => {
         const shares = Array.from({ length: seats }, (_, seat) =>
           shareOfSeat(limit, seats, seat, name),
@@ -40,27 +40,31 @@
 
   describe('promises and consent', () => {
     test.prop(
-      [fc.array(fc.record({ asks: fc.constantFrom('promise', 'consent'), afterMs: fc.nat(2500) }))],
+      [
+        fc.array(
+          fc.record({ kind: fc.constantFrom('promise', 'consent'), elapsedMs: fc.nat(2500) }),
+        ),
+      ],
       { seed: 22 },
-    )('never let a holder go on and another take its seat', (questions) => {
+    )('never let a holder keep using its seat after consent to its takeover', (requests) => {
       let book = emptySeatBook;
       let nowMs = 0;
-      let carriedUntilMs = -Infinity;
-      let isTaken = false;
-      questions.forEach(({ asks, afterMs }) => {
-        nowMs += afterMs;
+      let promiseUseEndsMs = -Infinity;
+      let hasConsent = false;
+      requests.forEach(({ kind, elapsedMs }) => {
+        nowMs += elapsedMs;
         const answer =
-          asks === 'promise'
-            ? answerPromise(book, term, nowMs)
-            : answerConsent(book, term, true, nowMs);
+          kind === 'promise'
+            ? answerPromise(book, TERM, nowMs)
+            : answerConsent(book, TERM, true, nowMs);
         book = answer.book;
         if (!answer.isGranted) return;
-        if (asks === 'promise') {
-          expect(isTaken).toBe(false);
-          carriedUntilMs = nowMs + 2000;
+        if (kind === 'promise') {
+          expect(hasConsent).toBe(false);
+          promiseUseEndsMs = nowMs + 2000;
         } else {
-          expect(nowMs).toBeGreaterThanOrEqual(carriedUntilMs);
-          isTaken = true;
+          expect(nowMs).toBeGreaterThanOrEqual(promiseUseEndsMs);
+          hasConsent = true;
         }
       });
     });
@@ -71,19 +75,19 @@
     afterEach(() => deployment.close());
 
     const overSlots = () =>
-      Array.from(deployment.workers.values(), (one) => one.report().overSlots);
+      Array.from(deployment.workers.values(), (stub) => stub.report().overSlots);
 
-    /** Sends far more than there are slots for, until it is told to stop. */
+    /** Sends many more concurrent requests than there are slots, until `stop` is called. */
     const startOverload = (headers: Record<string, string> = {}) => {
-      const sums = { answered: 0, refused: 0, dishonest: 0 };
+      const sums = { answered: 0, refused: 0, unexpected: 0 };
       let isRunning = true;
       const sender = async (index: number): Promise<void> => {
         while (isRunning) {
-          const at = deployment.entries[index % deployment.entries.length] as TestEntry;
-          const answer = await send(at, { headers }).catch(() => undefined);
+          const entry = deployment.entries[index % deployment.entries.length] as TestEntry;
+          const answer = await send(entry, { headers }).catch(() => undefined);
           if (answer?.status === 200) sums.answered += 1;
           else if (answer && answer.verdict === 'notRun') sums.refused += 1;
-          else sums.dishonest += 1;
+          else sums.unexpected += 1;
         }
       };
       const senders = Array.from({ length: 60 }, (_, index) => sender(index));
@@ -96,7 +100,7 @@
       };
     };
 
-    it('are never overshot under load, while an entry joins and one is cut off', async () => {
+    it('are never exceeded under load while an entry joins and another loses the platform', async () => {
       deployment = await startDeployment({ slots: 5, workMs: 10 });
       const load = startOverload();
       await pause(400);
@@ -111,12 +115,12 @@
       expect(load.sums.answered).toBeGreaterThan(100);
     });
 
-    it('go on being used while the platform is away', async () => {
+    it('remain in use while the platform is unavailable', async () => {
       deployment = await startDeployment({ workMs: 5 });
       deployment.platform.setFault({ mode: 'down' });
       await pause(2500);
-      await waitUntil('answers without the platform', async () => {
-        const answers = await Promise.all(deployment.entries.map((at) => send(at)));
+      await waitUntil('responses without the platform', async () => {
+        const answers = await Promise.all(deployment.entries.map((entry) => send(entry)));
         return answers.every(({ status }) => status === 200);
       });
       const load = startOverload();
@@ -124,24 +128,27 @@
       await load.stop();
       expect(overSlots()).toEqual([0]);
       expect(load.sums.answered).toBeGreaterThan(100);
-      expect(load.sums.dishonest).toBe(0);
+      expect(load.sums.unexpected).toBe(0);
     });
 
-    it('are taken over by a replacement once the former holder has left', async () => {
+    it('become usable through a replacement entry after the former seat holder has stopped', async () => {
       deployment = await startDeployment();
       const [first, second] = deployment.entries as [TestEntry, TestEntry];
       await second.entry.stop();
       await second.platformRelay.close();
       deployment.entries.splice(1, 1);
       const added = await deployment.addEntry('east', 'east-entry-new');
-      await waitUntil('the seat', async () => {
+      await waitUntil('the replacement entry to take the seat', async () => {
         const { value } = await deployment.operate(first, 'status', {});
         const { entries } = value as {
           entries: readonly { entryId: string; seat: number | null }[];
         };
         return entries.find(({ entryId }) => entryId === added.entryId)?.seat === 1;
       });
-      await waitUntil('answers', async () => (await send(added)).status === 200);
+      await waitUntil(
+        'responses through the replacement entry',
+        async () => (await send(added)).status === 200,
+      );
     });
   });
 });
