--- a/packages/daemon/src/data-path/connections.ts
+++ b/packages/daemon/src/data-path/connections.ts
@@ -3,8 +3,8 @@
 
 /** The connection pools of this entry. */
 export type Connections = {
-  /** Returns the pool of an address. `most` limits its connections only when it is created. */
-  readonly to: (address: string, most: number) => Pool;
+  /** Returns the pool of an address. `maxConnections` only applies when the pool is created. */
+  readonly to: (address: string, maxConnections: number) => Pool;
   /** Closes the pools of all addresses that are not in the given set. */
   readonly keepOnly: (addresses: ReadonlySet<string>) => void;
   /** Destroys all pools, including their requests in flight. */
@@ -25,11 +25,11 @@
 }: ConnectionsOptions = {}): Connections => {
   const pools = new Map<string, Pool>();
 
-  const to = (address: string, most: number): Pool => {
+  const to = (address: string, maxConnections: number): Pool => {
     const existing = pools.get(address);
     if (existing) return existing;
     const pool = new Pool(address, {
-      connections: Math.max(1, most),
+      connections: Math.max(1, maxConnections),
       pipelining: 1,
       connect: { timeout: connectTimeoutMs },
       // Each request has its own deadline, so timers of the pool would only add overhead.
--- a/packages/daemon/src/data-path/endpoint-directory.test.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.test.ts
@@ -26,7 +26,7 @@
 describe('endpoint directory', () => {
   const createDirectory = () => {
     let offered: readonly Endpoint[] = [];
-    const gate = {
+    const admission = {
       setEndpoints: (endpoints: readonly Endpoint[]) => {
         offered = endpoints;
       },
@@ -34,7 +34,7 @@
     const directory = createEndpointDirectory({
       configuration: () => emptyConfiguration,
       seat: () => null,
-      gate: () => gate,
+      gate: () => admission,
       knownServices: () => [SERVICE],
     });
     const onlyEndpoint = (): Endpoint => {
--- a/packages/daemon/src/data-path/endpoint-directory.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.ts
@@ -80,10 +80,15 @@
     findDeclaration(configuration(), 'Service', service)?.spec.slots ?? 0;
 
   const slotShareOf = (service: string, endpointId: EndpointId): number => {
-    const heldSeat = seat();
-    if (heldSeat === null) return 0;
-    const share = shareOfSeat(slotsPerEndpoint(service), heldSeat.seats, heldSeat.seat, endpointId);
-    return portionOfShare(share, heldSeat.portion);
+    const currentSeat = seat();
+    if (currentSeat === null) return 0;
+    const share = shareOfSeat(
+      slotsPerEndpoint(service),
+      currentSeat.seats,
+      currentSeat.seat,
+      endpointId,
+    );
+    return portionOfShare(share, currentSeat.portion);
   };
 
   const refreshEndpoint = (task: ObservedTask): Endpoint => {
--- a/packages/daemon/src/data-path/serve-request.ts
+++ b/packages/daemon/src/data-path/serve-request.ts
@@ -42,7 +42,7 @@
   readonly verdicts: Verdict[];
   readonly triedEndpoints: EndpointId[];
   /** Number of attempts that may have run and ended without a response of the endpoint. */
-  brokenOff: number;
+  attemptsWithoutResponse: number;
   /** The last complete error response of an endpoint, or null if there was none. */
   lastError: WholeAnswer | null;
 };
@@ -68,17 +68,17 @@
 /** The receiver of an attempt, and the headers added to those of the caller. */
 type Target = {
   readonly address: string;
-  readonly mostConnections: number;
-  readonly added: Readonly<Record<string, string>>;
+  readonly maxConnections: number;
+  readonly addedHeaders: Readonly<Record<string, string>>;
   readonly mayStillSend?: () => boolean;
 };
 
 const sendToTarget = async (
   requestState: RequestState,
-  { address, mostConnections, added, mayStillSend }: Target,
+  { address, maxConnections, addedHeaders, mayStillSend }: Target,
 ) => {
   const { context, request } = requestState;
-  const isRemote = added[callerHeader.forwarded] !== undefined;
+  const isRemote = addedHeaders[callerHeader.forwarded] !== undefined;
   const { traceparent } = request.headers as TraceHeaders;
   const hop = context.tracing.startHop(
     `${request.method} ${request.service}`,
@@ -86,12 +86,12 @@
     { address, requestId: request.requestId },
   );
   const headers = headersToSend(request.headers, {
-    ...added,
+    ...addedHeaders,
     ...hop.headers,
     [callerHeader.requestId]: request.requestId,
     [callerHeader.deadlineMs]: String(Math.max(1, Math.floor(remainingMs(requestState)))),
   });
-  const result = await attempt(context.connections.to(address, mostConnections), {
+  const result = await attempt(context.connections.to(address, maxConnections), {
     method: request.method,
     path: isRemote ? `/services/${request.service}${request.path}` : request.path,
     headers,
@@ -109,19 +109,23 @@
   return classified;
 };
 
-const tryEndpoint = async (requestState: RequestState, gate: ServiceGate, endpoint: Endpoint) => {
+const tryEndpoint = async (
+  requestState: RequestState,
+  admission: ServiceGate,
+  endpoint: Endpoint,
+) => {
   const { context, request } = requestState;
   const startedMs = context.nowMs();
   const classified = await sendToTarget(requestState, {
     address: endpoint.address,
-    mostConnections: context.connectionShare(request.service, endpoint),
-    added: {},
+    maxConnections: context.connectionShare(request.service, endpoint),
+    addedHeaders: {},
     mayStillSend: () => context.nowMs() < endpoint.shareUntilMs,
   });
   const nowMs = context.nowMs();
   const outcome = classified.kind === 'good' ? 'answered' : classified.outcome;
-  noteOutcome(endpoint, outcome, nowMs - startedMs, gate.endpoints(), nowMs);
-  gate.release(endpoint, request.callerId);
+  noteOutcome(endpoint, outcome, nowMs - startedMs, admission.endpoints(), nowMs);
+  admission.release(endpoint, request.callerId);
   return classified;
 };
 
@@ -135,7 +139,7 @@
   mutableState.verdicts.push(failure.verdict);
   const endedWithoutResponse =
     failure.verdict !== 'notRun' && failure.reason === 'endpoint-unreachable';
-  if (endedWithoutResponse) mutableState.brokenOff += 1;
+  if (endedWithoutResponse) mutableState.attemptsWithoutResponse += 1;
   if (failure.answer) mutableState.lastError = failure.answer;
 };
 
@@ -149,17 +153,17 @@
 
 const mayAttemptAgain = (
   requestState: RequestState,
-  gate: ServiceGate,
+  admission: ServiceGate,
   verdict: Verdict,
 ): boolean =>
   mayRetry({
     isRepeatable: requestState.request.isRepeatable,
     verdict,
     attemptsMade: requestState.verdicts.length,
-    brokenOff: requestState.brokenOff,
+    brokenOff: requestState.attemptsWithoutResponse,
     remainingMs: remainingMs(requestState),
-    expectedAttemptMs: gate.usualMs(),
-  }) && spendRetry(gate.retryBudget);
+    expectedAttemptMs: admission.usualMs(),
+  }) && spendRetry(admission.retryBudget);
 
 /**
  * Forwards a request to another entry that has endpoints of the service. Returns undefined if there
@@ -175,8 +179,8 @@
   context.metrics.count('forwarded');
   const classified = await sendToTarget(requestState, {
     address: remote.callersUrl,
-    mostConnections: MAX_CONNECTIONS_PER_ENTRY,
-    added: {
+    maxConnections: MAX_CONNECTIONS_PER_ENTRY,
+    addedHeaders: {
       [callerHeader.forwarded]: context.forwardProof(request.requestId),
       [callerHeader.caller]: request.callerId,
     },
@@ -188,11 +192,11 @@
 
 const attemptUntilDone = async (
   requestState: RequestState,
-  gate: ServiceGate,
+  admission: ServiceGate,
 ): Promise<RequestOutcome> => {
-  earnRetry(gate.retryBudget);
+  earnRetry(admission.retryBudget);
   for (;;) {
-    const slot = await gate.acquire({
+    const slot = await admission.acquire({
       callerId: requestState.request.callerId,
       deadlineMs: requestState.deadlineMs,
       exclude: requestState.triedEndpoints,
@@ -203,11 +207,11 @@
       return remote ?? endWithoutSuccess(requestState, slot);
     }
     const { endpoint } = slot;
-    const classified = await tryEndpoint(requestState, gate, endpoint);
+    const classified = await tryEndpoint(requestState, admission, endpoint);
     if (classified.kind === 'good') return { kind: 'answer', answer: classified.answer };
     recordFailure(requestState, endpoint.endpointId, classified);
     requestState.triedEndpoints.push(endpoint.endpointId);
-    if (!mayAttemptAgain(requestState, gate, classified.verdict))
+    if (!mayAttemptAgain(requestState, admission, classified.verdict))
       return endWithoutSuccess(requestState, classified);
     requestState.context.metrics.count('retries');
   }
@@ -247,7 +251,7 @@
 
 const serveWithClaim = async (
   requestState: RequestState,
-  gate: ServiceGate,
+  admission: ServiceGate,
 ): Promise<RequestOutcome> => {
   const { key } = requestState.request;
   if (key === null) {
@@ -262,7 +266,7 @@
     const retryAfterS = OUTAGE_RETRY_AFTER_S;
     return refuse(requestState, { ...claimed, retryAfterS });
   }
-  const outcome = await attemptUntilDone(requestState, gate);
+  const outcome = await attemptUntilDone(requestState, admission);
   settleClaim(claimed.claim, outcome);
   return outcome;
 };
@@ -310,10 +314,12 @@
     tried,
     verdicts: [],
     triedEndpoints: [],
-    brokenOff: 0,
+    attemptsWithoutResponse: 0,
     lastError: null,
   };
-  const gate = context.gate(brand<ServiceName>(request.service));
+  const admission = context.gate(brand<ServiceName>(request.service));
   const needsClaim = !request.isRepeatable && !request.isForwarded;
-  return needsClaim ? serveWithClaim(requestState, gate) : attemptUntilDone(requestState, gate);
+  return needsClaim
+    ? serveWithClaim(requestState, admission)
+    : attemptUntilDone(requestState, admission);
 };
--- a/packages/daemon/src/data-path/service-gate.test.ts
+++ b/packages/daemon/src/data-path/service-gate.test.ts
@@ -26,20 +26,20 @@
 describe('slot for a request that an endpoint has refused', () => {
   it('waits for another endpoint even though the refusing one has a free slot', async () => {
     const [refusing, busy] = [createNamedEndpoint('refusing'), createNamedEndpoint('busy')];
-    const gate = createServiceGate({ service: brand('routing'), rng: createRng(1) });
-    gate.setEndpoints([refusing, busy]);
+    const admission = createServiceGate({ service: brand('routing'), rng: createRng(1) });
+    admission.setEndpoints([refusing, busy]);
     const acquireExcluding = (exclude: readonly EndpointId[]): Promise<Slot> =>
-      gate.acquire({ callerId, deadlineMs: performance.now() + 5000, exclude });
+      admission.acquire({ callerId, deadlineMs: performance.now() + 5000, exclude });
     const firstSlot = await acquireExcluding([refusing.endpointId]);
     let secondSlot: Slot | undefined;
     void acquireExcluding([refusing.endpointId]).then((slot) => {
       secondSlot = slot;
     });
-    gate.pump();
+    admission.pump();
     await flushPromises();
     expect([firstSlot, secondSlot]).toEqual([{ kind: 'slot', endpoint: busy }, undefined]);
-    gate.release(busy, callerId);
-    gate.pump();
+    admission.release(busy, callerId);
+    admission.pump();
     await flushPromises();
     expect(secondSlot).toEqual({ kind: 'slot', endpoint: busy });
   });
