--- a/packages/daemon/src/entry/clients.ts
+++ b/packages/daemon/src/entry/clients.ts
@@ -1,4 +1,4 @@
-/** The clients of the platform that an entry uses. */
+/** Clients through which an entry reaches the platform and its workers. */
 import {
   createHostListClient,
   createObjectClient,
@@ -14,18 +14,20 @@
 
 import type { Settings } from '../settings/settings.js';
 
+/** Clients of the platform's table, object store and host list, and of the workers' API. */
 export type Clients = {
   readonly table: TableClient;
   readonly objects: ObjectClient;
   readonly hostList: HostListClient;
   readonly workers: WorkerClient;
+  /** Closes all clients. */
   readonly close: () => Promise<void>;
 };
 
 /**
- * Opens the clients; connections are made when they are needed.
+ * Creates the clients. Each one connects when it sends its first request.
  *
- * @param settings - The addresses and the bound on each request.
+ * @param settings - The addresses and the timeout of each request.
  * @returns The clients.
  */
 export const createClients = (settings: Settings): Clients => {
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -1,4 +1,4 @@
-/** The control work of an entry: the pools whose leases it holds, and its data centre's workers. */
+/** Control plane of an entry: controls the pools whose leases it holds and the workers of its data centre. */
 import {
   controlPrefixes,
   declaredHosts,
@@ -30,14 +30,17 @@
 import type { SeatKeeper } from '../seats/seat-keeper.js';
 import type { Clients } from './clients.js';
 
-/** The control work. */
+/** Control plane of an entry. */
 export type ControlPlane = {
+  /** Carries out placements at the workers of this data centre. */
   readonly agent: DataCentreAgent;
-  /** Takes the turns that are due. */
+  /** Runs the control of each pool that this entry controls or may take over. */
   readonly tick: () => Promise<void>;
-  /** The pools whose control this entry holds. */
+  /** The pools whose control lease this entry holds. */
   readonly heldPools: () => readonly PoolName[];
+  /** Actions that the last turn of each pool considered and did not take, with the reasons. */
   readonly withheld: () => readonly Withheld[];
+  /** Releases the control leases of all pools. */
   readonly release: () => Promise<void>;
 };
 
@@ -48,28 +51,32 @@
   readonly configuration: () => Configuration;
   readonly directory: EndpointDirectory;
   readonly seatKeeper: SeatKeeper;
-  /** Asks another entry whether it has nothing in flight at an endpoint. */
+  /** Asks another entry whether it has no request in flight at an endpoint; false if it does not answer. */
   readonly askQuiet: (holder: EntryId, endpointId: string) => Promise<boolean>;
-  /** Whether this entry is one of the few that contend for a duty. */
+  /** Whether this entry is one of the few that compete for a duty. */
   readonly isCandidate: (duty: string) => boolean;
+  /** Duration of the control leases, in milliseconds. */
   readonly leaseMs: number;
   readonly decisions: DecisionMemory;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
-/** The list lags anyway; the pools of one entry and its agent share one reading for so long. */
-const LIST_KEPT_MS = 400;
+/**
+ * How long the pools of an entry and its agent share one result of the host list, in milliseconds. The
+ * platform's list is delayed in any case, so a cached result does no harm.
+ */
+const HOST_LIST_CACHE_MS = 400;
 
-const withSharedList = (client: HostListClient): HostListClient => {
-  let readAtMs = -Infinity;
+const withListCache = (client: HostListClient): HostListClient => {
+  let listedAtMs = -Infinity;
   let last: ReturnType<HostListClient['list']> | undefined;
   return {
     ...client,
     list: () => {
       const nowMs = performance.now();
-      if (!last || nowMs - readAtMs > LIST_KEPT_MS) {
-        readAtMs = nowMs;
+      if (!last || nowMs - listedAtMs > HOST_LIST_CACHE_MS) {
+        listedAtMs = nowMs;
         last = client.list();
       }
       return last;
@@ -77,14 +84,14 @@
   };
 };
 
-const longestRequestMs = (configuration: Configuration): number =>
+const longestRequestTimeoutMs = (configuration: Configuration): number =>
   Math.max(0, ...declarationsOf(configuration, 'Service').map(({ spec }) => spec.requestTimeoutMs));
 
 /**
- * Builds the control work.
+ * Creates the control plane.
  *
- * @param options - The clients, what is known, and the links to the other entries.
- * @returns The control work, with no lease held yet.
+ * @param options - The clients, the configuration, the endpoints, and how to reach the other entries.
+ * @returns The control plane, which holds no lease yet.
  */
 export const createControlPlane = ({
   self,
@@ -101,15 +108,19 @@
   metrics,
 }: ControlPlaneOptions): ControlPlane => {
   const { table, workers } = clients;
-  const hostList = withSharedList(clients.hostList);
+  const hostList = withListCache(clients.hostList);
   const controls = new Map<PoolName, PoolControl>();
   const rowReader = createPulsedReader(table, controlPrefixes);
 
-  /** Every entry that may send to an endpoint has a seat here; each must say that it is quiet. */
+  /**
+   * Whether no entry has a request in flight at an endpoint. Each entry that may send to the endpoint holds a
+   * seat of this data centre, so each holder must confirm it, unless its seat lease lapsed so long ago that
+   * none of its requests can still be running.
+   */
   const isQuiet = async (endpointId: string): Promise<boolean> => {
     directory.markLeaving(endpointId);
     if (directory.inFlightAt(endpointId) > 0) return false;
-    const graceMs = longestRequestMs(configuration());
+    const graceMs = longestRequestTimeoutMs(configuration());
     const answers = await Promise.all(
       seatKeeper
         .otherHolders()
@@ -141,8 +152,8 @@
     metrics,
   });
 
-  /** So that an operator can ask about what has ended, too. */
-  const remember = ({ subject, reason }: ControlChange): void =>
+  /** Records a decision so that operators can also ask about subjects that no longer exist. */
+  const recordDecision = ({ subject, reason }: ControlChange): void =>
     rememberDecision(decisions, {
       subject,
       outcome: 'decided',
@@ -152,12 +163,12 @@
       atMs: Date.now(),
     });
 
-  const controlOf = (pool: PoolName): PoolControl => {
-    const known = controls.get(pool);
-    if (known) return known;
+  const getOrCreateControl = (pool: PoolName): PoolControl => {
+    const existing = controls.get(pool);
+    if (existing) return existing;
     const name = controlLeaseName(pool);
     const lease = createLeaseKeeper({ table, name, self, durationMs: leaseMs });
-    const built = createPoolControl({
+    const created = createPoolControl({
       pool,
       lease,
       table,
@@ -166,20 +177,20 @@
       configuration,
       log,
       metrics,
-      onChange: remember,
+      onChange: recordDecision,
     });
-    controls.set(pool, built);
-    return built;
+    controls.set(pool, created);
+    return created;
   };
 
-  const isOurs = (pool: PoolName): boolean =>
+  const isEligible = (pool: PoolName): boolean =>
     controls.get(pool)?.holds() === true || isCandidate(controlLeaseName(pool));
 
   return {
     agent,
     tick: async () => {
       const pools = declarationsOf(configuration(), 'Pool').map(({ name }) => poolName(name));
-      await Promise.all(pools.filter(isOurs).map((pool) => controlOf(pool).tick()));
+      await Promise.all(pools.filter(isEligible).map((pool) => getOrCreateControl(pool).tick()));
     },
     heldPools: () =>
       Array.from(controls).flatMap(([pool, control]) => (control.holds() ? [pool] : [])),
--- a/packages/daemon/src/entry/entry-loops.ts
+++ b/packages/daemon/src/entry/entry-loops.ts
@@ -1,4 +1,4 @@
-/** What an entry does again and again, and how often. */
+/** Periodic work of an entry and its intervals. */
 import type { ConfigSync } from '../config-sync/config-sync.js';
 import type { MeshLink } from '../mesh-link/mesh-link.js';
 import type { Settings } from '../settings/settings.js';
@@ -7,7 +7,7 @@
 import type { RequestPlane } from './request-plane.js';
 import type { SeatPlane } from './seat-plane.js';
 
-/** The parts of an entry that have something to repeat. */
+/** Parts of an entry that have periodic work. */
 export type EntryParts = {
   readonly settings: Settings;
   readonly configSync: ConfigSync;
@@ -17,23 +17,33 @@
   readonly controlPlane: ControlPlane;
 };
 
-const TASK_POLL_MS = 400;
-const BUSY_PUMP_MS = 20;
-const IDLE_PUMP_MS = 200;
-const MESH_TICK_MS = 1000;
-const CONFIG_POLL_MS = 1000;
-const CLAIMS_TICK_MS = 1000;
-const AGENT_TICK_MS = 400;
-/** Each lease on a seat is looked at so often, and the seats of others so often. */
-const SEAT_TICKS_PER_LEASE = 8;
-const DOUBT_TICKS_PER_LEASE = 6;
-const POLLERS_PER_DATA_CENTRE = 2;
+const TASK_POLL_INTERVAL_MS = 400;
+/**
+ * Intervals at which the service gates assign free slots and refuse requests that waited too long: while requests
+ * are in flight, and otherwise.
+ */
+const BUSY_PUMP_INTERVAL_MS = 20;
+const IDLE_PUMP_INTERVAL_MS = 200;
+const MESH_INTERVAL_MS = 1000;
+const CONFIG_POLL_INTERVAL_MS = 1000;
+/** Interval at which claims in memory are written to the table and stray claims are released. */
+const CLAIMS_INTERVAL_MS = 1000;
+const AGENT_INTERVAL_MS = 400;
+/** How often in the duration of a seat lease this entry checks the seat leases of its data centre. */
+const SEAT_CHECKS_PER_LEASE = 8;
+/**
+ * How often in the duration of a seat lease this entry reads the seats of all data centres, to find those that
+ * may hold claims which the table lacks.
+ */
+const SEAT_SCANS_PER_LEASE = 6;
+/** Entries of a data centre that poll the table for new revisions of the configuration. */
+const CONFIG_POLLERS_PER_DATA_CENTRE = 2;
 
 /**
  * Lists the loops of an entry.
  *
  * @param parts - The parts of the entry.
- * @returns The loops, none started.
+ * @returns The loops. None has been started.
  */
 export const entryLoops = ({
   settings,
@@ -46,11 +56,11 @@
   const leaseMs = settings['seat-lease-ms'];
 
   const pollConfiguration = async (): Promise<void> => {
-    const isPoller = meshLink.hasDuty('configuration', POLLERS_PER_DATA_CENTRE);
+    const isPoller = meshLink.hasDuty('configuration', CONFIG_POLLERS_PER_DATA_CENTRE);
     if (isPoller || !configSync.isKnown()) await configSync.poll();
   };
 
-  const settleClaims = async (): Promise<void> => {
+  const flushClaims = async (): Promise<void> => {
     await outage.flush();
     await requestPlane.claims.releaseStrays();
   };
@@ -64,20 +74,20 @@
   return [
     {
       name: 'tasks',
-      everyMs: TASK_POLL_MS,
+      everyMs: TASK_POLL_INTERVAL_MS,
       run: () => requestPlane.pollTasks(otherAddresses()),
     },
     {
       name: 'pump',
-      everyMs: () => (requestPlane.inFlight() > 0 ? BUSY_PUMP_MS : IDLE_PUMP_MS),
+      everyMs: () => (requestPlane.inFlight() > 0 ? BUSY_PUMP_INTERVAL_MS : IDLE_PUMP_INTERVAL_MS),
       run: async () => requestPlane.gates().forEach((gate) => gate.pump()),
     },
-    { name: 'mesh', everyMs: MESH_TICK_MS, run: async () => meshLink.tick() },
-    { name: 'configuration', everyMs: CONFIG_POLL_MS, run: pollConfiguration },
-    { name: 'seat', everyMs: leaseMs / SEAT_TICKS_PER_LEASE, run: seatKeeper.tick },
-    { name: 'doubt', everyMs: leaseMs / DOUBT_TICKS_PER_LEASE, run: doubtWatch.tick },
-    { name: 'claims', everyMs: CLAIMS_TICK_MS, run: settleClaims },
-    { name: 'agent', everyMs: AGENT_TICK_MS, run: runAgent },
+    { name: 'mesh', everyMs: MESH_INTERVAL_MS, run: async () => meshLink.tick() },
+    { name: 'configuration', everyMs: CONFIG_POLL_INTERVAL_MS, run: pollConfiguration },
+    { name: 'seat', everyMs: leaseMs / SEAT_CHECKS_PER_LEASE, run: seatKeeper.tick },
+    { name: 'doubt', everyMs: leaseMs / SEAT_SCANS_PER_LEASE, run: doubtWatch.tick },
+    { name: 'claims', everyMs: CLAIMS_INTERVAL_MS, run: flushClaims },
+    { name: 'agent', everyMs: AGENT_INTERVAL_MS, run: runAgent },
     { name: 'control', everyMs: settings['control-turn-ms'], run: controlPlane.tick },
   ];
 };
--- a/packages/daemon/src/entry/entry-processes.test.ts
+++ b/packages/daemon/src/entry/entry-processes.test.ts
@@ -32,34 +32,36 @@
 
 const callersUrl = ({ fields }: RunningProcess): string => fields.callersUrl as string;
 
-const post = async (at: RunningProcess, headers: Record<string, string>, body: string) => {
-  const answer = await request(`${callersUrl(at)}/services/routing/x`, {
+const post = async (entry: RunningProcess, headers: Record<string, string>, body: string) => {
+  const response = await request(`${callersUrl(entry)}/services/routing/x`, {
     method: 'POST',
     headers,
     body,
   });
-  const text = await answer.body.text();
-  return { status: answer.statusCode, text, verdict: answer.headers['valvelatch-verdict'] };
+  const text = await response.body.text();
+  return { status: response.statusCode, text, verdict: response.headers['valvelatch-verdict'] };
 };
 
-const isAnswered = async (at: RunningProcess): Promise<boolean> => {
-  const answer = await post(at, { 'valvelatch-repeatable': 'true' }, 'x').catch(() => undefined);
-  return answer?.status === 200;
+const isServed = async (entry: RunningProcess): Promise<boolean> => {
+  const response = await post(entry, { 'valvelatch-repeatable': 'true' }, 'x').catch(
+    () => undefined,
+  );
+  return response?.status === 200;
 };
 
 describe('entries as processes', () => {
   let deployment: ProcessDeployment;
 
   const report = async () => {
-    const answer = await request(`${deployment.workers.fields.url as string}/stand-in/report`);
-    return (await answer.body.json()) as {
+    const response = await request(`${deployment.workers.fields.url as string}/stand-in/report`);
+    return (await response.body.json()) as {
       executions: Record<string, number>;
       overSlots: number;
     };
   };
   const apply = async (): Promise<void> => {
     const [first] = deployment.entries as [RunningProcess];
-    const answer = await request(`${first.fields.operatorsUrl as string}/v1/apply`, {
+    const response = await request(`${first.fields.operatorsUrl as string}/v1/apply`, {
       method: 'POST',
       headers: {
         'content-type': 'application/json',
@@ -67,11 +69,11 @@
       },
       body: JSON.stringify({ files: [{ file: 'all.yaml', text: declarations }], waitMs: 5000 }),
     });
-    expect(answer.statusCode).toBe(200);
-    await answer.body.dump();
+    expect(response.statusCode).toBe(200);
+    await response.body.dump();
     await waitUntil('answers', async () => {
-      const answers = await Promise.all(deployment.entries.map(isAnswered));
-      return answers.every(Boolean);
+      const results = await Promise.all(deployment.entries.map(isServed));
+      return results.every(Boolean);
     });
   };
 
@@ -81,7 +83,7 @@
   });
   afterEach(() => deployment.close());
 
-  it('run a key at most once though an entry is killed in mid-request', async () => {
+  it('execute an idempotency key at most once if an entry is killed while requests are in flight', async () => {
     const [first, second] = deployment.entries as [RunningProcess, RunningProcess];
     const keys = Array.from({ length: 60 }, () => randomUUID());
     const headers = (key: string) => ({ 'idempotency-key': key, 'x-work-ms': '30' });
@@ -97,16 +99,16 @@
     });
   });
 
-  it('leave no slot overshot when one is frozen and wakes up after another took its seat', async () => {
+  it('never exceed the slots of an endpoint if an entry resumes after another has taken its seat', async () => {
     const [first, second] = deployment.entries as [RunningProcess, RunningProcess];
     first.child.kill('SIGSTOP');
     const third = await deployment.addEntry('east-entry-2');
-    await waitUntil('the seat to be taken over', () => isAnswered(third));
+    await waitUntil('the seat to be taken over', () => isServed(third));
     let isRunning = true;
     const senders = Array.from({ length: 48 }, async (_, index) => {
-      const at = [first, second, third][index % 3] as RunningProcess;
+      const entry = [first, second, third][index % 3] as RunningProcess;
       while (isRunning) {
-        await post(at, { 'valvelatch-repeatable': 'true', 'x-work-ms': '10' }, 'x').catch(
+        await post(entry, { 'valvelatch-repeatable': 'true', 'x-work-ms': '10' }, 'x').catch(
           () => null,
         );
       }
@@ -119,7 +121,7 @@
     expect((await report()).overSlots).toBe(0);
   });
 
-  it('finish what is in flight when they are stopped as planned', async () => {
+  it('finish the requests in flight when they are stopped with SIGTERM', async () => {
     const [first] = deployment.entries as [RunningProcess];
     const bodies = Array.from({ length: 8 }, () => randomUUID());
     const headers = { 'valvelatch-repeatable': 'true', 'x-work-ms': '900' };
@@ -127,18 +129,18 @@
     await pause(100);
     const ended = stopProcess(first);
     await waitUntil('the health answer to change', async () => {
-      const answer = await request(`${callersUrl(first)}/healthz`);
-      await answer.body.dump();
-      return answer.statusCode === 503;
+      const response = await request(`${callersUrl(first)}/healthz`);
+      await response.body.dump();
+      return response.statusCode === 503;
     });
-    const answers = await Promise.all(sent);
-    expect(answers.map(({ text }) => text)).toEqual(bodies);
+    const results = await Promise.all(sent);
+    expect(results.map(({ text }) => text)).toEqual(bodies);
     expect(await ended).toBe(0);
   });
 });
 
-describe('the programs', () => {
-  it('say in one line which setting is wrong, and end with 2', async () => {
+describe('the command-line programs', () => {
+  it('report an invalid setting in one line and exit with code 2', async () => {
     const { startProcess } = await import('@valvelatch/stand-ins');
     const started = startProcess('entry', [
       '--entry-id=a',
@@ -150,7 +152,7 @@
     );
   });
 
-  it('end with 6 where no entry can be reached, and with 2 for a wrong command', async () => {
+  it('exit with code 6 if no entry is reachable and with code 2 for an unknown command', async () => {
     const environment = { VALVELATCH_URL: 'http://127.0.0.1:1', VALVELATCH_KEY: 'x' };
     expect((await runCli(['status'], environment)).code).toBe(6);
     expect((await runCli(['statsu'], environment)).code).toBe(2);
--- a/packages/daemon/src/entry/entry.test.ts
+++ b/packages/daemon/src/entry/entry.test.ts
@@ -11,8 +11,8 @@
   type TestEntry,
 } from '../testing/deployment.fixtures.js';
 
-const sendRaw = async (at: TestEntry, text: string): Promise<string> => {
-  const { hostname, port } = new URL(at.entry.addresses.callersUrl);
+const sendRawRequest = async (testEntry: TestEntry, text: string): Promise<string> => {
+  const { hostname, port } = new URL(testEntry.entry.addresses.callersUrl);
   const socket = connect(Number(port), hostname);
   const chunks: Buffer[] = [];
   socket.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -23,95 +23,98 @@
 
 describe('an entry', () => {
   let deployment: Deployment;
-  let at: TestEntry;
+  let testEntry: TestEntry;
 
   beforeAll(async () => {
     deployment = await startDeployment();
-    [at] = deployment.entries as [TestEntry];
+    [testEntry] = deployment.entries as [TestEntry];
   });
   afterAll(() => deployment.close());
 
-  describe('towards callers', () => {
-    it('gives the endpoint’s whole answer', async () => {
-      const answer = await send(at, { body: 'three ploughs' });
-      expect(answer).toMatchObject({ status: 200, text: 'three ploughs', verdict: 'ran' });
+  describe('on the callers port', () => {
+    it('returns the complete response of the endpoint', async () => {
+      const response = await send(testEntry, { body: 'three ploughs' });
+      expect(response).toMatchObject({ status: 200, text: 'three ploughs', verdict: 'ran' });
     });
 
     it.each([
-      ['a wrong deadline', { 'valvelatch-deadline-ms': 'soon' }],
-      ['a wrong mark', { 'valvelatch-repeatable': 'perhaps' }],
-      ['a wrong key', { 'idempotency-key': 'x'.repeat(300) }],
-    ])('refuses %s as malformed and not run', async (_, headers) => {
-      expect(await send(at, { headers })).toMatchObject({
+      ['an invalid deadline', { 'valvelatch-deadline-ms': 'soon' }],
+      ['an invalid repeatable mark', { 'valvelatch-repeatable': 'perhaps' }],
+      ['a key that is too long', { 'idempotency-key': 'x'.repeat(300) }],
+    ])('refuses %s as malformed with the verdict notRun', async (_, headers) => {
+      expect(await send(testEntry, { headers })).toMatchObject({
         status: 400,
         verdict: 'notRun',
         reason: 'malformed-request',
       });
     });
 
-    it('refuses a request that is not repeatable and has no key', async () => {
-      const answer = await send(at, { headers: { 'valvelatch-repeatable': 'false' } });
-      expect(answer).toMatchObject({ status: 400, verdict: 'notRun', reason: 'key-required' });
+    it('refuses a request that is neither repeatable nor has an idempotency key', async () => {
+      const response = await send(testEntry, { headers: { 'valvelatch-repeatable': 'false' } });
+      expect(response).toMatchObject({ status: 400, verdict: 'notRun', reason: 'key-required' });
     });
 
-    it('refuses an unknown service and says when to come back', async () => {
-      const answer = await send(at, { service: 'nothing' });
-      expect(answer).toMatchObject({ status: 404, verdict: 'notRun', reason: 'unknown-service' });
-      expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
+    it('refuses an unknown service and sends a retry-after header', async () => {
+      const response = await send(testEntry, { service: 'nothing' });
+      expect(response).toMatchObject({ status: 404, verdict: 'notRun', reason: 'unknown-service' });
+      expect(Number(response.headers['retry-after'])).toBeGreaterThan(0);
     });
 
     it('refuses a body that is too large', async () => {
-      const answer = await send(at, { body: 'x'.repeat(9 * 1024 * 1024) }).catch(
+      const response = await send(testEntry, { body: 'x'.repeat(9 * 1024 * 1024) }).catch(
         (error: { code?: string }) => error.code,
       );
-      // The caller may still be sending when the refusal comes.
-      if (typeof answer === 'object')
-        expect(answer).toMatchObject({ status: 413, verdict: 'notRun' });
-      expect((await send(at)).status).toBe(200);
+      // The client may still be sending when it is refused; the connection may then close without a response.
+      if (typeof response === 'object')
+        expect(response).toMatchObject({ status: 413, verdict: 'notRun' });
+      expect((await send(testEntry)).status).toBe(200);
     });
 
     it.each([
-      ['noise', '\u0000\u0001\u0002\r\n\r\n'],
+      ['bytes that are not HTTP', '\u0000\u0001\u0002\r\n\r\n'],
       [
-        'a head that is too large',
+        'headers that are too large',
         `GET /services/routing/x HTTP/1.1\r\nhost: x\r\nx: ${'y'.repeat(20_000)}\r\n\r\n`,
       ],
       [
-        'two lengths',
+        'two content-length headers',
         'POST /services/routing/x HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab',
       ],
-    ])('answers %s with 4xx and goes on', async (_, text) => {
-      expect(await sendRaw(at, text)).toMatch(/^HTTP\/1.1 4\d\d/);
-      expect((await send(at)).status).toBe(200);
+    ])('answers %s with a 4xx status and keeps serving', async (_, text) => {
+      expect(await sendRawRequest(testEntry, text)).toMatch(/^HTTP\/1.1 4\d\d/);
+      expect((await send(testEntry)).status).toBe(200);
     });
   });
 
-  describe('towards operators', () => {
-    it.each([undefined, 'Bearer wrong', 'Bearer '])('is closed with %j for a key', async (key) => {
-      const answer = await request(`${at.entry.addresses.operatorsUrl}/v1/status`, {
-        method: 'POST',
-        headers: key === undefined ? {} : { authorization: key },
-      });
-      await answer.body.dump();
-      expect(answer.statusCode).toBe(401);
-    });
+  describe('on the operators port', () => {
+    it.each([undefined, 'Bearer wrong', 'Bearer '])(
+      'answers 401 to the authorization header %j',
+      async (key) => {
+        const response = await request(`${testEntry.entry.addresses.operatorsUrl}/v1/status`, {
+          method: 'POST',
+          headers: key === undefined ? {} : { authorization: key },
+        });
+        await response.body.dump();
+        expect(response.statusCode).toBe(401);
+      },
+    );
 
-    it('refuses bad declarations whole, with file, path and reason', async () => {
+    it('rejects all declarations if one is invalid and reports its file and path', async () => {
       const bad =
         'kind: Pool\nname: x\nspec: { reserveFor: planet }\n---\nkind: Team\nname: ok\nspec: { quotaCores: 1 }\n';
-      const answer = await deployment.operate(at, 'apply', {
+      const response = await deployment.operate(testEntry, 'apply', {
         files: [{ file: 'bad.yaml', text: bad }],
       });
-      expect(answer).toMatchObject({
+      expect(response).toMatchObject({
         kind: 'invalid',
         faults: [{ file: 'bad.yaml', path: 'document 1: spec.reserveFor' }],
       });
-      const { value } = await deployment.operate(at, 'get', { kind: 'config' });
+      const { value } = await deployment.operate(testEntry, 'get', { kind: 'config' });
       expect((value as { revision: number }).revision).toBe(1);
     });
 
-    it('answers why a request was refused, also through another entry', async () => {
-      const refused = await send(at, { service: 'nothing' });
+    it('explains through another entry why a request was refused', async () => {
+      const refused = await send(testEntry, { service: 'nothing' });
       const { requestId } = JSON.parse(refused.text) as { requestId: string };
       const other = deployment.entries[1] as TestEntry;
       const why = await deployment.operate(other, 'explain', { kind: 'request', name: requestId });
@@ -122,10 +125,10 @@
     });
   });
 
-  describe('towards other entries', () => {
-    it('is closed without the mesh key', async () => {
-      const { hostname, port } = new URL(at.entry.addresses.meshUrl);
-      const answer = await request(`http://${hostname}:${port}/`, {
+  describe('on the mesh port', () => {
+    it('refuses a connection with a wrong mesh key', async () => {
+      const { hostname, port } = new URL(testEntry.entry.addresses.meshUrl);
+      const response = await request(`http://${hostname}:${port}/`, {
         headers: {
           connection: 'upgrade',
           upgrade: 'websocket',
@@ -134,9 +137,9 @@
           'valvelatch-mesh-key': 'wrong',
         },
       }).catch((error: { code: string }) => error.code);
-      expect(answer).toSatisfy(
-        (one: unknown) =>
-          typeof one === 'string' || (one as { statusCode: number }).statusCode === 401,
+      expect(response).toSatisfy(
+        (result: unknown) =>
+          typeof result === 'string' || (result as { statusCode: number }).statusCode === 401,
       );
     });
   });
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,4 +1,4 @@
-/** One entry, put together: request path, mesh, control and the two ports. */
+/** Assembles an entry: request plane, mesh link, seats, control plane and the servers of its ports. */
 import {
   brand,
   createDecisionMemory,
@@ -31,7 +31,7 @@
 import { createRequestPlane } from './request-plane.js';
 import { createSeatPlane } from './seat-plane.js';
 
-/** The addresses of a running entry. */
+/** Addresses on which a running entry listens. */
 export type EntryAddresses = {
   readonly callersUrl: string;
   readonly operatorsUrl: string;
@@ -41,22 +41,30 @@
 /** A running entry. */
 export type Entry = {
   readonly addresses: EntryAddresses;
-  /** A planned stop: leaves the balancer, finishes what is in flight, ends. */
+  /**
+   * Shuts the entry down: reports itself unhealthy to the load balancer, finishes the requests in flight and
+   * closes its ports and clients.
+   */
   readonly stop: () => Promise<void>;
 };
 
-const ASK_MS = 1500;
-const LONGEST_WARM_UP_MS = 15_000;
-/** The balancer needs to see the health answer change before the entry stops to listen. */
-const BALANCER_NOTICE_MS = 500;
-const REVISION_LOOK_MS = 20;
+/** Timeout of a call to another entry. */
+const ASK_TIMEOUT_MS = 1500;
+/** After this time a new entry no longer waits for its warm-up before it reports itself healthy. */
+const MAX_WARM_UP_MS = 15_000;
+/**
+ * How long an entry that is stopping still accepts requests. The load balancer must see the health check fail
+ * before the entry stops listening.
+ */
+const LOAD_BALANCER_DELAY_MS = 500;
+const REVISION_POLL_MS = 20;
 
 /**
  * Starts an entry.
  *
- * @param settings - The checked settings.
+ * @param settings - The validated settings.
  * @returns The running entry.
- * @throws Where a port cannot be listened on.
+ * @throws If a port cannot be listened on.
  */
 export const startEntry = async (settings: Settings): Promise<Entry> => {
   const self = brand<EntryId>(settings['entry-id']);
@@ -101,22 +109,23 @@
   });
 
   const awaitRevision = async (revision: number, waitMs: number): Promise<boolean> => {
-    const untilMs = performance.now() + waitMs;
+    const deadlineMs = performance.now() + waitMs;
     while (configSync.current().revision < revision) {
-      if (performance.now() >= untilMs) throw new Error(`revision ${revision} is not in force yet`);
-      await sleep(REVISION_LOOK_MS);
+      if (performance.now() >= deadlineMs)
+        throw new Error(`revision ${revision} is not in force yet`);
+      await sleep(REVISION_POLL_MS);
     }
     return true;
   };
 
-  /** What other entries may ask of this one, by name. */
+  /** Handlers of the methods that other entries can call, by method name. */
   const askHandlers: Readonly<Record<string, (payload: never) => unknown>> = {
     status: () => ownStatus(),
     'await-revision': ({ revision, waitMs }: { revision: number; waitMs: number }) =>
       awaitRevision(revision, waitMs),
     recall: ({ subject }: { subject: string }) => recallDecision(decisions, subject),
     withheld: ({ subject }: { subject: string }) =>
-      controlPlane.withheld().filter((one) => one.subject === subject),
+      controlPlane.withheld().filter((action) => action.subject === subject),
     'quiet-at': ({ endpointId }: { endpointId: string }) => {
       requestPlane.directory.markLeaving(endpointId);
       return requestPlane.directory.inFlightAt(endpointId) === 0;
@@ -146,9 +155,9 @@
   });
 
   const askEntry = async (entryId: EntryId, method: string, payload: unknown): Promise<boolean> => {
-    const peer = meshLink.members().find((one) => one.entryId === entryId);
+    const peer = meshLink.members().find((other) => other.entryId === entryId);
     if (!peer) return false;
-    return (await meshLink.ask(peer, method, payload, ASK_MS).catch(() => false)) === true;
+    return (await meshLink.ask(peer, method, payload, ASK_TIMEOUT_MS).catch(() => false)) === true;
   };
 
   const seatPlane = createSeatPlane({
@@ -162,9 +171,12 @@
   });
   const { seatKeeper, outage, doubtWatch } = seatPlane;
 
-  /** A new entry watches the seats for a while before it can vouch for claims. */
-  const isWarm = (): boolean =>
-    doubtWatch.inDoubt().length === 0 || performance.now() - startedMs > LONGEST_WARM_UP_MS;
+  /**
+   * A new entry must watch the seats of all data centres for a while before it knows which of them may hold
+   * claims that the table lacks.
+   */
+  const isWarmedUp = (): boolean =>
+    doubtWatch.inDoubt().length === 0 || performance.now() - startedMs > MAX_WARM_UP_MS;
 
   const requestPlane = createRequestPlane({
     self,
@@ -174,7 +186,7 @@
     heldSeat: seatKeeper.held,
     outage,
     inDoubt: doubtWatch.inDoubt,
-    isHealthy: () => !isStopping && configSync.isKnown() && isWarm(),
+    isHealthy: () => !isStopping && configSync.isKnown() && isWarmedUp(),
     otherEntry: meshLink.otherEntry,
     decisions,
     rng,
@@ -198,7 +210,7 @@
     metrics,
   });
 
-  const noteGauges = (): void => {
+  const updateGauges = (): void => {
     const { user, system } = process.cpuUsage();
     metrics.gauge('configuration_revision', configSync.current().revision);
     metrics.gauge('requests_in_flight', requestPlane.inFlight());
@@ -220,7 +232,7 @@
       self,
     }),
     metrics,
-    beforeMetrics: noteGauges,
+    beforeMetrics: updateGauges,
     onFault: (method, detail) => log.error('operator-fault', { method, detail }),
   });
 
@@ -246,7 +258,7 @@
   const stop = async (): Promise<void> => {
     isStopping = true;
     log.info('stopping', { inFlight: requestPlane.inFlight() });
-    await sleep(BALANCER_NOTICE_MS);
+    await sleep(LOAD_BALANCER_DELAY_MS);
     requestPlane.refuseNew();
     await closeWhenIdle(requestPlane.callers);
     await running.stop();
--- a/packages/daemon/src/entry/ports.ts
+++ b/packages/daemon/src/entry/ports.ts
@@ -1,32 +1,32 @@
-/** The ports of an entry: listened on at its start, closed at its end. */
+/** Helpers that open and close the listening ports of an entry. */
 import type { AddressInfo } from 'node:net';
 
 import type { FastifyInstance } from 'fastify';
 
 import { sleep } from '../shared/sleep.js';
 
-/** How often a server that closes is looked at for connections that have become idle. */
-const CLOSE_LOOK_MS = 20;
+/** How often a server that is closing is checked for connections that have become idle. */
+const IDLE_CONNECTION_CHECK_MS = 20;
 
 /**
- * Writes an address.
+ * Formats a URL.
  *
  * @param scheme - The scheme, without its colon.
- * @param host - A name, or an address of either version.
+ * @param host - A host name, an IPv4 address or an IPv6 address without brackets.
  * @param port - The port.
- * @returns The address.
+ * @returns The URL.
  */
 export const urlOf = (scheme: string, host: string, port: number): string =>
   `${scheme}://${host.includes(':') ? `[${host}]` : host}:${port}`;
 
 /**
- * Begins to listen.
+ * Starts listening.
  *
  * @param app - The server.
- * @param host - Where it listens.
- * @param port - The port; 0 for any that is free.
- * @returns The address on which it listens.
- * @throws Where the port cannot be listened on.
+ * @param host - The name or address to listen on.
+ * @param port - The port; 0 picks any free port.
+ * @returns The URL on which the server listens.
+ * @throws If the port cannot be listened on.
  */
 export const listen = async (app: FastifyInstance, host: string, port: number): Promise<string> => {
   await app.listen({ host, port });
@@ -34,11 +34,11 @@
 };
 
 /**
- * Closes a server. A connection that is kept alive would hold up the end; one that is in use is never
- * cut.
+ * Closes a server. Idle keep-alive connections are closed, because they would delay the end; a connection with
+ * a request in progress is never cut.
  *
  * @param app - The server.
- * @returns Resolves once no connection is left.
+ * @returns A promise that resolves once no connection is left.
  */
 export const closeWhenIdle = async (app: FastifyInstance): Promise<void> => {
   let isClosed = false;
@@ -47,7 +47,7 @@
   });
   while (!isClosed) {
     app.server.closeIdleConnections();
-    await sleep(CLOSE_LOOK_MS);
+    await sleep(IDLE_CONNECTION_CHECK_MS);
   }
   await closed;
 };
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -1,4 +1,4 @@
-/** The request path of an entry: gates, endpoints, claims and the port towards callers. */
+/** Request plane of an entry: service gates, endpoints, claims and the callers port. */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
 import {
@@ -41,16 +41,18 @@
 import type { Settings } from '../settings/settings.js';
 import type { Clients } from './clients.js';
 
-/** The request path. */
+/** Request plane of an entry. */
 export type RequestPlane = {
+  /** The server of the callers port. */
   readonly callers: FastifyInstance;
   readonly directory: EndpointDirectory;
   readonly claims: ClaimKeeper;
   readonly gates: () => readonly ServiceGate[];
+  /** The number of requests that are being served. */
   readonly inFlight: () => number;
-  /** From now on new requests are refused as not run. */
+  /** Refuses all new requests from now on with the verdict `notRun`. */
   readonly refuseNew: () => void;
-  /** Reads the workers' tasks, and closes connections that nobody needs any more. */
+  /** Reads the workers' tasks and closes connections to addresses that are no longer in use. */
   readonly pollTasks: (otherAddresses: readonly string[]) => Promise<void>;
   readonly close: () => Promise<void>;
 };
@@ -73,31 +75,31 @@
 };
 
 const createRequestIds = (self: EntryId): (() => RequestId) => {
-  const startedTag = Date.now().toString(36);
+  const startTag = Date.now().toString(36);
   let count = 0;
   return () => {
     count += 1;
-    return brand<RequestId>(`${self}.${startedTag}.${count.toString(36)}`);
+    return brand<RequestId>(`${self}.${startTag}.${count.toString(36)}`);
   };
 };
 
-/** Proofs that a request was passed on by an entry that knows the mesh key. */
-const createForwardProofs = (meshKey: string) => {
+/** Creates and checks HMACs that prove that a request was forwarded by an entry that knows the mesh key. */
+const createForwardProofFunctions = (meshKey: string) => {
   const proofOf = (requestId: string): string =>
     createHmac('sha256', meshKey).update(requestId).digest('base64url');
   const isProof = (proof: string, requestId: string): boolean => {
-    const wanted = Buffer.from(proofOf(requestId));
-    const given = Buffer.from(proof);
-    return wanted.length === given.length && timingSafeEqual(wanted, given);
+    const expected = Buffer.from(proofOf(requestId));
+    const actual = Buffer.from(proof);
+    return expected.length === actual.length && timingSafeEqual(expected, actual);
   };
   return { proofOf, isProof };
 };
 
 /**
- * Builds the request path; its port is not listened on yet.
+ * Creates the request plane. Its server does not listen yet.
  *
- * @param options - The settings, the clients, the seat and the links to the other entries.
- * @returns The request path.
+ * @param options - The settings, the clients, the seat and how to reach the other entries.
+ * @returns The request plane.
  */
 export const createRequestPlane = ({
   self,
@@ -118,22 +120,22 @@
   const { table, workers } = clients;
   const gates = new Map<ServiceName, ServiceGate>();
   const connections = createConnections();
-  const proofs = createForwardProofs(settings['mesh-key']);
+  const proofs = createForwardProofFunctions(settings['mesh-key']);
   let inFlight = 0;
-  let refusesNew = false;
-
-  const gate = (service: ServiceName): ServiceGate => {
-    const known = gates.get(service);
-    if (known) return known;
-    const built = createServiceGate({ service, rng, mostWaiting: settings['most-waiting'] });
-    gates.set(service, built);
-    return built;
+  let isRefusingNewRequests = false;
+
+  const getOrCreateGate = (service: ServiceName): ServiceGate => {
+    const existing = gates.get(service);
+    if (existing) return existing;
+    const created = createServiceGate({ service, rng, mostWaiting: settings['most-waiting'] });
+    gates.set(service, created);
+    return created;
   };
 
   const directory = createEndpointDirectory({
     configuration: configSync.current,
     seat: heldSeat,
-    gate,
+    gate: getOrCreateGate,
     knownServices: () => Array.from(gates.keys()),
   });
 
@@ -156,8 +158,8 @@
   const context: ServeContext = {
     configuration: configSync.current,
     isConfigurationKnown: configSync.isKnown,
-    isStopping: () => refusesNew,
-    gate,
+    isStopping: () => isRefusingNewRequests,
+    gate: getOrCreateGate,
     connections,
     connectionShare,
     claims,
@@ -218,7 +220,7 @@
     gates: () => Array.from(gates.values()),
     inFlight: () => inFlight,
     refuseNew: () => {
-      refusesNew = true;
+      isRefusingNewRequests = true;
     },
     pollTasks,
     close: connections.close,
--- a/packages/daemon/src/entry/seat-plane.ts
+++ b/packages/daemon/src/entry/seat-plane.ts
@@ -1,4 +1,4 @@
-/** The seat of an entry, with what is known of claims while the table does not show them. */
+/** An entry's seat, its claims that are not in the table yet, and which data centres may hold such claims. */
 import {
   findDeclaration,
   type Configuration,
@@ -13,10 +13,12 @@
 import type { Log } from '../observe/log.js';
 import { createSeatKeeper, type SeatKeeper } from '../seats/seat-keeper.js';
 
-/** The seat and the claims. */
+/** Parts that depend on the seat of an entry. */
 export type SeatPlane = {
   readonly seatKeeper: SeatKeeper;
+  /** Claims kept in memory while the data centre cannot reach the platform. */
   readonly outage: OutageClaims;
+  /** Watches the seats of all data centres for those that may hold claims which the table lacks. */
   readonly doubtWatch: DoubtWatch;
 };
 
@@ -25,17 +27,18 @@
   readonly dataCentre: DataCentreId;
   readonly table: TableClient;
   readonly configuration: () => Configuration;
+  /** Duration of a seat lease, in milliseconds. */
   readonly leaseMs: number;
-  /** Asks another entry by a method's name; false where it does not answer. */
+  /** Calls a method of another entry; false if it refuses or does not answer. */
   readonly askEntry: (entryId: EntryId, method: string, payload: unknown) => Promise<boolean>;
   readonly log: Log;
 };
 
 /**
- * Builds the keeper of the seat and of claims in memory.
+ * Creates the seat keeper, the claims in memory and the watch of the seats.
  *
- * @param options - The table, the configuration and the links to the other entries.
- * @returns Both, with no seat held yet.
+ * @param options - The table, the configuration and how to reach the other entries.
+ * @returns The three parts, with no seat held yet.
  */
 export const createSeatPlane = ({
   self,
@@ -57,7 +60,7 @@
         self,
         durationMs: leaseMs,
         mayTake,
-        // A renewed seat says that this entry holds no claims which the table does not show.
+        // A renewed seat lease tells the other entries that this entry holds no claims which the table lacks.
         beforeWrite: () => outage.flush(),
       }),
     askPromise: (holder, term) => askEntry(holder, 'promise-seat', term),
