--- a/packages/daemon/src/control/change-writer.test.ts
+++ b/packages/daemon/src/control/change-writer.test.ts
@@ -1,4 +1,4 @@
-/** Changes of a turn that share transactions, with conflicts and a lease that is lost meanwhile. */
+/** Checks how the changes of a turn are batched into transactions, on conflicts and when the lease is lost. */
 import { brand, createTableModel, type ControlChange } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 import { Ok } from 'ts-results-es';
@@ -9,7 +9,7 @@
 
 const log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 
-/** A change of one row that must be at a version. */
+/** Builds a change that writes one row if it is at the given version. */
 const changeOf = (key: string, version = 0): ControlChange => ({
   kind: 'write',
   subject: key,
@@ -18,7 +18,7 @@
   writes: [{ key, value: 'new' }],
 });
 
-const writerOn = (mayWrite: () => boolean = () => true) => {
+const setUp = (mayWrite: () => boolean = () => true) => {
   const rows = createTableModel();
   const sizes: number[] = [];
   const committed: string[] = [];
@@ -39,19 +39,19 @@
   return { write, sizes, committed };
 };
 
-const namesTo = (count: number): readonly string[] =>
+const rowKeys = (count: number): readonly string[] =>
   Array.from({ length: count }, (_, index) => `row/${index}`);
 
 describe('the changes of a turn', () => {
   it('share transactions of 32', async () => {
-    const { write, sizes, committed } = writerOn();
-    const outcome = await write(namesTo(40).map((name) => changeOf(name)));
+    const { write, sizes, committed } = setUp();
+    const outcome = await write(rowKeys(40).map((key) => changeOf(key)));
     expect(outcome).toEqual({ committedCount: 40, isStopped: false });
-    expect([sizes, committed]).toEqual([[32, 8], namesTo(40)]);
+    expect([sizes, committed]).toEqual([[32, 8], rowKeys(40)]);
   });
 
-  it('are written one by one where one of them conflicts, and the others are committed', async () => {
-    const { write, sizes, committed } = writerOn();
+  it('are written one by one after a conflict, and all but the conflicting one are committed', async () => {
+    const { write, sizes, committed } = setUp();
     const outcome = await write([changeOf('a'), changeOf('b', 7), changeOf('c')]);
     expect(outcome).toEqual({ committedCount: 2, isStopped: false });
     expect([sizes, committed]).toEqual([
@@ -60,19 +60,19 @@
     ]);
   });
 
-  it('wait for the next turn where they depend on a row that is written before them', async () => {
-    const { write, committed } = writerOn();
+  it('are skipped until the next turn if they depend on a row that an earlier change of the turn writes', async () => {
+    const { write, committed } = setUp();
     expect((await write([changeOf('a'), changeOf('a')])).committedCount).toBe(1);
     expect(committed).toEqual(['a']);
   });
 
-  it('are not written after the lease is lost, which is said', async () => {
+  it('are not written after the lease is lost, and the outcome reports it', async () => {
     let transactionsLeft = 1;
-    const { write, sizes } = writerOn(() => {
+    const { write, sizes } = setUp(() => {
       transactionsLeft -= 1;
       return transactionsLeft >= 0;
     });
-    const outcome = await write(namesTo(40).map((name) => changeOf(name)));
+    const outcome = await write(rowKeys(40).map((key) => changeOf(key)));
     expect(outcome).toEqual({ committedCount: 32, isStopped: true });
     expect(sizes).toEqual([32]);
   });
--- a/packages/daemon/src/control/change-writer.ts
+++ b/packages/daemon/src/control/change-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the changes of a turn, several in one transaction, each on its own conditions. */
+/** Writes the changes of a control turn in batches: several per transaction, each with its own version checks. */
 import type { ControlChange, PoolName } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
@@ -8,52 +8,55 @@
 export type ChangeWriterOptions = {
   readonly pool: PoolName;
   readonly table: TableClient;
-  /** False once the lease is lost: nothing more is written. */
+  /** False once the lease is lost; nothing is written from then on. */
   readonly mayWrite: () => boolean;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Told of each change that was committed. */
+  /** Called with each change that was committed. */
   readonly onChange: (change: ControlChange) => void;
 };
 
-/** What came of the changes of a turn. */
+/** Result of writing the changes of a turn. */
 export type WriteOutcome = {
   readonly committedCount: number;
-  /** The lease was lost before all were tried. */
+  /** True if the lease was lost before all changes were tried. */
   readonly isStopped: boolean;
 };
 
 export type ChangeWriter = (changes: readonly ControlChange[]) => Promise<WriteOutcome>;
 
-/** Changes that share one transaction. */
-const MOST_CHANGES_PER_TRANSACTION = 32;
+/** Most changes that share one transaction. */
+const MAX_CHANGES_PER_TRANSACTION = 32;
 
-const conflictsWith = (written: ReadonlySet<string>, change: ControlChange): boolean =>
-  change.checks.some(({ key }) => written.has(key));
+const dependsOn = (writtenKeys: ReadonlySet<string>, change: ControlChange): boolean =>
+  change.checks.some(({ key }) => writtenKeys.has(key));
 
-/** Groups changes; one that depends on a row written before it waits for the next turn. */
-const toGroups = (changes: readonly ControlChange[]): readonly (readonly ControlChange[])[] => {
-  const written = new Set<string>();
-  const groups: ControlChange[][] = [];
+/**
+ * Batches changes. A change that depends on a row which an earlier change writes is left out; the next turn
+ * plans it again from the new row.
+ */
+const toBatches = (changes: readonly ControlChange[]): readonly (readonly ControlChange[])[] => {
+  const writtenKeys = new Set<string>();
+  const batches: ControlChange[][] = [];
   changes.forEach((change) => {
-    if (conflictsWith(written, change)) return;
-    change.writes.forEach(({ key }) => written.add(key));
-    const last = groups[groups.length - 1];
-    if (last && last.length < MOST_CHANGES_PER_TRANSACTION) last.push(change);
-    else groups.push([change]);
+    if (dependsOn(writtenKeys, change)) return;
+    change.writes.forEach(({ key }) => writtenKeys.add(key));
+    const last = batches[batches.length - 1];
+    if (last && last.length < MAX_CHANGES_PER_TRANSACTION) last.push(change);
+    else batches.push([change]);
   });
-  return groups;
+  return batches;
 };
 
-const mergeChecks = (group: readonly ControlChange[]) => {
-  const byKey = new Map(group.flatMap(({ checks }) => checks.map((check) => [check.key, check])));
+const mergeChecks = (batch: readonly ControlChange[]) => {
+  const byKey = new Map(batch.flatMap(({ checks }) => checks.map((check) => [check.key, check])));
   return Array.from(byKey.values());
 };
 
 /**
- * Builds the writer of a pool's changes.
+ * Creates the writer of a pool's changes.
  *
- * @param options - The table, the lease and whom to tell.
+ * @param options - The table, the check of the lease and the callback for committed changes.
  * @returns The writer.
  */
 export const createChangeWriter = ({
@@ -64,49 +67,49 @@
   metrics,
   onChange,
 }: ChangeWriterOptions): ChangeWriter => {
-  const noteCommitted = (group: readonly ControlChange[]): void => {
-    metrics.count('control_changes', group.length);
-    group.forEach((change) => {
+  const recordCommitted = (batch: readonly ControlChange[]): void => {
+    metrics.count('control_changes', batch.length);
+    batch.forEach((change) => {
       const { subject, reason } = change;
       log.info('control-change', { pool, subject, reason });
       onChange(change);
     });
   };
 
-  /** One conflict must not hold up the others. */
-  const commitEach = async (group: readonly ControlChange[]): Promise<number> => {
+  /** Commits the changes of a batch one by one, so that one conflict does not block the others. */
+  const commitEach = async (batch: readonly ControlChange[]): Promise<number> => {
     let committed = 0;
-    for (let index = 0; group.length > 1 && index < group.length; index += 1) {
-      committed += await commit([group[index] as ControlChange]);
+    for (let index = 0; batch.length > 1 && index < batch.length; index += 1) {
+      committed += await commit([batch[index] as ControlChange]);
     }
     return committed;
   };
 
-  /** Gives the number of changes that were committed. */
-  const commit = async (group: readonly ControlChange[]): Promise<number> => {
+  /** Commits a batch in one transaction and returns the number of changes that were committed. */
+  const commit = async (batch: readonly ControlChange[]): Promise<number> => {
     const outcome = await table.transact({
-      checks: mergeChecks(group),
-      writes: group.flatMap(({ writes }) => writes),
+      checks: mergeChecks(batch),
+      writes: batch.flatMap(({ writes }) => writes),
     });
     if (outcome.isErr()) {
       log.warn('control-write-failed', { pool, detail: outcome.error.detail });
       return 0;
     }
     if (outcome.value.kind === 'committed') {
-      noteCommitted(group);
-      return group.length;
+      recordCommitted(batch);
+      return batch.length;
     }
     metrics.count('control_conflicts');
     log.info('control-conflict', { pool, key: outcome.value.key });
-    return commitEach(group);
+    return commitEach(batch);
   };
 
   return async (changes) => {
-    const groups = toGroups(changes);
+    const batches = toBatches(changes);
     let committedCount = 0;
-    for (let index = 0; index < groups.length; index += 1) {
+    for (let index = 0; index < batches.length; index += 1) {
       if (!mayWrite()) return { committedCount, isStopped: true };
-      committedCount += await commit(groups[index] as readonly ControlChange[]);
+      committedCount += await commit(batches[index] as readonly ControlChange[]);
     }
     return { committedCount, isStopped: false };
   };
--- a/packages/daemon/src/control/data-centre-agent.ts
+++ b/packages/daemon/src/control/data-centre-agent.ts
@@ -1,7 +1,8 @@
 /**
- * Carries out placements at the workers of this data centre. Any entry may do it; starting is
- * idempotent by job and epoch. While the table is away only leases are renewed, so that what runs
- * goes on. A task is stopped only once no entry has anything in flight there.
+ * Carries out placements at the workers of this data centre. Several entries may do so at once, because starting
+ * a task is idempotent by job and epoch. While the table cannot be read, the agent only renews the leases of the
+ * tasks, so that running tasks go on. The task of a service is stopped only once no entry has a request in
+ * flight there.
  */
 import {
   emptyHosts,
@@ -43,25 +44,29 @@
   readonly configuration: () => Configuration;
   /** The hosts of this data centre. */
   readonly localHosts: () => ReadonlySet<HostId>;
+  /** The tasks that the workers last reported. */
   readonly tasks: () => readonly ObservedTask[];
-  /** True once each entry that may send to the endpoint has confirmed that nothing is in flight. */
+  /** True once each entry that may send to the endpoint has confirmed that it has no request in flight there. */
   readonly isQuiet: (endpointId: string) => Promise<boolean>;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly nowMs?: () => number;
 };
 
+/** Rows of this data centre. */
 type LocalRows = {
   readonly hosts: readonly Versioned<HostRow>[];
   readonly placements: readonly Versioned<PlacementRow>[];
 };
 
+/** Agent that makes the workers of a data centre match the placements. */
 export type DataCentreAgent = { readonly tick: () => Promise<void> };
 
 const MS_PER_S = 1000;
-const USAGE_EVERY_MS = 5000;
-/** Far below the shortest lease that is of use. */
-const RENEW_EVERY_MS = 1000;
+/** Interval of the usage reports. */
+const USAGE_INTERVAL_MS = 5000;
+/** Interval of the renewals of task leases; it is far below the shortest lease that is useful. */
+const RENEWAL_INTERVAL_MS = 1000;
 
 type ActionOf<Kind extends ReconcileAction['kind']> = Extract<ReconcileAction, { kind: Kind }>;
 type Handlers = {
@@ -69,9 +74,9 @@
 };
 
 /**
- * Builds the agent.
+ * Creates the agent.
  *
- * @param options - The platform's clients and what this entry knows.
+ * @param options - The platform's clients, the configuration and the tasks that this entry knows.
  * @returns The agent.
  */
 export const createDataCentreAgent = ({
@@ -88,8 +93,8 @@
   nowMs = () => performance.now(),
 }: DataCentreAgentOptions): DataCentreAgent => {
   const rowReader = createPulsedReader(table, [rowPrefix.host, rowPrefix.placement]);
-  let lastRead: readonly Versioned<PlacementRow>[] = [];
-  let startBeforeMs = -Infinity;
+  let lastPlacements: readonly Versioned<PlacementRow>[] = [];
+  let startDeadlineMs = -Infinity;
   let nextUsageMs = -Infinity;
   let nextRenewalMs = -Infinity;
 
@@ -111,8 +116,8 @@
 
   const handlers: Handlers = {
     start: async ({ placement }) => {
-      // A placement that was read too long ago may have been given up since.
-      if (nowMs() > startBeforeMs) return;
+      // A placement that was read too long ago may have been withdrawn since, and its job placed elsewhere.
+      if (nowMs() > startDeadlineMs) return;
       const spec =
         placement.service === null
           ? await specOfJob(placement.jobId)
@@ -134,7 +139,7 @@
     forget: async ({ task }) => {
       await workers.stop(task);
     },
-    // Leases are renewed together, in one message.
+    // `renewAll` renews all leases in one message.
     renew: async () => undefined,
     report: async ({ placement, phase, outcome }) => {
       const key = rowKey.placement(placement.value.jobId);
@@ -145,16 +150,18 @@
     },
   };
 
-  const carryOut = (action: ReconcileAction): Promise<void> =>
+  const execute = (action: ReconcileAction): Promise<void> =>
     (handlers[action.kind] as (one: ReconcileAction) => Promise<void>)(action);
 
-  const renewAll = async (known: readonly ObservedTask[]): Promise<void> => {
-    if (known.length === 0 || nowMs() < nextRenewalMs) return;
-    nextRenewalMs = nowMs() + RENEW_EVERY_MS;
-    await workers.renew(known);
+  /** Renews the leases of tasks if the interval has passed since the last renewal. */
+  const renewAll = async (tasksToRenew: readonly ObservedTask[]): Promise<void> => {
+    if (tasksToRenew.length === 0 || nowMs() < nextRenewalMs) return;
+    nextRenewalMs = nowMs() + RENEWAL_INTERVAL_MS;
+    await workers.renew(tasksToRenew);
   };
 
-  const drainOnLeavingHosts = async (): Promise<void> => {
+  /** Drains the running service tasks on hosts that the host list reports as leaving. */
+  const drainLeavingHosts = async (): Promise<void> => {
     const listed = await hostList.list();
     if (listed.isErr()) return;
     const leaving = new Set(
@@ -170,13 +177,13 @@
     );
   };
 
-  const reportEmpty = async ({ value, version }: Versioned<HostRow>): Promise<void> => {
+  const reportEmptyHost = async ({ value, version }: Versioned<HostRow>): Promise<void> => {
     const key = rowKey.host(value.hostId);
     const row: HostRow = { ...value, phase: 'empty', reason: 'verified empty' };
     await table.transact({ checks: [{ key, version }], writes: [{ key, value: row }] });
   };
 
-  /** Reads the rows of this data centre, hosts before placements. */
+  /** Reads the rows of this data centre, hosts before placements; undefined if they cannot be read. */
   const readRows = async (): Promise<LocalRows | undefined> => {
     const read = await rowReader.read();
     if (read.isErr()) return undefined;
@@ -192,10 +199,10 @@
     };
   };
 
-  /** Usage lags and changes slowly, so it is written seldom, in one row for the data centre. */
+  /** Usage figures are delayed and change slowly, so they are written seldom, in one row per data centre. */
   const reportUsage = async (): Promise<void> => {
     if (nowMs() < nextUsageMs) return;
-    nextUsageMs = nowMs() + USAGE_EVERY_MS;
+    nextUsageMs = nowMs() + USAGE_INTERVAL_MS;
     const usage = await workers.usage();
     if (usage.isErr()) return;
     const value: UsageRow = {
@@ -210,16 +217,16 @@
     const observed = await workers.tasks();
     if (observed.isErr()) return;
     if (!rows) {
-      await renewAll(renewals(lastRead, observed.value));
+      await renewAll(renewals(lastPlacements, observed.value));
       return;
     }
-    lastRead = rows.placements;
-    startBeforeMs = readAtMs + START_WINDOW_MS / 2;
+    lastPlacements = rows.placements;
+    startDeadlineMs = readAtMs + START_WINDOW_MS / 2;
     const actions = reconcile(rows.placements, observed.value);
     await renewAll(actions.flatMap((one) => (one.kind === 'renew' ? [one.task] : [])));
-    await Promise.all(actions.map(carryOut));
-    await Promise.all(emptyHosts(rows.hosts, rows.placements, observed.value).map(reportEmpty));
-    await drainOnLeavingHosts();
+    await Promise.all(actions.map(execute));
+    await Promise.all(emptyHosts(rows.hosts, rows.placements, observed.value).map(reportEmptyHost));
+    await drainLeavingHosts();
     await reportUsage();
   };
 
--- a/packages/daemon/src/control/pool-control.ts
+++ b/packages/daemon/src/control/pool-control.ts
@@ -1,7 +1,7 @@
 /**
- * The control of one pool: while this entry holds the pool's lease it takes turns. A turn reads the
- * rows, plans, and writes with the fence of the lease; what a paused holder writes after it has
- * lost the lease fails.
+ * Control of one pool. While this entry holds the pool's control lease it runs control turns. A turn reads the
+ * rows, plans changes and writes them on condition that the fence row of the lease is unchanged, so the writes
+ * of a holder that was paused and has lost the lease fail.
  */
 import {
   brand,
@@ -24,36 +24,42 @@
   readonly pool: PoolName;
   readonly lease: LeaseKeeper;
   readonly table: TableClient;
-  /** Reads the rows of control; pools of one entry share it. */
+  /** Reads the rows that control depends on; all pools of an entry share it. */
   readonly rowReader: PulsedReader;
   readonly hostList: HostListClient;
   readonly configuration: () => Configuration;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Told of each change that was committed. */
+  /** Called with each change that was committed. */
   readonly onChange: (change: ControlChange) => void;
   readonly nowMs?: () => number;
 };
 
+/** Control of one pool. */
 export type PoolControl = {
-  /** Keeps the lease and, while it is held, takes a turn. */
+  /** Takes or renews the lease if it is due and, while the lease is held, runs control turns. */
   readonly tick: () => Promise<void>;
+  /** Whether this entry holds the control lease. */
   readonly holds: () => boolean;
-  /** Why things were not done in the last turn. */
+  /** Actions that the last turn considered and did not take, with the reasons. */
   readonly withheld: () => readonly Withheld[];
+  /** Releases the control lease. */
   readonly release: () => Promise<void>;
 };
 
-/** Each lease epoch leaves room for this many placements before the next epoch's begin. */
-const EPOCHS_PER_LEASE = 2 ** 24;
-/** A turn that has changed something is followed by another at once, but not without end. */
-const MOST_TURNS_PER_TICK = 4;
+/**
+ * Placement epochs that are reserved for each epoch of the control lease. A holder that handed out more of them
+ * would use epochs of the next holder.
+ */
+const PLACEMENT_EPOCHS_PER_LEASE_EPOCH = 2 ** 24;
+/** A turn that committed changes is followed by another at once, at most until this many turns have run. */
+const MAX_TURNS_PER_TICK = 4;
 
 /**
- * Builds the control of a pool.
+ * Creates the control of a pool.
  *
- * @param options - The pool, its lease, the platform's clients and what is known.
- * @returns The control.
+ * @param options - The pool, its lease, the platform's clients and the configuration.
+ * @returns The control, which holds no lease yet.
  */
 export const createPoolControl = ({
   pool,
@@ -88,8 +94,9 @@
     );
   };
 
-  const epochs = (): number => {
-    const base = lease.epoch() * EPOCHS_PER_LEASE;
+  /** Returns the next placement epoch; under a new lease epoch it starts at the first that is reserved for it. */
+  const currentNextEpoch = (): number => {
+    const base = lease.epoch() * PLACEMENT_EPOCHS_PER_LEASE_EPOCH;
     if (base !== epochBase) {
       epochBase = base;
       nextEpoch = base;
@@ -97,8 +104,8 @@
     return nextEpoch;
   };
 
-  /** Gives the number of changes that were committed. */
-  const carryOut = async (actions: readonly ControlAction[]): Promise<number> => {
+  /** Writes the changes, then reboots hosts; returns the number of changes that were committed. */
+  const execute = async (actions: readonly ControlAction[]): Promise<number> => {
     const changes = actions.filter((one): one is ControlChange => one.kind === 'write');
     const { committedCount, isStopped } = await writeChanges(changes);
     if (isStopped) return committedCount;
@@ -109,33 +116,33 @@
     return committedCount;
   };
 
-  /** Gives the number of changes that were committed. */
-  const turn = async (): Promise<number> => {
+  /** Runs one control turn and returns the number of changes that were committed. */
+  const runTurn = async (): Promise<number> => {
     const listed = await hostList.list();
     if (listed.isErr()) return 0;
     view.takeSightings(listed.value);
     const rows = await readRows();
     if (!rows || !lease.holds()) return 0;
     const startedMs = nowMs();
-    const world = view.toWorld(rows, { fence: lease.fence(), nextEpoch: epochs() });
+    const world = view.toWorld(rows, { fence: lease.fence(), nextEpoch: currentNextEpoch() });
     const plan = planPoolTurn(world, nowMs());
     metrics.time('control_turn', (nowMs() - startedMs) * 1000);
     withheld = plan.withheld;
     nextEpoch = plan.nextEpoch;
-    return carryOut(plan.actions);
+    return execute(plan.actions);
   };
 
   const tick = async (): Promise<void> => {
-    const heldBefore = lease.holds();
+    const wasHeld = lease.holds();
     await lease.tick();
-    if (lease.holds() !== heldBefore) {
+    if (lease.holds() !== wasHeld) {
       log.info(lease.holds() ? 'control-taken' : 'control-lost', { pool, epoch: lease.epoch() });
     }
     if (!lease.holds()) withheld = [];
     let turns = 0;
-    while (lease.holds() && turns < MOST_TURNS_PER_TICK) {
+    while (lease.holds() && turns < MAX_TURNS_PER_TICK) {
       turns += 1;
-      if ((await turn()) === 0) return;
+      if ((await runTurn()) === 0) return;
     }
   };
 
@@ -150,7 +157,7 @@
 };
 
 /**
- * Names the control lease of a pool.
+ * Builds the name of a pool's control lease.
  *
  * @param pool - The pool.
  * @returns The lease's name.
@@ -158,7 +165,7 @@
 export const controlLeaseName = (pool: PoolName): string => `control/${pool}`;
 
 /**
- * Reads a pool's name from a declaration.
+ * Converts the name of a declared pool to its branded type.
  *
  * @param name - The declared name.
  * @returns The branded name.
--- a/packages/daemon/src/control/pool-view.ts
+++ b/packages/daemon/src/control/pool-view.ts
@@ -1,4 +1,4 @@
-/** What the control of one pool knows: rows as they were read, and since when it has seen what. */
+/** Input of the control turns of one pool: rows as read, and since when hosts and rows are unchanged. */
 import {
   createRowAges,
   declaredHosts,
@@ -28,17 +28,18 @@
   readonly nowMs: () => number;
 };
 
+/** Collects the input of a pool's control turns. */
 export type PoolView = {
-  /** Applies a reading of the platform's list of hosts. */
+  /** Records the states of the hosts in the platform's host list. */
   readonly takeSightings: (listed: readonly ListedHost[]) => void;
-  /** Puts together what a turn plans by. */
+  /** Assembles the input of a turn. */
   readonly toWorld: (rows: Rows, lease: Pick<PoolWorld, 'fence' | 'nextEpoch'>) => PoolWorld;
 };
 
-/** Rows by their keys. */
+/** Rows by key. */
 export type Rows = ReadonlyMap<string, Versioned<unknown>>;
 
-const byId = <Id extends string, Row>(rows: Rows, prefix: string): Map<Id, Versioned<Row>> =>
+const rowsById = <Id extends string, Row>(rows: Rows, prefix: string): Map<Id, Versioned<Row>> =>
   new Map(
     Array.from(rows)
       .filter(([key]) => key.startsWith(prefix))
@@ -47,40 +48,45 @@
 
 const usedCoresIn = (rows: Rows): ReadonlyMap<JobId, number> =>
   new Map(
-    Array.from(byId<string, UsageRow>(rows, rowPrefix.usage).values()).flatMap(({ value }) =>
+    Array.from(rowsById<string, UsageRow>(rows, rowPrefix.usage).values()).flatMap(({ value }) =>
       Object.entries(value.usedCores).map(([jobId, cores]) => [jobId as JobId, cores] as const),
     ),
   );
 
 /**
- * Builds the view of a pool.
+ * Creates the view of a pool.
  *
  * @param options - The pool, its configuration and the clock.
- * @returns The view, with nothing seen yet.
+ * @returns The view, without any hosts or rows.
  */
 export const createPoolView = ({ pool, configuration, nowMs }: PoolViewOptions): PoolView => {
   const sightings = new Map<HostId, HostSighting>();
-  const setbacksSeen = new Map<JobId, { setbacks: number; retryAtMs: number }>();
-  const hostAges = createRowAges<HostId>();
-  const placementAges = createRowAges<JobId>();
+  const retriesByJob = new Map<JobId, { backoffFailures: number; retryAtMs: number }>();
+  const hostRowVersions = createRowAges<HostId>();
+  const placementRowVersions = createRowAges<JobId>();
   let specsRevision = -1;
   let specs: ReadonlyMap<HostId, HostSpec> = new Map();
 
   const takeSightings = (listed: readonly ListedHost[]): void => {
     listed.forEach(({ hostId, state, boots }) => {
-      const known = sightings.get(hostId);
-      const sinceMs = known?.state === state ? known.sinceMs : nowMs();
+      const previous = sightings.get(hostId);
+      const sinceMs = previous?.state === state ? previous.sinceMs : nowMs();
       sightings.set(hostId, { state, boots, sinceMs });
     });
   };
 
-  const retryTimes = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): Map<JobId, number> => {
+  /** Computes when each failed job may be tried again; a job gets a new time when it has failed again. */
+  const updateRetryTimes = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): Map<JobId, number> => {
     jobs.forEach(({ value }, jobId) => {
-      const setbacks = setbacksOf(value);
-      if (setbacks === 0 || setbacksSeen.get(jobId)?.setbacks === setbacks) return;
-      setbacksSeen.set(jobId, { setbacks, retryAtMs: nowMs() + retryDelayMs(setbacks) });
+      const backoffFailures = setbacksOf(value);
+      if (backoffFailures === 0 || retriesByJob.get(jobId)?.backoffFailures === backoffFailures)
+        return;
+      retriesByJob.set(jobId, {
+        backoffFailures,
+        retryAtMs: nowMs() + retryDelayMs(backoffFailures),
+      });
     });
-    return new Map(Array.from(setbacksSeen, ([jobId, { retryAtMs }]) => [jobId, retryAtMs]));
+    return new Map(Array.from(retriesByJob, ([jobId, { retryAtMs }]) => [jobId, retryAtMs]));
   };
 
   const currentSpecs = (): ReadonlyMap<HostId, HostSpec> => {
@@ -93,9 +99,9 @@
   };
 
   const toWorld: PoolView['toWorld'] = (rows, { fence, nextEpoch }) => {
-    const jobs = byId<JobId, JobRow>(rows, rowPrefix.job);
-    const hosts = byId<HostId, HostRow>(rows, rowPrefix.host);
-    const placements = byId<JobId, PlacementRow>(rows, rowPrefix.placement);
+    const jobs = rowsById<JobId, JobRow>(rows, rowPrefix.job);
+    const hosts = rowsById<HostId, HostRow>(rows, rowPrefix.host);
+    const placements = rowsById<JobId, PlacementRow>(rows, rowPrefix.placement);
     return {
       pool,
       configuration: configuration(),
@@ -105,13 +111,13 @@
       hosts,
       placements,
       jobs,
-      waves: byId<WaveId, WaveRow>(rows, rowPrefix.wave),
+      waves: rowsById<WaveId, WaveRow>(rows, rowPrefix.wave),
       sightings,
-      hostSinceMs: hostAges.see(hosts, nowMs()),
-      placementSinceMs: placementAges.see(placements, nowMs()),
+      hostSinceMs: hostRowVersions.see(hosts, nowMs()),
+      placementSinceMs: placementRowVersions.see(placements, nowMs()),
       waveStrategy: 'growing',
       usedCores: usedCoresIn(rows),
-      retryAtMs: retryTimes(jobs),
+      retryAtMs: updateRetryTimes(jobs),
     };
   };
 
