--- a/packages/daemon/src/leases/late-answers.test.ts
+++ b/packages/daemon/src/leases/late-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers about a lease that come late or never, beside its release and its taking. */
+/** Checks the release and the acquisition of a lease if responses of the table arrive late or never. */
 import type { LeaseRow } from '@valvelatch/core/leases/lease';
 import { createTableModel } from '@valvelatch/core/replay/table-model';
 import { brand, type EntryId } from '@valvelatch/core/shared/ids';
@@ -15,23 +15,23 @@
 const setUp = () => {
   const rows = createTableModel();
   const clock = { nowMs: 0 };
-  const link = { losesAnswers: false, holdsAnswers: false };
-  const held: (() => void)[] = [];
+  const network = { dropsResponses: false, delaysResponses: false };
+  const pendingResponses: (() => void)[] = [];
   const table = {
     read: async (keys: readonly string[]) => Ok(keys.map((key) => rows.read(key))),
     transact: async ({ checks, writes }: Parameters<TableClient['transact']>[0]) => {
       const outcome = rows.transact(checks, writes);
-      const told = checks.map(({ key }) => rows.read(key));
-      if (link.losesAnswers) return Err({ kind: 'unknown', detail: 'no answer' } as const);
-      if (link.holdsAnswers) {
+      const currentRows = checks.map(({ key }) => rows.read(key));
+      if (network.dropsResponses) return Err({ kind: 'unknown', detail: 'no answer' } as const);
+      if (network.delaysResponses) {
         await new Promise<void>((resolve) => {
-          held.push(resolve);
+          pendingResponses.push(resolve);
         });
       }
-      return Ok(outcome.kind === 'committed' ? outcome : { ...outcome, rows: told });
+      return Ok(outcome.kind === 'committed' ? outcome : { ...outcome, rows: currentRows });
     },
   } as unknown as TableClient;
-  const keeperOf = (name: string) =>
+  const createKeeper = (name: string) =>
     createLeaseKeeper({
       table,
       name: 'control',
@@ -41,48 +41,49 @@
       nowMs: () => clock.nowMs,
     });
   const holder = () => (rows.read(KEY).value as LeaseRow | null)?.holder;
-  /** Lets what is ready go on. */
-  const settle = () =>
+  /** Runs all callbacks that are ready. */
+  const runReadyCallbacks = () =>
     new Promise((resolve) => {
       setImmediate(resolve);
     });
-  const answerNext = async () => {
-    held.shift()?.();
-    await settle();
+  const deliverNextResponse = async () => {
+    pendingResponses.shift()?.();
+    await runReadyCallbacks();
   };
-  return { keeperOf, clock, link, holder, settle, answerNext };
+  return { createKeeper, clock, network, holder, runReadyCallbacks, deliverNextResponse };
 };
 
-describe('a lease that is given up while a renewal is under way', () => {
-  it('is not held again by the late answer to the renewal', async () => {
-    const { keeperOf, clock, link, holder, settle, answerNext } = setUp();
-    const keeper = keeperOf('first');
+describe('a lease that is released while a renewal is in flight', () => {
+  it('is not held again when the response to the renewal arrives late', async () => {
+    const { createKeeper, clock, network, holder, runReadyCallbacks, deliverNextResponse } =
+      setUp();
+    const keeper = createKeeper('first');
     await keeper.tick();
     clock.nowMs = RENEW_AFTER_MS * 2;
-    link.holdsAnswers = true;
+    network.delaysResponses = true;
     void keeper.tick();
-    await settle();
+    await runReadyCallbacks();
     void keeper.release();
-    await settle();
-    // The renewal is answered, and so is the conflict of the release with it.
-    await answerNext();
-    await answerNext();
+    await runReadyCallbacks();
+    // Delivers the response to the renewal, then the conflict that the release met because of that renewal.
+    await deliverNextResponse();
+    await deliverNextResponse();
     expect(holder()).toBeNull();
     expect(keeper.holds()).toBe(false);
   });
 });
 
-describe('a lease whose taking had no answer', () => {
-  it('still tells from whom it was taken, and how long that one had been idle', async () => {
-    const { keeperOf, clock, link, holder } = setUp();
-    const [first, second] = [keeperOf('first'), keeperOf('second')];
+describe('a lease whose acquisition got no response', () => {
+  it('still reports the previous holder and how long it had been idle', async () => {
+    const { createKeeper, clock, network, holder } = setUp();
+    const [first, second] = [createKeeper('first'), createKeeper('second')];
     await first.tick();
     await second.tick();
     await first.release(700);
-    link.losesAnswers = true;
+    network.dropsResponses = true;
     await second.tick();
     expect(holder()).toBe('second');
-    link.losesAnswers = false;
+    network.dropsResponses = false;
     clock.nowMs += 500;
     await second.tick();
     expect(second.holds()).toBe(true);
--- a/packages/daemon/src/leases/lease-keeper.test.ts
+++ b/packages/daemon/src/leases/lease-keeper.test.ts
@@ -1,11 +1,12 @@
 /**
- * The story. A holder was cut off together with a third of the entries. It gave control up after 3.6 s,
- * and no entry took it for 3.7 s more, though all that were served looked at the lease twice a second.
+ * Guards against a released lease whose row still names its former holder. If the response to a renewal is
+ * lost, the keeper knows an older version of the row than the table has, so its release conflicts with its own
+ * renewal. When a conflict counted as a completed release, the row was never freed.
  *
- * The evidence. In a play in which the same release was seen by all ("holder=none") the next holder
- * took control 0.2 s later. Here none saw it: the row still named the former holder until another
- * took it from one that was silent. A renewal whose answer is lost leaves the keeper with an older
- * version of its row, its release meets a conflict with that renewal, and a conflict counts as done.
+ * In a run where the holder of control was partitioned off with a third of the entries, it gave control up after
+ * 3.6 s. No entry took control for another 3.7 s, although every entry that still reached the table read the
+ * lease twice a second: they waited until the lease had lapsed. When the row showed the release (`holder=none`),
+ * the next holder took control 0.2 s later.
  */
 import { createTableModel } from '@valvelatch/core/replay/table-model';
 import type { LeaseRow } from '@valvelatch/core/leases/lease';
@@ -20,18 +21,19 @@
 const DURATION_MS = 8000;
 const RENEW_AFTER_MS = 1000;
 
-describe('a holder that gives its lease up', () => {
-  const keeperOn = () => {
+describe('a holder that gives up its lease', () => {
+  const setUp = () => {
     const rows = createTableModel();
-    const link = { losesAnswers: false, refuses: false, onCommit: () => {} };
+    const network = { dropsResponses: false, refusesConnections: false, onCommit: () => {} };
     let nowMs = 0;
     const table = {
       read: async (keys: readonly string[]) => Ok(keys.map((key) => rows.read(key))),
       transact: async ({ checks, writes }: Parameters<TableClient['transact']>[0]) => {
-        if (link.refuses) return Err({ kind: 'unreachable', detail: 'refused' } as const);
+        if (network.refusesConnections)
+          return Err({ kind: 'unreachable', detail: 'refused' } as const);
         const outcome = rows.transact(checks, writes);
-        link.onCommit();
-        if (link.losesAnswers) return Err({ kind: 'unknown', detail: 'no answer' } as const);
+        network.onCommit();
+        if (network.dropsResponses) return Err({ kind: 'unknown', detail: 'no answer' } as const);
         return outcome.kind === 'committed'
           ? Ok(outcome)
           : Ok({ ...outcome, rows: checks.map(({ key }) => rows.read(key)) });
@@ -49,48 +51,48 @@
     return {
       keeper,
       rows,
-      link,
+      network,
       holder,
-      pass: (ms: number) => {
+      advanceClock: (ms: number) => {
         nowMs += ms;
       },
     };
   };
 
-  it('leaves it free', async () => {
-    const { keeper, holder } = keeperOn();
+  it('frees the row by a release', async () => {
+    const { keeper, holder } = setUp();
     await keeper.tick();
     expect(holder()).toBe(SELF);
     expect(await keeper.release()).toBe(true);
     expect(holder()).toBeNull();
   });
 
-  it('leaves it free also after a renewal whose answer was lost', async () => {
-    const { keeper, link, holder, pass } = keeperOn();
+  it('frees the row after a renewal whose response was lost', async () => {
+    const { keeper, network, holder, advanceClock } = setUp();
     await keeper.tick();
-    pass(RENEW_AFTER_MS * 2);
-    link.losesAnswers = true;
+    advanceClock(RENEW_AFTER_MS * 2);
+    network.dropsResponses = true;
     await keeper.tick();
-    link.losesAnswers = false;
+    network.dropsResponses = false;
     expect(await keeper.release()).toBe(true);
     expect(holder()).toBeNull();
   });
 
-  it('leaves it free also after two renewals whose answers were lost', async () => {
-    const { keeper, link, holder, pass } = keeperOn();
+  it('frees the row after two renewals whose responses were lost', async () => {
+    const { keeper, network, holder, advanceClock } = setUp();
     await keeper.tick();
-    link.losesAnswers = true;
-    pass(RENEW_AFTER_MS * 2);
+    network.dropsResponses = true;
+    advanceClock(RENEW_AFTER_MS * 2);
     await keeper.tick();
-    pass(RENEW_AFTER_MS * 2);
+    advanceClock(RENEW_AFTER_MS * 2);
     await keeper.tick();
-    link.losesAnswers = false;
+    network.dropsResponses = false;
     expect(await keeper.release()).toBe(true);
     expect(holder()).toBeNull();
   });
 
-  it('leaves a lease alone that another has taken meanwhile', async () => {
-    const { keeper, holder, rows } = keeperOn();
+  it('does not change a row that another entry has taken meanwhile', async () => {
+    const { keeper, holder, rows } = setUp();
     await keeper.tick();
     const { value, version } = rows.read('lease/control');
     const taken = { ...(value as LeaseRow), holder: brand<EntryId>('next'), epoch: 2 };
@@ -99,41 +101,42 @@
     expect(holder()).toBe('next');
   });
 
-  describe('without writing it', () => {
-    it('does not write for it by a look that had begun before', async () => {
-      // The row would name a holder that does not act, and others would wait for it again.
-      const { keeper, pass, rows } = keeperOn();
+  describe('by abandoning it without a write', () => {
+    it('does not renew it in a tick that had begun before', async () => {
+      // A renewal would keep a holder in the row that no longer acts, and the other entries would wait for its lease
+      // to lapse again.
+      const { keeper, advanceClock, rows } = setUp();
       await keeper.tick();
-      pass(RENEW_AFTER_MS * 2);
+      advanceClock(RENEW_AFTER_MS * 2);
       const { version } = rows.read('lease/control');
-      const looking = keeper.tick();
+      const ticking = keeper.tick();
       keeper.abandon();
-      await looking;
+      await ticking;
       expect(keeper.holds()).toBe(false);
       expect(rows.read('lease/control').version).toBe(version);
     });
 
-    it('does not hold it again by a renewal that is committed before and answered after', async () => {
-      const { keeper, link, pass } = keeperOn();
+    it('does not hold it again if the response to an earlier renewal arrives afterwards', async () => {
+      const { keeper, network, advanceClock } = setUp();
       await keeper.tick();
-      pass(RENEW_AFTER_MS * 2);
-      link.onCommit = () => keeper.abandon();
+      advanceClock(RENEW_AFTER_MS * 2);
+      network.onCommit = () => keeper.abandon();
       await keeper.tick();
       expect(keeper.holds()).toBe(false);
     });
 
-    it('does not hold it again by a release that fails', async () => {
-      const { keeper, link } = keeperOn();
+    it('does not hold it again if a release that had begun before fails', async () => {
+      const { keeper, network } = setUp();
       await keeper.tick();
-      link.refuses = true;
+      network.refusesConnections = true;
       const releasing = keeper.release();
       keeper.abandon();
       expect(await releasing).toBe(false);
       expect(keeper.holds()).toBe(false);
     });
 
-    it('takes it under a new epoch only', async () => {
-      const { keeper } = keeperOn();
+    it('acquires it again only under a new epoch', async () => {
+      const { keeper } = setUp();
       await keeper.tick();
       const epoch = keeper.epoch();
       keeper.abandon();
--- a/packages/daemon/src/leases/lease-keeper.ts
+++ b/packages/daemon/src/leases/lease-keeper.ts
@@ -1,4 +1,4 @@
-/** Keeps one lease of the platform's table: reads, takes, renews and gives it up. */
+/** Maintains one lease in the platform's table: reads, acquires, renews and releases it. */
 import {
   confirmLease,
   createLeaseState,
@@ -13,32 +13,44 @@
 import type { EntryId } from '@valvelatch/core/shared/ids';
 import type { TableClient } from '@valvelatch/platform';
 
-/** A lease as its owner uses it. */
+/** A lease from the side of an entry that holds it, competes for it or only watches it. */
 export type LeaseKeeper = {
-  /** Reads the row and takes or renews the lease if it is due. */
+  /** Reads the row and acquires or renews the lease if that is due. */
   readonly tick: () => Promise<void>;
+  /** Whether this entry holds the lease now. */
   readonly holds: () => boolean;
-  /** Until when the lease is held, by this entry's clock; in the past once it has lapsed. */
+  /**
+   * Time until which this entry holds the lease, by its own clock, in milliseconds. In the past once the lease has
+   * lapsed; -Infinity if this entry has not acquired it, has given it up or has seen it taken by another.
+   */
   readonly heldUntilMs: () => number;
+  /** The epoch in the last known row; 0 if there is no row. */
   readonly epoch: () => number;
-  /** The version of the fence row, which changes with each new holder. */
+  /** Key of the fence row and its version as this entry last wrote it. Each acquisition changes the version. */
   readonly fence: () => { readonly key: string; readonly version: number };
+  /** The row as last read or written; null if there is none or it has not been read. */
   readonly lastRow: () => LeaseRow | null;
-  /** How long the row has been watched without a change, in milliseconds. */
+  /** How long this entry has seen the row unchanged, in milliseconds; 0 before it has read the row. */
   readonly unchangedForMs: () => number;
-  /** Who held the lease before this entry took it last; null for nobody. */
+  /** The holder that the row named when this entry last acquired the lease; null if it named none. */
   readonly takenFrom: () => EntryId | null;
-  /** For how long the row had been watched without a change when the lease was taken last. */
+  /** How long this entry had seen the row unchanged when it last acquired the lease, in milliseconds. */
   readonly watchedMs: () => number;
-  /** Until when holders before may still act, by their own clocks. */
+  /**
+   * Time until which earlier holders may still act because by their own clocks they hold the lease; in
+   * milliseconds of this entry's clock, and in the past if there are none.
+   */
   readonly earlierUntilMs: () => number;
-  /** What the holder before told when it gave the lease up. */
+  /** The idle time that the previous holder wrote when it released the lease, in milliseconds; 0 if it wrote none. */
   readonly idleBeforeMs: () => number;
-  /** Gives the lease up; false if that could not be written, and the lease is still held. */
+  /**
+   * Releases the lease and optionally writes for how long this entry has been idle, in milliseconds. Resolves to
+   * false if the release could not be written; the lease is then still held, unless it was abandoned meanwhile.
+   */
   readonly release: (idleMs?: number) => Promise<boolean>;
   /**
-   * Stops acting on the lease without writing anything. What is under way does not give it back: this entry
-   * holds it again only by taking it under a new epoch.
+   * Gives up the lease without writing anything. Reads and writes in flight do not restore it: this entry holds
+   * it again only after acquiring it under a new epoch.
    */
   readonly abandon: () => void;
 };
@@ -48,31 +60,45 @@
   readonly name: string;
   readonly self: EntryId;
   readonly durationMs: number;
+  /**
+   * How long beyond its duration another holder's lease must be unchanged to be free, in milliseconds; a quarter of
+   * the duration by default.
+   */
   readonly marginMs?: number;
-  /** How long after a renewal the holder renews again; a third of the duration if left out. */
+  /** How long after a renewal the holder renews again; about a third of the duration by default. */
   readonly renewAfterMs?: number;
-  /** False for one that only watches. */
+  /** Returns false for an entry that only watches the lease. Every entry may acquire it by default. */
   readonly mayTake?: () => boolean;
-  /** False for one that may not take back even its own lease once that has lapsed. */
+  /**
+   * Returns false if the last holder may not, by this right alone, acquire its own lapsed lease again; it then
+   * needs `mayTake`.
+   */
   readonly mayRetake?: () => boolean;
-  /** Without a change for so long another's lease is free; undefined for its whole duration. */
+  /**
+   * How long the row of another holder must be unchanged until the lease is free, in milliseconds; undefined for
+   * the whole duration and the margin.
+   */
   readonly freeAfterMs?: () => number | undefined;
-  /** Work that must be done before each taking or renewal; false puts it off. */
+  /** Runs before each acquisition or renewal; the write is skipped if it resolves to false. */
   readonly beforeWrite?: () => Promise<boolean>;
   readonly nowMs?: () => number;
 };
 
+/** Default margin, as a share of the duration. */
 const MARGIN_FRACTION = 0.25;
-/** Up to this share of the time to the next renewal a held lease is neither read nor renewed. */
-const SECURE_FRACTION = 0.9;
-/** A release is written anew once for each renewal that it did not know of: two lost in a row at most. */
-const RELEASE_TRIES = 3;
+/** A held lease is neither read nor renewed during this share of the renewal interval. */
+const SKIPPED_CHECK_FRACTION = 0.9;
+/**
+ * Attempts to write a release. Each renewal whose response was lost costs one attempt, because the release then
+ * conflicts with it. Three attempts cover two such renewals in a row.
+ */
+const MAX_RELEASE_ATTEMPTS = 3;
 
 /**
- * Builds a keeper.
+ * Creates a lease keeper.
  *
- * @param options - The table, the lease's name and duration, and who wants it.
- * @returns The keeper.
+ * @param options - The table, the lease's name and duration, and the entry that uses it.
+ * @returns The keeper, which does not hold the lease yet.
  */
 export const createLeaseKeeper = ({
   table,
@@ -96,80 +122,86 @@
     ...(renewAfterMs === undefined ? {} : { renewAfterMs }),
   });
   let fenceVersion = 0;
-  let releases = 0;
-  /** The epoch under which the lease was to be taken last; the answer may have been lost. */
-  let takenEpoch = -1;
-  let lastHolder: EntryId | null = null;
+  /** Counts releases and abandonments, so that responses to requests sent before one are ignored. */
+  let relinquishCount = 0;
+  /** Epoch of the last attempt to acquire the lease, whose response may have been lost; -1 for none. */
+  let lastAttemptedEpoch = -1;
+  let previousHolder: EntryId | null = null;
   let watchedMs = 0;
-  let lastIdleMs = 0;
+  let previousIdleMs = 0;
 
+  /** Writes an acquisition or renewal and updates the state if it was committed. */
   const write = async (
     row: LeaseRow,
     expectedVersion: number,
-    releasesBefore: number,
+    relinquishCountBefore: number,
   ): Promise<void> => {
     const sentAtMs = nowMs();
-    const isTaking = row.renewals === 0;
+    const isAcquisition = row.renewals === 0;
     const outcome = await table.transact({
       checks: [{ key, version: expectedVersion }],
       writes: [
         { key, value: row },
-        ...(isTaking ? [{ key: fenceKey, value: { epoch: row.epoch } }] : []),
+        ...(isAcquisition ? [{ key: fenceKey, value: { epoch: row.epoch } }] : []),
       ],
     });
     if (outcome.isErr() || outcome.value.kind === 'conflict') return;
-    // The late answer to a renewal must not take back what was given up meanwhile.
-    if (releases !== releasesBefore) return;
+    // A late response must not restore a lease that was given up after the request was sent.
+    if (relinquishCount !== relinquishCountBefore) return;
     const { version } = outcome.value;
-    if (isTaking) fenceVersion = version;
+    if (isAcquisition) fenceVersion = version;
     state = confirmLease(state, { row, version }, sentAtMs);
   };
 
-  /** Far from its end a lease that is held needs no reading: nobody else can take it. */
-  const isSecure = (): boolean =>
-    state.heldUntilMs - nowMs() > durationMs - state.renewAfterMs * SECURE_FRACTION &&
+  /** Whether the held lease is so far from its end that no other entry can acquire it; it need not be read then. */
+  const canSkipCheck = (): boolean =>
+    state.heldUntilMs - nowMs() > durationMs - state.renewAfterMs * SKIPPED_CHECK_FRACTION &&
     state.seen.row?.holder === self;
 
-  /** Where the row shows this entry's own taking, whose answer was lost, it still follows the one before. */
-  const noteTaking = (before: LeaseRow | null, epoch: number): void => {
-    const isOwnTaking = before?.holder === self && before.epoch === takenEpoch;
-    takenEpoch = epoch;
-    if (isOwnTaking) return;
-    lastHolder = before?.holder ?? null;
+  /**
+   * Records the previous holder before an acquisition is written. If the row shows this entry's own acquisition,
+   * whose response was lost, the previous holder is still the one recorded for that attempt.
+   */
+  const recordPreviousHolder = (before: LeaseRow | null, epoch: number): void => {
+    const isOwnAcquisition = before?.holder === self && before.epoch === lastAttemptedEpoch;
+    lastAttemptedEpoch = epoch;
+    if (isOwnAcquisition) return;
+    previousHolder = before?.holder ?? null;
     watchedMs = nowMs() - state.unchangedSinceMs;
-    lastIdleMs = before?.idleMs ?? 0;
+    previousIdleMs = before?.idleMs ?? 0;
   };
 
   const tick = async (): Promise<void> => {
-    if (isSecure()) return;
-    const releasesBefore = releases;
+    if (canSkipCheck()) return;
+    const relinquishCountBefore = relinquishCount;
     const rows = await table.read([key]);
-    // What was read before the lease was given up must not lead to a write for it.
-    if (rows.isErr() || releases !== releasesBefore) return;
+    // A row that was requested before the lease was given up must not lead to an acquisition or renewal.
+    if (rows.isErr() || relinquishCount !== relinquishCountBefore) return;
     const [row] = rows.value;
     const value = (row?.value ?? null) as LeaseRow | null;
     state = observeLease(state, { row: value, version: row?.version ?? 0 }, nowMs());
-    // A lapsed lease that nobody has taken since may be taken again by its last holder.
+    // The last holder may acquire its own lapsed lease again if nobody else has taken it.
     const isOwn = value?.holder === self;
     const isHeld = isOwn && holdsLease(state, nowMs());
     if (!isHeld && !(isOwn && mayRetake()) && !mayTake()) return;
     const step = nextLeaseStep(state, nowMs(), freeAfterMs());
     if (step.kind === 'write' && (await beforeWrite())) {
-      if (step.row.renewals === 0) noteTaking(value, step.row.epoch);
-      await write(step.row, step.expectedVersion, releasesBefore);
+      if (step.row.renewals === 0) recordPreviousHolder(value, step.row.epoch);
+      await write(step.row, step.expectedVersion, relinquishCountBefore);
     }
   };
 
-  /** The row as it is after a conflict; undefined if it cannot be read. */
+  /** Returns the current row after a conflict, from the response if it has it; undefined if it cannot be read. */
   const readAfterConflict = async (
     rows: readonly TableRow[] | undefined,
   ): Promise<LeaseState['seen'] | undefined> => {
-    const told = rows?.find((row) => row.key === key);
-    const [row] = told ? [told] : (await table.read([key])).unwrapOr([]);
+    const reported = rows?.find((row) => row.key === key);
+    const [row] = reported ? [reported] : (await table.read([key])).unwrapOr([]);
     return row && { row: row.value as LeaseRow | null, version: row.version };
   };
 
-  const writeFreed = (
+  /** Writes the row without a holder, on condition that it still has the given version. */
+  const writeReleasedRow = (
     seen: LeaseState['seen'],
     idleMs: number | undefined,
   ): ReturnType<TableClient['transact']> => {
@@ -183,16 +215,17 @@
   };
 
   /**
-   * Frees the row. A renewal whose answer was lost has moved it on: it is still this holder's, and
-   * left as it is, others would wait for it to lapse (3.7 s in a fleet of 33 entries).
+   * Writes the release. If the response to a renewal was lost, the first attempt conflicts with that renewal: the
+   * row has a newer version but still names this holder. It must then be released at the new version; otherwise
+   * the other entries would wait for the lease to lapse (3.7 s in a fleet of 33 entries).
    *
    * @returns False if the row may still name this holder.
    */
-  const freeRow = async (held: LeaseState['seen'], idleMs?: number): Promise<boolean> => {
+  const releaseRow = async (held: LeaseState['seen'], idleMs?: number): Promise<boolean> => {
     let seen = held;
-    for (let attempt = 0; attempt < RELEASE_TRIES; attempt += 1) {
-      const outcome = await writeFreed(seen, idleMs);
-      // Without an answer the row may be free already, and the lease is not acted upon any more.
+    for (let attempt = 0; attempt < MAX_RELEASE_ATTEMPTS; attempt += 1) {
+      const outcome = await writeReleasedRow(seen, idleMs);
+      // If the request may have reached the table, the row may be free already, so the lease counts as released.
       if (outcome.isErr()) return outcome.error.kind !== 'unreachable';
       if (outcome.value.kind === 'committed') return true;
       const current = await readAfterConflict(outcome.value.rows);
@@ -204,26 +237,27 @@
     return false;
   };
 
-  const letGo = (): number => {
-    releases += 1;
+  /** Stops holding the lease locally and returns the new value of the counter. */
+  const relinquish = (): number => {
+    relinquishCount += 1;
     state = { ...state, heldUntilMs: -Infinity, ownEpoch: -1 };
-    return releases;
+    return relinquishCount;
   };
 
   const release = async (idleMs?: number): Promise<boolean> => {
     const held = state;
     if (!held.seen.row || !holdsLease(held, nowMs())) return true;
-    const ownRelease = letGo();
-    const isFreed = await freeRow(held.seen, idleMs);
-    // One that was abandoned meanwhile is not held again.
-    if (!isFreed && releases === ownRelease) state = held;
-    return isFreed;
+    const ownRelinquishCount = relinquish();
+    const isReleased = await releaseRow(held.seen, idleMs);
+    // A lease that was abandoned meanwhile is not held again.
+    if (!isReleased && relinquishCount === ownRelinquishCount) state = held;
+    return isReleased;
   };
 
   const abandon = (): void => {
-    letGo();
-    // A later taking follows a holder that has resigned, not a taking whose answer was lost.
-    takenEpoch = -1;
+    relinquish();
+    // The next acquisition follows a holder that has given up the lease, not an attempt whose response was lost.
+    lastAttemptedEpoch = -1;
   };
 
   return {
@@ -234,10 +268,10 @@
     fence: () => ({ key: fenceKey, version: fenceVersion }),
     lastRow: () => state.seen.row,
     unchangedForMs: () => (state.seen.version < 0 ? 0 : nowMs() - state.unchangedSinceMs),
-    takenFrom: () => lastHolder,
+    takenFrom: () => previousHolder,
     watchedMs: () => watchedMs,
     earlierUntilMs: () => state.earlierUntilMs,
-    idleBeforeMs: () => lastIdleMs,
+    idleBeforeMs: () => previousIdleMs,
     release,
     abandon,
   };
