--- a/packages/daemon/src/config-sync/config-sync.ts
+++ b/packages/daemon/src/config-sync/config-sync.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the configuration of this entry in step with the accepted one. The table is the truth; the
- * mesh only makes it faster and carries it while the platform is away. The configuration moves
- * only to higher revisions.
+ * Synchronizes the configuration of this entry with the accepted one. The table is authoritative. The mesh only
+ * spreads changes faster, and distributes the configuration while the platform is unavailable. The configuration
+ * only moves to higher revisions.
  */
 import {
   declarationKey,
@@ -24,10 +24,12 @@
 
 import type { Log } from '../observe/log.js';
 
+/** Row with the latest accepted revision. */
 type HeadRow = { readonly revision: number };
 
 /** Why a set of declarations was not accepted. */
 export type ApplyError =
+  /** Another change was accepted since the base revision. The difference is to the current configuration. */
   | {
       readonly kind: 'raced';
       readonly revision: number;
@@ -35,27 +37,30 @@
     }
   | { readonly kind: 'platform'; readonly error: PlatformError };
 
-/** What was accepted. */
+/** The accepted revision and how it differs from the one before. */
 export type Applied = { readonly revision: number; readonly difference: ConfigurationDifference };
 
-/** A wanted set of declarations. */
+/** A complete set of declarations that is to become the configuration. */
 export type ApplyRequest = {
   readonly declarations: readonly Declaration[];
-  /** The revision that the operator has seen; another's change since then is not overwritten. */
+  /** The revision that the operator has seen; the request is refused if another change was accepted since. */
   readonly baseRevision: number;
   readonly author: string;
   readonly changeId: ChangeId;
 };
 
-/** The keeper of the configuration. */
+/** Holds the configuration of this entry and applies changes to it. */
 export type ConfigSync = {
   readonly current: () => Configuration;
-  /** False until the accepted configuration has been heard of from the platform or from a peer. */
+  /** False until the accepted configuration has been received from the platform or from a peer. */
   readonly isKnown: () => boolean;
+  /** The deltas that follow a revision, in order; undefined if not all of them are in memory any more. */
   readonly deltasAfter: (revision: number) => readonly ConfigurationDelta[] | undefined;
   readonly takeFromPeer: (deltas: readonly ConfigurationDelta[]) => void;
   readonly takeSnapshotFromPeer: (snapshot: ConfigurationSnapshot) => void;
+  /** Reads the latest revision from the table and loads what is missing. */
   readonly poll: () => Promise<void>;
+  /** Writes a new revision to the table, unless another change was accepted since the base revision. */
   readonly apply: (request: ApplyRequest) => Promise<Result<Applied, ApplyError>>;
 };
 
@@ -63,18 +68,19 @@
   readonly table: TableClient;
   readonly objects: ObjectClient;
   readonly log: Log;
-  /** Called with what has newly come into force. */
+  /** Called with the deltas that have newly come into force; without any after a snapshot. */
   readonly onChange: (deltas: readonly ConfigurationDelta[]) => void;
 };
 
 const SNAPSHOT_KEY = 'config/snapshot';
-/** A snapshot is stored each time so many revisions have been accepted. */
-const SNAPSHOT_EVERY = 100;
-/** Rows of revisions older than this are deleted; a snapshot covers them. */
-const KEPT_REVISION_ROWS = 1000;
-/** Deltas kept in memory for peers that are a little behind. */
-const KEPT_DELTAS = 256;
-const READ_AT_ONCE = 200;
+/** Number of revisions after which a snapshot is stored. */
+const SNAPSHOT_INTERVAL_REVISIONS = 100;
+/** Number of latest revisions whose rows are kept; older rows are deleted because a snapshot covers them. */
+const MAX_REVISION_ROWS = 1000;
+/** Number of deltas that are kept in memory for peers that are a few revisions behind. */
+const MAX_RECENT_DELTAS = 256;
+/** Most revisions that are read in one request; an entry further behind reads the snapshot first. */
+const MAX_REVISIONS_PER_READ = 200;
 
 const range = (from: number, to: number): readonly number[] =>
   Array.from({ length: Math.max(0, to - from + 1) }, (_, index) => from + index);
@@ -84,21 +90,21 @@
   { declarations, author, changeId }: ApplyRequest,
   { added, changed, removed }: ConfigurationDifference,
 ): ConfigurationDelta => {
-  const touched = new Set([...added, ...changed]);
+  const upsertedKeys = new Set([...added, ...changed]);
   return {
     revision: base.revision + 1,
     changeId,
     author,
-    upserts: declarations.filter((one) => touched.has(declarationKey(one))),
+    upserts: declarations.filter((one) => upsertedKeys.has(declarationKey(one))),
     deletes: removed,
   };
 };
 
 /**
- * Builds the keeper.
+ * Creates the synchronization, which starts with an empty configuration.
  *
- * @param options - The platform's clients, the log, and who is told of changes.
- * @returns The keeper.
+ * @param options - The platform's clients, the log, and the callback for changes.
+ * @returns The synchronization.
  */
 export const createConfigSync = ({
   table,
@@ -108,43 +114,47 @@
 }: ConfigSyncOptions): ConfigSync => {
   let configuration = emptyConfiguration;
   let isKnown = false;
-  let kept: readonly ConfigurationDelta[] = [];
+  let recentDeltas: readonly ConfigurationDelta[] = [];
 
-  const moveTo = (next: Configuration, deltas: readonly ConfigurationDelta[]): void => {
+  const advanceTo = (next: Configuration, deltas: readonly ConfigurationDelta[]): void => {
     if (next.revision <= configuration.revision) return;
-    const fresh = deltas.filter(({ revision }) => revision > configuration.revision);
+    const newDeltas = deltas.filter(({ revision }) => revision > configuration.revision);
     configuration = next;
-    // After a snapshot the deltas at hand do not join up with the earlier ones.
-    kept = [...(fresh.length > 0 ? kept : []), ...fresh].slice(-KEPT_DELTAS);
+    // The deltas in memory must follow each other without a gap, and a snapshot may skip revisions.
+    recentDeltas = [...(newDeltas.length > 0 ? recentDeltas : []), ...newDeltas].slice(
+      -MAX_RECENT_DELTAS,
+    );
     log.info('configuration-in-force', { revision: next.revision });
-    onChange(fresh);
+    onChange(newDeltas);
   };
 
-  const takeAll = (deltas: readonly ConfigurationDelta[]): void =>
-    moveTo(takeDeltas(configuration, deltas), deltas);
+  const applyDeltas = (deltas: readonly ConfigurationDelta[]): void =>
+    advanceTo(takeDeltas(configuration, deltas), deltas);
 
   const deltasAfter = (revision: number): readonly ConfigurationDelta[] | undefined => {
     if (revision >= configuration.revision) return [];
-    const after = kept.filter((delta) => delta.revision > revision);
+    const after = recentDeltas.filter((delta) => delta.revision > revision);
     return after[0]?.revision === revision + 1 ? after : undefined;
   };
 
   const readRevisions = async (from: number, to: number): Promise<void> => {
-    const keys = range(from, Math.min(to, from + READ_AT_ONCE - 1)).map(rowKey.configRevision);
+    const keys = range(from, Math.min(to, from + MAX_REVISIONS_PER_READ - 1)).map(
+      rowKey.configRevision,
+    );
     const rows = await table.read(keys);
     if (rows.isErr()) return;
-    takeAll(
+    applyDeltas(
       rows.value.flatMap(({ value }) => (value === null ? [] : [value as ConfigurationDelta])),
     );
   };
 
   const readSnapshot = async (): Promise<void> => {
     const stored = await objects.get<ConfigurationSnapshot>(SNAPSHOT_KEY);
-    if (stored.isOk() && stored.value) moveTo(takeSnapshot(configuration, stored.value), []);
+    if (stored.isOk() && stored.value) advanceTo(takeSnapshot(configuration, stored.value), []);
   };
 
   const catchUp = async (head: number): Promise<void> => {
-    if (head - configuration.revision > READ_AT_ONCE) await readSnapshot();
+    if (head - configuration.revision > MAX_REVISIONS_PER_READ) await readSnapshot();
     while (configuration.revision < head) {
       const before = configuration.revision;
       await readRevisions(before + 1, head);
@@ -176,7 +186,7 @@
     if (stored.isErr()) log.warn('snapshot-not-stored', { detail: stored.error.detail });
   };
 
-  const raced = (request: ApplyRequest): ApplyError => ({
+  const conflictError = (request: ApplyRequest): ApplyError => ({
     kind: 'raced',
     revision: configuration.revision,
     difference: differenceOf(configuration, request.declarations),
@@ -187,26 +197,28 @@
     if (head.isErr()) return Err({ kind: 'platform', error: head.error });
     await catchUp(head.value.revision);
     isKnown = true;
-    if (request.baseRevision !== head.value.revision) return Err(raced(request));
+    if (request.baseRevision !== head.value.revision) return Err(conflictError(request));
     const difference = differenceOf(configuration, request.declarations);
     if (isEmptyDifference(difference)) return Ok({ revision: head.value.revision, difference });
     const delta = toDelta(configuration, request, difference);
-    const outdated = delta.revision - KEPT_REVISION_ROWS;
+    const expiredRevision = delta.revision - MAX_REVISION_ROWS;
     const outcome = await table.transact({
       checks: [{ key: rowKey.configHead, version: head.value.version }],
       writes: [
         { key: rowKey.configHead, value: { revision: delta.revision } },
         { key: rowKey.configRevision(delta.revision), value: delta },
-        ...(outdated > 0 ? [{ key: rowKey.configRevision(outdated), value: null }] : []),
+        ...(expiredRevision > 0
+          ? [{ key: rowKey.configRevision(expiredRevision), value: null }]
+          : []),
       ],
     });
     if (outcome.isErr()) return Err({ kind: 'platform', error: outcome.error });
     if (outcome.value.kind === 'conflict') {
       await poll();
-      return Err(raced(request));
+      return Err(conflictError(request));
     }
-    takeAll([delta]);
-    if (delta.revision % SNAPSHOT_EVERY === 0) await storeSnapshot();
+    applyDeltas([delta]);
+    if (delta.revision % SNAPSHOT_INTERVAL_REVISIONS === 0) await storeSnapshot();
     return Ok({ revision: delta.revision, difference });
   };
 
@@ -215,12 +227,12 @@
     isKnown: () => isKnown,
     deltasAfter,
     takeFromPeer: (deltas) => {
-      takeAll(deltas);
+      applyDeltas(deltas);
       isKnown ||= configuration.revision > 0;
     },
     takeSnapshotFromPeer: (snapshot) => {
       isKnown = true;
-      moveTo(takeSnapshot(configuration, snapshot), []);
+      advanceTo(takeSnapshot(configuration, snapshot), []);
     },
     poll,
     apply,
--- a/packages/daemon/src/config-sync/configuration.test.ts
+++ b/packages/daemon/src/config-sync/configuration.test.ts
@@ -50,7 +50,7 @@
       fc.record({ kind: fc.constant('restart' as const), from: fc.nat(12), count: fc.constant(0) }),
     );
     test.prop([fc.array(step, { maxLength: 30 })], { seed: 31 })(
-      'never reverts and is always one that was accepted, whatever comes in which order',
+      'never returns to an older revision and always equals an accepted one, in any order of updates',
       (steps) => {
         let state = emptyConfiguration;
         steps.forEach(({ kind, from, count }) => {
@@ -83,30 +83,30 @@
       },
     ];
     const revisions = async (): Promise<readonly number[]> => {
-      const [at] = deployment.entries as [TestEntry];
-      const { value } = await deployment.operate(at, 'status', {});
+      const [testEntry] = deployment.entries as [TestEntry];
+      const { value } = await deployment.operate(testEntry, 'status', {});
       return (value as { entries: readonly { revision: number }[] }).entries.map(
         ({ revision }) => revision,
       );
     };
 
     it('accepts one of two racing operators and shows the other the difference', async () => {
-      const answers = await Promise.all(
-        deployment.entries.slice(0, 2).map((at, index) =>
-          deployment.operate(at, 'apply', {
+      const responses = await Promise.all(
+        deployment.entries.slice(0, 2).map((testEntry, index) =>
+          deployment.operate(testEntry, 'apply', {
             files: withTeam(index + 1),
             baseRevision: 1,
             waitMs: 3000,
           }),
         ),
       );
-      expect(answers.map(({ kind }) => kind).sort()).toEqual(['conflict', 'ok']);
-      const loser = answers.find(({ kind }) => kind === 'conflict');
+      expect(responses.map(({ kind }) => kind).sort()).toEqual(['conflict', 'ok']);
+      const loser = responses.find(({ kind }) => kind === 'conflict');
       expect(loser?.value).toMatchObject({ revision: 2, difference: { changed: ['Team/late'] } });
       expect(await revisions()).toEqual([2, 2, 2, 2]);
     });
 
-    it('reaches a new entry from its peers while the platform is away', async () => {
+    it('reaches a new entry from its peers while the platform is unavailable', async () => {
       deployment.platform.setFault({ mode: 'down' });
       await pause(100);
       const added = await deployment.addEntry('east', 'east-entry-new');
@@ -114,16 +114,16 @@
         const { value } = await deployment.operate(added, 'get', { kind: 'config' });
         return (value as { revision: number }).revision === 1;
       });
-      // It holds no seat, but another data centre's entry can serve.
+      // The new entry holds no seat, but it can forward requests to an entry of another data centre.
       await waitUntil('an answer', async () => (await send(added)).status === 200);
     });
 
-    it('is refused as not run by an entry that knows none', async () => {
+    it('must be known to an entry, which otherwise refuses requests with the verdict notRun', async () => {
       const alone = await startDeployment({ dataCentres: ['east'], seats: 1, executors: 1 });
-      const [at] = alone.entries as [TestEntry];
+      const [testEntry] = alone.entries as [TestEntry];
       alone.platform.setFault({ mode: 'down' });
-      await at.entry.stop();
-      await at.platformRelay.close();
+      await testEntry.entry.stop();
+      await testEntry.platformRelay.close();
       alone.entries.pop();
       const added = await alone.addEntry('east', 'east-entry-new');
       expect(await send(added)).toMatchObject({
@@ -134,18 +134,18 @@
       await alone.close();
     });
 
-    it('is in force everywhere though entries are replaced and the platform is away for a while', async () => {
+    it('comes into force at all entries despite replaced entries and an outage of the platform', async () => {
       const [first] = deployment.entries as [TestEntry];
       const seen: number[] = [];
       for (let change = 1; change <= 6; change += 1) {
         if (change === 3) deployment.platform.setFault({ mode: 'down' });
         if (change === 4) deployment.platform.setFault({ mode: 'none' });
-        const answer = await deployment.operate(first, 'apply', {
+        const response = await deployment.operate(first, 'apply', {
           files: withTeam(change),
           waitMs: 3000,
         });
-        if (change === 3) expect(answer.kind).toBe('unavailable');
-        else expect(answer).toMatchObject({ kind: 'ok', value: { unreachable: [] } });
+        if (change === 3) expect(response.kind).toBe('unavailable');
+        else expect(response).toMatchObject({ kind: 'ok', value: { unreachable: [] } });
         seen.push(Math.min(...(await revisions())));
         if (change === 5) {
           const [old] = deployment.entries.splice(3, 1) as [TestEntry];
