--- a/packages/daemon/src/mesh-link/mesh-link.ts
+++ b/packages/daemon/src/mesh-link/mesh-link.ts
@@ -1,4 +1,4 @@
-/** Membership and configuration over the mesh: decides what to say to which peer. */
+/** Membership and configuration over the mesh: decides which messages to send to which peer. */
 import {
   createMembership,
   hasDuty,
@@ -27,20 +27,33 @@
 import type { RemoteEntry } from '../data-path/request-types.js';
 import type { Log } from '../observe/log.js';
 
-/** The link of one entry to the others. */
+/** Connection of one entry to the others. */
 export type MeshLink = {
+  /** The port on which the mesh listens. */
   readonly port: number;
+  /** The entries that are alive as far as this entry knows, itself included. */
   readonly members: () => readonly Member[];
+  /** Calls a method of another entry. */
   readonly ask: Mesh['ask'];
+  /**
+   * Whether this entry is one of the `count` entries of its data centre that have a duty. More entries may consider
+   * themselves to have it for a while.
+   */
   readonly hasDuty: (duty: string, count: number) => boolean;
-  /** Like `hasDuty`, over all data centres. */
+  /** Whether this entry is one of the few among all data centres that compete for a duty. */
   readonly hasGlobalDuty: (duty: string) => boolean;
-  /** A linked entry that has endpoints of a service: of the own data centre if there is one. */
+  /**
+   * A random linked entry that has ready endpoints of a service, from the own data centre if there is one there;
+   * undefined if there is none.
+   */
   readonly otherEntry: (service: ServiceName) => RemoteEntry | undefined;
+  /** Sends deltas of the configuration to all linked entries. */
   readonly spreadDeltas: (deltas: readonly ConfigurationDelta[]) => void;
-  /** Begins to join: the own addresses are known from now on. */
+  /** Starts to join the other entries; must be called once the own addresses are known. */
   readonly join: () => void;
+  /** Updates the membership, opens missing links and sends a heartbeat. */
   readonly tick: () => void;
+  /** Announces that this entry leaves. */
   readonly leave: () => void;
   readonly close: () => Promise<void>;
 };
@@ -49,29 +62,34 @@
   readonly host: string;
   readonly port: number;
   readonly key: string;
+  /** Mesh addresses of entries through which this entry joins. */
   readonly seeds: readonly string[];
+  /** Returns the member record of this entry, which contains its addresses once they are known. */
   readonly member: () => Member;
   readonly configSync: ConfigSync;
+  /** The services for which this entry has ready endpoints. */
   readonly readyServices: () => readonly ServiceName[];
+  /** Handlers of the methods that other entries can call, by method name. */
   readonly askHandlers: Readonly<Record<string, (payload: never) => unknown>>;
   readonly rng: Rng;
   readonly log: Log;
 };
 
-/** Entries that contend for a duty which one of all should do. */
+/** Entries that compete for a duty which only one entry among all data centres should have. */
 const GLOBAL_DUTY_CANDIDATES = 3;
 
-type Heard = { readonly revision: number; readonly ready: ReadonlySet<string> };
+/** Content of the last heartbeat of a linked entry: its revision and the services for which it has endpoints. */
+type PeerState = { readonly revision: number; readonly ready: ReadonlySet<string> };
 type MessageOf<Type extends MeshMessage['type']> = Extract<MeshMessage, { type: Type }>;
 type MessageHandlers = {
   readonly [Type in MeshMessage['type']]: (peer: EntryId, message: MessageOf<Type>) => void;
 };
 
 /**
- * Opens the mesh and keeps membership on it.
+ * Opens the mesh and maintains the membership over it.
  *
- * @param options - Where to listen, whom to join, and what the entry has to say.
- * @returns The link.
+ * @param options - Where to listen, which entries to join through, and what this entry reports about itself.
+ * @returns The link, which has not joined yet.
  */
 export const createMeshLink = async ({
   host,
@@ -86,11 +104,12 @@
   log,
 }: MeshLinkOptions): Promise<MeshLink> => {
   const nowMs = () => performance.now();
-  const heard = new Map<EntryId, Heard>();
+  const peerStates = new Map<EntryId, PeerState>();
   let membership = createMembership(member(), nowMs());
   let hasJoined = false;
 
-  const take = (step: MembershipStep, from?: EntryId): void => {
+  /** Applies a step of the membership and sends its changes to all peers but the one that they came from. */
+  const applyStep = (step: MembershipStep, from?: EntryId): void => {
     membership = step.state;
     if (step.news.length === 0) return;
     step.news.forEach(({ entryId, status, dataCentre }) =>
@@ -99,12 +118,13 @@
     mesh.broadcast({ type: 'gossip', members: step.news }, from);
   };
 
-  /** Repairs what news that was lost has left different. */
-  const sendWholeList = (peer: EntryId): void => {
+  /** Sends all known members, so that the peer also learns of changes whose gossip was lost. */
+  const sendAllMembers = (peer: EntryId): void => {
     const known = Array.from(membership.members.values(), (one) => one.member);
     mesh.send(peer, { type: 'gossip', members: known });
   };
 
+  /** Sends the deltas after the revision that the peer has, or a snapshot if they are not in memory any more. */
   const catchUpPeer = (peer: EntryId, have: number): void => {
     const deltas = configSync.deltasAfter(have);
     if (deltas === undefined) {
@@ -114,7 +134,8 @@
     }
   };
 
-  const askIfBehind = (peer: EntryId, revision: number): void => {
+  /** Requests what is missing if the peer has a newer revision. */
+  const requestMissingDeltas = (peer: EntryId, revision: number): void => {
     const have = configSync.current().revision;
     if (revision > have) mesh.send(peer, { type: 'catch-up', have });
   };
@@ -124,15 +145,15 @@
     ask: () => undefined,
     answer: () => undefined,
     heartbeat: (peer, { revision, ready, membersHash }) => {
-      heard.set(peer, { revision, ready: new Set(ready) });
-      askIfBehind(peer, revision);
-      if (membersHash !== membershipHash(membership)) sendWholeList(peer);
+      peerStates.set(peer, { revision, ready: new Set(ready) });
+      requestMissingDeltas(peer, revision);
+      if (membersHash !== membershipHash(membership)) sendAllMembers(peer);
     },
-    gossip: (peer, { members }) => take(takeGossip(membership, members, nowMs()), peer),
+    gossip: (peer, { members }) => applyStep(takeGossip(membership, members, nowMs()), peer),
     deltas: (peer, { deltas }) => {
       configSync.takeFromPeer(deltas);
       const newest = deltas[deltas.length - 1]?.revision ?? 0;
-      askIfBehind(peer, newest);
+      requestMissingDeltas(peer, newest);
     },
     'catch-up': (peer, { have }) => catchUpPeer(peer, have),
     snapshot: (_, { snapshot }) => configSync.takeSnapshotFromPeer(snapshot),
@@ -154,11 +175,11 @@
       onMessage: (peer, message) =>
         (handlers[message.type] as (from: EntryId, one: MeshMessage) => void)(peer, message),
       onPeer: (peer) => {
-        take(takeGossip(membership, [peer], nowMs()));
-        sendWholeList(peer.entryId);
+        applyStep(takeGossip(membership, [peer], nowMs()));
+        sendAllMembers(peer.entryId);
         mesh.send(peer.entryId, heartbeat());
       },
-      onSilent: (peer) => take(noteSilent(membership, peer, nowMs())),
+      onSilent: (peer) => applyStep(noteSilent(membership, peer, nowMs())),
       answer: async (method, payload) => {
         const handler = Object.hasOwn(askHandlers, method) ? askHandlers[method] : undefined;
         if (!handler) throw new Error(`no method '${method}'`);
@@ -169,7 +190,7 @@
 
   const members = () => liveMembers(membership);
 
-  const dialWanted = (): void => {
+  const dialMissingPeers = (): void => {
     const linked = new Set(mesh.linkedPeers());
     const wanted = wantedLinks(membership).filter((peer) => !linked.has(peer));
     wanted.forEach((peer) => {
@@ -179,27 +200,31 @@
     if (members().length === 1 || linked.size === 0) seeds.forEach(mesh.dial);
   };
 
-  /** Peers that are linked no more are forgotten; only live links say who is ready. */
-  const forgetUnlinked = (): void => {
+  /** Drops the heartbeats of peers without a link, because the services that they listed may no longer be ready. */
+  const removeUnlinkedPeers = (): void => {
     const linked = new Set(mesh.linkedPeers());
-    Array.from(heard.keys())
+    Array.from(peerStates.keys())
       .filter((peer) => !linked.has(peer))
-      .forEach((peer) => heard.delete(peer));
+      .forEach((peer) => peerStates.delete(peer));
   };
 
   const tick = (): void => {
     if (!hasJoined) return;
     mesh.sweep();
-    take(tickMembership(membership, nowMs()));
-    forgetUnlinked();
-    dialWanted();
+    applyStep(tickMembership(membership, nowMs()));
+    removeUnlinkedPeers();
+    dialMissingPeers();
     mesh.broadcast(heartbeat());
   };
 
   const otherEntry = (service: ServiceName): RemoteEntry | undefined => {
-    const able = members().filter(({ entryId }) => heard.get(entryId)?.ready.has(service));
-    const local = able.filter(({ dataCentre }) => dataCentre === member().dataCentre);
-    return pick(local.length > 0 ? local : able, rng);
+    const readyEntries = members().filter(({ entryId }) =>
+      peerStates.get(entryId)?.ready.has(service),
+    );
+    const localEntries = readyEntries.filter(
+      ({ dataCentre }) => dataCentre === member().dataCentre,
+    );
+    return pick(localEntries.length > 0 ? localEntries : readyEntries, rng);
   };
 
   return {
@@ -224,7 +249,7 @@
       seeds.forEach(mesh.dial);
     },
     tick,
-    leave: () => take(leaveMembership(membership, nowMs())),
+    leave: () => applyStep(leaveMembership(membership, nowMs())),
     close: mesh.close,
   };
 };
