--- a/packages/daemon/src/shared/loops.ts
+++ b/packages/daemon/src/shared/loops.ts
@@ -1,25 +1,25 @@
-/** Loops that run a piece of work again and again, never twice at the same time. */
+/** Loops that repeat a piece of work. Runs of one loop never overlap. */
 
-/** A piece of work to repeat. */
+/** A piece of work that is repeated. */
 export type Loop = {
   readonly name: string;
-  /** The pause after each run. */
+  /** The pause after each run, in milliseconds. */
   readonly everyMs: number | (() => number);
   readonly run: () => Promise<void>;
 };
 
-/** Loops under way. */
+/** Loops that have been started. */
 export type RunningLoops = {
-  /** Ends the loops and waits for work that is under way. */
+  /** Stops the loops and waits for the runs that are in progress. */
   readonly stop: () => Promise<void>;
 };
 
 /**
  * Starts loops. A run that throws is reported and does not end its loop.
  *
- * @param loops - The work, with the pause after each run in milliseconds.
- * @param onFault - Told of each run that threw.
- * @returns The way to stop.
+ * @param loops - The loops to start.
+ * @param onFault - Called with the name of the loop and the error for each run that threw.
+ * @returns A handle that stops the loops.
  */
 export const startLoops = (
   loops: readonly Loop[],
--- a/packages/daemon/src/shared/sleep.ts
+++ b/packages/daemon/src/shared/sleep.ts
@@ -1,10 +1,10 @@
-/** A wait by the clock. */
+/** A delay as a promise. */
 
 /**
- * Waits.
+ * Waits for a time.
  *
- * @param ms - For how long, in milliseconds.
- * @returns Resolves afterwards.
+ * @param ms - The time, in milliseconds.
+ * @returns A promise that resolves after that time.
  */
 export const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => {
