--- a/packages/daemon/src/testing/deployment.fixtures.ts
+++ b/packages/daemon/src/testing/deployment.fixtures.ts
@@ -1,4 +1,4 @@
-/** A small deployment in one process, for tests: stand-ins, relays and real entries. */
+/** A small deployment in one process for tests: real entries, relays, and stand-ins for the platform and workers. */
 import {
   startPlatform,
   startRelay,
@@ -14,34 +14,47 @@
 
 export const OPERATOR_KEY = 'operator-key-for-tests';
 const MESH_KEY = 'mesh-key-for-all-tests';
-const STEP_MS = 25;
+/** Interval at which a condition is checked. */
+const CHECK_INTERVAL_MS = 25;
 
 export type TestEntry = {
   readonly entryId: string;
   readonly dataCentre: string;
   readonly entry: Entry;
-  /** Between the entry and the platform. */
+  /** Relay between the entry and the platform, through which a test can cut the connection. */
   readonly platformRelay: Relay;
 };
 
+/** Size and behaviour of a deployment. */
 export type DeploymentOptions = {
   readonly dataCentres?: readonly string[];
+  /** Entries and seats of each data centre. */
   readonly seats?: number;
+  /** Hosts of each data centre. */
   readonly hosts?: number;
   readonly executors?: number;
   readonly minReady?: number;
   readonly slots?: number;
+  /** Time that a stand-in worker takes for a request, in milliseconds. */
   readonly workMs?: number;
   readonly requestTimeoutMs?: number;
+  /** Settings of the entries that replace the defaults of the tests. */
   readonly settings?: Readonly<Record<string, string>>;
 };
 
+/** A running deployment. */
 export type Deployment = {
   readonly platform: StandInPlatform;
+  /** The stand-in workers by data centre. */
   readonly workers: ReadonlyMap<string, StandInWorkers>;
   readonly entries: TestEntry[];
   readonly addEntry: (dataCentre: string, entryId: string) => Promise<TestEntry>;
-  readonly operate: (at: TestEntry, method: string, body: unknown) => Promise<OperatorAnswer>;
+  /** Calls a method of an entry's operators API. */
+  readonly operate: (
+    testEntry: TestEntry,
+    method: string,
+    body: unknown,
+  ) => Promise<OperatorAnswer>;
   readonly declarations: string;
   readonly close: () => Promise<void>;
 };
@@ -62,12 +75,12 @@
   test: () => boolean | Promise<boolean>,
   ms = 20_000,
 ): Promise<void> => {
-  const untilMs = performance.now() + ms;
-  while (performance.now() < untilMs) {
+  const deadlineMs = performance.now() + ms;
+  while (performance.now() < deadlineMs) {
     if (await test()) return;
-    await pause(STEP_MS);
+    await pause(CHECK_INTERVAL_MS);
   }
-  throw new Error(`${what} did not come about in ${ms} ms`);
+  throw new Error(`waiting for ${what}: timed out after ${ms} ms`);
 };
 
 const hostGroup = (dataCentre: string, hosts: number): string => `kind: HostGroup
@@ -99,7 +112,7 @@
 `,
   ].join('---\n');
 
-const quickSettings = {
+const shortTimingSettings = {
   'seat-lease-ms': '1200',
   'control-lease-ms': '800',
   'control-turn-ms': '50',
@@ -108,9 +121,9 @@
 };
 
 /**
- * Starts a deployment and waits until every entry has endpoints.
+ * Starts a deployment and waits until every entry has endpoints and reports itself healthy.
  *
- * @param options - Its size; the defaults are one data centre, two entries, two executors.
+ * @param options - Its size and behaviour; the defaults are one data centre, two entries and two executors.
  * @returns The running deployment.
  */
 export const startDeployment = async (options: DeploymentOptions = {}): Promise<Deployment> => {
@@ -118,7 +131,7 @@
   const declarations = writeDeclarations(options);
   const platform = await startPlatform({ listLagMs: 100, hostGoneAfterMs: 1200 });
   const workers = new Map<string, StandInWorkers>();
-  const startWorkersOf = async (dataCentre: string) => {
+  const startWorkersIn = async (dataCentre: string) => {
     const hostIds = Array.from({ length: hosts }, (_, index) => `${dataCentre}-r1-${index + 1}`);
     workers.set(
       dataCentre,
@@ -131,7 +144,7 @@
       }),
     );
   };
-  await Promise.all(dataCentres.map(startWorkersOf));
+  await Promise.all(dataCentres.map(startWorkersIn));
   const entries: TestEntry[] = [];
 
   const addEntry = async (dataCentre: string, entryId: string): Promise<TestEntry> => {
@@ -144,7 +157,7 @@
       'operator-key': OPERATOR_KEY,
       'mesh-key': MESH_KEY,
       seeds: entries.map(({ entry }) => entry.addresses.meshUrl).join(','),
-      ...quickSettings,
+      ...shortTimingSettings,
       ...options.settings,
     }).unwrap();
     const entry = await startEntry(settings);
@@ -153,24 +166,28 @@
     return added;
   };
 
-  const operate = async (at: TestEntry, method: string, body: unknown): Promise<OperatorAnswer> => {
-    const answer = await request(`${at.entry.addresses.operatorsUrl}/v1/${method}`, {
+  const operate = async (
+    testEntry: TestEntry,
+    method: string,
+    body: unknown,
+  ): Promise<OperatorAnswer> => {
+    const response = await request(`${testEntry.entry.addresses.operatorsUrl}/v1/${method}`, {
       method: 'POST',
       headers: { 'content-type': 'application/json', authorization: `Bearer ${OPERATOR_KEY}` },
       body: JSON.stringify(body),
     });
-    return (await answer.body.json()) as OperatorAnswer;
+    return (await response.body.json()) as OperatorAnswer;
   };
 
-  const seatsOf = dataCentres.flatMap((name) =>
+  const allSeats = dataCentres.flatMap((name) =>
     Array.from({ length: seats }, (_, seat) => ({ name, seat })),
   );
-  for (let index = 0; index < seatsOf.length; index += 1) {
-    const { name, seat } = seatsOf[index] as { name: string; seat: number };
+  for (let index = 0; index < allSeats.length; index += 1) {
+    const { name, seat } = allSeats[index] as { name: string; seat: number };
     await addEntry(name, `${name}-entry-${seat}`);
   }
   const [first] = entries as [TestEntry];
-  // Beside much other work the first call may miss the time-out of 2 s to the table; it can be repeated.
+  // On a busy machine the first call may exceed the 2 s timeout of the table; it is safe to repeat.
   await waitUntil('the declarations to be applied', async () => {
     const applied = await operate(first, 'apply', {
       files: [{ file: 'all.yaml', text: declarations }],
@@ -184,19 +201,22 @@
   type EntryStatus = { seat: number | null; endpoints: { routing?: number } };
   await waitUntil('endpoints at every entry', async () => {
     const status = await operate(first, 'status', {});
-    const { entries: all } = status.value as { entries: readonly EntryStatus[] };
-    const placed = all.reduce((sum, { endpoints }) => sum + (endpoints?.routing ?? 0), 0);
-    return all.every(({ seat }) => seat !== null) && placed === executors * seats;
+    const { entries: statuses } = status.value as { entries: readonly EntryStatus[] };
+    const endpointCount = statuses.reduce(
+      (sum, { endpoints }) => sum + (endpoints?.routing ?? 0),
+      0,
+    );
+    return statuses.every(({ seat }) => seat !== null) && endpointCount === executors * seats;
   });
   await waitUntil('healthy entries', async () => {
-    const answers = await Promise.all(
+    const statusCodes = await Promise.all(
       entries.map(async ({ entry }) => {
-        const answer = await request(`${entry.addresses.callersUrl}/healthz`);
-        await answer.body.dump();
-        return answer.statusCode;
+        const response = await request(`${entry.addresses.callersUrl}/healthz`);
+        await response.body.dump();
+        return response.statusCode;
       }),
     );
-    return answers.every((status) => status === 200);
+    return statusCodes.every((status) => status === 200);
   });
 
   const close = async (): Promise<void> => {
@@ -204,13 +224,14 @@
     entries.forEach(({ platformRelay }) => platformRelay.heal());
     await Promise.all(entries.map(({ entry }) => entry.stop()));
     await Promise.all(entries.map(({ platformRelay }) => platformRelay.close()));
-    await Promise.all(Array.from(workers.values(), (one) => one.close()));
+    await Promise.all(Array.from(workers.values(), (standIn) => standIn.close()));
     await platform.close();
   };
 
   return { platform, workers, entries, addEntry, operate, declarations, close };
 };
 
+/** Response to a request, with its verdict and the reason of a refusal. */
 export type Sent = {
   readonly status: number;
   readonly text: string;
@@ -227,37 +248,43 @@
 };
 
 /**
- * Sends one request as a caller does.
+ * Sends one request to the callers port.
  *
  * @param at - The entry.
  * @param options - The request; by default a repeatable POST to the service `routing`.
- * @returns The status, the body and the verdict.
+ * @returns The status, the body, the verdict, the reason of a refusal and the headers.
  */
 export const send = async (
-  at: TestEntry,
+  testEntry: TestEntry,
   { service = 'routing', body = 'hello', headers = {}, method = 'POST' }: SendOptions = {},
 ): Promise<Sent> => {
-  const isOnce = headers['idempotency-key'] !== undefined;
-  const answer = await request(`${at.entry.addresses.callersUrl}/services/${service}/plan`, {
-    method,
-    headers: { ...(isOnce ? {} : { 'valvelatch-repeatable': 'true' }), ...headers },
-    body,
-  });
+  const hasIdempotencyKey = headers['idempotency-key'] !== undefined;
+  const response = await request(
+    `${testEntry.entry.addresses.callersUrl}/services/${service}/plan`,
+    {
+      method,
+      headers: { ...(hasIdempotencyKey ? {} : { 'valvelatch-repeatable': 'true' }), ...headers },
+      body,
+    },
+  );
   return {
-    status: answer.statusCode,
-    text: await answer.body.text(),
-    verdict: String(answer.headers['valvelatch-verdict'] ?? ''),
-    reason: String(answer.headers['valvelatch-reason'] ?? ''),
-    headers: answer.headers,
+    status: response.statusCode,
+    text: await response.body.text(),
+    verdict: String(response.headers['valvelatch-verdict'] ?? ''),
+    reason: String(response.headers['valvelatch-reason'] ?? ''),
+    headers: response.headers,
   };
 };
 
 /**
- * Counts how often a key was executed, over all data centres.
+ * Counts how often requests with an idempotency key were executed in all data centres.
  *
  * @param deployment - The deployment.
- * @param key - The key.
+ * @param key - The idempotency key.
  * @returns The count.
  */
 export const executionsOf = ({ workers }: Deployment, key: string): number =>
-  Array.from(workers.values()).reduce((sum, one) => sum + (one.report().executions[key] ?? 0), 0);
+  Array.from(workers.values()).reduce(
+    (sum, standIn) => sum + (standIn.report().executions[key] ?? 0),
+    0,
+  );
--- a/packages/daemon/src/testing/processes.fixtures.ts
+++ b/packages/daemon/src/testing/processes.fixtures.ts
@@ -1,18 +1,20 @@
-/** Entries and stand-ins as separate processes, for tests that kill and freeze them. */
+/** Entries and stand-ins as separate processes, for tests that kill or suspend them. */
 import { startProcess, type RunningProcess } from '@valvelatch/stand-ins';
 
+/** A running deployment of one data centre. */
 export type ProcessDeployment = {
   readonly platform: RunningProcess;
   readonly workers: RunningProcess;
   readonly entries: RunningProcess[];
   readonly addEntry: (entryId: string) => Promise<RunningProcess>;
+  /** Kills all processes and waits until they have ended. */
   readonly close: () => Promise<void>;
 };
 
-const HOSTS = ['east-r1-1', 'east-r1-2', 'east-r1-3', 'east-r1-4'];
+const HOST_IDS = ['east-r1-1', 'east-r1-2', 'east-r1-3', 'east-r1-4'];
 
 /**
- * Starts a platform, the workers of one data centre and entries, each as a process.
+ * Starts a stand-in platform, the stand-in workers of one data centre and entries, each in its own process.
  *
  * @param entryIds - The entries to start.
  * @returns The running processes.
@@ -23,7 +25,7 @@
   const workers = await startProcess('standIn', [
     'workers',
     '--data-centre=east',
-    `--hosts=${HOSTS.join(',')}`,
+    `--hosts=${HOST_IDS.join(',')}`,
     `--platform-url=${platformUrl}`,
     '--reboot-ms=200',
   ]);
@@ -48,7 +50,7 @@
     await addEntry(entryIds[index] as string);
   }
   const close = async (): Promise<void> => {
-    // A frozen process cannot be stopped as planned.
+    // Resumes entries that a test has suspended with SIGSTOP before they are killed.
     entries.forEach(({ child }) => child.kill('SIGCONT'));
     [...entries, workers, platform].forEach(({ child }) => child.kill('SIGKILL'));
     await Promise.all([...entries, workers, platform].map(({ ended }) => ended));
