--- a/packages/core/src/admission/admission-queue.ts
+++ b/packages/core/src/admission/admission-queue.ts
@@ -8,7 +8,7 @@
 import type { CallerId } from '../shared/ids.js';
 
 /** A request that waits for a slot. */
-export type Waiting<Payload> = {
+export type QueuedRequest<Payload> = {
   readonly callerId: CallerId;
   readonly deadlineMs: number;
   readonly payload: Payload;
@@ -17,21 +17,21 @@
 /** The state of a queue. It is changed in place, because each request updates it. */
 export type AdmissionQueue<Payload> = {
   /** The maximum number of waiting requests of all callers. */
-  readonly mostWaiting: number;
+  readonly maxWaiting: number;
   waitingCount: number;
   /** The waiting requests of each caller, in the order of their deadlines. */
-  readonly waiting: Map<CallerId, Waiting<Payload>[]>;
+  readonly waiting: Map<CallerId, QueuedRequest<Payload>[]>;
   /** The number of requests in flight of each caller. */
   readonly inFlight: Map<CallerId, number>;
 };
 
-export type AdmissionQueueOptions = { readonly mostWaiting?: number };
+export type AdmissionQueueOptions = { readonly maxWaiting?: number };
 
 /** The result of enqueueing a request. */
-export type EnqueueOutcome<Payload> =
+export type EnqueueResult<Payload> =
   | { readonly kind: 'waits' }
   /** The new request waits; `displaced`, of a caller with more requests, was removed for it. */
-  | { readonly kind: 'displaced'; readonly displaced: Waiting<Payload> }
+  | { readonly kind: 'displaced'; readonly displaced: QueuedRequest<Payload> }
   | { readonly kind: 'full' }
   | { readonly kind: 'too-late'; readonly expectedWaitMs: number };
 
@@ -40,15 +40,15 @@
   /** The slots that this entry may use at all usable endpoints of the service. */
   readonly slots: number;
   /** The typical time of one request, in milliseconds. */
-  readonly requestMs: number;
+  readonly typicalRequestMs: number;
 };
 
 /** The requests that were taken out of the queue. */
 export type Dequeued<Payload> = {
   /** The request that gets the free slot; undefined if no slot is free or no request waits. */
-  readonly next: Waiting<Payload> | undefined;
+  readonly next: QueuedRequest<Payload> | undefined;
   /** The requests that can no longer be answered before their deadline. */
-  readonly expired: readonly Waiting<Payload>[];
+  readonly expired: readonly QueuedRequest<Payload>[];
 };
 
 /**
@@ -58,9 +58,9 @@
  * @returns The queue.
  */
 export const createAdmissionQueue = <Payload>({
-  mostWaiting = 256,
+  maxWaiting = 256,
 }: AdmissionQueueOptions = {}): AdmissionQueue<Payload> => ({
-  mostWaiting,
+  maxWaiting,
   waitingCount: 0,
   waiting: new Map(),
   inFlight: new Map(),
@@ -79,7 +79,7 @@
  * @param queue - The queue, changed in place.
  * @param callerId - The caller.
  */
-export const noteStarted = <P>(queue: AdmissionQueue<P>, callerId: CallerId): void => {
+export const recordStarted = <P>(queue: AdmissionQueue<P>, callerId: CallerId): void => {
   queue.inFlight.set(callerId, inFlightOf(queue, callerId) + 1);
 };
 
@@ -89,13 +89,13 @@
  * @param queue - The queue, changed in place.
  * @param callerId - The caller.
  */
-export const noteFinished = <P>(queue: AdmissionQueue<P>, callerId: CallerId): void => {
+export const recordFinished = <P>(queue: AdmissionQueue<P>, callerId: CallerId): void => {
   const remaining = inFlightOf(queue, callerId) - 1;
   if (remaining > 0) queue.inFlight.set(callerId, remaining);
   else queue.inFlight.delete(callerId);
 };
 
-const insertByDeadline = <P>(queue: AdmissionQueue<P>, request: Waiting<P>): void => {
+const insertByDeadline = <P>(queue: AdmissionQueue<P>, request: QueuedRequest<P>): void => {
   const state = queue;
   const callerQueue = state.waiting.get(request.callerId) ?? [];
   const index = callerQueue.findIndex((queued) => queued.deadlineMs > request.deadlineMs);
@@ -104,13 +104,17 @@
   state.waitingCount += 1;
 };
 
-const removeFrom = <P>(queue: AdmissionQueue<P>, callerId: CallerId, index: number): Waiting<P> => {
+const removeFrom = <P>(
+  queue: AdmissionQueue<P>,
+  callerId: CallerId,
+  index: number,
+): QueuedRequest<P> => {
   const state = queue;
-  const callerQueue = state.waiting.get(callerId) as Waiting<P>[];
+  const callerQueue = state.waiting.get(callerId) as QueuedRequest<P>[];
   const [removed] = callerQueue.splice(index, 1);
   if (callerQueue.length === 0) state.waiting.delete(callerId);
   state.waitingCount -= 1;
-  return removed as Waiting<P>;
+  return removed as QueuedRequest<P>;
 };
 
 const busiestWaitingCaller = <P>(queue: AdmissionQueue<P>): CallerId | undefined => {
@@ -151,11 +155,11 @@
  * @param capacity - The slots and the typical time of a request.
  * @returns The wait, in milliseconds.
  */
-export const expectedWaitMs = <P>(
+export const estimateWaitMs = <P>(
   queue: AdmissionQueue<P>,
   callerId: CallerId,
-  { slots, requestMs }: Capacity,
-): number => ((countAhead(queue, callerId) + 1) * requestMs) / Math.max(1, slots);
+  { slots, typicalRequestMs }: Capacity,
+): number => ((countAhead(queue, callerId) + 1) * typicalRequestMs) / Math.max(1, slots);
 
 /**
  * Enqueues a request, unless it could not be answered before its deadline.
@@ -168,15 +172,15 @@
  */
 export const enqueue = <P>(
   queue: AdmissionQueue<P>,
-  request: Waiting<P>,
+  request: QueuedRequest<P>,
   capacity: Capacity,
   nowMs: number,
-): EnqueueOutcome<P> => {
-  const waitMs = expectedWaitMs(queue, request.callerId, capacity);
-  if (nowMs + waitMs + capacity.requestMs > request.deadlineMs) {
+): EnqueueResult<P> => {
+  const waitMs = estimateWaitMs(queue, request.callerId, capacity);
+  if (nowMs + waitMs + capacity.typicalRequestMs > request.deadlineMs) {
     return { kind: 'too-late', expectedWaitMs: waitMs };
   }
-  if (queue.waitingCount < queue.mostWaiting) {
+  if (queue.waitingCount < queue.maxWaiting) {
     insertByDeadline(queue, request);
     return { kind: 'waits' };
   }
@@ -187,7 +191,7 @@
   ) {
     return { kind: 'full' };
   }
-  const callerQueue = queue.waiting.get(busiest) as Waiting<P>[];
+  const callerQueue = queue.waiting.get(busiest) as QueuedRequest<P>[];
   const displaced = removeFrom(queue, busiest, callerQueue.length - 1);
   insertByDeadline(queue, request);
   return { kind: 'displaced', displaced };
@@ -197,8 +201,8 @@
   queue: AdmissionQueue<P>,
   requestMs: number,
   nowMs: number,
-): readonly Waiting<P>[] => {
-  const expired: Waiting<P>[] = [];
+): readonly QueuedRequest<P>[] => {
+  const expired: QueuedRequest<P>[] = [];
   Array.from(queue.waiting).forEach(([callerId, callerQueue]) => {
     while (callerQueue[0] && nowMs + requestMs > callerQueue[0].deadlineMs) {
       expired.push(removeFrom(queue, callerId, 0));
--- a/packages/daemon/src/data-path/service-gate.ts
+++ b/packages/daemon/src/data-path/service-gate.ts
@@ -7,9 +7,9 @@
   ejectStalled,
   enqueue,
   isEjected,
-  noteFinished,
+  recordFinished,
   noteSent,
-  noteStarted,
+  recordStarted,
   usableEndpoints,
   type AdmissionQueue,
   type CallerId,
@@ -93,10 +93,10 @@
 export const createServiceGate = ({
   service,
   rng,
-  mostWaiting = 256,
+  mostWaiting: maxWaiting = 256,
   nowMs = () => performance.now(),
 }: ServiceGateOptions): ServiceGate => {
-  const queue: AdmissionQueue<Waiter> = createAdmissionQueue({ mostWaiting });
+  const queue: AdmissionQueue<Waiter> = createAdmissionQueue({ maxWaiting });
   let endpoints: readonly Endpoint[] = [];
 
   const readyEndpoints = () =>
@@ -111,20 +111,20 @@
       (sum, endpoint) => sum + endpoint.smoothedMs * endpoint.slotShare,
       0,
     );
-    return { slots, requestMs: slots === 0 ? 0 : weightedMs / slots };
+    return { slots, typicalRequestMs: slots === 0 ? 0 : weightedMs / slots };
   };
 
-  const usualMs = (): number => capacity().requestMs;
+  const usualMs = (): number => capacity().typicalRequestMs;
 
   const grant = (endpoint: Endpoint, callerId: CallerId): Slot => {
     noteSent(endpoint, nowMs());
-    noteStarted(queue, callerId);
+    recordStarted(queue, callerId);
     return { kind: 'slot', endpoint };
   };
 
   const refuse = (reason: RefusalReason, detail: string): Slot => {
-    const { slots, requestMs } = capacity();
-    const waitMs = ((queue.waitingCount + 1) * requestMs) / Math.max(1, slots);
+    const { slots, typicalRequestMs } = capacity();
+    const waitMs = ((queue.waitingCount + 1) * typicalRequestMs) / Math.max(1, slots);
     return { kind: 'none', reason, detail, retryAfterS: toRetryAfterS(waitMs) };
   };
 
@@ -175,7 +175,7 @@
 
   const grantNext = (): boolean => {
     const hasFreeSlot = usableEndpoints(endpoints, nowMs()).length > 0;
-    const { next, expired } = dequeue(queue, capacity().requestMs, nowMs(), hasFreeSlot);
+    const { next, expired } = dequeue(queue, capacity().typicalRequestMs, nowMs(), hasFreeSlot);
     expired.forEach(({ payload: waiter }) => {
       waiter.resolve(refuse('deadline-too-short', 'no slot came free in time for its deadline'));
     });
@@ -227,7 +227,7 @@
     acquire,
     release: (endpoint, callerId) => {
       change(endpoint, { inFlight: endpoint.inFlight - 1 });
-      noteFinished(queue, callerId);
+      recordFinished(queue, callerId);
       pump();
     },
     pump,
