--- a/packages/core/src/claims/claim.ts
+++ b/packages/core/src/claims/claim.ts
@@ -6,7 +6,7 @@
 import type { RefusalReason, Verdict } from '../verdict/verdict.js';
 
 /** An answer that is stored, so that it can be returned if the caller repeats the request. */
-export type KeptAnswer = {
+export type StoredAnswer = {
   readonly status: number;
   readonly contentType: string;
   readonly bodyBase64: string;
@@ -22,14 +22,14 @@
   /** `released` is a claim whose request has certainly not run. */
   readonly state: 'claimed' | 'released' | 'done';
   /** The stored answer; null if there is none. */
-  readonly answer: KeptAnswer | null;
+  readonly answer: StoredAnswer | null;
   readonly claimedAtMs: number;
 };
 
 /** What to do with a request after its claim row was read. */
 export type ClaimDecision =
   | { readonly kind: 'claim' }
-  | { readonly kind: 'replay'; readonly answer: KeptAnswer }
+  | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | {
       readonly kind: 'refuse';
       readonly verdict: Verdict;
--- a/packages/daemon/src/data-path/claim-keeper.ts
+++ b/packages/daemon/src/data-path/claim-keeper.ts
@@ -9,7 +9,7 @@
   rowKey,
   type ClaimRow,
   type EntryId,
-  type KeptAnswer,
+  type StoredAnswer,
   type RefusalReason,
   type RequestId,
   type Verdict,
@@ -34,7 +34,7 @@
 /** The outcome of claiming a key: claimed, an earlier response to replay, or a refusal. */
 export type ClaimOutcome =
   | { readonly kind: 'claimed'; readonly claim: HeldClaim }
-  | { readonly kind: 'replay'; readonly answer: KeptAnswer }
+  | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | {
       readonly kind: 'refused';
       readonly verdict: Verdict;
@@ -86,7 +86,7 @@
   return (body === null ? hash : hash.update(body)).digest('base64url');
 };
 
-const toStoredResponse = (answer: WholeAnswer | null, maxBytes: number): KeptAnswer | null => {
+const toStoredResponse = (answer: WholeAnswer | null, maxBytes: number): StoredAnswer | null => {
   if (!answer || answer.body.length > maxBytes) return null;
   const contentType = answer.headers['content-type'];
   return {
--- a/packages/daemon/src/data-path/doubt-watch.ts
+++ b/packages/daemon/src/data-path/doubt-watch.ts
@@ -3,11 +3,11 @@
  * entries and not yet in the platform's table. They are inferred from the renewals of seat leases.
  */
 import {
-  dataCentresInDoubt,
-  noSights,
+  findDataCentresWithUnflushedClaims,
+  noSeatObservations,
   rowKey,
   rowPrefix,
-  takeSeatRows,
+  updateSeatObservations,
   type DoubtRow,
   type LeaseRow,
 } from '@valvelatch/core';
@@ -46,7 +46,7 @@
   table,
   nowMs = () => performance.now(),
 }: DoubtWatchOptions): DoubtWatch => {
-  let seatObservations = noSights;
+  let seatObservations = noSeatObservations;
   let scanCount = 0;
 
   const tick = async (): Promise<void> => {
@@ -54,7 +54,7 @@
     const rows = await table.scan(rowPrefix.seat);
     if (rows.isErr()) return;
     scanCount += 1;
-    seatObservations = takeSeatRows(
+    seatObservations = updateSeatObservations(
       seatObservations,
       rows.value.map(({ key, value, version }) => ({ key, row: value as LeaseRow, version })),
       startedMs,
@@ -77,7 +77,9 @@
   return {
     tick,
     inDoubt: () =>
-      scanCount < MIN_SCANS ? ANY_DATA_CENTRE : dataCentresInDoubt(seatObservations, nowMs()),
+      scanCount < MIN_SCANS
+        ? ANY_DATA_CENTRE
+        : findDataCentresWithUnflushedClaims(seatObservations, nowMs()),
     raise,
   };
 };
--- a/packages/daemon/src/data-path/request-types.ts
+++ b/packages/daemon/src/data-path/request-types.ts
@@ -5,7 +5,7 @@
   CallerId,
   Configuration,
   Endpoint,
-  KeptAnswer,
+  StoredAnswer,
   Refusal,
   RequestId,
   ServiceName,
@@ -46,7 +46,7 @@
  */
 export type RequestOutcome =
   | { readonly kind: 'answer'; readonly answer: WholeAnswer }
-  | { readonly kind: 'replay'; readonly answer: KeptAnswer }
+  | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | { readonly kind: 'refusal'; readonly refusal: Refusal; readonly tried: readonly string[] };
 
 /** Another entry that has endpoints of a service. */
