--- a/bin/quickstart.js
+++ b/bin/quickstart.js
@@ -5,7 +5,7 @@
  */
 import { randomUUID } from 'node:crypto';
 
-import { declarationsOf } from '@valvelatch/core';
+import { listDeclarations } from '@valvelatch/core';
 import { Agent, request } from 'undici';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -136,7 +136,7 @@
     JSON.stringify(applied.value?.inForce ?? applied.detail),
   );
 
-  const services = declarationsOf(configuration, 'Service');
+  const services = listDeclarations(configuration, 'Service');
   const wanted = services.reduce((sum, { spec }) => sum + spec.executors, 0);
   const countRunning = async () => {
     const { value } = await json('get', 'placements');
--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/big-world.ts
@@ -5,7 +5,7 @@
   emptyConfiguration,
   executorJob,
   findDeclaration,
-  takeSnapshot,
+  applySnapshot,
   type Configuration,
   type Declaration,
   type HostId,
@@ -77,7 +77,7 @@
  * @returns Its configuration.
  */
 export const bigConfiguration = (size: FleetSize): Configuration =>
-  takeSnapshot(emptyConfiguration, {
+  applySnapshot(emptyConfiguration, {
     revision: 1,
     declarations: [
       ...range(size.dataCentres).map((index) =>
--- a/packages/bench/src/control/control.ts
+++ b/packages/bench/src/control/control.ts
@@ -2,7 +2,7 @@
 import {
   brand,
   planPoolTurn,
-  takeDeltas,
+  applyDeltas,
   toSnapshot,
   type Configuration,
   type ConfigurationDelta,
@@ -93,7 +93,7 @@
   let state = configuration;
   const tookMs = cpuMs(() => {
     deltas.forEach((delta) => {
-      state = takeDeltas(state, [delta]);
+      state = applyDeltas(state, [delta]);
     });
   });
   const cpuUs = (tookMs * 1000) / MEASURED_CHANGES;
--- a/packages/bench/src/waves/waves.ts
+++ b/packages/bench/src/waves/waves.ts
@@ -1,7 +1,7 @@
 /** Roll-out time, moves and buffer cost of the planner and its baselines, in virtual time. */
 import {
   createFleetModel,
-  declarationsOf,
+  listDeclarations,
   rowKey,
   rowPrefix,
   type Configuration,
@@ -45,10 +45,10 @@
  */
 const boundS = (configuration: Configuration): number => {
   const hosts = declaredHosts(configuration);
-  const rounds = declarationsOf(configuration, 'Pool').map(({ name }) => {
+  const rounds = listDeclarations(configuration, 'Pool').map(({ name }) => {
     const inPool = hosts.filter(({ firstPool }) => firstPool === name);
     const needed = sum(
-      declarationsOf(configuration, 'Service')
+      listDeclarations(configuration, 'Service')
         .filter(({ spec }) => spec.pool === name)
         .map(({ spec }) => spec.cores * spec.executors),
     );
@@ -114,7 +114,7 @@
   });
   const list = declaredHosts(configuration);
   const specs = new Map(list.map((spec) => [spec.hostId, spec]));
-  const services = declarationsOf(configuration, 'Service');
+  const services = listDeclarations(configuration, 'Service');
   for (let step = 0; step < SETTLE_STEPS; step += 1) fleet.step();
   const startedMs = fleet.nowMs();
   const decided = fleet.decisions.length;
--- a/packages/cli/src/replay-command.ts
+++ b/packages/cli/src/replay-command.ts
@@ -7,7 +7,7 @@
   readDeclarations,
   readTrace,
   replayTrace,
-  takeSnapshot,
+  applySnapshot,
   type Configuration,
   type ReplayReport,
 } from '@valvelatch/core';
@@ -23,7 +23,7 @@
     const [fault] = read.error;
     return Err(`${fault?.file ?? ''}: ${fault?.path ?? ''}: ${fault?.reason ?? ''}`);
   }
-  return Ok(takeSnapshot(emptyConfiguration, { revision: 1, declarations: read.value }));
+  return Ok(applySnapshot(emptyConfiguration, { revision: 1, declarations: read.value }));
 };
 
 /**
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -64,7 +64,7 @@
  * @param deltas - The deltas.
  * @returns The configuration at the highest revision that can be reached without a gap.
  */
-export const takeDeltas = (
+export const applyDeltas = (
   state: Configuration,
   deltas: readonly ConfigurationDelta[],
 ): Configuration =>
@@ -83,7 +83,7 @@
  * @param snapshot - The snapshot.
  * @returns The newer of the two.
  */
-export const takeSnapshot = (
+export const applySnapshot = (
   state: Configuration,
   snapshot: ConfigurationSnapshot,
 ): Configuration => {
@@ -114,7 +114,7 @@
  * @param kind - The kind.
  * @returns The declarations, in the iteration order of the configuration's map.
  */
-export const declarationsOf = <Kind extends DeclarationKind>(
+export const listDeclarations = <Kind extends DeclarationKind>(
   state: Configuration,
   kind: Kind,
 ): readonly DeclarationOf<Kind>[] =>
--- a/packages/core/src/configuration/difference.ts
+++ b/packages/core/src/configuration/difference.ts
@@ -18,7 +18,7 @@
  * @param desired - The complete desired set; declarations that it does not contain are removed.
  * @returns The keys that would be added, changed and removed.
  */
-export const differenceOf = (
+export const diffConfiguration = (
   state: Configuration,
   desired: readonly Declaration[],
 ): ConfigurationDifference => {
--- a/packages/core/src/control/control.fixtures.ts
+++ b/packages/core/src/control/control.fixtures.ts
@@ -1,7 +1,7 @@
 /** A small fleet's declarations, and helpers that change and read a simulated fleet. */
 import {
   emptyConfiguration,
-  takeSnapshot,
+  applySnapshot,
   type Configuration,
 } from '../configuration/configuration.js';
 import { readDeclarations, readJobs } from '../declarations/read-declarations.js';
@@ -61,7 +61,7 @@
 `;
 
 export const configurationOf = (text: string): Configuration =>
-  takeSnapshot(emptyConfiguration, {
+  applySnapshot(emptyConfiguration, {
     revision: 1,
     declarations: readDeclarations([{ file: 'test.yaml', text }]).unwrap(),
   });
--- a/packages/core/src/control/executors.ts
+++ b/packages/core/src/control/executors.ts
@@ -10,7 +10,7 @@
 import * as RA from 'fp-ts/lib/ReadonlyArray.js';
 
 import type { DeclarationOf } from '../declarations/schema.js';
-import { declarationsOf } from '../configuration/configuration.js';
+import { listDeclarations } from '../configuration/configuration.js';
 import { chooseHost, type HostChoice } from '../placement/choose-host.js';
 import { executorJob, type PlaceableJob, type PlacementHost } from '../placement/placeable.js';
 import { rowKey, type PlacementPhase, type PlacementRow } from '../rows/rows.js';
@@ -207,7 +207,7 @@
  * @param draft - The working copy, changed in place.
  */
 export const planExecutors = (draft: Draft): void => {
-  declarationsOf(draft.world.configuration, 'Service')
+  listDeclarations(draft.world.configuration, 'Service')
     .filter((service) => service.spec.pool === draft.world.pool)
     .forEach((service) => planService(draft, service));
 };
@@ -219,7 +219,7 @@
  */
 export const planUndeclared = (draft: Draft): void => {
   const declared = new Set(
-    declarationsOf(draft.world.configuration, 'Service').map(({ name }) => name),
+    listDeclarations(draft.world.configuration, 'Service').map(({ name }) => name),
   );
   Array.from(draft.placements.values())
     .filter(
--- a/packages/core/src/control/wave-trial.ts
+++ b/packages/core/src/control/wave-trial.ts
@@ -3,7 +3,7 @@
  * checks whether every availability budget would still hold after the largest loss that the pool
  * reserves for.
  */
-import { declarationsOf, findDeclaration } from '../configuration/configuration.js';
+import { listDeclarations, findDeclaration } from '../configuration/configuration.js';
 import type { DeclarationOf } from '../declarations/schema.js';
 import { chooseHost } from '../placement/choose-host.js';
 import {
@@ -129,7 +129,7 @@
  */
 export const budgetObstacle = (draft: Draft, simulated: Trial): string | undefined => {
   const reserve = poolSpec(draft)?.reserveFor ?? 'rack';
-  const violated = declarationsOf(draft.world.configuration, 'Service')
+  const violated = listDeclarations(draft.world.configuration, 'Service')
     .filter(({ spec }) => spec.pool === draft.world.pool)
     .map((service) => ({ service, ...countReady(simulated, service.name as ServiceName, reserve) }))
     .find(({ service, total, worstLoss }) => total - worstLoss < service.spec.minReady);
--- a/packages/core/src/fleet/fleet.ts
+++ b/packages/core/src/fleet/fleet.ts
@@ -1,6 +1,6 @@
 /** The declared fleet: expands host groups into hosts and evaluates selectors over them. */
 import type { Configuration } from '../configuration/configuration.js';
-import { declarationsOf } from '../configuration/configuration.js';
+import { listDeclarations } from '../configuration/configuration.js';
 import type { DeclarationOf } from '../declarations/schema.js';
 import type { HostRow, HostSpec } from '../rows/rows.js';
 import { matches, type Selector } from '../selectors/selector.js';
@@ -48,7 +48,7 @@
  * @returns The hosts, with their locations and labels.
  */
 export const declaredHosts = (configuration: Configuration): readonly HostSpec[] =>
-  declarationsOf(configuration, 'HostGroup').flatMap(toHosts);
+  listDeclarations(configuration, 'HostGroup').flatMap(toHosts);
 
 /**
  * Lists the declared hosts that match a selector. The pool label is the pool that a host is
--- a/packages/core/src/replay/fleet-model.ts
+++ b/packages/core/src/replay/fleet-model.ts
@@ -3,7 +3,7 @@
  * serves replay of traces, property-based tests and the planners' benchmark.
  */
 import type { Configuration } from '../configuration/configuration.js';
-import { declarationsOf } from '../configuration/configuration.js';
+import { listDeclarations } from '../configuration/configuration.js';
 import type { ControlAction, Withheld } from '../control/draft.js';
 import { retryDelayMs, setbacksOf } from '../control/jobs.js';
 import { planPoolTurn } from '../control/plan-turn.js';
@@ -117,7 +117,7 @@
   let nowMs = 0;
 
   const controls = new Map<PoolName, Control>(
-    declarationsOf(configuration, 'Pool').map(({ name }) => {
+    listDeclarations(configuration, 'Pool').map(({ name }) => {
       const pool = brand<PoolName>(name);
       return [
         pool,
--- a/packages/core/src/replay/replay.ts
+++ b/packages/core/src/replay/replay.ts
@@ -1,5 +1,5 @@
 /** Replay of a trace against the real decisions, with its stated outcomes checked. */
-import { declarationsOf, type Configuration } from '../configuration/configuration.js';
+import { listDeclarations, type Configuration } from '../configuration/configuration.js';
 import { declaredHosts, hostsNamedBy } from '../fleet/fleet.js';
 import { rowKey, rowPrefix, type HostRow, type JobRow, type WaveRow } from '../rows/rows.js';
 import { parseSelector } from '../selectors/parse-selector.js';
@@ -177,7 +177,7 @@
   if (cutTasks > 0) note(run, 'tasks cut by a planned reboot', 0, cutTasks);
   if (doubleRuns > 0) note(run, 'jobs that ran twice at one time', 0, doubleRuns);
   if (mayBreakBudgets) return;
-  declarationsOf(run.configuration, 'Service').forEach(({ name, spec }) => {
+  listDeclarations(run.configuration, 'Service').forEach(({ name, spec }) => {
     const ready = run.fleet.readyOf(name);
     if (ready < spec.minReady)
       note(run, `budget of ${name} (minReady ${spec.minReady})`, true, false);
--- a/packages/daemon/src/config-sync/config-sync.ts
+++ b/packages/daemon/src/config-sync/config-sync.ts
@@ -5,12 +5,12 @@
  */
 import {
   declarationKey,
-  differenceOf,
+  diffConfiguration,
   emptyConfiguration,
   isEmptyDifference,
   rowKey,
-  takeDeltas,
-  takeSnapshot,
+  applyDeltas,
+  applySnapshot,
   toSnapshot,
   type Configuration,
   type ConfigurationDelta,
@@ -128,8 +128,8 @@
     onChange(newDeltas);
   };
 
-  const applyDeltas = (deltas: readonly ConfigurationDelta[]): void =>
-    advanceTo(takeDeltas(configuration, deltas), deltas);
+  const advanceByDeltas = (deltas: readonly ConfigurationDelta[]): void =>
+    advanceTo(applyDeltas(configuration, deltas), deltas);
 
   const deltasAfter = (revision: number): readonly ConfigurationDelta[] | undefined => {
     if (revision >= configuration.revision) return [];
@@ -143,14 +143,14 @@
     );
     const rows = await table.read(keys);
     if (rows.isErr()) return;
-    applyDeltas(
+    advanceByDeltas(
       rows.value.flatMap(({ value }) => (value === null ? [] : [value as ConfigurationDelta])),
     );
   };
 
   const readSnapshot = async (): Promise<void> => {
     const stored = await objects.get<ConfigurationSnapshot>(SNAPSHOT_KEY);
-    if (stored.isOk() && stored.value) advanceTo(takeSnapshot(configuration, stored.value), []);
+    if (stored.isOk() && stored.value) advanceTo(applySnapshot(configuration, stored.value), []);
   };
 
   const catchUp = async (head: number): Promise<void> => {
@@ -189,7 +189,7 @@
   const conflictError = (request: ApplyRequest): ApplyError => ({
     kind: 'raced',
     revision: configuration.revision,
-    difference: differenceOf(configuration, request.declarations),
+    difference: diffConfiguration(configuration, request.declarations),
   });
 
   const apply = async (request: ApplyRequest): Promise<Result<Applied, ApplyError>> => {
@@ -198,7 +198,7 @@
     await catchUp(head.value.revision);
     isKnown = true;
     if (request.baseRevision !== head.value.revision) return Err(conflictError(request));
-    const difference = differenceOf(configuration, request.declarations);
+    const difference = diffConfiguration(configuration, request.declarations);
     if (isEmptyDifference(difference)) return Ok({ revision: head.value.revision, difference });
     const delta = toDelta(configuration, request, difference);
     const expiredRevision = delta.revision - MAX_REVISION_ROWS;
@@ -217,7 +217,7 @@
       await poll();
       return Err(conflictError(request));
     }
-    applyDeltas([delta]);
+    advanceByDeltas([delta]);
     if (delta.revision % SNAPSHOT_INTERVAL_REVISIONS === 0) await storeSnapshot();
     return Ok({ revision: delta.revision, difference });
   };
@@ -227,12 +227,12 @@
     isKnown: () => isKnown,
     deltasAfter,
     takeFromPeer: (deltas) => {
-      applyDeltas(deltas);
+      advanceByDeltas(deltas);
       isKnown ||= configuration.revision > 0;
     },
     takeSnapshotFromPeer: (snapshot) => {
       isKnown = true;
-      advanceTo(takeSnapshot(configuration, snapshot), []);
+      advanceTo(applySnapshot(configuration, snapshot), []);
     },
     poll,
     apply,
--- a/packages/daemon/src/config-sync/configuration.test.ts
+++ b/packages/daemon/src/config-sync/configuration.test.ts
@@ -1,8 +1,8 @@
 import { fc, test } from '@fast-check/vitest';
 import {
   emptyConfiguration,
-  takeDeltas,
-  takeSnapshot,
+  applyDeltas,
+  applySnapshot,
   toSnapshot,
   type Configuration,
   type ConfigurationDelta,
@@ -34,7 +34,7 @@
   deletes: index % 5 === 4 ? [`Team/t${(index + 1) % 3}` as const] : [],
 }));
 const states: readonly Configuration[] = history.reduce<Configuration[]>(
-  (sum, delta) => [...sum, takeDeltas(sum[sum.length - 1] as Configuration, [delta])],
+  (sum, delta) => [...sum, applyDeltas(sum[sum.length - 1] as Configuration, [delta])],
   [emptyConfiguration],
 );
 
@@ -57,10 +57,10 @@
           const before = state;
           if (kind === 'restart') state = emptyConfiguration;
           if (kind === 'snapshot') {
-            state = takeSnapshot(state, toSnapshot(states[from] as Configuration));
+            state = applySnapshot(state, toSnapshot(states[from] as Configuration));
           }
           if (kind === 'deltas') {
-            state = takeDeltas(state, history.slice(from, from + count).reverse());
+            state = applyDeltas(state, history.slice(from, from + count).reverse());
           }
           if (kind !== 'restart') expect(state.revision).toBeGreaterThanOrEqual(before.revision);
           expect(toSnapshot(state)).toEqual(toSnapshot(states[state.revision] as Configuration));
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -2,7 +2,7 @@
 import {
   controlPrefixes,
   declaredHosts,
-  declarationsOf,
+  listDeclarations,
   rememberDecision,
   type Configuration,
   type ControlChange,
@@ -85,7 +85,10 @@
 };
 
 const longestRequestTimeoutMs = (configuration: Configuration): number =>
-  Math.max(0, ...declarationsOf(configuration, 'Service').map(({ spec }) => spec.requestTimeoutMs));
+  Math.max(
+    0,
+    ...listDeclarations(configuration, 'Service').map(({ spec }) => spec.requestTimeoutMs),
+  );
 
 /**
  * Creates the control plane.
@@ -189,7 +192,7 @@
   return {
     agent,
     tick: async () => {
-      const pools = declarationsOf(configuration(), 'Pool').map(({ name }) => poolName(name));
+      const pools = listDeclarations(configuration(), 'Pool').map(({ name }) => poolName(name));
       await Promise.all(pools.filter(isEligible).map((pool) => getOrCreateControl(pool).tick()));
     },
     heldPools: () =>
--- a/packages/daemon/src/operators/configuration-handlers.ts
+++ b/packages/daemon/src/operators/configuration-handlers.ts
@@ -1,7 +1,7 @@
 /** Applying and comparing declarations. */
 import { randomUUID } from 'node:crypto';
 
-import { brand, differenceOf, readDeclarations, type ChangeId } from '@valvelatch/core';
+import { brand, diffConfiguration, readDeclarations, type ChangeId } from '@valvelatch/core';
 import { z } from 'zod';
 
 import { otherMembers, type OperatorContext } from './operator-context.js';
@@ -68,7 +68,7 @@
   if (read.isErr()) return { kind: 'invalid', detail: 'not comparable', faults: read.error };
   await configSync.poll();
   const current = configSync.current();
-  return ok({ revision: current.revision, difference: differenceOf(current, read.value) });
+  return ok({ revision: current.revision, difference: diffConfiguration(current, read.value) });
 };
 
 /**
--- a/packages/daemon/src/operators/host-handlers.ts
+++ b/packages/daemon/src/operators/host-handlers.ts
@@ -1,7 +1,7 @@
 /** Draining, moving and returning hosts. */
 import {
   brand,
-  declarationsOf,
+  listDeclarations,
   rowKey,
   type DrainPurpose,
   type HostRow,
@@ -31,7 +31,7 @@
   context: OperatorContext,
   { hostId, toPool }: HostBody,
 ): Promise<OperatorResult> => {
-  const known = declarationsOf(context.configSync.current(), 'Pool').some(
+  const known = listDeclarations(context.configSync.current(), 'Pool').some(
     ({ name }) => name === toPool,
   );
   if (toPool === undefined || !known) {
--- a/packages/daemon/src/operators/list-handlers.ts
+++ b/packages/daemon/src/operators/list-handlers.ts
@@ -1,7 +1,7 @@
 /** Lists of what is in force. */
 import {
   declaredHosts,
-  declarationsOf,
+  listDeclarations,
   matches,
   parseSelector,
   rowPrefix,
@@ -44,7 +44,7 @@
   const rows = await scanRows<HostRow>(table, rowPrefix.host);
   if (rows.isErr()) return unavailable(rows.error);
   return ok(
-    declarationsOf(configSync.current(), 'Pool').map(({ name, spec }) => ({
+    listDeclarations(configSync.current(), 'Pool').map(({ name, spec }) => ({
       pool: name,
       ...spec,
       hosts: rows.value.filter(({ value }) => value.pool === name).length,
--- a/packages/stand-ins/src/example-deployment.ts
+++ b/packages/stand-ins/src/example-deployment.ts
@@ -4,10 +4,10 @@
 
 import {
   declaredHosts,
-  declarationsOf,
+  listDeclarations,
   emptyConfiguration,
   readDeclarations,
-  takeSnapshot,
+  applySnapshot,
   type Configuration,
 } from '@valvelatch/core';
 
@@ -44,7 +44,7 @@
     names.map(async (file) => ({ file, text: await readFile(new URL(file, folder), 'utf8') })),
   );
   const declarations = readDeclarations(files).unwrap();
-  return takeSnapshot(emptyConfiguration, { revision: 1, declarations });
+  return applySnapshot(emptyConfiguration, { revision: 1, declarations });
 };
 
 const inTurn = <Item>(items: readonly Item[], run: (item: Item) => Promise<void>): Promise<void> =>
@@ -100,7 +100,7 @@
 
   try {
     const platformUrl = urlOf(await start('standIn', ['platform']));
-    const centres = declarationsOf(configuration, 'DataCentre');
+    const centres = listDeclarations(configuration, 'DataCentre');
     await inTurn(centres, ({ name }) => startWorkersOf(name, platformUrl));
     const seats = centres.flatMap(({ name, spec }) =>
       Array.from({ length: spec.entrySeats }, (_, seat) => ({ name, seat })),
