--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/big-world.ts
@@ -1,4 +1,4 @@
-/** A pool's world at the size of two years, for measuring turns. */
+/** A pool's snapshot at the size of two years, for measuring turns. */
 import {
   brand,
   declaredHosts,
@@ -14,7 +14,7 @@
   type JobRow,
   type PlacementRow,
   type PoolName,
-  type PoolWorld,
+  type PoolSnapshot,
   type ServiceName,
   type Versioned,
 } from '@valvelatch/core';
@@ -129,18 +129,18 @@
 };
 
 /**
- * Builds the world of one pool in which all is placed and running.
+ * Builds the snapshot of one pool in which all is placed and running.
  *
  * @param configuration - The configuration of the fleet.
  * @param pool - The pool.
  * @param jobs - Jobs that are still to be placed.
- * @returns The world, with the rows of the pool's own hosts.
+ * @returns The snapshot, with the rows of the pool's own hosts.
  */
 export const bigWorld = (
   configuration: Configuration,
   pool: PoolName,
   jobs: ReadonlyMap<JobId, Versioned<JobRow>> = new Map(),
-): PoolWorld => {
+): PoolSnapshot => {
   const specs = declaredHosts(configuration).filter(({ firstPool }) => firstPool === pool);
   const hosts = new Map<HostId, Versioned<HostRow>>(
     specs.map(({ hostId }) => [
@@ -166,11 +166,11 @@
     placements: placeAll(configuration, pool, Array.from(hosts.keys())),
     jobs,
     waves: new Map(),
-    sightings: new Map(
+    listedHosts: new Map(
       specs.map(({ hostId }) => [hostId, { state: 'live', boots: 1, sinceMs: 0 }]),
     ),
-    hostSinceMs: new Map(),
-    placementSinceMs: new Map(),
+    hostRowSinceMs: new Map(),
+    placementRowSinceMs: new Map(),
     waveStrategy: 'growing',
     usedCores: new Map(),
     retryAtMs: new Map(),
--- a/packages/core/src/control/control.fixtures.ts
+++ b/packages/core/src/control/control.fixtures.ts
@@ -10,7 +10,7 @@
 import { rowKey, rowPrefix, type HostRow, type JobRow, type WaveRow } from '../rows/rows.js';
 import { brand, type HostId, type PoolName, type WaveId } from '../shared/ids.js';
 
-export const twoPools = `
+export const twoPoolsYaml = `
 kind: DataCentre
 name: east
 spec: { region: here, entrySeats: 2 }
@@ -60,18 +60,18 @@
 spec: { pool: main, team: crew, executors: 3, minReady: 1, slots: 8, connections: 64, cores: 2, memoryMb: 4096 }
 `;
 
-export const configurationOf = (text: string): Configuration =>
+export const createConfiguration = (text: string): Configuration =>
   applySnapshot(emptyConfiguration, {
     revision: 1,
     declarations: readDeclarations([{ file: 'test.yaml', text }]).unwrap(),
   });
 
-export const jobOf = (name: string, spec: string): JobDeclaration =>
+export const createJob = (name: string, spec: string): JobDeclaration =>
   readJobs([
     { file: 'job.yaml', text: `kind: Job\nname: ${name}\nspec: { ${spec} }\n` },
   ]).unwrap()[0] as JobDeclaration;
 
-export const submit = (fleet: FleetModel, job: JobDeclaration): void => {
+export const submitJob = (fleet: FleetModel, job: JobDeclaration): void => {
   const row: JobRow = { job, phase: 'pending', failures: 0, failedOn: [], reason: 'submitted' };
   fleet.table.transact([], [{ key: rowKey.job(job.name), value: row }]);
 };
@@ -105,7 +105,7 @@
   fleet.table.transact([{ key, version }], [{ key, value: change(value as HostRow) }]);
 };
 
-export const moveHost = (fleet: FleetModel, hostId: HostId, toPool: string): void =>
+export const startHostTransfer = (fleet: FleetModel, hostId: HostId, toPool: string): void =>
   changeHost(fleet, hostId, (row) =>
     row.phase === 'assigned'
       ? {
@@ -117,13 +117,13 @@
       : row,
   );
 
-export const run = (fleet: FleetModel, ms: number): void => {
+export const runFor = (fleet: FleetModel, ms: number): void => {
   const untilMs = fleet.nowMs() + ms;
   while (fleet.nowMs() < untilMs) fleet.step();
 };
 
-export const hostRows = (fleet: FleetModel): readonly HostRow[] =>
+export const listHostRows = (fleet: FleetModel): readonly HostRow[] =>
   fleet.rows<HostRow>(rowPrefix.host);
 
-export const wavePhase = (fleet: FleetModel, name: string): string =>
+export const readWavePhase = (fleet: FleetModel, name: string): string =>
   (fleet.table.read(rowKey.wave(name)).value as WaveRow).phase;
--- a/packages/core/src/control/draft.ts
+++ b/packages/core/src/control/draft.ts
@@ -14,7 +14,7 @@
 } from '../rows/rows.js';
 import type { RowCheck, RowWrite } from '../rows/transaction.js';
 import type { HostId, JobId, WaveId } from '../shared/ids.js';
-import { placementHosts, sizeOfPlacement, type PoolWorld } from './world.js';
+import { listPlacementHosts, resourcesOfPlacement, type PoolSnapshot } from './world.js';
 
 /** One decision of a turn: a set of writes that are committed in one transaction. */
 export type ControlChange = {
@@ -39,51 +39,51 @@
 export type ControlAction = ControlChange | RebootRequest;
 
 /** An action that was considered and not taken, with the key of its row and the reason. */
-export type Withheld = { readonly subject: string; readonly reason: string };
+export type WithheldAction = { readonly subject: string; readonly reason: string };
 
 /** The working copy of one turn, which the steps change in place. */
 export type Draft = {
-  readonly world: PoolWorld;
+  readonly snapshot: PoolSnapshot;
   /** The start of the turn, by the lease holder's monotonic clock. */
   readonly nowMs: number;
   readonly hosts: Map<HostId, PlacementHost>;
   readonly placements: Map<JobId, PlacementRow>;
   readonly actions: ControlAction[];
-  readonly withheld: Withheld[];
+  readonly withheld: WithheldAction[];
   /**
    * Hosts that a running wave has yet to maintain. An executor that is moved to one of them would
    * have to move again.
    */
-  readonly hostsAhead: ReadonlySet<HostId>;
+  readonly hostsAwaitingMaintenance: ReadonlySet<HostId>;
   /** The epoch that the next placement gets. */
   nextEpoch: number;
 };
 
-const findHostsAwaitingMaintenance = (world: PoolWorld): ReadonlySet<HostId> =>
+const findHostsAwaitingMaintenance = (snapshot: PoolSnapshot): ReadonlySet<HostId> =>
   new Set(
-    Array.from(world.waves.values())
+    Array.from(snapshot.waves.values())
       .filter(({ value }) => value.phase === 'running')
       .flatMap(({ value }) =>
-        value.hosts.filter((id) => world.hosts.get(id)?.value.maintainedBy !== value.waveId),
+        value.hosts.filter((id) => snapshot.hosts.get(id)?.value.maintainedBy !== value.waveId),
       ),
   );
 
 /**
  * Creates the working copy for a turn.
  *
- * @param world - The pool's snapshot.
+ * @param snapshot - The pool's snapshot.
  * @param nowMs - The time by the lease holder's monotonic clock.
  * @returns The working copy.
  */
-export const createDraft = (world: PoolWorld, nowMs: number): Draft => ({
-  world,
+export const createDraft = (snapshot: PoolSnapshot, nowMs: number): Draft => ({
+  snapshot,
   nowMs,
-  hosts: new Map(placementHosts(world).map((host) => [host.spec.hostId, host])),
-  placements: new Map(Array.from(world.placements, ([id, { value }]) => [id, value])),
+  hosts: new Map(listPlacementHosts(snapshot).map((host) => [host.spec.hostId, host])),
+  placements: new Map(Array.from(snapshot.placements, ([id, { value }]) => [id, value])),
   actions: [],
   withheld: [],
-  hostsAhead: findHostsAwaitingMaintenance(world),
-  nextEpoch: world.nextEpoch,
+  hostsAwaitingMaintenance: findHostsAwaitingMaintenance(snapshot),
+  nextEpoch: snapshot.nextEpoch,
 });
 
 type VersionedRows = ReadonlyMap<string, { readonly version: number }>;
@@ -94,7 +94,7 @@
 });
 
 const pushChange = (draft: Draft, change: Omit<ControlChange, 'kind'>): void => {
-  const { fence } = draft.world;
+  const { fence } = draft.snapshot;
   draft.actions.push({ ...change, kind: 'write', checks: [fence, ...change.checks] });
 };
 
@@ -108,7 +108,7 @@
   const { hostId } = row;
   const key = rowKey.host(hostId);
   const host = draft.hosts.get(hostId);
-  const spec = host?.spec ?? draft.world.specs.get(hostId);
+  const spec = host?.spec ?? draft.snapshot.specs.get(hostId);
   if (!spec) return;
   draft.hosts.set(hostId, {
     spec,
@@ -120,12 +120,12 @@
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [versionCheckOf(draft.world.hosts, hostId, key)],
+    checks: [versionCheckOf(draft.snapshot.hosts, hostId, key)],
     writes: [{ key, value: row }],
   });
 };
 
-export type PlaceOptions = {
+export type PlaceJobOptions = {
   readonly job: PlaceableJob;
   readonly hostId: HostId;
   readonly reason: string;
@@ -148,7 +148,7 @@
  * @param draft - The working copy, changed in place.
  * @param options - The job, its host and the reason.
  */
-export const placeOn = (draft: Draft, { job, hostId, reason }: PlaceOptions): void => {
+export const placeJob = (draft: Draft, { job, hostId, reason }: PlaceJobOptions): void => {
   const state = draft;
   const key = rowKey.placement(job.jobId);
   const row: PlacementRow = {
@@ -160,7 +160,7 @@
     phase: 'assigned',
     outcome: 'none',
     leaseMs: job.leaseMs,
-    revision: state.world.configuration.revision,
+    revision: state.snapshot.configuration.revision,
     reason,
     phaseReason: '',
   };
@@ -171,8 +171,8 @@
     subject: key,
     reason,
     checks: [
-      versionCheckOf(state.world.placements, job.jobId, key),
-      versionCheckOf(state.world.hosts, hostId, rowKey.host(hostId)),
+      versionCheckOf(state.snapshot.placements, job.jobId, key),
+      versionCheckOf(state.snapshot.hosts, hostId, rowKey.host(hostId)),
     ],
     writes: [{ key, value: row }],
   });
@@ -192,7 +192,7 @@
   pushChange(draft, {
     subject: key,
     reason,
-    checks: [versionCheckOf(draft.world.placements, row.jobId, key)],
+    checks: [versionCheckOf(draft.snapshot.placements, row.jobId, key)],
     writes: [{ key, value: { ...row, phaseReason: reason } }],
   });
 };
@@ -200,7 +200,7 @@
 const releaseResources = (draft: Draft, row: PlacementRow): void => {
   const host = draft.hosts.get(row.hostId);
   if (!host) return;
-  const size = sizeOfPlacement(draft.world, row);
+  const size = resourcesOfPlacement(draft.snapshot, row);
   const executors = new Map(host.executors);
   const { service } = row;
   if (service !== null) executors.set(service, (executors.get(service) ?? 1) - 1);
@@ -233,12 +233,12 @@
   const jobKey = rowKey.job(row.jobId);
   releaseResources(draft, row);
   draft.placements.delete(row.jobId);
-  const placementCheck = versionCheckOf(draft.world.placements, row.jobId, key);
+  const placementCheck = versionCheckOf(draft.snapshot.placements, row.jobId, key);
   pushChange(draft, {
     subject: jobRow ? jobKey : key,
     reason,
     checks: jobRow
-      ? [placementCheck, versionCheckOf(draft.world.jobs, row.jobId, jobKey)]
+      ? [placementCheck, versionCheckOf(draft.snapshot.jobs, row.jobId, jobKey)]
       : [placementCheck],
     writes: jobRow
       ? [
@@ -261,7 +261,7 @@
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [versionCheckOf(draft.world.jobs, jobId, key)],
+    checks: [versionCheckOf(draft.snapshot.jobs, jobId, key)],
     writes: [{ key, value: row }],
   });
 };
@@ -278,7 +278,7 @@
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [versionCheckOf(draft.world.waves, waveId, key)],
+    checks: [versionCheckOf(draft.snapshot.waves, waveId, key)],
     writes: [{ key, value: row }],
   });
 };
@@ -290,6 +290,6 @@
  * @param subject - The key of the row that the action would have changed.
  * @param reason - Why it was not taken, for operators.
  */
-export const withhold = (draft: Draft, subject: string, reason: string): void => {
+export const recordWithheldAction = (draft: Draft, subject: string, reason: string): void => {
   draft.withheld.push({ subject, reason });
 };
--- a/packages/core/src/control/executors.ts
+++ b/packages/core/src/control/executors.ts
@@ -15,7 +15,13 @@
 import { executorJob, type PlaceableJob, type PlacementHost } from '../placement/placeable.js';
 import { rowKey, type PlacementPhase, type PlacementRow } from '../rows/rows.js';
 import { brand, type HostId, type JobId, type ServiceName } from '../shared/ids.js';
-import { placeOn, removePlacement, withhold, writePlacement, type Draft } from './draft.js';
+import {
+  placeJob,
+  removePlacement,
+  recordWithheldAction,
+  writePlacement,
+  type Draft,
+} from './draft.js';
 
 type ServiceDeclaration = DeclarationOf<'Service'>;
 
@@ -53,10 +59,11 @@
  * @param hosts - The hosts.
  * @returns The hosts that an executor will not have to leave again for a running wave.
  */
-export const settledHosts = (
+export const excludeHostsAwaitingMaintenance = (
   draft: Draft,
   hosts: readonly PlacementHost[],
-): readonly PlacementHost[] => hosts.filter(({ spec }) => !draft.hostsAhead.has(spec.hostId));
+): readonly PlacementHost[] =>
+  hosts.filter(({ spec }) => !draft.hostsAwaitingMaintenance.has(spec.hostId));
 
 /**
  * Chooses the host for an executor. A host that a running wave has yet to maintain is chosen only
@@ -67,24 +74,24 @@
  * @param hosts - The hosts to choose from.
  * @returns The chosen host, or the reason why no host fits.
  */
-export const chooseForExecutor = (
+export const chooseExecutorHost = (
   draft: Draft,
   job: PlaceableJob,
   hosts: readonly PlacementHost[],
 ): HostChoice => {
-  if (draft.hostsAhead.size === 0) return chooseHost(job, hosts);
-  const settledChoice = chooseHost(job, settledHosts(draft, hosts));
+  if (draft.hostsAwaitingMaintenance.size === 0) return chooseHost(job, hosts);
+  const settledChoice = chooseHost(job, excludeHostsAwaitingMaintenance(draft, hosts));
   return settledChoice.kind === 'chosen' ? settledChoice : chooseHost(job, hosts);
 };
 
 const placeExecutor = (draft: Draft, service: ServiceDeclaration, reason: string): boolean => {
   const job = executorJob(service, firstFreeId(draft, service.name));
-  const chosen = chooseForExecutor(draft, job, Array.from(draft.hosts.values()));
+  const chosen = chooseExecutorHost(draft, job, Array.from(draft.hosts.values()));
   if (chosen.kind === 'none') {
-    withhold(draft, rowKey.placement(job.jobId), chosen.reason);
+    recordWithheldAction(draft, rowKey.placement(job.jobId), chosen.reason);
     return false;
   }
-  placeOn(draft, { job, hostId: chosen.hostId, reason: `${reason}; ${chosen.reason}` });
+  placeJob(draft, { job, hostId: chosen.hostId, reason: `${reason}; ${chosen.reason}` });
   return true;
 };
 
@@ -207,8 +214,8 @@
  * @param draft - The working copy, changed in place.
  */
 export const planExecutors = (draft: Draft): void => {
-  listDeclarations(draft.world.configuration, 'Service')
-    .filter((service) => service.spec.pool === draft.world.pool)
+  listDeclarations(draft.snapshot.configuration, 'Service')
+    .filter((service) => service.spec.pool === draft.snapshot.pool)
     .forEach((service) => planService(draft, service));
 };
 
@@ -217,14 +224,14 @@
  *
  * @param draft - The working copy, changed in place.
  */
-export const planUndeclared = (draft: Draft): void => {
+export const planUndeclaredExecutors = (draft: Draft): void => {
   const declared = new Set(
-    listDeclarations(draft.world.configuration, 'Service').map(({ name }) => name),
+    listDeclarations(draft.snapshot.configuration, 'Service').map(({ name }) => name),
   );
   Array.from(draft.placements.values())
     .filter(
       ({ service, pool }) =>
-        service !== null && pool === draft.world.pool && !declared.has(service),
+        service !== null && pool === draft.snapshot.pool && !declared.has(service),
     )
     .forEach((row) => {
       if (row.phase === 'stopped') {
--- a/packages/core/src/control/hosts.ts
+++ b/packages/core/src/control/hosts.ts
@@ -16,8 +16,8 @@
 });
 
 const addDeclaredHosts = (draft: Draft): void => {
-  draft.world.specs.forEach((spec) => {
-    if (spec.firstPool !== draft.world.pool || draft.world.hosts.has(spec.hostId)) return;
+  draft.snapshot.specs.forEach((spec) => {
+    if (spec.firstPool !== draft.snapshot.pool || draft.snapshot.hosts.has(spec.hostId)) return;
     writeHost(draft, newRow(spec));
   });
 };
@@ -40,11 +40,11 @@
   ) => HostRow;
 } = {
   wave: (draft, row, { waveId }) => {
-    const wave = draft.world.waves.get(waveId)?.value;
+    const wave = draft.snapshot.waves.get(waveId)?.value;
     if (wave?.phase === 'paused') return row;
     if (!wave || wave.phase === 'cancelled')
       return returnToUse(row, `wave ${waveId} was cancelled`);
-    const bootsBefore = draft.world.sightings.get(row.hostId)?.boots ?? 0;
+    const bootsBefore = draft.snapshot.listedHosts.get(row.hostId)?.boots ?? 0;
     return { ...row, phase: 'rebooting', bootsBefore, reason: `wave ${waveId}: empty, reboots` };
   },
   transfer: (_, row, { toPool }) => ({
@@ -53,7 +53,7 @@
   }),
   operator: (_, row) => row,
   platform: (draft, row) =>
-    draft.world.sightings.get(row.hostId)?.state === 'live'
+    draft.snapshot.listedHosts.get(row.hostId)?.state === 'live'
       ? returnToUse(row, 'the platform lists it as live again')
       : row,
 };
@@ -72,7 +72,7 @@
 export const REBOOT_TIMEOUT_MS = 15 * 60 * 1000;
 
 const isOverdue = (draft: Draft, row: HostRow): boolean =>
-  draft.nowMs - (draft.world.hostSinceMs.get(row.hostId) ?? draft.nowMs) > REBOOT_TIMEOUT_MS;
+  draft.nowMs - (draft.snapshot.hostRowSinceMs.get(row.hostId) ?? draft.nowMs) > REBOOT_TIMEOUT_MS;
 
 const quarantineOverdue = (row: HostRow): HostRow => ({
   ...row,
@@ -82,7 +82,7 @@
 
 const advanceRebooting = (draft: Draft, row: HostRow): HostRow => {
   if (isOverdue(draft, row)) return quarantineOverdue(row);
-  const boots = draft.world.sightings.get(row.hostId)?.boots ?? 0;
+  const boots = draft.snapshot.listedHosts.get(row.hostId)?.boots ?? 0;
   if (boots > row.bootsBefore) {
     return { ...row, phase: 'verifying', reason: 'rebooted, being verified' };
   }
@@ -97,20 +97,20 @@
 
 const advanceVerifying = (draft: Draft, row: HostRow): HostRow => {
   if (isOverdue(draft, row)) return quarantineOverdue(row);
-  if (draft.world.sightings.get(row.hostId)?.state !== 'live') return row;
+  if (draft.snapshot.listedHosts.get(row.hostId)?.state !== 'live') return row;
   const waveId = row.drain?.kind === 'wave' ? row.drain.waveId : row.maintainedBy;
   return { ...returnToUse(row, `maintained by wave ${waveId}`), maintainedBy: waveId };
 };
 
 const isCancelled = (draft: Draft, row: HostRow): boolean =>
   row.drain?.kind === 'wave' &&
-  draft.world.waves.get(row.drain.waveId)?.value.phase === 'cancelled';
+  draft.snapshot.waves.get(row.drain.waveId)?.value.phase === 'cancelled';
 
 type Advance = (draft: Draft, row: HostRow) => HostRow;
 
 const advanceByPhase: Record<HostRow['phase'], Advance> = {
   assigned: (draft, row) =>
-    draft.world.sightings.get(row.hostId)?.state === 'leaving'
+    draft.snapshot.listedHosts.get(row.hostId)?.state === 'leaving'
       ? {
           ...row,
           phase: 'draining',
@@ -144,8 +144,8 @@
  */
 export const planHosts = (draft: Draft): void => {
   addDeclaredHosts(draft);
-  draft.world.hosts.forEach(({ value: row }) => {
-    if (row.pool !== draft.world.pool) return;
+  draft.snapshot.hosts.forEach(({ value: row }) => {
+    if (row.pool !== draft.snapshot.pool) return;
     const next = advance(draft, row);
     if (next !== row) writeHost(draft, next);
   });
--- a/packages/core/src/control/jobs.ts
+++ b/packages/core/src/control/jobs.ts
@@ -12,9 +12,9 @@
 import type { HostId, JobId, TeamName } from '../shared/ids.js';
 import { groupBy } from '../shared/group-by.js';
 import {
-  placeOn,
+  placeJob,
   removePlacement,
-  withhold,
+  recordWithheldAction,
   writeHost,
   writeJob,
   writePlacement,
@@ -45,7 +45,7 @@
  * @param row - The job's row.
  * @returns The job's failures, plus the hosts lost while they ran it beyond the first.
  */
-export const setbacksOf = ({ failures, hostsLost = 0 }: JobRow): number =>
+export const countBackoffFailures = ({ failures, hostsLost = 0 }: JobRow): number =>
   failures + Math.max(0, hostsLost - 1);
 
 /**
@@ -64,7 +64,7 @@
  * @param hostId - The lost host.
  * @returns The row with one more lost host counted.
  */
-export const afterLostHost = (row: JobRow, hostId: HostId): JobRow => {
+export const recordLostHost = (row: JobRow, hostId: HostId): JobRow => {
   const hostsLost = (row.hostsLost ?? 0) + 1;
   const reason = `lost with ${hostId}; ${hostsLost} hosts were lost under it; to be placed again`;
   return { ...row, hostsLost, reason };
@@ -74,7 +74,7 @@
 
 const endHandlers: Record<PlacementRow['outcome'], EndHandler> = {
   none: (row) => ({ ...row, reason: 'stopped on its host, to be placed again' }),
-  lost: (row, { hostId }) => afterLostHost(row, hostId),
+  lost: (row, { hostId }) => recordLostHost(row, hostId),
   done: (row, { hostId }) => ({ ...row, phase: 'done', reason: `done on ${hostId}` }),
   failed: (row, { hostId }) => ({
     ...row,
@@ -93,7 +93,8 @@
 };
 
 const mayInterruptJobs = (draft: Draft): boolean =>
-  findDeclaration(draft.world.configuration, 'Pool', draft.world.pool)?.spec.prefer !== 'moves';
+  findDeclaration(draft.snapshot.configuration, 'Pool', draft.snapshot.pool)?.spec.prefer !==
+  'moves';
 
 const planPlacedJob = (draft: Draft, placement: PlacementRow, jobRow: JobRow): void => {
   if (placement.phase === 'stopped') {
@@ -114,7 +115,7 @@
       `its host ${placement.hostId} drains`,
     );
   } else {
-    withhold(
+    recordWithheldAction(
       draft,
       rowKey.host(placement.hostId),
       `waits for ${placement.jobId} to end (prefer: moves)`,
@@ -125,9 +126,10 @@
 const sumCoresByTeam = (draft: Draft): Map<TeamName, number> => {
   const usedCoresByTeam = new Map<TeamName, number>();
   draft.placements.forEach((placement) => {
-    const team = draft.world.jobs.get(placement.jobId)?.value.job.spec.team as TeamName | undefined;
+    const team = draft.snapshot.jobs.get(placement.jobId)?.value.job.spec.team as
+      TeamName | undefined;
     if (team === undefined) return;
-    const declaredCores = draft.world.jobs.get(placement.jobId)?.value.job.spec.cores ?? 0;
+    const declaredCores = draft.snapshot.jobs.get(placement.jobId)?.value.job.spec.cores ?? 0;
     usedCoresByTeam.set(team, (usedCoresByTeam.get(team) ?? 0) + declaredCores);
   });
   return usedCoresByTeam;
@@ -145,27 +147,27 @@
     writeJob(draft, job.jobId, { ...row, phase: 'refused', reason: chosen.reason });
     return;
   }
-  const quota = teamQuotaCores(draft.world.configuration, job.team);
+  const quota = teamQuotaCores(draft.snapshot.configuration, job.team);
   const usedCores = usedCoresByTeam.get(job.team) ?? 0;
   if (usedCores + job.cores > quota) {
     const reason = `team=${job.team} uses ${usedCores} of its ${quota} cores, ${job.jobId} wants ${job.cores}`;
-    withhold(draft, subject, reason);
+    recordWithheldAction(draft, subject, reason);
     return;
   }
   if (chosen.kind === 'none') {
-    withhold(draft, subject, chosen.reason);
+    recordWithheldAction(draft, subject, chosen.reason);
     return;
   }
   usedCoresByTeam.set(job.team, usedCores + job.cores);
-  placeOn(draft, { job, hostId: chosen.hostId, reason: chosen.reason });
+  placeJob(draft, { job, hostId: chosen.hostId, reason: chosen.reason });
 };
 
 const isRetryDue = (draft: Draft, jobId: JobId): boolean =>
-  draft.nowMs >= (draft.world.retryAtMs.get(jobId) ?? 0);
+  draft.nowMs >= (draft.snapshot.retryAtMs.get(jobId) ?? 0);
 
 const listPoolJobs = (draft: Draft): readonly (readonly [JobId, JobRow])[] =>
-  Array.from(draft.world.jobs)
-    .filter(([, { value }]) => value.job.spec.pool === draft.world.pool)
+  Array.from(draft.snapshot.jobs)
+    .filter(([, { value }]) => value.job.spec.pool === draft.snapshot.pool)
     .map(([jobId, { value }]) => [jobId, value] as const);
 
 /**
@@ -184,7 +186,7 @@
     jobs,
     RA.filter(
       ([jobId, { phase }]) =>
-        phase === 'pending' && !draft.world.placements.has(jobId) && isRetryDue(draft, jobId),
+        phase === 'pending' && !draft.snapshot.placements.has(jobId) && isRetryDue(draft, jobId),
     ),
     RA.map(([, row]) => ({ row, job: submittedJob(row.job, row.failedOn) })),
     RA.sort(byUrgency),
@@ -192,7 +194,7 @@
 };
 
 const failedJobsByHost = (draft: Draft): ReadonlyMap<HostId, readonly JobId[]> => {
-  const failures = Array.from(draft.world.jobs).flatMap(([jobId, { value }]) =>
+  const failures = Array.from(draft.snapshot.jobs).flatMap(([jobId, { value }]) =>
     value.failedOn.map((hostId) => ({ hostId, jobId })),
   );
   const groups = groupBy(failures, ({ hostId }) => hostId);
@@ -206,7 +208,7 @@
  */
 export const planQuarantine = (draft: Draft): void => {
   const inPool = Array.from(draft.hosts.values()).filter(
-    ({ row }) => row.pool === draft.world.pool,
+    ({ row }) => row.pool === draft.snapshot.pool,
   );
   let quarantined = inPool.filter(({ row }) => row.phase === 'quarantined').length;
   const failed = failedJobsByHost(draft);
@@ -214,7 +216,7 @@
     const jobs = failed.get(spec.hostId) ?? [];
     if (row.phase !== 'assigned' || jobs.length < MIN_FAILED_JOBS_TO_QUARANTINE) return;
     if (quarantined + 1 > Math.max(1, inPool.length * MAX_QUARANTINED_FRACTION)) {
-      withhold(
+      recordWithheldAction(
         draft,
         rowKey.host(spec.hostId),
         'too many hosts of the pool are quarantined already',
--- a/packages/core/src/control/lost-hosts.ts
+++ b/packages/core/src/control/lost-hosts.ts
@@ -6,13 +6,13 @@
  * given to another executor, until the host is seen again or is no longer declared.
  */
 import { rowKey, type PlacementRow } from '../rows/rows.js';
-import { afterLostHost } from './jobs.js';
-import { removePlacement, withhold, writePlacement, type Draft } from './draft.js';
+import { recordLostHost } from './jobs.js';
+import { removePlacement, recordWithheldAction, writePlacement, type Draft } from './draft.js';
 
 /** The longest time between reading a placement and starting its task, in milliseconds. */
-export const START_WINDOW_MS = 5000;
+export const MAX_START_DELAY_MS = 5000;
 /** Allowance for drift between the clocks of two hosts, as a fraction of the lease. */
-export const LEASE_DRIFT_FRACTION = 0.05;
+export const CLOCK_DRIFT_FRACTION = 0.05;
 
 /**
  * Computes the time after which a task on a host that is gone can no longer be running: the task may
@@ -21,8 +21,8 @@
  * @param leaseMs - The lease of the task in milliseconds.
  * @returns The wait in milliseconds, counted from when the placement was marked as stopping.
  */
-export const surelyEndedAfterMs = (leaseMs: number): number =>
-  START_WINDOW_MS + leaseMs * (1 + LEASE_DRIFT_FRACTION);
+export const leaseEndWaitMs = (leaseMs: number): number =>
+  MAX_START_DELAY_MS + leaseMs * (1 + CLOCK_DRIFT_FRACTION);
 
 const endLostPlacement = (draft: Draft, row: PlacementRow): void => {
   if (row.phase !== 'stopping') {
@@ -31,19 +31,19 @@
     writePlacement(draft, { ...row, phase: 'stopping' }, `host ${row.hostId} is gone`);
     return;
   }
-  const sinceMs = draft.world.placementSinceMs.get(row.jobId) ?? draft.nowMs;
-  const remainingMs = surelyEndedAfterMs(row.leaseMs) - (draft.nowMs - sinceMs);
+  const sinceMs = draft.snapshot.placementRowSinceMs.get(row.jobId) ?? draft.nowMs;
+  const remainingMs = leaseEndWaitMs(row.leaseMs) - (draft.nowMs - sinceMs);
   if (remainingMs > 0) {
     const remainingS = Math.ceil(remainingMs / 1000);
     const reason = `host ${row.hostId} is gone; the lease may run for ${remainingS} s more`;
-    withhold(draft, rowKey.placement(row.jobId), reason);
+    recordWithheldAction(draft, rowKey.placement(row.jobId), reason);
     return;
   }
-  const job = row.service === null ? draft.world.jobs.get(row.jobId)?.value : undefined;
+  const job = row.service === null ? draft.snapshot.jobs.get(row.jobId)?.value : undefined;
   removePlacement(draft, {
     row,
     reason: `host ${row.hostId} is gone and the lease has ended`,
-    ...(job ? { jobRow: afterLostHost(job, row.hostId) } : {}),
+    ...(job ? { jobRow: recordLostHost(job, row.hostId) } : {}),
   });
 };
 
@@ -54,8 +54,8 @@
  */
 export const planLostHosts = (draft: Draft): void => {
   Array.from(draft.placements.values())
-    .filter(({ pool }) => pool === draft.world.pool)
-    .filter(({ service, hostId }) => service === null || !draft.world.specs.has(hostId))
-    .filter(({ hostId }) => draft.world.sightings.get(hostId)?.state === 'gone')
+    .filter(({ pool }) => pool === draft.snapshot.pool)
+    .filter(({ service, hostId }) => service === null || !draft.snapshot.specs.has(hostId))
+    .filter(({ hostId }) => draft.snapshot.listedHosts.get(hostId)?.state === 'gone')
     .forEach((row) => endLostPlacement(draft, row));
 };
--- a/packages/core/src/control/overuse.ts
+++ b/packages/core/src/control/overuse.ts
@@ -30,7 +30,7 @@
     rows,
     RA.filter(({ phase }) => phase === 'running'),
     RA.chain((row) => {
-      const urgency = draft.world.jobs.get(row.jobId)?.value.job.spec.urgency;
+      const urgency = draft.snapshot.jobs.get(row.jobId)?.value.job.spec.urgency;
       const rank = urgency && preemptionRank[urgency];
       return urgency === undefined || rank === undefined ? [] : [{ row, urgency, rank }];
     }),
@@ -39,7 +39,7 @@
 
 const preemptOneJob = (draft: Draft, rows: readonly PlacementRow[], cores: number): void => {
   const usedCores = rows.reduce(
-    (sum, { jobId }) => sum + (draft.world.usedCores.get(jobId) ?? 0),
+    (sum, { jobId }) => sum + (draft.snapshot.usedCores.get(jobId) ?? 0),
     0,
   );
   if (usedCores <= cores * OVERUSE_THRESHOLD) return;
@@ -61,10 +61,10 @@
  *
  * @param draft - The working copy, changed in place.
  */
-export const planOveruse = (draft: Draft): void => {
-  if (draft.world.usedCores.size === 0) return;
+export const planPreemption = (draft: Draft): void => {
+  if (draft.snapshot.usedCores.size === 0) return;
   groupBy(draft.placements.values(), ({ hostId }) => hostId).forEach((rows, hostId) => {
     const host = draft.hosts.get(hostId);
-    if (host?.row.pool === draft.world.pool) preemptOneJob(draft, rows, host.spec.cores);
+    if (host?.row.pool === draft.snapshot.pool) preemptOneJob(draft, rows, host.spec.cores);
   });
 };
--- a/packages/core/src/control/plan-turn.ts
+++ b/packages/core/src/control/plan-turn.ts
@@ -1,18 +1,18 @@
 /** Plans one control turn of a pool: maps its snapshot to decisions with their preconditions. */
-import { createDraft, type ControlAction, type Withheld } from './draft.js';
-import { planExecutors, planUndeclared } from './executors.js';
+import { createDraft, type ControlAction, type WithheldAction } from './draft.js';
+import { planExecutors, planUndeclaredExecutors } from './executors.js';
 import { planHosts } from './hosts.js';
 import { planJobs, planQuarantine } from './jobs.js';
 import { planLostHosts } from './lost-hosts.js';
-import { planOveruse } from './overuse.js';
+import { planPreemption } from './overuse.js';
 import { planWaves } from './waves.js';
-import type { PoolWorld } from './world.js';
+import type { PoolSnapshot } from './world.js';
 
 /** The outcome of a turn. */
 export type TurnPlan = {
   readonly actions: readonly ControlAction[];
   /** Actions that were considered and not taken, for explanations. */
-  readonly withheld: readonly Withheld[];
+  readonly withheld: readonly WithheldAction[];
   /** The epoch that the first placement of the next turn gets. */
   readonly nextEpoch: number;
 };
@@ -25,9 +25,9 @@
   planLostHosts,
   planHosts,
   planQuarantine,
-  planUndeclared,
+  planUndeclaredExecutors,
   planExecutors,
-  planOveruse,
+  planPreemption,
   planJobs,
   planWaves,
 ] as const;
@@ -35,12 +35,12 @@
 /**
  * Plans one turn.
  *
- * @param world - The snapshot of the pool, read by the holder of its control lease.
+ * @param snapshot - The snapshot of the pool, read by the holder of its control lease.
  * @param nowMs - The time by the lease holder's monotonic clock.
  * @returns The plan, with its actions in the order in which they are to be carried out.
  */
-export const planPoolTurn = (world: PoolWorld, nowMs: number): TurnPlan => {
-  const draft = createDraft(world, nowMs);
+export const planPoolTurn = (snapshot: PoolSnapshot, nowMs: number): TurnPlan => {
+  const draft = createDraft(snapshot, nowMs);
   steps.forEach((step) => step(draft));
   const { actions, withheld, nextEpoch } = draft;
   return { actions, withheld, nextEpoch };
--- a/packages/core/src/control/pool-turn.test.ts
+++ b/packages/core/src/control/pool-turn.test.ts
@@ -8,22 +8,22 @@
 import { correctedSize } from '../placement/corrected-size.js';
 import {
   changeHost,
-  configurationOf,
-  hostRows,
-  jobOf,
-  moveHost,
-  run,
+  createConfiguration,
+  listHostRows,
+  createJob,
+  startHostTransfer,
+  runFor,
   startWave,
-  submit,
-  twoPools,
-  wavePhase,
+  submitJob,
+  twoPoolsYaml,
+  readWavePhase,
 } from './control.fixtures.js';
 
-const configuration = configurationOf(twoPools);
+const configuration = createConfiguration(twoPoolsYaml);
 const allHosts = (fleet: FleetModel): readonly HostId[] => Array.from(fleet.workers.hosts.keys());
 const createFleet = (): FleetModel => {
   const fleet = createFleetModel({ configuration, rebootMs: 3000, stepMs: 250 });
-  run(fleet, 5000);
+  runFor(fleet, 5000);
   return fleet;
 };
 const jobRow = (fleet: FleetModel, name: string): JobRow =>
@@ -62,10 +62,10 @@
       const fleet = createFleet();
       const { hostId } = placements(fleet)[0] as PlacementRow;
       fleet.workers.kill(hostId);
-      run(fleet, 15_000);
+      runFor(fleet, 15_000);
       expect(fleet.readyOf('routing')).toBe(4);
       fleet.workers.revive(hostId);
-      run(fleet, 60_000);
+      runFor(fleet, 60_000);
       expect(fleet.readyOf('routing')).toBe(4);
       expect(fleet.workers.faults.doubleRuns).toBe(0);
     });
@@ -74,12 +74,12 @@
   describe('jobs', () => {
     it('are refused at once, with host counts by reason, if no host can ever take them', () => {
       const fleet = createFleet();
-      submit(fleet, jobOf('huge', 'pool: main, team: crew, cores: 17, memoryMb: 1'));
-      submit(
+      submitJob(fleet, createJob('huge', 'pool: main, team: crew, cores: 17, memoryMb: 1'));
+      submitJob(
         fleet,
-        jobOf('odd', "pool: main, team: crew, cores: 1, memoryMb: 1, selector: 'disk=tape'"),
+        createJob('odd', "pool: main, team: crew, cores: 1, memoryMb: 1, selector: 'disk=tape'"),
       );
-      run(fleet, 1000);
+      runFor(fleet, 1000);
       expect(jobRow(fleet, 'huge')).toMatchObject({ phase: 'refused' });
       expect(jobRow(fleet, 'huge').reason).toContain('9 hosts: has fewer than 17 cores');
       expect(jobRow(fleet, 'odd').reason).toContain('9 hosts: selector disk=tape not met');
@@ -90,9 +90,9 @@
       const fleet = createFleet();
       const size = 'pool: spare, team: crew, cores: 16, memoryMb: 1, runTimeS: 60';
       ['a', 'b', 'c', 'd'].forEach((name) =>
-        submit(fleet, jobOf(name, `${size}, urgency: ${name === 'd' ? 'urgent' : 'batch'}`)),
+        submitJob(fleet, createJob(name, `${size}, urgency: ${name === 'd' ? 'urgent' : 'batch'}`)),
       );
-      run(fleet, 500);
+      runFor(fleet, 500);
       expect(fleet.table.read(rowKey.placement('d')).value).not.toBeNull();
       expect(placements(fleet).filter(({ service }) => service === null)).toHaveLength(3);
     });
@@ -100,9 +100,12 @@
     it('are withheld with a reason while they exceed the quota of their team', () => {
       const fleet = createFleet();
       ['a', 'b', 'c', 'd'].forEach((name) =>
-        submit(fleet, jobOf(name, 'pool: spare, team: crew, cores: 14, memoryMb: 1, runTimeS: 60')),
+        submitJob(
+          fleet,
+          createJob(name, 'pool: spare, team: crew, cores: 14, memoryMb: 1, runTimeS: 60'),
+        ),
       );
-      run(fleet, 2000);
+      runFor(fleet, 2000);
       expect(fleet.withheld().map(({ reason }) => reason)).toContain(
         'team=crew uses 42 of its 48 cores, d wants 14',
       );
@@ -113,13 +116,13 @@
       const failingHost = brand<HostId>('w2-1');
       (fleet.workers.hosts.get(failingHost) as { failsTasks: boolean }).failsTasks = true;
       for (let index = 0; index < 12; index += 1) {
-        submit(
+        submitJob(
           fleet,
-          jobOf(`j${index}`, 'pool: spare, team: crew, cores: 1, memoryMb: 1, runTimeS: 1'),
+          createJob(`j${index}`, 'pool: spare, team: crew, cores: 1, memoryMb: 1, runTimeS: 1'),
         );
       }
-      run(fleet, 40_000);
-      const row = hostRows(fleet).find(({ hostId }) => hostId === failingHost);
+      runFor(fleet, 40_000);
+      const row = listHostRows(fleet).find(({ hostId }) => hostId === failingHost);
       expect(row).toMatchObject({ phase: 'quarantined' });
       expect(row?.reason).toMatch(/distinct jobs failed on it/);
       const phases = Array.from({ length: 12 }, (_, index) => jobRow(fleet, `j${index}`).phase);
@@ -130,10 +133,10 @@
       const fleet = createFleet();
       const size = 'pool: spare, team: crew, cores: 4, memoryMb: 1, runTimeS: 500, leaseS: 6';
       ['normal', 'batch', 'urgent'].forEach((urgency) => {
-        submit(fleet, jobOf(urgency, `${size}, urgency: ${urgency}, selector: 'host=w2-1'`));
+        submitJob(fleet, createJob(urgency, `${size}, urgency: ${urgency}, selector: 'host=w2-1'`));
         fleet.setUse(brand<JobId>(urgency), 6);
       });
-      run(fleet, 3000);
+      runFor(fleet, 3000);
       const phases = ['normal', 'batch', 'urgent'].map(
         (name) => (fleet.table.read(rowKey.placement(name)).value as PlacementRow | null)?.phase,
       );
@@ -157,17 +160,17 @@
 
     it('are not started again on another host while the lease on a lost host may still run', () => {
       const fleet = createFleet();
-      submit(
+      submitJob(
         fleet,
-        jobOf('a', 'pool: spare, team: crew, cores: 1, memoryMb: 1, runTimeS: 300, leaseS: 20'),
+        createJob('a', 'pool: spare, team: crew, cores: 1, memoryMb: 1, runTimeS: 300, leaseS: 20'),
       );
-      run(fleet, 3000);
+      runFor(fleet, 3000);
       const { hostId } = fleet.table.read(rowKey.placement('a')).value as PlacementRow;
       fleet.setCut(brand<DataCentreId>('west'), true);
-      run(fleet, 15_000);
+      runFor(fleet, 15_000);
       expect((fleet.table.read(rowKey.placement('a')).value as PlacementRow).hostId).toBe(hostId);
       fleet.setCut(brand<DataCentreId>('west'), false);
-      run(fleet, 10_000);
+      runFor(fleet, 10_000);
       expect(fleet.workers.faults.doubleRuns).toBe(0);
     });
   });
@@ -180,12 +183,12 @@
     const loseHostsOf = (forMs: number): { readonly hosts: number; readonly row: JobRow } => {
       const fleet = createFleet();
       const spec = 'pool: main, team: crew, cores: 1, memoryMb: 1, runTimeS: 300, leaseS: 5';
-      submit(fleet, jobOf('a', spec));
+      submitJob(fleet, createJob('a', spec));
       const lost = new Set<string>();
       const toRevive: [number, HostId][] = [];
       const untilMs = fleet.nowMs() + forMs;
       while (fleet.nowMs() < untilMs) {
-        run(fleet, 1000);
+        runFor(fleet, 1000);
         const placed = fleet.table.read(rowKey.placement('a')).value as PlacementRow | null;
         const runKey = placed && `${placed.hostId}/${placed.epoch}`;
         if (placed && runKey && placed.phase === 'running' && !lost.has(runKey)) {
@@ -215,13 +218,13 @@
       const fleet = createFleet();
       startWave(fleet, 'all', allHosts(fleet));
       let steps = 0;
-      while (wavePhase(fleet, 'all') !== 'done' && steps < 2000) {
+      while (readWavePhase(fleet, 'all') !== 'done' && steps < 2000) {
         fleet.step();
         steps += 1;
         expect(fleet.readyOf('routing')).toBeGreaterThanOrEqual(4);
         expect(fleet.readyOf('convoy')).toBeGreaterThanOrEqual(3);
       }
-      expect(wavePhase(fleet, 'all')).toBe('done');
+      expect(readWavePhase(fleet, 'all')).toBe('done');
       expect(Array.from(fleet.workers.hosts.values(), ({ boots }) => boots)).toEqual(
         allHosts(fleet).map(() => 2),
       );
@@ -229,13 +232,16 @@
     });
 
     it('keep the placement reason of an executor that is parked and restarted on its host', () => {
-      const parking = configurationOf(
-        twoPools.replace('spec: { reserveFor: rack }', 'spec: { reserveFor: none, prefer: moves }'),
+      const parking = createConfiguration(
+        twoPoolsYaml.replace(
+          'spec: { reserveFor: rack }',
+          'spec: { reserveFor: none, prefer: moves }',
+        ),
       );
       const fleet = createFleetModel({ configuration: parking, rebootMs: 3000, stepMs: 250 });
-      run(fleet, 5000);
+      runFor(fleet, 5000);
       startWave(fleet, 'all', allHosts(fleet));
-      run(fleet, 60_000);
+      runFor(fleet, 60_000);
       expect(fleet.decisions.some(({ reason }) => /starts again on/.test(reason))).toBe(true);
       placements(fleet).forEach(({ reason }) =>
         expect(reason).toMatch(/best of \d+ hosts of pool=main/),
@@ -249,14 +255,14 @@
         'all',
         allHosts(fleet).filter((id) => !id.startsWith('w2')),
       );
-      run(fleet, 500);
-      expect(hostRows(fleet).filter(({ drain }) => drain !== null)).toHaveLength(1);
+      runFor(fleet, 500);
+      expect(listHostRows(fleet).filter(({ drain }) => drain !== null)).toHaveLength(1);
     });
 
     it('drain no further hosts while held, continue when resumed, and return hosts to use when cancelled', () => {
       const fleet = createFleet();
       startWave(fleet, 'all', allHosts(fleet));
-      run(fleet, 2000);
+      runFor(fleet, 2000);
       const setWavePhase = (phase: string) => {
         const { value } = fleet.table.read(rowKey.wave('all'));
         fleet.table.transact(
@@ -265,22 +271,22 @@
         );
       };
       setWavePhase('held');
-      run(fleet, 20_000);
-      const done = hostRows(fleet).filter(({ maintainedBy }) => maintainedBy !== null).length;
-      expect(hostRows(fleet).filter(({ phase }) => phase !== 'assigned')).toEqual([]);
+      runFor(fleet, 20_000);
+      const done = listHostRows(fleet).filter(({ maintainedBy }) => maintainedBy !== null).length;
+      expect(listHostRows(fleet).filter(({ phase }) => phase !== 'assigned')).toEqual([]);
       expect(done).toBeLessThan(12);
       setWavePhase('running');
-      run(fleet, 3000);
+      runFor(fleet, 3000);
       setWavePhase('cancelled');
-      run(fleet, 20_000);
-      expect(hostRows(fleet).filter(({ phase }) => phase !== 'assigned')).toEqual([]);
+      runFor(fleet, 20_000);
+      expect(listHostRows(fleet).filter(({ phase }) => phase !== 'assigned')).toEqual([]);
     });
 
     it('pause when a host does not come back from its reboot', () => {
       const fleet = createFleetModel({ configuration, rebootMs: 60 * 60 * 1000, stepMs: 2000 });
-      run(fleet, 10_000);
+      runFor(fleet, 10_000);
       startWave(fleet, 'all', allHosts(fleet));
-      run(fleet, 20 * 60 * 1000);
+      runFor(fleet, 20 * 60 * 1000);
       expect(fleet.table.read(rowKey.wave('all')).value).toMatchObject({ phase: 'paused' });
     });
   });
@@ -292,7 +298,7 @@
       pick(allHosts(fleet), draw) as HostId;
     const pickPool = (draw: () => number) => brand<PoolName>(draw() < 0.5 ? 'main' : 'spare');
     const operations: readonly Operation[] = [
-      (fleet, draw) => moveHost(fleet, pickHost(fleet, draw), pickPool(draw)),
+      (fleet, draw) => startHostTransfer(fleet, pickHost(fleet, draw), pickPool(draw)),
       (fleet, draw) => fleet.workers.kill(pickHost(fleet, draw)),
       (fleet) => allHosts(fleet).forEach(fleet.workers.revive),
       (fleet, draw) => {
@@ -305,9 +311,12 @@
       (fleet, draw) => {
         const name = `j${Math.floor(draw() * 1e6)}`;
         const pool = pickPool(draw);
-        submit(
+        submitJob(
           fleet,
-          jobOf(name, `pool: ${pool}, team: crew, cores: 4, memoryMb: 1, runTimeS: 20, leaseS: 6`),
+          createJob(
+            name,
+            `pool: ${pool}, team: crew, cores: 4, memoryMb: 1, runTimeS: 20, leaseS: 6`,
+          ),
         );
       },
       (fleet, draw) => startWave(fleet, `wave-${Math.floor(draw() * 3)}`, allHosts(fleet)),
@@ -316,7 +325,7 @@
     /** Checks in plain code, because expect() after each of very many steps would be slow. */
     const faultsOf = (fleet: FleetModel): readonly string[] => {
       const { cutTasks, doubleRuns } = fleet.workers.faults;
-      const pools = new Map(hostRows(fleet).map(({ hostId, pool }) => [hostId, pool]));
+      const pools = new Map(listHostRows(fleet).map(({ hostId, pool }) => [hostId, pool]));
       return [
         ...(cutTasks > 0 ? ['a task was cut by a planned reboot'] : []),
         ...(doubleRuns > 0 ? ['a job ran twice'] : []),
@@ -324,7 +333,7 @@
         ...placements(fleet)
           .filter(({ hostId, pool }) => pools.get(hostId) !== pool)
           .map(({ jobId }) => `${jobId} is placed on a host of another pool`),
-        ...hostRows(fleet)
+        ...listHostRows(fleet)
           .filter(({ phase, drain }) => (phase === 'draining' || phase === 'empty') && !drain)
           .map(({ hostId }) => `${hostId} is being drained without a purpose`),
       ];
@@ -351,7 +360,7 @@
         fleet.setPlatformAway(false);
         fleet.setCut(brand<DataCentreId>('west'), false);
         allHosts(fleet).forEach(fleet.workers.revive);
-        run(fleet, 120_000);
+        runFor(fleet, 120_000);
         checkAll(fleet);
         // Moves of hosts to the spare pool may leave too few resources for all executors, so only the
         // upper bounds are checked.
--- a/packages/core/src/control/reconcile.ts
+++ b/packages/core/src/control/reconcile.ts
@@ -156,7 +156,7 @@
  *   added between the reads.
  * @returns The hosts that are verified empty.
  */
-export const emptyHosts = (
+export const findEmptyHosts = (
   hosts: readonly Versioned<HostRow>[],
   placements: readonly Versioned<PlacementRow>[],
   tasks: readonly ObservedTask[],
@@ -177,7 +177,7 @@
  * @param tasks - The tasks of the data centre's workers.
  * @returns The tasks to renew.
  */
-export const renewals = (
+export const listTasksToRenew = (
   placements: readonly Versioned<PlacementRow>[],
   tasks: readonly ObservedTask[],
 ): readonly ObservedTask[] => {
--- a/packages/core/src/control/row-ages.ts
+++ b/packages/core/src/control/row-ages.ts
@@ -2,12 +2,12 @@
 import type { Versioned } from '../rows/rows.js';
 
 /** Tracks when the present version of each row was first seen. */
-export type RowAges<Id> = {
+export type RowVersionTracker<Id> = {
   /**
    * Takes the rows as read at `nowMs` and returns when the version of each was first seen, in
    * milliseconds, by id.
    */
-  readonly see: (
+  readonly update: (
     rows: ReadonlyMap<Id, Versioned<unknown>>,
     nowMs: number,
   ) => ReadonlyMap<Id, number>;
@@ -18,10 +18,10 @@
  *
  * @returns The tracker.
  */
-export const createRowAges = <Id>(): RowAges<Id> => {
+export const createRowVersionTracker = <Id>(): RowVersionTracker<Id> => {
   let firstSeen = new Map<Id, { readonly version: number; readonly sinceMs: number }>();
   return {
-    see: (rows, nowMs) => {
+    update: (rows, nowMs) => {
       firstSeen = new Map(
         Array.from(rows, ([id, { version }]) => {
           const previous = firstSeen.get(id);
--- a/packages/core/src/control/wave-trial.ts
+++ b/packages/core/src/control/wave-trial.ts
@@ -16,7 +16,7 @@
 import { countBy, groupBy } from '../shared/group-by.js';
 import type { HostId, JobId, ServiceName } from '../shared/ids.js';
 import type { Draft } from './draft.js';
-import { chooseForExecutor, settledHosts } from './executors.js';
+import { chooseExecutorHost, excludeHostsAwaitingMaintenance } from './executors.js';
 
 type Reserve = DeclarationOf<'Pool'>['spec']['reserveFor'];
 
@@ -29,7 +29,7 @@
 };
 
 /** The simulated state of the hosts, as if some more of them were emptied. */
-export type Trial = Map<HostId, PlacementHost>;
+export type SimulatedHosts = Map<HostId, PlacementHost>;
 
 /**
  * Empties a host in the simulation, changing `simulated` in place. Returns the obstacle for
@@ -38,7 +38,7 @@
  */
 type SimulateDrain = (
   draft: Draft,
-  simulated: Trial,
+  simulated: SimulatedHosts,
   host: PlacementHost,
   mayMoveTwice: boolean,
 ) => string | undefined;
@@ -50,7 +50,7 @@
  * @returns The pool's specification, or undefined if the pool is no longer declared.
  */
 export const poolSpec = (draft: Draft): DeclarationOf<'Pool'>['spec'] | undefined =>
-  findDeclaration(draft.world.configuration, 'Pool', draft.world.pool)?.spec;
+  findDeclaration(draft.snapshot.configuration, 'Pool', draft.snapshot.pool)?.spec;
 
 const isServing = (host: PlacementHost): boolean => host.isLive && host.row.phase === 'assigned';
 
@@ -70,7 +70,7 @@
  * @param draft - The working copy.
  * @returns The hosts, with the number of executors that are ready or count as ready.
  */
-export const readyTrial = (draft: Draft): Trial => {
+export const simulateReadyHosts = (draft: Draft): SimulatedHosts => {
   const executors = Array.from(draft.placements.values()).filter(({ service }) => service !== null);
   const isOnServingHost = ({ hostId }: PlacementRow): boolean => {
     const host = draft.hosts.get(hostId);
@@ -105,7 +105,7 @@
  * Counts the ready executors of a service on hosts in use, in total and in the failure domain that
  * has the most of them.
  */
-const countReady = (simulated: Trial, service: ServiceName, reserve: Reserve) => {
+const countReady = (simulated: SimulatedHosts, service: ServiceName, reserve: Reserve) => {
   const byDomain = new Map<string, number>();
   let total = 0;
   simulated.forEach((host) => {
@@ -127,10 +127,13 @@
  * @param simulated - The simulated hosts.
  * @returns The violated budget, described for operators, or undefined if every budget holds.
  */
-export const budgetObstacle = (draft: Draft, simulated: Trial): string | undefined => {
+export const findBudgetViolation = (
+  draft: Draft,
+  simulated: SimulatedHosts,
+): string | undefined => {
   const reserve = poolSpec(draft)?.reserveFor ?? 'rack';
-  const violated = listDeclarations(draft.world.configuration, 'Service')
-    .filter(({ spec }) => spec.pool === draft.world.pool)
+  const violated = listDeclarations(draft.snapshot.configuration, 'Service')
+    .filter(({ spec }) => spec.pool === draft.snapshot.pool)
     .map((service) => ({ service, ...countReady(simulated, service.name as ServiceName, reserve) }))
     .find(({ service, total, worstLoss }) => total - worstLoss < service.spec.minReady);
   if (!violated) return undefined;
@@ -148,7 +151,7 @@
  * @param hostId - The host.
  * @returns Their placements, without those that have stopped.
  */
-export const executorsOn = (draft: Draft, hostId: HostId): readonly PlacementRow[] =>
+export const listExecutorsOn = (draft: Draft, hostId: HostId): readonly PlacementRow[] =>
   Array.from(draft.placements.values()).filter(
     (placement) =>
       placement.hostId === hostId && placement.service !== null && placement.phase !== 'stopped',
@@ -157,11 +160,11 @@
 const executorJobOf = (draft: Draft, placement: PlacementRow): PlaceableJob | undefined => {
   const { service: name } = placement;
   if (name === null) return undefined;
-  const service = findDeclaration(draft.world.configuration, 'Service', name);
+  const service = findDeclaration(draft.snapshot.configuration, 'Service', name);
   return service && executorJob(service, `trial/${placement.jobId}` as JobId);
 };
 
-const simulatePlacement = (simulated: Trial, hostId: HostId, job: PlaceableJob): void => {
+const simulatePlacement = (simulated: SimulatedHosts, hostId: HostId, job: PlaceableJob): void => {
   const host = simulated.get(hostId) as PlacementHost;
   const executors = new Map(host.executors);
   const service = job.service as ServiceName;
@@ -169,7 +172,7 @@
   simulated.set(hostId, { ...host, used: addResources(host.used, job), executors });
 };
 
-const simulateEmptying = (simulated: Trial, host: PlacementHost): void => {
+const simulateEmptying = (simulated: SimulatedHosts, host: PlacementHost): void => {
   simulated.set(host.spec.hostId, {
     ...host,
     row: { ...host.row, phase: 'draining' },
@@ -184,13 +187,13 @@
  */
 const simulateMove: SimulateDrain = (draft, simulated, host, mayMoveTwice) => {
   simulateEmptying(simulated, host);
-  const unplaced = executorsOn(draft, host.spec.hostId).flatMap((placement) => {
+  const unplaced = listExecutorsOn(draft, host.spec.hostId).flatMap((placement) => {
     const job = executorJobOf(draft, placement);
     if (!job) return [];
     const all = Array.from(simulated.values());
     const chosen = mayMoveTwice
-      ? chooseForExecutor(draft, job, all)
-      : chooseHost(job, settledHosts(draft, all));
+      ? chooseExecutorHost(draft, job, all)
+      : chooseHost(job, excludeHostsAwaitingMaintenance(draft, all));
     if (chosen.kind === 'none') return [`${placement.jobId} finds no room: ${chosen.reason}`];
     simulatePlacement(simulated, chosen.hostId, job);
     return [];
@@ -226,8 +229,8 @@
 };
 
 /** The result of a simulated drain: the mode and the hosts afterwards, or the obstacle. */
-export type TrialOutcome =
-  { readonly mode: DrainMode; readonly trial: Trial } | { readonly obstacle: string };
+export type DrainSimulation =
+  { readonly mode: DrainMode; readonly simulated: SimulatedHosts } | { readonly obstacle: string };
 
 /**
  * Simulates emptying one more host.
@@ -240,20 +243,20 @@
  * @returns The drain mode with the simulated hosts afterwards, or the obstacle of the last mode
  *   tried.
  */
-export const tryDrain = (
+export const simulateDrain = (
   draft: Draft,
-  simulated: Trial,
+  simulated: SimulatedHosts,
   host: PlacementHost,
   isWaveBlocked: boolean,
-): TrialOutcome => {
+): DrainSimulation => {
   const obstacles: string[] = [];
   const modes = drainModesFor(draft, isWaveBlocked);
   for (let index = 0; index < modes.length; index += 1) {
     const mode = modes[index] as DrainMode;
-    const next: Trial = new Map(simulated);
+    const next: SimulatedHosts = new Map(simulated);
     const obstacle =
-      drainSimulations[mode](draft, next, host, isWaveBlocked) ?? budgetObstacle(draft, next);
-    if (obstacle === undefined) return { mode, trial: next };
+      drainSimulations[mode](draft, next, host, isWaveBlocked) ?? findBudgetViolation(draft, next);
+    if (obstacle === undefined) return { mode, simulated: next };
     obstacles.push(obstacle);
   }
   return { obstacle: obstacles[obstacles.length - 1] ?? 'no way to drain it' };
--- a/packages/core/src/control/waves.test.ts
+++ b/packages/core/src/control/waves.test.ts
@@ -9,21 +9,21 @@
 import { rowKey, type WaveRow } from '../rows/rows.js';
 import { brand, type HostId } from '../shared/ids.js';
 import {
-  configurationOf,
-  hostRows,
-  run,
+  createConfiguration,
+  listHostRows,
+  runFor,
   startWave,
-  twoPools,
-  wavePhase,
+  twoPoolsYaml,
+  readWavePhase,
 } from './control.fixtures.js';
 
 const MINUTE_MS = 60_000;
 
 describe('the end of a wave', () => {
   const createFleet = (): FleetModel => {
-    const configuration = configurationOf(twoPools);
+    const configuration = createConfiguration(twoPoolsYaml);
     const fleet = createFleetModel({ configuration, rebootMs: 3000, stepMs: 250 });
-    run(fleet, 5000);
+    runFor(fleet, 5000);
     return fleet;
   };
 
@@ -31,7 +31,7 @@
     Array.from(fleet.workers.hosts.keys()).filter((hostId) => hostId.startsWith(group));
 
   const maintainedHosts = (fleet: FleetModel): readonly HostId[] =>
-    hostRows(fleet)
+    listHostRows(fleet)
       .filter(({ maintainedBy }) => maintainedBy === 'all')
       .map(({ hostId }) => hostId);
 
@@ -44,28 +44,28 @@
       const hosts = hostsOf(fleet, 'w2');
       const [unseen] = hosts as [HostId];
       fleet.workers.kill(unseen);
-      run(fleet, 8000);
+      runFor(fleet, 8000);
       startWave(fleet, 'all', hosts);
-      run(fleet, MINUTE_MS);
+      runFor(fleet, MINUTE_MS);
       return { fleet, hosts, unseen };
     };
 
     it('is delayed with a stated reason, and the host is maintained when it is back', () => {
       const { fleet, hosts, unseen } = runWaveWithUnseenHost();
-      expect(wavePhase(fleet, 'all')).toBe('running');
+      expect(readWavePhase(fleet, 'all')).toBe('running');
       expect(maintainedHosts(fleet)).toHaveLength(hosts.length - 1);
       const entry = fleet.withheld().find(({ subject }) => subject === rowKey.host(unseen));
       expect(entry?.reason).toMatch(/wave all: the platform has not seen it for \d+ s/);
       fleet.workers.revive(unseen);
-      run(fleet, MINUTE_MS);
-      expect(wavePhase(fleet, 'all')).toBe('done');
+      runFor(fleet, MINUTE_MS);
+      expect(readWavePhase(fleet, 'all')).toBe('done');
       expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
     });
 
     it('comes after five minutes without the host, and the reason names it', () => {
       const { fleet, unseen } = runWaveWithUnseenHost();
-      run(fleet, 5 * MINUTE_MS);
-      expect(wavePhase(fleet, 'all')).toBe('done');
+      runFor(fleet, 5 * MINUTE_MS);
+      expect(readWavePhase(fleet, 'all')).toBe('done');
       expect(reasonOf(fleet)).toBe(`ended without ${unseen}: gone`);
     });
   });
@@ -76,7 +76,7 @@
       const hosts = hostsOf(fleet, 'w2');
       startWave(fleet, 'all', hosts);
       const rebooting = (): readonly HostId[] =>
-        hostRows(fleet)
+        listHostRows(fleet)
           .filter(({ phase }) => phase === 'rebooting')
           .map(({ hostId }) => hostId);
       const areRemainingHostsRebooting = (): boolean =>
@@ -85,11 +85,11 @@
       for (let steps = 0; steps < 400 && !areRemainingHostsRebooting(); steps += 1) fleet.step();
       const [unseen] = rebooting() as [HostId];
       fleet.workers.kill(unseen);
-      run(fleet, MINUTE_MS);
-      expect(wavePhase(fleet, 'all')).toBe('running');
+      runFor(fleet, MINUTE_MS);
+      expect(readWavePhase(fleet, 'all')).toBe('running');
       fleet.workers.revive(unseen);
-      run(fleet, MINUTE_MS);
-      expect(wavePhase(fleet, 'all')).toBe('done');
+      runFor(fleet, MINUTE_MS);
+      expect(readWavePhase(fleet, 'all')).toBe('done');
       expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
     });
   });
@@ -99,17 +99,17 @@
       const fleet = createFleet();
       const hosts = hostsOf(fleet, 'w2');
       startWave(fleet, 'all', [...hosts, brand<HostId>('n1-0')], 2);
-      run(fleet, MINUTE_MS);
+      runFor(fleet, MINUTE_MS);
       expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
-      expect(wavePhase(fleet, 'all')).toBe('running');
+      expect(readWavePhase(fleet, 'all')).toBe('running');
     });
 
     it('comes without these hosts if the configuration is as new as the wave', () => {
       const fleet = createFleet();
       const hosts = hostsOf(fleet, 'w2');
       startWave(fleet, 'all', [...hosts, brand<HostId>('n1-0')], 1);
-      run(fleet, MINUTE_MS);
-      expect(wavePhase(fleet, 'all')).toBe('done');
+      runFor(fleet, MINUTE_MS);
+      expect(readWavePhase(fleet, 'all')).toBe('done');
     });
   });
 });
--- a/packages/core/src/control/waves.ts
+++ b/packages/core/src/control/waves.ts
@@ -13,14 +13,14 @@
 import { rowKey, type HostRow, type WaveRow } from '../rows/rows.js';
 import { countBy } from '../shared/group-by.js';
 import type { HostId, WaveId } from '../shared/ids.js';
-import { withhold, writeHost, writePlacement, writeWave, type Draft } from './draft.js';
+import { recordWithheldAction, writeHost, writePlacement, writeWave, type Draft } from './draft.js';
 import {
-  executorsOn,
+  listExecutorsOn,
   poolSpec,
-  readyTrial,
-  tryDrain,
+  simulateReadyHosts,
+  simulateDrain,
   type DrainMode,
-  type Trial,
+  type SimulatedHosts,
 } from './wave-trial.js';
 import type { WaveStrategy } from './world.js';
 
@@ -48,7 +48,7 @@
 
 const createWaveView = (draft: Draft, waveId: WaveId, row: WaveRow): WaveView => {
   const hosts = row.hosts.flatMap((hostId) => draft.hosts.get(hostId) ?? []);
-  const inPool = hosts.filter((host) => host.row.pool === draft.world.pool);
+  const inPool = hosts.filter((host) => host.row.pool === draft.snapshot.pool);
   return {
     waveId,
     row,
@@ -69,7 +69,7 @@
     reason: `wave ${waveId}: drained by ${mode === 'move' ? 'moving' : 'parking'} its executors`,
   });
   if (mode === 'move') return;
-  executorsOn(draft, hostId).forEach((placement) => {
+  listExecutorsOn(draft, hostId).forEach((placement) => {
     writePlacement(
       draft,
       { ...placement, phase: 'parking' },
@@ -125,26 +125,26 @@
   );
 
 const drainNext = (draft: Draft, view: WaveView): void => {
-  const { waveStrategy } = draft.world;
-  let simulated: Trial = readyTrial(draft);
+  const { waveStrategy } = draft.snapshot;
+  let simulated: SimulatedHosts = simulateReadyHosts(draft);
   let underWay = view.underWay.length;
   let freeSlots = maxUnderWay[waveStrategy](draft, view) - underWay;
   let obstacles = 0;
   const isWaveBlocked = underWay === 0 && areExecutorsSettled(draft);
   const withholdHost = ({ spec }: PlacementHost, reason: string): void =>
-    withhold(draft, rowKey.host(spec.hostId), `wave ${view.waveId}: ${reason}`);
+    recordWithheldAction(draft, rowKey.host(spec.hostId), `wave ${view.waveId}: ${reason}`);
   candidatesByStrategy[waveStrategy](view).forEach((host) => {
     if (freeSlots <= 0 || obstacles >= MAX_OBSTACLES_PER_TURN) {
       withholdHost(host, 'waits for the hosts before it');
       return;
     }
-    const result = tryDrain(draft, simulated, host, isWaveBlocked && underWay === 0);
+    const result = simulateDrain(draft, simulated, host, isWaveBlocked && underWay === 0);
     if ('obstacle' in result) {
       obstacles += 1;
       withholdHost(host, result.obstacle);
       return;
     }
-    simulated = result.trial;
+    simulated = result.simulated;
     freeSlots -= 1;
     underWay += 1;
     startDrain(draft, host, view.waveId, result.mode);
@@ -160,8 +160,8 @@
 const MAX_UNSEEN_MS = 5 * 60 * 1000;
 
 /** For how many milliseconds the platform has not seen a host; 0 while it sees the host. */
-const unseenForMs = ({ world, nowMs }: Draft, hostId: HostId): number => {
-  const sighting = world.sightings.get(hostId);
+const unseenForMs = ({ snapshot, nowMs }: Draft, hostId: HostId): number => {
+  const sighting = snapshot.listedHosts.get(hostId);
   return sighting?.state === 'gone' ? nowMs - sighting.sinceMs : 0;
 };
 
@@ -169,7 +169,7 @@
 const isExcluded = (draft: Draft, { revision = 0 }: WaveRow, hostId: HostId): boolean => {
   const host = draft.hosts.get(hostId);
   // A configuration that is older than the wave may not declare all of the wave's hosts yet.
-  if (!host) return draft.world.configuration.revision >= revision;
+  if (!host) return draft.snapshot.configuration.revision >= revision;
   return unseenForMs(draft, hostId) >= MAX_UNSEEN_MS;
 };
 
@@ -187,7 +187,7 @@
       const unseenS = Math.round(unseenForMs(draft, hostId) / MS_PER_S);
       if (unseenS === 0) return;
       const reason = `the platform has not seen it for ${unseenS} s; after ${MAX_UNSEEN_MS / MS_PER_S} s the wave goes on without it`;
-      withhold(draft, rowKey.host(hostId), `wave ${waveId}: ${reason}`);
+      recordWithheldAction(draft, rowKey.host(hostId), `wave ${waveId}: ${reason}`);
     });
 };
 
@@ -230,7 +230,7 @@
  * @param draft - The working copy, changed in place.
  */
 export const planWaves = (draft: Draft): void => {
-  draft.world.waves.forEach(({ value }, waveId) => planWave(draft, waveId, value));
+  draft.snapshot.waves.forEach(({ value }, waveId) => planWave(draft, waveId, value));
 };
 
 /**
@@ -239,5 +239,5 @@
  * @param hosts - The rows of the wave's hosts.
  * @returns The number of hosts by phase.
  */
-export const waveProgress = (hosts: readonly HostRow[]): Record<string, number> =>
+export const countHostsByPhase = (hosts: readonly HostRow[]): Record<string, number> =>
   countBy(hosts, ({ phase }) => phase);
--- a/packages/core/src/control/world.ts
+++ b/packages/core/src/control/world.ts
@@ -12,7 +12,7 @@
 import type { HostId, JobId, PoolName, ServiceName, WaveId } from '../shared/ids.js';
 
 /** The state of a host by the platform's list of hosts, which lags. */
-export type HostSighting = {
+export type ListedHostState = {
   readonly state: 'live' | 'leaving' | 'gone';
   /** The number of times that the host has booted. */
   readonly boots: number;
@@ -27,7 +27,7 @@
 export type WaveStrategy = 'growing' | 'one-host' | 'rack';
 
 /** The input of a control turn of one pool. */
-export type PoolWorld = {
+export type PoolSnapshot = {
   readonly pool: PoolName;
   readonly configuration: Configuration;
   /** The fence row of the control lease; every write of the turn checks its version. */
@@ -41,11 +41,11 @@
   readonly jobs: ReadonlyMap<JobId, Versioned<JobRow>>;
   readonly waves: ReadonlyMap<WaveId, Versioned<WaveRow>>;
   /** The last state of each host by the platform's list; a host that it never listed has none. */
-  readonly sightings: ReadonlyMap<HostId, HostSighting>;
+  readonly listedHosts: ReadonlyMap<HostId, ListedHostState>;
   /** Since when each host's row has had its present version, by the lease holder's monotonic clock. */
-  readonly hostSinceMs: ReadonlyMap<HostId, number>;
+  readonly hostRowSinceMs: ReadonlyMap<HostId, number>;
   /** Since when each placement's row has had its present version, by the same clock. */
-  readonly placementSinceMs: ReadonlyMap<JobId, number>;
+  readonly placementRowSinceMs: ReadonlyMap<JobId, number>;
   /** How waves choose their hosts. Strategies other than 'growing' serve as baselines. */
   readonly waveStrategy: WaveStrategy;
   /** The measured number of cores that each task uses; the reports lag. */
@@ -58,31 +58,31 @@
  * Computes the resources that a placed job counts with: its declared size, corrected by its measured
  * use.
  *
- * @param world - The snapshot.
+ * @param snapshot - The snapshot.
  * @param placement - The placement.
  * @returns The resources to count with.
  */
-export const sizeOfPlacement = (
-  world: Pick<PoolWorld, 'configuration' | 'jobs' | 'usedCores'>,
+export const resourcesOfPlacement = (
+  snapshot: Pick<PoolSnapshot, 'configuration' | 'jobs' | 'usedCores'>,
   placement: PlacementRow,
 ): Resources => {
   const { service, jobId } = placement;
   const spec =
     service === null
-      ? world.jobs.get(jobId)?.value.job.spec
-      : findDeclaration(world.configuration, 'Service', service)?.spec;
+      ? snapshot.jobs.get(jobId)?.value.job.spec
+      : findDeclaration(snapshot.configuration, 'Service', service)?.spec;
   const { cores, memoryMb, accelerators } = spec ?? noResources;
   const declared = { cores, memoryMb, accelerators };
-  return correctedSize(declared, world.usedCores.get(jobId), service !== null);
+  return correctedSize(declared, snapshot.usedCores.get(jobId), service !== null);
 };
 
 type HostLoad = { used: Resources; readonly executors: Map<ServiceName, number> };
 
-const computeLoadByHost = (world: PoolWorld): Map<HostId, HostLoad> => {
+const computeLoadByHost = (snapshot: PoolSnapshot): Map<HostId, HostLoad> => {
   const loads = new Map<HostId, HostLoad>();
-  world.placements.forEach(({ value: placement }) => {
+  snapshot.placements.forEach(({ value: placement }) => {
     const load = loads.get(placement.hostId) ?? { used: noResources, executors: new Map() };
-    load.used = addResources(load.used, sizeOfPlacement(world, placement));
+    load.used = addResources(load.used, resourcesOfPlacement(snapshot, placement));
     const { service } = placement;
     if (service !== null) load.executors.set(service, (load.executors.get(service) ?? 0) + 1);
     loads.set(placement.hostId, load);
@@ -94,31 +94,31 @@
  * Tells whether a host counts as live. The platform's list may lag, so a host that it does not
  * mention counts as live.
  *
- * @param world - The snapshot.
+ * @param snapshot - The snapshot.
  * @param hostId - The host.
  * @returns False if the platform's list says that the host is gone.
  */
-export const isLive = (world: Pick<PoolWorld, 'sightings'>, hostId: HostId): boolean =>
-  world.sightings.get(hostId)?.state !== 'gone';
+export const isHostLive = (snapshot: Pick<PoolSnapshot, 'listedHosts'>, hostId: HostId): boolean =>
+  snapshot.listedHosts.get(hostId)?.state !== 'gone';
 
 /**
  * Lists the hosts that have a row and are declared, with the resources and executors placed on them.
  *
- * @param world - The snapshot.
+ * @param snapshot - The snapshot.
  * @returns The hosts of all pools, so that the reason of a refusal can say how many hosts are in
  *   another pool.
  */
-export const placementHosts = (world: PoolWorld): readonly PlacementHost[] => {
-  const loads = computeLoadByHost(world);
-  return Array.from(world.hosts).flatMap(([hostId, { value: row }]) => {
-    const spec = world.specs.get(hostId);
+export const listPlacementHosts = (snapshot: PoolSnapshot): readonly PlacementHost[] => {
+  const loads = computeLoadByHost(snapshot);
+  return Array.from(snapshot.hosts).flatMap(([hostId, { value: row }]) => {
+    const spec = snapshot.specs.get(hostId);
     if (!spec) return [];
     const load = loads.get(hostId);
     return [
       {
         spec,
         row,
-        isLive: isLive(world, hostId),
+        isLive: isHostLive(snapshot, hostId),
         used: load?.used ?? noResources,
         executors: load?.executors ?? new Map(),
       },
--- a/packages/core/src/replay/agent-model.ts
+++ b/packages/core/src/replay/agent-model.ts
@@ -1,5 +1,10 @@
 /** The agent of a data centre in virtual time: the real reconciling against the models. */
-import { emptyHosts, reconcile, renewals, type ReconcileAction } from '../control/reconcile.js';
+import {
+  findEmptyHosts,
+  reconcile,
+  listTasksToRenew,
+  type ReconcileAction,
+} from '../control/reconcile.js';
 import {
   rowKey,
   rowPrefix,
@@ -77,12 +82,12 @@
     run: (hasTable, nowMs) => {
       const observed = workers.observed(dataCentre);
       if (!hasTable) {
-        renewals(lastPlacements, observed).forEach((task) => workers.renew(task, nowMs));
+        listTasksToRenew(lastPlacements, observed).forEach((task) => workers.renew(task, nowMs));
         return;
       }
       const placements = localRows<PlacementRow>(rowPrefix.placement);
       lastPlacements = placements;
-      emptyHosts(localRows<HostRow>(rowPrefix.host), placements, observed).forEach(reportEmpty);
+      findEmptyHosts(localRows<HostRow>(rowPrefix.host), placements, observed).forEach(reportEmpty);
       reconcile(placements, observed).forEach((action) => carryOut(action, nowMs));
     },
   };
--- a/packages/core/src/replay/fleet-model.ts
+++ b/packages/core/src/replay/fleet-model.ts
@@ -4,11 +4,11 @@
  */
 import type { Configuration } from '../configuration/configuration.js';
 import { listDeclarations } from '../configuration/configuration.js';
-import type { ControlAction, Withheld } from '../control/draft.js';
-import { retryDelayMs, setbacksOf } from '../control/jobs.js';
+import type { ControlAction, WithheldAction } from '../control/draft.js';
+import { retryDelayMs, countBackoffFailures } from '../control/jobs.js';
 import { planPoolTurn } from '../control/plan-turn.js';
-import { createRowAges } from '../control/row-ages.js';
-import type { PoolWorld, WaveStrategy } from '../control/world.js';
+import { createRowVersionTracker } from '../control/row-ages.js';
+import type { PoolSnapshot, WaveStrategy } from '../control/world.js';
 import { declaredHosts } from '../fleet/fleet.js';
 import {
   rowKey,
@@ -67,7 +67,7 @@
   readonly setUse: (jobId: JobId, cores: number) => void;
   readonly pools: readonly PoolName[];
   readonly decisions: readonly Decision[];
-  readonly withheld: () => readonly Withheld[];
+  readonly withheld: () => readonly WithheldAction[];
   readonly readyOf: (service: string) => number;
   readonly rows: <Row>(prefix: string) => readonly Row[];
 };
@@ -76,7 +76,7 @@
   readonly pool: PoolName;
   fence: { readonly key: string; readonly version: number };
   nextEpoch: number;
-  withheld: readonly Withheld[];
+  withheld: readonly WithheldAction[];
 };
 
 const EPOCHS_PER_TERM = 2 ** 24;
@@ -110,8 +110,8 @@
   );
   const uses = new Map<JobId, number>();
   const failuresSeen = new Map<JobId, { readonly failures: number; readonly atMs: number }>();
-  const hostAges = createRowAges<HostId>();
-  const placementAges = createRowAges<JobId>();
+  const hostAges = createRowVersionTracker<HostId>();
+  const placementAges = createRowVersionTracker<JobId>();
   const decisions: Decision[] = [];
   let isPlatformAway = false;
   let nowMs = 0;
@@ -140,7 +140,7 @@
 
   const noteFailures = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): void =>
     jobs.forEach(({ value }, jobId) => {
-      const failures = setbacksOf(value);
+      const failures = countBackoffFailures(value);
       if (failures > 0 && failuresSeen.get(jobId)?.failures !== failures) {
         failuresSeen.set(jobId, { failures, atMs: nowMs + retryDelayMs(failures) });
       }
@@ -157,7 +157,7 @@
         }),
     );
 
-  const worldOf = (control: Control): PoolWorld => {
+  const snapshotOf = (control: Control): PoolSnapshot => {
     const hosts = rowsOf<HostId, HostRow>(table, rowPrefix.host);
     const jobs = rowsOf<JobId, JobRow>(table, rowPrefix.job);
     const placements = rowsOf<JobId, PlacementRow>(table, rowPrefix.placement);
@@ -172,9 +172,9 @@
       placements,
       jobs,
       waves: rowsOf<WaveId, WaveRow>(table, rowPrefix.wave),
-      sightings: hostList.sightings(),
-      hostSinceMs: hostAges.see(hosts, nowMs),
-      placementSinceMs: placementAges.see(placements, nowMs),
+      listedHosts: hostList.sightings(),
+      hostRowSinceMs: hostAges.update(hosts, nowMs),
+      placementRowSinceMs: placementAges.update(placements, nowMs),
       waveStrategy,
       usedCores: usedCores(),
       retryAtMs: new Map(Array.from(failuresSeen, ([id, { atMs }]) => [id, atMs])),
@@ -183,7 +183,7 @@
 
   const planOnly = (pool: PoolName): PausedTurn => {
     const control = controls.get(pool) as Control;
-    const plan = planPoolTurn(worldOf(control), nowMs);
+    const plan = planPoolTurn(snapshotOf(control), nowMs);
     control.nextEpoch = plan.nextEpoch;
     control.withheld = plan.withheld;
     return { pool, actions: plan.actions };
--- a/packages/core/src/replay/host-list-model.ts
+++ b/packages/core/src/replay/host-list-model.ts
@@ -1,15 +1,15 @@
 /** The platform's list of hosts in virtual time: it lags, and shows late that a host is not heard of. */
-import type { HostSighting } from '../control/world.js';
+import type { ListedHostState } from '../control/world.js';
 import type { DataCentreId, HostId } from '../shared/ids.js';
 import type { ModelHost, WorkersModel } from './workers-model.js';
 
-type Listing = { readonly atMs: number; readonly sightings: ReadonlyMap<HostId, HostSighting> };
+type Listing = { readonly atMs: number; readonly sightings: ReadonlyMap<HostId, ListedHostState> };
 
 export type HostListModel = {
   /** Lets the platform look at all hosts. */
   readonly look: (nowMs: number) => void;
   /** What the list shows by now. */
-  readonly sightings: () => ReadonlyMap<HostId, HostSighting>;
+  readonly sightings: () => ReadonlyMap<HostId, ListedHostState>;
 };
 
 /** Options for the list. Times are in milliseconds of virtual time. */
@@ -39,7 +39,7 @@
   const heardMs = new Map<HostId, number>();
   let listings: readonly Listing[] = [];
 
-  const sightingOf = (host: ModelHost, last: HostSighting | undefined, nowMs: number) => {
+  const sightingOf = (host: ModelHost, last: ListedHostState | undefined, nowMs: number) => {
     const isGone = nowMs - (heardMs.get(host.hostId) ?? 0) > goneAfterMs;
     const state = isGone ? 'gone' : presentState(host);
     const sinceMs = last?.state === state ? last.sinceMs : nowMs;
@@ -49,7 +49,7 @@
   return {
     look: (nowMs) => {
       const known = listings[listings.length - 1]?.sightings;
-      const sightings = new Map<HostId, HostSighting>();
+      const sightings = new Map<HostId, ListedHostState>();
       workers.hosts.forEach((host, hostId) => {
         if (host.state !== 'dead' && !cut.has(host.dataCentre)) heardMs.set(hostId, nowMs);
         sightings.set(hostId, sightingOf(host, known?.get(hostId), nowMs));
--- a/packages/daemon/src/control/data-centre-agent.ts
+++ b/packages/daemon/src/control/data-centre-agent.ts
@@ -5,10 +5,10 @@
  * flight there.
  */
 import {
-  emptyHosts,
+  findEmptyHosts,
   reconcile,
-  renewals,
-  START_WINDOW_MS,
+  listTasksToRenew,
+  MAX_START_DELAY_MS,
   type DataCentreId,
   type HostRow,
   type UsageRow,
@@ -217,15 +217,17 @@
     const observed = await workers.tasks();
     if (observed.isErr()) return;
     if (!rows) {
-      await renewAll(renewals(lastPlacements, observed.value));
+      await renewAll(listTasksToRenew(lastPlacements, observed.value));
       return;
     }
     lastPlacements = rows.placements;
-    startDeadlineMs = readAtMs + START_WINDOW_MS / 2;
+    startDeadlineMs = readAtMs + MAX_START_DELAY_MS / 2;
     const actions = reconcile(rows.placements, observed.value);
     await renewAll(actions.flatMap((one) => (one.kind === 'renew' ? [one.task] : [])));
     await Promise.all(actions.map(execute));
-    await Promise.all(emptyHosts(rows.hosts, rows.placements, observed.value).map(reportEmptyHost));
+    await Promise.all(
+      findEmptyHosts(rows.hosts, rows.placements, observed.value).map(reportEmptyHost),
+    );
     await drainLeavingHosts();
     await reportUsage();
   };
--- a/packages/daemon/src/control/pool-control.ts
+++ b/packages/daemon/src/control/pool-control.ts
@@ -10,7 +10,7 @@
   type ControlAction,
   type ControlChange,
   type PoolName,
-  type Withheld,
+  type WithheldAction,
 } from '@valvelatch/core';
 import type { HostListClient, PulsedReader, TableClient } from '@valvelatch/platform';
 
@@ -42,7 +42,7 @@
   /** Whether this entry holds the control lease. */
   readonly holds: () => boolean;
   /** Actions that the last turn considered and did not take, with the reasons. */
-  readonly withheld: () => readonly Withheld[];
+  readonly withheld: () => readonly WithheldAction[];
   /** Releases the control lease. */
   readonly release: () => Promise<void>;
 };
@@ -82,7 +82,7 @@
     metrics,
     onChange,
   });
-  let withheld: readonly Withheld[] = [];
+  let withheld: readonly WithheldAction[] = [];
   let epochBase = 0;
   let nextEpoch = 0;
 
--- a/packages/daemon/src/control/pool-view.ts
+++ b/packages/daemon/src/control/pool-view.ts
@@ -1,20 +1,20 @@
 /** Input of the control turns of one pool: rows as read, and since when hosts and rows are unchanged. */
 import {
-  createRowAges,
+  createRowVersionTracker,
   declaredHosts,
   retryDelayMs,
-  setbacksOf,
+  countBackoffFailures,
   rowPrefix,
   type Configuration,
   type HostId,
   type HostRow,
-  type HostSighting,
+  type ListedHostState,
   type HostSpec,
   type JobId,
   type JobRow,
   type PlacementRow,
   type PoolName,
-  type PoolWorld,
+  type PoolSnapshot,
   type UsageRow,
   type Versioned,
   type WaveId,
@@ -33,7 +33,7 @@
   /** Records the states of the hosts in the platform's host list. */
   readonly takeSightings: (listed: readonly ListedHost[]) => void;
   /** Assembles the input of a turn. */
-  readonly toWorld: (rows: Rows, lease: Pick<PoolWorld, 'fence' | 'nextEpoch'>) => PoolWorld;
+  readonly toWorld: (rows: Rows, lease: Pick<PoolSnapshot, 'fence' | 'nextEpoch'>) => PoolSnapshot;
 };
 
 /** Rows by key. */
@@ -60,25 +60,25 @@
  * @returns The view, without any hosts or rows.
  */
 export const createPoolView = ({ pool, configuration, nowMs }: PoolViewOptions): PoolView => {
-  const sightings = new Map<HostId, HostSighting>();
+  const listedHosts = new Map<HostId, ListedHostState>();
   const retriesByJob = new Map<JobId, { backoffFailures: number; retryAtMs: number }>();
-  const hostRowVersions = createRowAges<HostId>();
-  const placementRowVersions = createRowAges<JobId>();
+  const hostRowVersions = createRowVersionTracker<HostId>();
+  const placementRowVersions = createRowVersionTracker<JobId>();
   let specsRevision = -1;
   let specs: ReadonlyMap<HostId, HostSpec> = new Map();
 
   const takeSightings = (listed: readonly ListedHost[]): void => {
     listed.forEach(({ hostId, state, boots }) => {
-      const previous = sightings.get(hostId);
+      const previous = listedHosts.get(hostId);
       const sinceMs = previous?.state === state ? previous.sinceMs : nowMs();
-      sightings.set(hostId, { state, boots, sinceMs });
+      listedHosts.set(hostId, { state, boots, sinceMs });
     });
   };
 
   /** Computes when each failed job may be tried again; a job gets a new time when it has failed again. */
   const updateRetryTimes = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): Map<JobId, number> => {
     jobs.forEach(({ value }, jobId) => {
-      const backoffFailures = setbacksOf(value);
+      const backoffFailures = countBackoffFailures(value);
       if (backoffFailures === 0 || retriesByJob.get(jobId)?.backoffFailures === backoffFailures)
         return;
       retriesByJob.set(jobId, {
@@ -112,9 +112,9 @@
       placements,
       jobs,
       waves: rowsById<WaveId, WaveRow>(rows, rowPrefix.wave),
-      sightings,
-      hostSinceMs: hostRowVersions.see(hosts, nowMs()),
-      placementSinceMs: placementRowVersions.see(placements, nowMs()),
+      listedHosts,
+      hostRowSinceMs: hostRowVersions.update(hosts, nowMs()),
+      placementRowSinceMs: placementRowVersions.update(placements, nowMs()),
       waveStrategy: 'growing',
       usedCores: usedCoresIn(rows),
       retryAtMs: updateRetryTimes(jobs),
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -11,7 +11,7 @@
   type EntryId,
   type HostId,
   type PoolName,
-  type Withheld,
+  type WithheldAction,
 } from '@valvelatch/core';
 
 import { createPulsedReader, type HostListClient } from '@valvelatch/platform';
@@ -39,7 +39,7 @@
   /** The pools whose control lease this entry holds. */
   readonly heldPools: () => readonly PoolName[];
   /** Actions that the last turn of each pool considered and did not take, with the reasons. */
-  readonly withheld: () => readonly Withheld[];
+  readonly withheld: () => readonly WithheldAction[];
   /** Releases the control leases of all pools. */
   readonly release: () => Promise<void>;
 };
--- a/packages/daemon/src/operators/explain-handlers.ts
+++ b/packages/daemon/src/operators/explain-handlers.ts
@@ -8,7 +8,7 @@
   type Member,
   type PlacementRow,
   type WaveRow,
-  type Withheld,
+  type WithheldAction,
 } from '@valvelatch/core';
 import { z } from 'zod';
 
@@ -23,14 +23,14 @@
 const askAllWithheld = async (
   context: OperatorContext,
   subject: string,
-): Promise<readonly Withheld[]> => {
+): Promise<readonly WithheldAction[]> => {
   const answers = await Promise.all(
     otherMembers(context).map((member) =>
-      context.ask(member, 'withheld', { subject }, ASK_MS).catch(() => [] as Withheld[]),
+      context.ask(member, 'withheld', { subject }, ASK_MS).catch(() => [] as WithheldAction[]),
     ),
   );
   const own = context.withheld().filter((one) => one.subject === subject);
-  return [...own, ...(answers.flat() as Withheld[])];
+  return [...own, ...(answers.flat() as WithheldAction[])];
 };
 
 /** What the entries remember of something whose row is gone; the last decision counts. */
--- a/packages/daemon/src/operators/operator-context.ts
+++ b/packages/daemon/src/operators/operator-context.ts
@@ -1,5 +1,5 @@
 /** What the operators' handlers depend on. */
-import type { DecisionMemory, Member, Withheld } from '@valvelatch/core';
+import type { DecisionMemory, Member, WithheldAction } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
 import type { ConfigSync } from '../config-sync/config-sync.js';
@@ -19,7 +19,7 @@
   readonly table: TableClient;
   readonly configSync: ConfigSync;
   readonly decisions: DecisionMemory;
-  readonly withheld: () => readonly Withheld[];
+  readonly withheld: () => readonly WithheldAction[];
   readonly ownStatus: () => EntryStatus;
   readonly members: () => readonly Member[];
   /** Asks another entry; rejects where it cannot be reached. */
