--- a/packages/core/src/explain/explain.ts
+++ b/packages/core/src/explain/explain.ts
@@ -15,13 +15,13 @@
 };
 
 /** A bounded store of decisions, one for each subject. It is changed in place. */
-export type DecisionMemory = {
+export type DecisionStore = {
   /** The maximum number of subjects. */
-  readonly most: number;
+  readonly maxSubjects: number;
   readonly records: Map<string, DecisionRecord>;
 };
 
-export type DecisionMemoryOptions = { readonly most?: number };
+export type DecisionStoreOptions = { readonly maxSubjects?: number };
 
 /**
  * Creates an empty store.
@@ -29,9 +29,9 @@
  * @param options - The maximum number of subjects.
  * @returns The store.
  */
-export const createDecisionMemory = ({
-  most = 10_000,
-}: DecisionMemoryOptions = {}): DecisionMemory => ({ most, records: new Map() });
+export const createDecisionStore = ({
+  maxSubjects = 10_000,
+}: DecisionStoreOptions = {}): DecisionStore => ({ maxSubjects, records: new Map() });
 
 /**
  * Stores a decision. If there are too many subjects, the one with the oldest decision is removed.
@@ -39,10 +39,10 @@
  * @param memory - The store, changed in place.
  * @param record - The decision; it replaces an earlier one on the same subject.
  */
-export const rememberDecision = (memory: DecisionMemory, record: DecisionRecord): void => {
+export const storeDecision = (memory: DecisionStore, record: DecisionRecord): void => {
   memory.records.delete(record.subject);
   memory.records.set(record.subject, record);
-  if (memory.records.size <= memory.most) return;
+  if (memory.records.size <= memory.maxSubjects) return;
   const oldest = memory.records.keys().next();
   if (!oldest.done) memory.records.delete(oldest.value);
 };
@@ -54,7 +54,5 @@
  * @param subject - The subject.
  * @returns The decision, or undefined if none is stored.
  */
-export const recallDecision = (
-  memory: DecisionMemory,
-  subject: string,
-): DecisionRecord | undefined => memory.records.get(subject);
+export const findDecision = (memory: DecisionStore, subject: string): DecisionRecord | undefined =>
+  memory.records.get(subject);
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -3,11 +3,11 @@
   controlPrefixes,
   declaredHosts,
   listDeclarations,
-  rememberDecision,
+  storeDecision,
   type Configuration,
   type ControlChange,
   type DataCentreId,
-  type DecisionMemory,
+  type DecisionStore,
   type EntryId,
   type HostId,
   type PoolName,
@@ -57,7 +57,7 @@
   readonly isCandidate: (duty: string) => boolean;
   /** Duration of the control leases, in milliseconds. */
   readonly leaseMs: number;
-  readonly decisions: DecisionMemory;
+  readonly decisions: DecisionStore;
   readonly log: Log;
   readonly metrics: Metrics;
 };
@@ -157,7 +157,7 @@
 
   /** Records a decision so that operators can also ask about subjects that no longer exist. */
   const recordDecision = ({ subject, reason }: ControlChange): void =>
-    rememberDecision(decisions, {
+    storeDecision(decisions, {
       subject,
       outcome: 'decided',
       reason,
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,10 +1,10 @@
 /** Assembles an entry: request plane, mesh link, seats, control plane and the servers of its ports. */
 import {
   brand,
-  createDecisionMemory,
+  createDecisionStore,
   createRng,
   hash32,
-  recallDecision,
+  findDecision,
   type DataCentreId,
   type EntryId,
   type Member,
@@ -73,7 +73,7 @@
   const log = createLog({ level: settings['log-level'], common: { entry: self } });
   const metrics = createMetrics();
   const tracing = await createTracing(settings, log);
-  const decisions = createDecisionMemory();
+  const decisions = createDecisionStore();
   const rng = createRng(hash32(self) % 2 ** 31);
   const clients = createClients(settings);
   const { table, objects } = clients;
@@ -123,7 +123,7 @@
     status: () => ownStatus(),
     'await-revision': ({ revision, waitMs }: { revision: number; waitMs: number }) =>
       awaitRevision(revision, waitMs),
-    recall: ({ subject }: { subject: string }) => recallDecision(decisions, subject),
+    recall: ({ subject }: { subject: string }) => findDecision(decisions, subject),
     withheld: ({ subject }: { subject: string }) =>
       controlPlane.withheld().filter((action) => action.subject === subject),
     'quiet-at': ({ endpointId }: { endpointId: string }) => {
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -4,9 +4,9 @@
 import {
   brand,
   findDeclaration,
-  rememberDecision,
+  storeDecision,
   shareOfSeat,
-  type DecisionMemory,
+  type DecisionStore,
   type Endpoint,
   type EntryId,
   type Refusal,
@@ -67,7 +67,7 @@
   readonly inDoubt: () => readonly string[];
   readonly isHealthy: () => boolean;
   readonly otherEntry: (service: ServiceName) => RemoteEntry | undefined;
-  readonly decisions: DecisionMemory;
+  readonly decisions: DecisionStore;
   readonly rng: Rng;
   readonly tracing: Tracing;
   readonly metrics: Metrics;
@@ -185,7 +185,7 @@
   const onRefusal = (refusal: Refusal, tried: readonly string[], service: string): void => {
     const { requestId, reason, verdict, detail } = refusal;
     metrics.count(`refused_${verdict}`);
-    rememberDecision(decisions, {
+    storeDecision(decisions, {
       subject: `request/${requestId}`,
       outcome: `refused: ${reason}, verdict ${verdict}`,
       reason: `service=${service}: ${detail}`,
--- a/packages/daemon/src/operators/explain-handlers.ts
+++ b/packages/daemon/src/operators/explain-handlers.ts
@@ -1,6 +1,6 @@
 /** Answers to "why?", and how the entries stand. */
 import {
-  recallDecision,
+  findDecision,
   rowKey,
   type DecisionRecord,
   type HostRow,
@@ -43,7 +43,7 @@
       context.ask(member, 'recall', { subject }, ASK_MS).catch(() => undefined),
     ),
   );
-  const known = [recallDecision(context.decisions, subject), ...answers] as DecisionRecord[];
+  const known = [findDecision(context.decisions, subject), ...answers] as DecisionRecord[];
   return known.filter(Boolean).sort((a, b) => b.atMs - a.atMs)[0];
 };
 
@@ -85,7 +85,7 @@
     return { kind: 'not-found', detail: `entry ${entryId ?? ''} that decided is not there` };
   }
   const record = isOwn
-    ? recallDecision(context.decisions, subject)
+    ? findDecision(context.decisions, subject)
     : ((await context
         .ask(member as Member, 'recall', { subject }, ASK_MS)
         .catch(() => undefined)) as DecisionRecord | undefined);
--- a/packages/daemon/src/operators/operator-context.ts
+++ b/packages/daemon/src/operators/operator-context.ts
@@ -1,5 +1,5 @@
 /** What the operators' handlers depend on. */
-import type { DecisionMemory, Member, WithheldAction } from '@valvelatch/core';
+import type { DecisionStore, Member, WithheldAction } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
 import type { ConfigSync } from '../config-sync/config-sync.js';
@@ -18,7 +18,7 @@
 export type OperatorContext = {
   readonly table: TableClient;
   readonly configSync: ConfigSync;
-  readonly decisions: DecisionMemory;
+  readonly decisions: DecisionStore;
   readonly withheld: () => readonly WithheldAction[];
   readonly ownStatus: () => EntryStatus;
   readonly members: () => readonly Member[];
