--- a/packages/core/src/leases/lease.ts
+++ b/packages/core/src/leases/lease.ts
@@ -32,7 +32,7 @@
   readonly marginMs: number;
   readonly renewAfterMs: number;
   /** The row as last read, with its version in the table; version -1 before the first read. */
-  readonly seen: { readonly row: LeaseRow | null; readonly version: number };
+  readonly lastRead: { readonly row: LeaseRow | null; readonly version: number };
   /** When the row was first observed with this version. */
   readonly unchangedSinceMs: number;
   /** The time until which this entry may act as the holder. */
@@ -40,11 +40,11 @@
   /** The epoch under which this process last took the lease; -1 if it never did. */
   readonly ownEpoch: number;
   /** The time until which earlier holders may still act, according to their own clocks. */
-  readonly earlierUntilMs: number;
+  readonly earlierHoldersUntilMs: number;
 };
 
 /** The next action on a lease. */
-export type LeaseStep =
+export type LeaseAction =
   | { readonly kind: 'wait' }
   | { readonly kind: 'write'; readonly row: LeaseRow; readonly expectedVersion: number };
 
@@ -77,11 +77,11 @@
   durationMs,
   marginMs,
   renewAfterMs,
-  seen: { row: null, version: -1 },
+  lastRead: { row: null, version: -1 },
   unchangedSinceMs: 0,
   heldUntilMs: -Infinity,
   ownEpoch: -1,
-  earlierUntilMs: -Infinity,
+  earlierHoldersUntilMs: -Infinity,
 });
 
 /**
@@ -92,16 +92,16 @@
  * @param nowMs - The monotonic time at which the reading arrived, in milliseconds.
  * @returns The new state.
  */
-export const observeLease = (
+export const updateLeaseFromRead = (
   state: LeaseState,
   reading: { readonly row: LeaseRow | null; readonly version: number },
   nowMs: number,
 ): LeaseState => {
-  if (reading.version === state.seen.version) return state;
+  if (reading.version === state.lastRead.version) return state;
   const isNotHolder = reading.row?.holder !== state.self;
   return {
     ...state,
-    seen: reading,
+    lastRead: reading,
     unchangedSinceMs: nowMs,
     heldUntilMs: isNotHolder ? -Infinity : state.heldUntilMs,
   };
@@ -122,7 +122,7 @@
   nowMs: number,
   freeAfterMs: number | undefined,
 ): boolean => {
-  const { row } = state.seen;
+  const { row } = state.lastRead;
   if (!row || row.holder === null) return true;
   const neededMs = freeAfterMs ?? row.durationMs + state.marginMs;
   return nowMs - state.unchangedSinceMs >= neededMs;
@@ -134,7 +134,7 @@
  * two later holders took the lease early and released it or crashed.
  */
 const earlierRemainingMs = (
-  { seen: { row }, self, marginMs, unchangedSinceMs }: LeaseState,
+  { lastRead: { row }, self, marginMs, unchangedSinceMs }: LeaseState,
   nowMs: number,
 ): number => {
   if (!row) return 0;
@@ -166,20 +166,20 @@
  * fenced, because the previous holder may still act.
  * @returns A write with the row version that it depends on, or a wait.
  */
-export const nextLeaseStep = (
+export const nextLeaseAction = (
   state: LeaseState,
   nowMs: number,
   freeAfterMs?: number,
-): LeaseStep => {
-  const { row, version } = state.seen;
+): LeaseAction => {
+  const { row, version } = state.lastRead;
   if (version < 0) return { kind: 'wait' };
-  const { durationMs, renewAfterMs, self, earlierUntilMs } = state;
+  const { durationMs, renewAfterMs, self, earlierHoldersUntilMs } = state;
   // This process took the current epoch, so no other entry has held the lease since, however long
   // ago it expired: it can be renewed.
   if (row && row.holder === self && row.epoch === state.ownEpoch) {
     if (state.heldUntilMs - nowMs > durationMs - renewAfterMs) return { kind: 'wait' };
     const renewedRow = { ...row, durationMs, renewals: row.renewals + 1 };
-    const renewal = withEarlierMs(renewedRow, earlierUntilMs - nowMs);
+    const renewal = withEarlierMs(renewedRow, earlierHoldersUntilMs - nowMs);
     return { kind: 'write', row: renewal, expectedVersion: version };
   }
   if (row?.holder !== self && !isFreeToTake(state, nowMs, freeAfterMs)) return { kind: 'wait' };
@@ -203,9 +203,9 @@
   sentAtMs: number,
 ): LeaseState => ({
   ...state,
-  seen: written,
+  lastRead: written,
   unchangedSinceMs: sentAtMs,
   heldUntilMs: sentAtMs + written.row.durationMs,
   ownEpoch: written.row.epoch,
-  earlierUntilMs: sentAtMs + (written.row.earlierMs ?? 0),
+  earlierHoldersUntilMs: sentAtMs + (written.row.earlierMs ?? 0),
 });
--- a/packages/daemon/src/leases/lease-keeper.ts
+++ b/packages/daemon/src/leases/lease-keeper.ts
@@ -3,8 +3,8 @@
   confirmLease,
   createLeaseState,
   holdsLease,
-  nextLeaseStep,
-  observeLease,
+  nextLeaseAction,
+  updateLeaseFromRead,
   type LeaseRow,
   type LeaseState,
 } from '@valvelatch/core/leases/lease';
@@ -156,7 +156,7 @@
   /** Whether the held lease is so far from its end that no other entry can acquire it; it need not be read then. */
   const canSkipCheck = (): boolean =>
     state.heldUntilMs - nowMs() > durationMs - state.renewAfterMs * SKIPPED_CHECK_FRACTION &&
-    state.seen.row?.holder === self;
+    state.lastRead.row?.holder === self;
 
   /**
    * Records the previous holder before an acquisition is written. If the row shows this entry's own acquisition,
@@ -179,12 +179,12 @@
     if (rows.isErr() || relinquishCount !== relinquishCountBefore) return;
     const [row] = rows.value;
     const value = (row?.value ?? null) as LeaseRow | null;
-    state = observeLease(state, { row: value, version: row?.version ?? 0 }, nowMs());
+    state = updateLeaseFromRead(state, { row: value, version: row?.version ?? 0 }, nowMs());
     // The last holder may acquire its own lapsed lease again if nobody else has taken it.
     const isOwn = value?.holder === self;
     const isHeld = isOwn && holdsLease(state, nowMs());
     if (!isHeld && !(isOwn && mayRetake()) && !mayTake()) return;
-    const step = nextLeaseStep(state, nowMs(), freeAfterMs());
+    const step = nextLeaseAction(state, nowMs(), freeAfterMs());
     if (step.kind === 'write' && (await beforeWrite())) {
       if (step.row.renewals === 0) recordPreviousHolder(value, step.row.epoch);
       await write(step.row, step.expectedVersion, relinquishCountBefore);
@@ -194,7 +194,7 @@
   /** Returns the current row after a conflict, from the response if it has it; undefined if it cannot be read. */
   const readAfterConflict = async (
     rows: readonly TableRow[] | undefined,
-  ): Promise<LeaseState['seen'] | undefined> => {
+  ): Promise<LeaseState['lastRead'] | undefined> => {
     const reported = rows?.find((row) => row.key === key);
     const [row] = reported ? [reported] : (await table.read([key])).unwrapOr([]);
     return row && { row: row.value as LeaseRow | null, version: row.version };
@@ -202,7 +202,7 @@
 
   /** Writes the row without a holder, on condition that it still has the given version. */
   const writeReleasedRow = (
-    seen: LeaseState['seen'],
+    seen: LeaseState['lastRead'],
     idleMs: number | undefined,
   ): ReturnType<TableClient['transact']> => {
     const idle = idleMs === undefined ? {} : { idleMs };
@@ -221,7 +221,7 @@
    *
    * @returns False if the row may still name this holder.
    */
-  const releaseRow = async (held: LeaseState['seen'], idleMs?: number): Promise<boolean> => {
+  const releaseRow = async (held: LeaseState['lastRead'], idleMs?: number): Promise<boolean> => {
     let seen = held;
     for (let attempt = 0; attempt < MAX_RELEASE_ATTEMPTS; attempt += 1) {
       const outcome = await writeReleasedRow(seen, idleMs);
@@ -246,9 +246,9 @@
 
   const release = async (idleMs?: number): Promise<boolean> => {
     const held = state;
-    if (!held.seen.row || !holdsLease(held, nowMs())) return true;
+    if (!held.lastRead.row || !holdsLease(held, nowMs())) return true;
     const ownRelinquishCount = relinquish();
-    const isReleased = await releaseRow(held.seen, idleMs);
+    const isReleased = await releaseRow(held.lastRead, idleMs);
     // A lease that was abandoned meanwhile is not held again.
     if (!isReleased && relinquishCount === ownRelinquishCount) state = held;
     return isReleased;
@@ -264,13 +264,13 @@
     tick,
     holds: () => holdsLease(state, nowMs()),
     heldUntilMs: () => state.heldUntilMs,
-    epoch: () => state.seen.row?.epoch ?? 0,
+    epoch: () => state.lastRead.row?.epoch ?? 0,
     fence: () => ({ key: fenceKey, version: fenceVersion }),
-    lastRow: () => state.seen.row,
-    unchangedForMs: () => (state.seen.version < 0 ? 0 : nowMs() - state.unchangedSinceMs),
+    lastRow: () => state.lastRead.row,
+    unchangedForMs: () => (state.lastRead.version < 0 ? 0 : nowMs() - state.unchangedSinceMs),
     takenFrom: () => previousHolder,
     watchedMs: () => watchedMs,
-    earlierUntilMs: () => state.earlierUntilMs,
+    earlierUntilMs: () => state.earlierHoldersUntilMs,
     idleBeforeMs: () => previousIdleMs,
     release,
     abandon,
