--- a/packages/bench/src/control/membership-model.ts
+++ b/packages/bench/src/control/membership-model.ts
@@ -5,15 +5,15 @@
   leaveMembership,
   liveMembers,
   membershipHash,
-  noteSilent,
-  takeGossip,
-  tickMembership,
-  wantedLinks,
+  suspectSilentPeer,
+  mergeGossip,
+  applyMembershipTimeouts,
+  selectLinks,
   type DataCentreId,
   type EntryId,
   type Member,
   type Membership,
-  type MembershipStep,
+  type MembershipUpdate,
 } from '@valvelatch/core';
 import { change } from '@valvelatch/core/shared/change';
 import { encodeFrame } from '@valvelatch/mesh';
@@ -90,7 +90,7 @@
 
   const derive = (membership: Membership): Node['derived'] => ({
     from: membership,
-    links: wantedLinks(membership),
+    links: selectLinks(membership),
     hash: membershipHash(membership),
   });
 
@@ -101,7 +101,7 @@
   };
 
   const toNode = (member: Member, known: readonly Member[]): Node => {
-    const membership = takeGossip(createMembership(member, nowMs), known, nowMs).state;
+    const membership = mergeGossip(createMembership(member, nowMs), known, nowMs).state;
     return {
       id: member.entryId,
       membership,
@@ -150,16 +150,16 @@
       members,
     );
 
-  const take = (node: Node, step: MembershipStep, from?: EntryId): void => {
+  const take = (node: Node, step: MembershipUpdate, from?: EntryId): void => {
     change(node, { membership: step.state });
-    if (step.news.length > 0) send(node, step.news, from);
+    if (step.changedMembers.length > 0) send(node, step.changedMembers, from);
   };
 
   const watchLinks = (node: Node): void => {
     derivedOf(node).links.forEach((peer) => {
       const heardMs = node.heardMs.get(peer) ?? nowMs;
       node.heardMs.set(peer, nodes.get(peer)?.isUp ? nowMs : heardMs);
-      if (nowMs - heardMs >= SILENT_MS) take(node, noteSilent(node.membership, peer, nowMs));
+      if (nowMs - heardMs >= SILENT_MS) take(node, suspectSilentPeer(node.membership, peer, nowMs));
     });
   };
 
@@ -188,12 +188,12 @@
     });
     inboxes.forEach(({ node, inbox }) =>
       inbox.forEach(({ from, members }) =>
-        take(node, takeGossip(node.membership, members, nowMs), from),
+        take(node, mergeGossip(node.membership, members, nowMs), from),
       ),
     );
     up.forEach((node) => {
       watchLinks(node);
-      take(node, tickMembership(node.membership, nowMs));
+      take(node, applyMembershipTimeouts(node.membership, nowMs));
       if (steps % STEPS_PER_HEARTBEAT === 0) heartbeat(node);
     });
   };
@@ -208,7 +208,7 @@
       const [seed] = upNodes();
       const known = seed ? Array.from(seed.membership.members.values(), (one) => one.member) : [];
       nodes.set(member.entryId, toNode(member, known));
-      if (seed) take(seed, takeGossip(seed.membership, [member], nowMs));
+      if (seed) take(seed, mergeGossip(seed.membership, [member], nowMs));
       return member.entryId;
     },
     kill: (id) => {
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -36,12 +36,15 @@
 };
 
 /** A new state, with the changed records that are to be gossiped to other entries. */
-export type MembershipStep = { readonly state: Membership; readonly news: readonly Member[] };
+export type MembershipUpdate = {
+  readonly state: Membership;
+  readonly changedMembers: readonly Member[];
+};
 
 /** A suspect that has not refuted the suspicion within this time is considered dead. */
-export const SUSPECT_MS = 3000;
+export const SUSPICION_TIMEOUT_MS = 3000;
 /** The records of dead members and of members that left are removed after this time. */
-export const FORGET_MS = 120_000;
+export const REMOVE_DEAD_AFTER_MS = 120_000;
 /** In a data centre with at most this many live members, each member links to all others. */
 const MAX_FULLY_LINKED_MEMBERS = 8;
 /** The number of links of an entry within its data centre if that has more members. */
@@ -92,19 +95,19 @@
  * @param nowMs - The current time, in milliseconds.
  * @returns The new state, and the records that changed and are to be gossiped further.
  */
-export const takeGossip = (
+export const mergeGossip = (
   state: Membership,
   updates: readonly Member[],
   nowMs: number,
-): MembershipStep => {
-  const news = updates
+): MembershipUpdate => {
+  const changedMembers = updates
     .filter((update) => supersedes(state.members.get(update.entryId), update))
     .map((update) => refuteIfSelf(state, update))
     .filter((update) => supersedes(state.members.get(update.entryId), update));
-  if (news.length === 0) return { state, news };
+  if (changedMembers.length === 0) return { state, changedMembers };
   const members = new Map(state.members);
-  news.forEach((member) => members.set(member.entryId, { member, sinceMs: nowMs }));
-  return { state: { ...state, members }, news };
+  changedMembers.forEach((member) => members.set(member.entryId, { member, sinceMs: nowMs }));
+  return { state: { ...state, members }, changedMembers };
 };
 
 /**
@@ -115,10 +118,14 @@
  * @param nowMs - The current time, in milliseconds.
  * @returns The state in which the peer is a suspect, if it was considered alive before.
  */
-export const noteSilent = (state: Membership, peer: EntryId, nowMs: number): MembershipStep => {
+export const suspectSilentPeer = (
+  state: Membership,
+  peer: EntryId,
+  nowMs: number,
+): MembershipUpdate => {
   const known = state.members.get(peer)?.member;
-  if (!known || known.status !== 'alive') return { state, news: [] };
-  return takeGossip(state, [{ ...known, status: 'suspect' }], nowMs);
+  if (!known || known.status !== 'alive') return { state, changedMembers: [] };
+  return mergeGossip(state, [{ ...known, status: 'suspect' }], nowMs);
 };
 
 /**
@@ -128,12 +135,12 @@
  * @param nowMs - The current time, in milliseconds.
  * @returns The state in which the entry has left, and its record, to be gossiped.
  */
-export const leaveMembership = (state: Membership, nowMs: number): MembershipStep => {
+export const leaveMembership = (state: Membership, nowMs: number): MembershipUpdate => {
   const own = state.members.get(state.self)?.member;
-  if (!own) return { state, news: [] };
+  if (!own) return { state, changedMembers: [] };
   const member: Member = { ...own, status: 'left' };
   const members = new Map(state.members).set(state.self, { member, sinceMs: nowMs });
-  return { state: { ...state, members }, news: [member] };
+  return { state: { ...state, members }, changedMembers: [member] };
 };
 
 /**
@@ -144,18 +151,18 @@
  * @param nowMs - The current time, in milliseconds.
  * @returns The new state, and the records that changed.
  */
-export const tickMembership = (state: Membership, nowMs: number): MembershipStep => {
+export const applyMembershipTimeouts = (state: Membership, nowMs: number): MembershipUpdate => {
   const overdue = Array.from(state.members.values()).filter(
-    ({ member, sinceMs }) => member.status === 'suspect' && nowMs - sinceMs >= SUSPECT_MS,
+    ({ member, sinceMs }) => member.status === 'suspect' && nowMs - sinceMs >= SUSPICION_TIMEOUT_MS,
   );
-  const step = takeGossip(
+  const step = mergeGossip(
     state,
     overdue.map(({ member }) => ({ ...member, status: 'dead' as const })),
     nowMs,
   );
   const kept = Array.from(step.state.members).filter(
     ([, { member, sinceMs }]) =>
-      statusRank[member.status] < statusRank.dead || nowMs - sinceMs < FORGET_MS,
+      statusRank[member.status] < statusRank.dead || nowMs - sinceMs < REMOVE_DEAD_AFTER_MS,
   );
   if (kept.length === step.state.members.size) return step;
   return { ...step, state: { ...step.state, members: new Map(kept) } };
@@ -240,7 +247,7 @@
  * @param state - The membership.
  * @returns The peers to link to. Other peers may hold links to this entry.
  */
-export const wantedLinks = (state: Membership): readonly EntryId[] => {
+export const selectLinks = (state: Membership): readonly EntryId[] => {
   const self = state.members.get(state.self)?.member;
   if (!self) return [];
   const live = liveMembers(state);
@@ -258,7 +265,7 @@
  * @param count - The number of entries that should perform it.
  * @returns True if this entry is one of them.
  */
-export const hasDuty = (state: Membership, duty: string, count: number): boolean => {
+export const isSelectedForDuty = (state: Membership, duty: string, count: number): boolean => {
   const self = state.members.get(state.self)?.member;
   if (!self) return false;
   const locals = liveMembers(state).filter(({ dataCentre }) => dataCentre === self.dataCentre);
--- a/packages/daemon/src/mesh-link/mesh-link.ts
+++ b/packages/daemon/src/mesh-link/mesh-link.ts
@@ -1,21 +1,21 @@
 /** Membership and configuration over the mesh: decides which messages to send to which peer. */
 import {
   createMembership,
-  hasDuty,
+  isSelectedForDuty,
   leaveMembership,
   liveMembers,
   membershipHash,
-  noteSilent,
+  suspectSilentPeer,
   pick,
   rendezvousOrder,
-  takeGossip,
-  tickMembership,
-  wantedLinks,
+  mergeGossip,
+  applyMembershipTimeouts,
+  selectLinks,
   type ConfigurationDelta,
   type EntryId,
   type HeartbeatMessage,
   type Member,
-  type MembershipStep,
+  type MembershipUpdate,
   type MeshMessage,
   type Rng,
   toSnapshot,
@@ -109,13 +109,13 @@
   let hasJoined = false;
 
   /** Applies a step of the membership and sends its changes to all peers but the one that they came from. */
-  const applyStep = (step: MembershipStep, from?: EntryId): void => {
+  const applyStep = (step: MembershipUpdate, from?: EntryId): void => {
     membership = step.state;
-    if (step.news.length === 0) return;
-    step.news.forEach(({ entryId, status, dataCentre }) =>
+    if (step.changedMembers.length === 0) return;
+    step.changedMembers.forEach(({ entryId, status, dataCentre }) =>
       log.info('member', { member: entryId, status, dataCentre }),
     );
-    mesh.broadcast({ type: 'gossip', members: step.news }, from);
+    mesh.broadcast({ type: 'gossip', members: step.changedMembers }, from);
   };
 
   /** Sends all known members, so that the peer also learns of changes whose gossip was lost. */
@@ -149,7 +149,7 @@
       requestMissingDeltas(peer, revision);
       if (membersHash !== membershipHash(membership)) sendAllMembers(peer);
     },
-    gossip: (peer, { members }) => applyStep(takeGossip(membership, members, nowMs()), peer),
+    gossip: (peer, { members }) => applyStep(mergeGossip(membership, members, nowMs()), peer),
     deltas: (peer, { deltas }) => {
       configSync.takeFromPeer(deltas);
       const newest = deltas[deltas.length - 1]?.revision ?? 0;
@@ -175,11 +175,11 @@
       onMessage: (peer, message) =>
         (handlers[message.type] as (from: EntryId, one: MeshMessage) => void)(peer, message),
       onPeer: (peer) => {
-        applyStep(takeGossip(membership, [peer], nowMs()));
+        applyStep(mergeGossip(membership, [peer], nowMs()));
         sendAllMembers(peer.entryId);
         mesh.send(peer.entryId, heartbeat());
       },
-      onSilent: (peer) => applyStep(noteSilent(membership, peer, nowMs())),
+      onSilent: (peer) => applyStep(suspectSilentPeer(membership, peer, nowMs())),
       answer: async (method, payload) => {
         const handler = Object.hasOwn(askHandlers, method) ? askHandlers[method] : undefined;
         if (!handler) throw new Error(`no method '${method}'`);
@@ -192,7 +192,7 @@
 
   const dialMissingPeers = (): void => {
     const linked = new Set(mesh.linkedPeers());
-    const wanted = wantedLinks(membership).filter((peer) => !linked.has(peer));
+    const wanted = selectLinks(membership).filter((peer) => !linked.has(peer));
     wanted.forEach((peer) => {
       const known = membership.members.get(peer)?.member;
       if (known && known.meshUrl !== '') mesh.dial(known.meshUrl);
@@ -211,7 +211,7 @@
   const tick = (): void => {
     if (!hasJoined) return;
     mesh.sweep();
-    applyStep(tickMembership(membership, nowMs()));
+    applyStep(applyMembershipTimeouts(membership, nowMs()));
     removeUnlinkedPeers();
     dialMissingPeers();
     mesh.broadcast(heartbeat());
@@ -231,7 +231,7 @@
     port: mesh.port,
     members,
     ask: mesh.ask,
-    hasDuty: (duty, count) => hasDuty(membership, duty, count),
+    hasDuty: (duty, count) => isSelectedForDuty(membership, duty, count),
     hasGlobalDuty: (duty) =>
       rendezvousOrder(
         duty,
