--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/big-world.ts
@@ -3,7 +3,7 @@
   brand,
   declaredHosts,
   emptyConfiguration,
-  executorJob,
+  toExecutorJob,
   findDeclaration,
   applySnapshot,
   type Configuration,
@@ -105,7 +105,7 @@
     const declaration = findDeclaration(configuration, 'Service', name);
     if (!declaration) return;
     range(EXECUTORS_PER_SERVICE).forEach((index) => {
-      const { jobId, leaseMs } = executorJob(declaration, brand<JobId>(`${name}-${index}`));
+      const { jobId, leaseMs } = toExecutorJob(declaration, brand<JobId>(`${name}-${index}`));
       const place = (service * EXECUTORS_PER_SERVICE + index) % hosts.length;
       placements.set(
         jobId,
--- a/packages/core/src/control/draft.ts
+++ b/packages/core/src/control/draft.ts
@@ -115,7 +115,7 @@
     row,
     isLive: host?.isLive ?? true,
     used: host?.used ?? noResources,
-    executors: host?.executors ?? new Map(),
+    executorCounts: host?.executorCounts ?? new Map(),
   });
   pushChange(draft, {
     subject: key,
@@ -134,11 +134,11 @@
 const reserveResources = (draft: Draft, hostId: HostId, job: PlaceableJob): void => {
   const host = draft.hosts.get(hostId);
   if (!host) return;
-  const executors = new Map(host.executors);
+  const executorCounts = new Map(host.executorCounts);
   if (job.service !== null) {
-    executors.set(job.service, (executors.get(job.service) ?? 0) + 1);
+    executorCounts.set(job.service, (executorCounts.get(job.service) ?? 0) + 1);
   }
-  draft.hosts.set(hostId, { ...host, used: addResources(host.used, job), executors });
+  draft.hosts.set(hostId, { ...host, used: addResources(host.used, job), executorCounts });
 };
 
 /**
@@ -201,12 +201,12 @@
   const host = draft.hosts.get(row.hostId);
   if (!host) return;
   const size = resourcesOfPlacement(draft.snapshot, row);
-  const executors = new Map(host.executors);
+  const executorCounts = new Map(host.executorCounts);
   const { service } = row;
-  if (service !== null) executors.set(service, (executors.get(service) ?? 1) - 1);
+  if (service !== null) executorCounts.set(service, (executorCounts.get(service) ?? 1) - 1);
   draft.hosts.set(row.hostId, {
     ...host,
-    executors,
+    executorCounts,
     used: {
       cores: host.used.cores - size.cores,
       memoryMb: host.used.memoryMb - size.memoryMb,
--- a/packages/core/src/control/executors.ts
+++ b/packages/core/src/control/executors.ts
@@ -12,7 +12,7 @@
 import type { DeclarationOf } from '../declarations/schema.js';
 import { listDeclarations } from '../configuration/configuration.js';
 import { chooseHost, type HostChoice } from '../placement/choose-host.js';
-import { executorJob, type PlaceableJob, type PlacementHost } from '../placement/placeable.js';
+import { toExecutorJob, type PlaceableJob, type PlacementHost } from '../placement/placeable.js';
 import { rowKey, type PlacementPhase, type PlacementRow } from '../rows/rows.js';
 import { brand, type HostId, type JobId, type ServiceName } from '../shared/ids.js';
 import {
@@ -85,7 +85,7 @@
 };
 
 const placeExecutor = (draft: Draft, service: ServiceDeclaration, reason: string): boolean => {
-  const job = executorJob(service, firstFreeId(draft, service.name));
+  const job = toExecutorJob(service, firstFreeId(draft, service.name));
   const chosen = chooseExecutorHost(draft, job, Array.from(draft.hosts.values()));
   if (chosen.kind === 'none') {
     recordWithheldAction(draft, rowKey.placement(job.jobId), chosen.reason);
--- a/packages/core/src/control/jobs.ts
+++ b/packages/core/src/control/jobs.ts
@@ -7,7 +7,7 @@
 import type { Urgency } from '../declarations/schema.js';
 import { findDeclaration } from '../configuration/configuration.js';
 import { chooseHost } from '../placement/choose-host.js';
-import { submittedJob, teamQuotaCores, type PlaceableJob } from '../placement/placeable.js';
+import { toSubmittedJob, teamQuotaCores, type PlaceableJob } from '../placement/placeable.js';
 import { rowKey, type JobRow, type PlacementRow } from '../rows/rows.js';
 import type { HostId, JobId, TeamName } from '../shared/ids.js';
 import { groupBy } from '../shared/group-by.js';
@@ -143,7 +143,7 @@
 ): void => {
   const subject = rowKey.job(job.jobId);
   const chosen = chooseHost(job, Array.from(draft.hosts.values()));
-  if (chosen.kind === 'none' && chosen.never) {
+  if (chosen.kind === 'none' && chosen.isPermanent) {
     writeJob(draft, job.jobId, { ...row, phase: 'refused', reason: chosen.reason });
     return;
   }
@@ -188,7 +188,7 @@
       ([jobId, { phase }]) =>
         phase === 'pending' && !draft.snapshot.placements.has(jobId) && isRetryDue(draft, jobId),
     ),
-    RA.map(([, row]) => ({ row, job: submittedJob(row.job, row.failedOn) })),
+    RA.map(([, row]) => ({ row, job: toSubmittedJob(row.job, row.failedOn) })),
     RA.sort(byUrgency),
   ).forEach(({ row, job }) => placePendingJob(draft, job, row, usedCoresByTeam));
 };
--- a/packages/core/src/control/pool-turn.test.ts
+++ b/packages/core/src/control/pool-turn.test.ts
@@ -5,7 +5,7 @@
 import { rowKey, rowPrefix, type JobRow, type PlacementRow } from '../rows/rows.js';
 import { brand, type DataCentreId, type HostId, type JobId, type PoolName } from '../shared/ids.js';
 import { createRng, pick } from '../shared/rng.js';
-import { correctedSize } from '../placement/corrected-size.js';
+import { correctSize } from '../placement/corrected-size.js';
 import {
   changeHost,
   createConfiguration,
@@ -152,10 +152,10 @@
 
     it('count with their measured use: with more cores than declared, or with fewer', () => {
       const declared = { cores: 4, memoryMb: 1, accelerators: 0 };
-      expect(correctedSize(declared, 8, false).cores).toBe(10);
-      expect(correctedSize(declared, 0.1, false).cores).toBe(2);
-      expect(correctedSize(declared, 0.1, true).cores).toBe(4);
-      expect(correctedSize(declared, undefined, false)).toEqual(declared);
+      expect(correctSize(declared, 8, false).cores).toBe(10);
+      expect(correctSize(declared, 0.1, false).cores).toBe(2);
+      expect(correctSize(declared, 0.1, true).cores).toBe(4);
+      expect(correctSize(declared, undefined, false)).toEqual(declared);
     });
 
     it('are not started again on another host while the lease on a lost host may still run', () => {
--- a/packages/core/src/control/wave-trial.ts
+++ b/packages/core/src/control/wave-trial.ts
@@ -8,7 +8,7 @@
 import { chooseHost } from '../placement/choose-host.js';
 import {
   addResources,
-  executorJob,
+  toExecutorJob,
   type PlaceableJob,
   type PlacementHost,
 } from '../placement/placeable.js';
@@ -54,7 +54,7 @@
 
 const isServing = (host: PlacementHost): boolean => host.isLive && host.row.phase === 'assigned';
 
-const executorCounts = (placements: readonly PlacementRow[]): Map<ServiceName, number> => {
+const countExecutors = (placements: readonly PlacementRow[]): Map<ServiceName, number> => {
   const counts = new Map<ServiceName, number>();
   placements.forEach(({ service }) => {
     if (service !== null) counts.set(service, (counts.get(service) ?? 0) + 1);
@@ -95,7 +95,7 @@
       hostId,
       {
         ...host,
-        executors: executorCounts(ready.get(hostId) ?? []),
+        executorCounts: countExecutors(ready.get(hostId) ?? []),
       },
     ]),
   );
@@ -109,7 +109,7 @@
   const byDomain = new Map<string, number>();
   let total = 0;
   simulated.forEach((host) => {
-    const readyOnHost = isServing(host) ? (host.executors.get(service) ?? 0) : 0;
+    const readyOnHost = isServing(host) ? (host.executorCounts.get(service) ?? 0) : 0;
     if (readyOnHost === 0) return;
     total += readyOnHost;
     const domain = failureDomainOf[reserve](host);
@@ -161,22 +161,22 @@
   const { service: name } = placement;
   if (name === null) return undefined;
   const service = findDeclaration(draft.snapshot.configuration, 'Service', name);
-  return service && executorJob(service, `trial/${placement.jobId}` as JobId);
+  return service && toExecutorJob(service, `trial/${placement.jobId}` as JobId);
 };
 
 const simulatePlacement = (simulated: SimulatedHosts, hostId: HostId, job: PlaceableJob): void => {
   const host = simulated.get(hostId) as PlacementHost;
-  const executors = new Map(host.executors);
+  const executorCounts = new Map(host.executorCounts);
   const service = job.service as ServiceName;
-  executors.set(service, (executors.get(service) ?? 0) + 1);
-  simulated.set(hostId, { ...host, used: addResources(host.used, job), executors });
+  executorCounts.set(service, (executorCounts.get(service) ?? 0) + 1);
+  simulated.set(hostId, { ...host, used: addResources(host.used, job), executorCounts });
 };
 
 const simulateEmptying = (simulated: SimulatedHosts, host: PlacementHost): void => {
   simulated.set(host.spec.hostId, {
     ...host,
     row: { ...host.row, phase: 'draining' },
-    executors: new Map(),
+    executorCounts: new Map(),
   });
 };
 
--- a/packages/core/src/control/world.ts
+++ b/packages/core/src/control/world.ts
@@ -1,6 +1,6 @@
 /** The snapshot of a pool from which the holder of its control lease plans a turn. */
 import type { Configuration } from '../configuration/configuration.js';
-import { correctedSize } from '../placement/corrected-size.js';
+import { correctSize } from '../placement/corrected-size.js';
 import {
   addResources,
   noResources,
@@ -73,7 +73,7 @@
       : findDeclaration(snapshot.configuration, 'Service', service)?.spec;
   const { cores, memoryMb, accelerators } = spec ?? noResources;
   const declared = { cores, memoryMb, accelerators };
-  return correctedSize(declared, snapshot.usedCores.get(jobId), service !== null);
+  return correctSize(declared, snapshot.usedCores.get(jobId), service !== null);
 };
 
 type HostLoad = { used: Resources; readonly executors: Map<ServiceName, number> };
@@ -120,7 +120,7 @@
         row,
         isLive: isHostLive(snapshot, hostId),
         used: load?.used ?? noResources,
-        executors: load?.executors ?? new Map(),
+        executorCounts: load?.executors ?? new Map(),
       },
     ];
   });
--- a/packages/core/src/placement/choose-host.ts
+++ b/packages/core/src/placement/choose-host.ts
@@ -9,7 +9,7 @@
 import type { PlaceableJob, PlacementHost } from './placeable.js';
 
 /** The number of hosts that were ruled out, by reason. */
-export type RuledOut = Readonly<Record<string, number>>;
+export type ExclusionCounts = Readonly<Record<string, number>>;
 
 /** A chosen host, with the reason in terms of the operator's labels and selectors. */
 export type ChosenHost = {
@@ -22,8 +22,8 @@
 export type NoHost = {
   readonly kind: 'none';
   /** True if no host could run the job even if all hosts were idle. */
-  readonly never: boolean;
-  readonly ruledOut: RuledOut;
+  readonly isPermanent: boolean;
+  readonly exclusionCounts: ExclusionCounts;
   readonly reason: string;
 };
 
@@ -85,8 +85,8 @@
   const byRack = new Map<string, number>();
   const { service } = job;
   if (service === null) return { byDataCentre, byRack };
-  hosts.forEach(({ spec, executors }) => {
-    const executorCount = executors.get(service) ?? 0;
+  hosts.forEach(({ spec, executorCounts }) => {
+    const executorCount = executorCounts.get(service) ?? 0;
     if (executorCount === 0) return;
     increaseCount(byDataCentre, spec.dataCentre, executorCount);
     increaseCount(byRack, spec.rack, executorCount);
@@ -95,10 +95,10 @@
 };
 
 const rankOf = (job: PlaceableJob, host: PlacementHost, spread: Spread): readonly number[] => [
-  job.avoid.includes(host.spec.hostId) ? 1 : 0,
+  job.avoidedHosts.includes(host.spec.hostId) ? 1 : 0,
   spread.byDataCentre.get(host.spec.dataCentre) ?? 0,
   spread.byRack.get(host.spec.rack) ?? 0,
-  job.service === null ? 0 : (host.executors.get(job.service) ?? 0),
+  job.service === null ? 0 : (host.executorCounts.get(job.service) ?? 0),
   // Prefers the fullest host that fits, because hosts that stay empty can be maintained without
   // moving any task.
   -host.used.cores / host.spec.cores,
@@ -124,7 +124,7 @@
   );
 };
 
-const explainNoHost = (job: PlaceableJob, ruledOut: RuledOut, never: boolean): string => {
+const explainNoHost = (job: PlaceableJob, ruledOut: ExclusionCounts, never: boolean): string => {
   const counts = Object.entries(ruledOut)
     .map(([reason, hosts]) => `${hosts} hosts: ${reason}`)
     .join('; ');
@@ -162,6 +162,11 @@
     return { kind: 'chosen', hostId, reason: reasonFor(job, best, candidates) };
   }
   const counts = Object.fromEntries(ruledOut);
-  const never = possibleHosts === 0;
-  return { kind: 'none', never, ruledOut: counts, reason: explainNoHost(job, counts, never) };
+  const isPermanent = possibleHosts === 0;
+  return {
+    kind: 'none',
+    isPermanent,
+    exclusionCounts: counts,
+    reason: explainNoHost(job, counts, isPermanent),
+  };
 };
--- a/packages/core/src/placement/corrected-size.ts
+++ b/packages/core/src/placement/corrected-size.ts
@@ -21,7 +21,7 @@
  * than its declared size.
  * @returns The size to use for placement.
  */
-export const correctedSize = (
+export const correctSize = (
   declared: Resources,
   usedCores: number | undefined,
   isExecutor: boolean,
--- a/packages/core/src/placement/placeable.ts
+++ b/packages/core/src/placement/placeable.ts
@@ -32,7 +32,7 @@
   /**
    * Hosts that are chosen only if no other host is possible, such as hosts that the job failed on.
    */
-  readonly avoid: readonly HostId[];
+  readonly avoidedHosts: readonly HostId[];
 };
 
 /** The state of a host that placement depends on. */
@@ -44,7 +44,7 @@
   /** The resources that the jobs on it use. */
   readonly used: Resources;
   /** The number of executors of each service on it. */
-  readonly executors: ReadonlyMap<ServiceName, number>;
+  readonly executorCounts: ReadonlyMap<ServiceName, number>;
 };
 
 /** The lease of an executor: long enough that it does not expire while all entries are replaced. */
@@ -57,7 +57,7 @@
  * @param jobId - The executor's identifier.
  * @returns The job.
  */
-export const executorJob = (service: DeclarationOf<'Service'>, jobId: JobId): PlaceableJob => ({
+export const toExecutorJob = (service: DeclarationOf<'Service'>, jobId: JobId): PlaceableJob => ({
   jobId,
   service: brand<ServiceName>(service.name),
   pool: brand<PoolName>(service.spec.pool),
@@ -65,7 +65,7 @@
   selector: parseSelector(service.spec.selector).unwrap(),
   urgency: 'urgent',
   leaseMs: EXECUTOR_LEASE_MS,
-  avoid: [],
+  avoidedHosts: [],
   cores: service.spec.cores,
   memoryMb: service.spec.memoryMb,
   accelerators: service.spec.accelerators,
@@ -75,10 +75,13 @@
  * Describes a submitted job.
  *
  * @param job - Its declaration.
- * @param avoid - Hosts on which the job has failed.
+ * @param avoidedHosts - Hosts on which the job has failed.
  * @returns The job.
  */
-export const submittedJob = (job: JobDeclaration, avoid: readonly HostId[] = []): PlaceableJob => ({
+export const toSubmittedJob = (
+  job: JobDeclaration,
+  avoidedHosts: readonly HostId[] = [],
+): PlaceableJob => ({
   jobId: brand<JobId>(job.name),
   service: null,
   pool: brand<PoolName>(job.spec.pool),
@@ -86,7 +89,7 @@
   selector: parseSelector(job.spec.selector).unwrap(),
   urgency: job.spec.urgency,
   leaseMs: job.spec.leaseS * 1000,
-  avoid,
+  avoidedHosts,
   cores: job.spec.cores,
   memoryMb: job.spec.memoryMb,
   accelerators: job.spec.accelerators,
