--- a/packages/core/src/retry/may-retry.ts
+++ b/packages/core/src/retry/may-retry.ts
@@ -2,7 +2,7 @@
 import type { Verdict } from '../verdict/verdict.js';
 
 /** The state of a request whose last attempt failed. */
-export type RetryQuestion = {
+export type RetryState = {
   /** Whether running the request more than once is harmless. */
   readonly isRepeatable: boolean;
   /** The verdict of the attempt that failed. */
@@ -11,7 +11,7 @@
   /**
    * The number of endpoints that accepted the request and closed the connection without an answer.
    */
-  readonly brokenOff: number;
+  readonly brokenOffEndpoints: number;
   /** The time left until the deadline. */
   readonly remainingMs: number;
   /** The time that one attempt is expected to take. */
@@ -24,7 +24,7 @@
  * A request is not retried once this many endpoints have closed the connection without an answer, so
  * that a request that crashes each endpoint that accepts it crashes at most this many.
  */
-export const MAX_BROKEN_OFF = 2;
+export const MAX_BROKEN_OFF_ENDPOINTS = 2;
 
 /**
  * Checks whether another attempt is allowed. The retry budget is checked separately.
@@ -33,15 +33,15 @@
  * @returns True if another attempt is within the limits, cannot repeat a harmful effect and is
  * expected to end before the deadline.
  */
-export const mayRetry = ({
+export const canRetry = ({
   isRepeatable,
   verdict,
   attemptsMade,
-  brokenOff,
+  brokenOffEndpoints,
   remainingMs,
   expectedAttemptMs,
-}: RetryQuestion): boolean => {
-  if (attemptsMade >= MAX_ATTEMPTS || brokenOff >= MAX_BROKEN_OFF) return false;
+}: RetryState): boolean => {
+  if (attemptsMade >= MAX_ATTEMPTS || brokenOffEndpoints >= MAX_BROKEN_OFF_ENDPOINTS) return false;
   if (remainingMs <= expectedAttemptMs) return false;
   return verdict === 'notRun' || isRepeatable;
 };
--- a/packages/core/src/retry/retry-budget.ts
+++ b/packages/core/src/retry/retry-budget.ts
@@ -8,16 +8,16 @@
   /** The retries that are available, including a fraction. */
   tokens: number;
   /** The tokens that a first attempt adds. */
-  readonly earnPerRequest: number;
+  readonly tokensPerRequest: number;
   /** The maximum number of tokens. */
-  readonly most: number;
+  readonly maxTokens: number;
 };
 
 export type RetryBudgetOptions = {
   /** The tokens that a first attempt adds. */
-  readonly earnPerRequest?: number;
+  readonly tokensPerRequest?: number;
   /** The maximum number of tokens. */
-  readonly most?: number;
+  readonly maxTokens?: number;
 };
 
 /**
@@ -27,18 +27,18 @@
  * @returns The budget.
  */
 export const createRetryBudget = ({
-  earnPerRequest = 0.1,
-  most = 20,
-}: RetryBudgetOptions = {}): RetryBudget => ({ tokens: most, earnPerRequest, most });
+  tokensPerRequest = 0.1,
+  maxTokens = 20,
+}: RetryBudgetOptions = {}): RetryBudget => ({ tokens: maxTokens, tokensPerRequest, maxTokens });
 
 /**
  * Adds the tokens for a first attempt.
  *
  * @param budget - The budget, changed in place.
  */
-export const earnRetry = (budget: RetryBudget): void => {
+export const addRetryTokens = (budget: RetryBudget): void => {
   const state = budget;
-  state.tokens = Math.min(state.most, state.tokens + state.earnPerRequest);
+  state.tokens = Math.min(state.maxTokens, state.tokens + state.tokensPerRequest);
 };
 
 /**
@@ -47,7 +47,7 @@
  * @param budget - The budget, changed in place.
  * @returns True if the retry may be made.
  */
-export const spendRetry = (budget: RetryBudget): boolean => {
+export const takeRetryToken = (budget: RetryBudget): boolean => {
   const state = budget;
   if (state.tokens < 1) return false;
   state.tokens -= 1;
--- a/packages/daemon/src/data-path/serve-request.ts
+++ b/packages/daemon/src/data-path/serve-request.ts
@@ -5,11 +5,11 @@
 import {
   brand,
   combineVerdicts,
-  earnRetry,
+  addRetryTokens,
   findDeclaration,
-  mayRetry,
+  canRetry,
   noteOutcome,
-  spendRetry,
+  takeRetryToken,
   type Endpoint,
   type EndpointId,
   type RefusalReason,
@@ -156,14 +156,14 @@
   admission: ServiceGate,
   verdict: Verdict,
 ): boolean =>
-  mayRetry({
+  canRetry({
     isRepeatable: requestState.request.isRepeatable,
     verdict,
     attemptsMade: requestState.verdicts.length,
-    brokenOff: requestState.attemptsWithoutResponse,
+    brokenOffEndpoints: requestState.attemptsWithoutResponse,
     remainingMs: remainingMs(requestState),
     expectedAttemptMs: admission.usualMs(),
-  }) && spendRetry(admission.retryBudget);
+  }) && takeRetryToken(admission.retryBudget);
 
 /**
  * Forwards a request to another entry that has endpoints of the service. Returns undefined if there
@@ -194,7 +194,7 @@
   requestState: RequestState,
   admission: ServiceGate,
 ): Promise<RequestOutcome> => {
-  earnRetry(admission.retryBudget);
+  addRetryTokens(admission.retryBudget);
   for (;;) {
     const slot = await admission.acquire({
       callerId: requestState.request.callerId,
