--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -2,10 +2,10 @@
 import {
   brand,
   createEndpoint,
-  noteOutcome,
+  recordOutcome,
   pick,
   portionOfShare,
-  shareOfSeat,
+  computeSeatShare,
   type CallerId,
   type EndpointId,
   type HostId,
@@ -49,7 +49,7 @@
   });
   const endpoints = executors.map((_, index) => {
     const endpointId = brand<EndpointId>(`executor-${index}`);
-    const share = shareOfSeat(slots, ENTRIES, seat, endpointId);
+    const share = computeSeatShare(slots, ENTRIES, seat, endpointId);
     return createEndpoint({
       endpointId,
       service: brand<ServiceName>('service'),
@@ -71,7 +71,7 @@
     const { endpoint } = slot;
     const startedMs = time.nowMs();
     executors[endpoints.indexOf(endpoint)]?.accept(() => {
-      noteOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
+      recordOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
       gate.release(endpoint, callerId);
       onAnswer();
     });
--- a/packages/core/src/routing/choose-endpoint.ts
+++ b/packages/core/src/routing/choose-endpoint.ts
@@ -4,7 +4,7 @@
  */
 import { pick, type Rng } from '../shared/rng.js';
 import type { EndpointId } from '../shared/ids.js';
-import { failureShareNow, isEjected, type Endpoint } from './endpoint.js';
+import { decayedFailureShare, isEjected, type Endpoint } from './endpoint.js';
 
 export type ChooseEndpointOptions = {
   /**
@@ -25,9 +25,9 @@
  * the penalty, an endpoint that fails fast would be preferred as if it answered fast.
  */
 const expectedResponseMs = (endpoint: Endpoint, nowMs: number): number => {
-  const { inFlight, slotShare, smoothedMs } = endpoint;
-  const penalty = 1 + FAILURE_WEIGHT * failureShareNow(endpoint, nowMs);
-  return ((inFlight + 1) / slotShare) * smoothedMs * penalty;
+  const { inFlight, slotShare, smoothedResponseMs } = endpoint;
+  const penalty = 1 + FAILURE_WEIGHT * decayedFailureShare(endpoint, nowMs);
+  return ((inFlight + 1) / slotShare) * smoothedResponseMs * penalty;
 };
 
 /**
@@ -39,7 +39,7 @@
  * @returns The endpoints that are not excluded, leaving or ejected, whose slot share has not
  * expired and which have a free slot.
  */
-export const usableEndpoints = (
+export const filterUsableEndpoints = (
   endpoints: readonly Endpoint[],
   nowMs: number,
   { exclude = [] }: ChooseEndpointOptions = {},
@@ -48,7 +48,7 @@
     (endpoint) =>
       !endpoint.isLeaving &&
       endpoint.inFlight < endpoint.slotShare &&
-      nowMs < endpoint.shareUntilMs &&
+      nowMs < endpoint.slotShareExpiresAtMs &&
       !isEjected(endpoint, nowMs) &&
       !exclude.includes(endpoint.endpointId),
   );
@@ -68,7 +68,7 @@
   rng: Rng,
   options: ChooseEndpointOptions = {},
 ): Endpoint | undefined => {
-  const usable = usableEndpoints(endpoints, nowMs, options);
+  const usable = filterUsableEndpoints(endpoints, nowMs, options);
   if (usable.length < 2) return usable[0];
   const first = pick(usable, rng) as Endpoint;
   const second = pick(usable, rng) as Endpoint;
--- a/packages/core/src/routing/endpoint.ts
+++ b/packages/core/src/routing/endpoint.ts
@@ -18,25 +18,25 @@
    * The time at which `slotShare` expires, in milliseconds. An entry whose process was
    * suspended finds its share expired and stops using it.
    */
-  shareUntilMs: number;
+  slotShareExpiresAtMs: number;
   /** Whether the endpoint is shutting down and takes no new requests. */
   isLeaving: boolean;
   inFlight: number;
   /** Smoothed response time in milliseconds; a failed attempt can only raise it. */
-  smoothedMs: number;
-  /** Smoothed share of attempts that failed, from 0 to 1, as of `lastOutcomeMs`. */
+  smoothedResponseMs: number;
+  /** Smoothed share of attempts that failed, from 0 to 1, as of `lastOutcomeAtMs`. */
   failureShare: number;
   /** When the last attempt ended, in milliseconds. */
-  lastOutcomeMs: number;
+  lastOutcomeAtMs: number;
   /** The end of the current or last ejection, in milliseconds. */
   ejectedUntilMs: number;
   /** When an attempt last ended, or when the first request after an idle period was sent. */
-  lastProgressMs: number;
+  lastProgressAtMs: number;
   /**
    * Consecutive ejections because of failures. The ejection time doubles with each; the count is
    * reset once the failure share has fallen far enough.
    */
-  ejections: number;
+  consecutiveEjections: number;
 };
 
 export type EndpointOptions = {
@@ -45,7 +45,7 @@
   readonly hostId: HostId;
   readonly address: string;
   readonly slotShare?: number;
-  readonly shareUntilMs?: number;
+  readonly slotShareExpiresAtMs?: number;
 };
 
 /** Assumed response time of an endpoint that has not answered yet. */
@@ -63,22 +63,22 @@
   hostId,
   address,
   slotShare = 1,
-  shareUntilMs = Infinity,
+  slotShareExpiresAtMs = Infinity,
 }: EndpointOptions): Endpoint => ({
   endpointId,
   service,
   hostId,
   address,
   slotShare,
-  shareUntilMs,
+  slotShareExpiresAtMs,
   isLeaving: false,
   inFlight: 0,
-  smoothedMs: INITIAL_RESPONSE_MS,
+  smoothedResponseMs: INITIAL_RESPONSE_MS,
   failureShare: 0,
-  lastOutcomeMs: 0,
+  lastOutcomeAtMs: 0,
   ejectedUntilMs: 0,
-  lastProgressMs: 0,
-  ejections: 0,
+  lastProgressAtMs: 0,
+  consecutiveEjections: 0,
 });
 
 /** How one attempt at an endpoint ended. */
@@ -97,7 +97,7 @@
 const FIRST_EJECTION_MS = 2000;
 const MAX_EJECTION_MS = 30_000;
 /** The largest share of a service's endpoints that may be ejected at the same time. */
-export const MOST_EJECTED_SHARE = 0.5;
+export const MAX_EJECTED_SHARE = 0.5;
 
 /** The half-life of the failure share: a failure that is this old counts half. */
 const FAILURE_HALF_LIFE_MS = 2000;
@@ -109,8 +109,8 @@
  * @param nowMs - The current time, in milliseconds.
  * @returns The share, from 0 to 1.
  */
-export const failureShareNow = (endpoint: Endpoint, nowMs: number): number =>
-  endpoint.failureShare * 0.5 ** ((nowMs - endpoint.lastOutcomeMs) / FAILURE_HALF_LIFE_MS);
+export const decayedFailureShare = (endpoint: Endpoint, nowMs: number): number =>
+  endpoint.failureShare * 0.5 ** ((nowMs - endpoint.lastOutcomeAtMs) / FAILURE_HALF_LIFE_MS);
 
 /**
  * Returns the average failure share of the other endpoints. For an endpoint without peers this is
@@ -123,7 +123,7 @@
 ): number => {
   const others = peers.filter((peer) => peer !== endpoint);
   if (others.length === 0) return 1;
-  const sum = others.reduce((total, peer) => total + failureShareNow(peer, nowMs), 0);
+  const sum = others.reduce((total, peer) => total + decayedFailureShare(peer, nowMs), 0);
   return sum / others.length;
 };
 
@@ -147,9 +147,9 @@
  * @param endpoint - The endpoint, changed in place.
  * @param nowMs - The current time, in milliseconds.
  */
-export const noteSent = (endpoint: Endpoint, nowMs: number): void => {
-  const lastProgressMs = endpoint.inFlight === 0 ? nowMs : endpoint.lastProgressMs;
-  change(endpoint, { lastProgressMs, inFlight: endpoint.inFlight + 1 });
+export const recordSent = (endpoint: Endpoint, nowMs: number): void => {
+  const lastProgressAtMs = endpoint.inFlight === 0 ? nowMs : endpoint.lastProgressAtMs;
+  change(endpoint, { lastProgressAtMs, inFlight: endpoint.inFlight + 1 });
 };
 
 /**
@@ -163,7 +163,7 @@
  */
 export const isStalled = (endpoint: Endpoint, typicalMs: number, nowMs: number): boolean =>
   endpoint.inFlight > 0 &&
-  nowMs - endpoint.lastProgressMs > Math.max(MIN_STALL_MS, typicalMs * STALL_FACTOR);
+  nowMs - endpoint.lastProgressAtMs > Math.max(MIN_STALL_MS, typicalMs * STALL_FACTOR);
 
 /**
  * Ejects stalled endpoints, up to the largest share that may be ejected at the same time.
@@ -184,10 +184,10 @@
   });
 };
 
-/** Checks whether one more ejection stays within MOST_EJECTED_SHARE. */
+/** Checks whether one more ejection stays within MAX_EJECTED_SHARE. */
 const canEjectOneMore = (peers: readonly Endpoint[], nowMs: number): boolean => {
   const ejected = peers.filter((peer) => isEjected(peer, nowMs)).length;
-  return ejected + 1 <= peers.length * MOST_EJECTED_SHARE;
+  return ejected + 1 <= peers.length * MAX_EJECTED_SHARE;
 };
 
 /** Ejects an endpoint that fails often and clearly more often than its peers. */
@@ -196,14 +196,14 @@
   peers: readonly Endpoint[],
   nowMs: number,
 ): void => {
-  const { failureShare, ejections } = endpoint;
+  const { failureShare, consecutiveEjections } = endpoint;
   if (failureShare < EJECTION_THRESHOLD || isEjected(endpoint, nowMs)) return;
   if (failureShare < peerFailureShare(endpoint, peers, nowMs) + EJECTION_MARGIN) return;
   if (!canEjectOneMore(peers, nowMs)) return;
-  const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** ejections);
+  const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** consecutiveEjections);
   change(endpoint, {
     ejectedUntilMs: nowMs + ejectionMs,
-    ejections: ejections + 1,
+    consecutiveEjections: consecutiveEjections + 1,
     // Puts the endpoint on probation: the share starts at the threshold, so that one more failure
     // can eject the endpoint again, while one success takes the share below the threshold.
     failureShare: EJECTION_THRESHOLD,
@@ -219,29 +219,30 @@
  * @param peers - All endpoints of the service, the endpoint among them.
  * @param nowMs - The current time, in milliseconds.
  */
-export const noteOutcome = (
+export const recordOutcome = (
   endpoint: Endpoint,
   outcome: AttemptOutcome,
   durationMs: number,
   peers: readonly Endpoint[],
   nowMs: number,
 ): void => {
-  const { smoothedMs, ejections } = endpoint;
-  const shareBefore = failureShareNow(endpoint, nowMs);
-  change(endpoint, { lastProgressMs: nowMs, lastOutcomeMs: nowMs, failureShare: shareBefore });
+  const { smoothedResponseMs, consecutiveEjections } = endpoint;
+  const shareBefore = decayedFailureShare(endpoint, nowMs);
+  change(endpoint, { lastProgressAtMs: nowMs, lastOutcomeAtMs: nowMs, failureShare: shareBefore });
   if (outcome === 'answered') {
     const failureShare = shareBefore * (1 - FAILURE_SMOOTHING);
     change(endpoint, {
-      smoothedMs: smoothedMs + RESPONSE_SMOOTHING * (durationMs - smoothedMs),
+      smoothedResponseMs:
+        smoothedResponseMs + RESPONSE_SMOOTHING * (durationMs - smoothedResponseMs),
       failureShare,
-      ejections: failureShare < EJECTION_THRESHOLD / 2 ? 0 : ejections,
+      consecutiveEjections: failureShare < EJECTION_THRESHOLD / 2 ? 0 : consecutiveEjections,
     });
     return;
   }
   if (outcome === 'failed') {
     change(endpoint, {
       failureShare: shareBefore + FAILURE_SMOOTHING * (1 - shareBefore),
-      smoothedMs: Math.max(smoothedMs, durationMs),
+      smoothedResponseMs: Math.max(smoothedResponseMs, durationMs),
     });
     ejectIfWorseThanPeers(endpoint, peers, nowMs);
   }
--- a/packages/core/src/routing/share.ts
+++ b/packages/core/src/routing/share.ts
@@ -11,7 +11,7 @@
  * remainder each, so that the remainders of all endpoints don't go to the same seats.
  * @returns The seat's part, a whole number; 0 if there is no such seat.
  */
-export const shareOfSeat = (
+export const computeSeatShare = (
   limit: number,
   seats: number,
   seat: number,
--- a/packages/daemon/src/data-path/endpoint-directory.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.ts
@@ -8,7 +8,7 @@
   findDeclaration,
   groupBy,
   portionOfShare,
-  shareOfSeat,
+  computeSeatShare,
   type Configuration,
   type Endpoint,
   type EndpointId,
@@ -82,7 +82,7 @@
   const slotShareOf = (service: string, endpointId: EndpointId): number => {
     const currentSeat = seat();
     if (currentSeat === null) return 0;
-    const share = shareOfSeat(
+    const share = computeSeatShare(
       slotsPerEndpoint(service),
       currentSeat.seats,
       currentSeat.seat,
@@ -103,7 +103,7 @@
         address: task.address as string,
       });
     endpoint.slotShare = slotShareOf(endpoint.service, endpointId);
-    endpoint.shareUntilMs = seat()?.untilMs ?? -Infinity;
+    endpoint.slotShareExpiresAtMs = seat()?.untilMs ?? -Infinity;
     endpoint.isLeaving ||= task.phase === 'leaving' || leavingIds.has(endpointId);
     endpoints.set(endpointId, endpoint);
     return endpoint;
--- a/packages/daemon/src/data-path/serve-request.ts
+++ b/packages/daemon/src/data-path/serve-request.ts
@@ -8,7 +8,7 @@
   addRetryTokens,
   findDeclaration,
   canRetry,
-  noteOutcome,
+  recordOutcome,
   takeRetryToken,
   type Endpoint,
   type EndpointId,
@@ -120,11 +120,11 @@
     address: endpoint.address,
     maxConnections: context.connectionShare(request.service, endpoint),
     addedHeaders: {},
-    mayStillSend: () => context.nowMs() < endpoint.shareUntilMs,
+    mayStillSend: () => context.nowMs() < endpoint.slotShareExpiresAtMs,
   });
   const nowMs = context.nowMs();
   const outcome = classified.kind === 'good' ? 'answered' : classified.outcome;
-  noteOutcome(endpoint, outcome, nowMs - startedMs, admission.endpoints(), nowMs);
+  recordOutcome(endpoint, outcome, nowMs - startedMs, admission.endpoints(), nowMs);
   admission.release(endpoint, request.callerId);
   return classified;
 };
--- a/packages/daemon/src/data-path/service-gate.ts
+++ b/packages/daemon/src/data-path/service-gate.ts
@@ -8,9 +8,9 @@
   enqueue,
   isEjected,
   recordFinished,
-  noteSent,
+  recordSent,
   recordStarted,
-  usableEndpoints,
+  filterUsableEndpoints,
   type AdmissionQueue,
   type CallerId,
   type Capacity,
@@ -108,7 +108,7 @@
     const ready = readyEndpoints();
     const slots = ready.reduce((sum, { slotShare }) => sum + slotShare, 0);
     const weightedMs = ready.reduce(
-      (sum, endpoint) => sum + endpoint.smoothedMs * endpoint.slotShare,
+      (sum, endpoint) => sum + endpoint.smoothedResponseMs * endpoint.slotShare,
       0,
     );
     return { slots, typicalRequestMs: slots === 0 ? 0 : weightedMs / slots };
@@ -117,7 +117,7 @@
   const usualMs = (): number => capacity().typicalRequestMs;
 
   const grant = (endpoint: Endpoint, callerId: CallerId): Slot => {
-    noteSent(endpoint, nowMs());
+    recordSent(endpoint, nowMs());
     recordStarted(queue, callerId);
     return { kind: 'slot', endpoint };
   };
@@ -174,7 +174,7 @@
   };
 
   const grantNext = (): boolean => {
-    const hasFreeSlot = usableEndpoints(endpoints, nowMs()).length > 0;
+    const hasFreeSlot = filterUsableEndpoints(endpoints, nowMs()).length > 0;
     const { next, expired } = dequeue(queue, capacity().typicalRequestMs, nowMs(), hasFreeSlot);
     expired.forEach(({ payload: waiter }) => {
       waiter.resolve(refuse('deadline-too-short', 'no slot came free in time for its deadline'));
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -5,7 +5,7 @@
   brand,
   findDeclaration,
   storeDecision,
-  shareOfSeat,
+  computeSeatShare,
   type DecisionStore,
   type Endpoint,
   type EntryId,
@@ -151,7 +151,7 @@
     const spec = findDeclaration(configSync.current(), 'Service', service)?.spec;
     const held = heldSeat();
     if (!spec || !held) return endpoint.slotShare;
-    const share = shareOfSeat(spec.connections, held.seats, held.seat, endpoint.endpointId);
+    const share = computeSeatShare(spec.connections, held.seats, held.seat, endpoint.endpointId);
     return Math.min(share, endpoint.slotShare);
   };
 
--- a/packages/daemon/src/seats/seats.test.ts
+++ b/packages/daemon/src/seats/seats.test.ts
@@ -5,7 +5,7 @@
   brand,
   emptySeatBook,
   portionOfShare,
-  shareOfSeat,
+  computeSeatShare,
   type EntryId,
 } from '@valvelatch/core';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -27,7 +27,7 @@
       'add up to the limit, and the two halves of a share add up to the share',
       (limit, seats, name) => {
         const shares = Array.from({ length: seats }, (_, seat) =>
-          shareOfSeat(limit, seats, seat, name),
+          computeSeatShare(limit, seats, seat, name),
         );
         expect(shares.reduce((a, b) => a + b, 0)).toBe(limit);
         shares.forEach((share) => {
