--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -4,7 +4,7 @@
   createEndpoint,
   recordOutcome,
   pick,
-  portionOfShare,
+  computePortion,
   computeSeatShare,
   type CallerId,
   type EndpointId,
@@ -55,7 +55,7 @@
       service: brand<ServiceName>('service'),
       hostId: brand<HostId>(`host-${index}`),
       address: '',
-      slotShare: portionOfShare(share, 'full'),
+      slotShare: computePortion(share, 'full'),
     });
   });
   gate.setEndpoints(endpoints);
--- a/packages/core/src/seats/seat.ts
+++ b/packages/core/src/seats/seat.ts
@@ -22,94 +22,104 @@
 export type SeatPortion = 'full' | 'continuing' | 'unconsented';
 
 /**
- * How long a promise binds the entry that gave it, in milliseconds. Longer than PROMISE_USE_MS, so
- * that the receiver stops relying on a promise before it stops being binding.
+ * How long a promise binds the entry that gave it, in milliseconds. Longer than
+ * PROMISE_RELIANCE_MS, so that the receiver stops relying on a promise before it stops being binding.
  */
 export const PROMISE_MS = 3000;
 /** How long the receiver relies on a promise, in milliseconds from before it asked for it. */
-export const PROMISE_USE_MS = 2000;
+export const PROMISE_RELIANCE_MS = 2000;
 /**
  * How long a holder continues without the platform, in milliseconds. Without consent, a new holder
  * may use the whole seat only after this time.
  */
-export const LONGEST_CONTINUING_MS = 2 * 60 * 60 * 1000;
+export const MAX_CONTINUING_MS = 2 * 60 * 60 * 1000;
 
 /** One term of a seat: a promise or a consent is valid for this term only. */
 export type SeatTerm = { readonly seat: number; readonly epoch: number; readonly holder: EntryId };
 
 /** The promises and consents that a holder has given. */
-export type SeatBook = {
+export type SeatCommitments = {
   /** The end of the last promise for each term, by key of the term. */
   readonly promisedUntilMs: ReadonlyMap<string, number>;
   /** The keys of the terms to whose end this entry has consented. */
   readonly consented: ReadonlySet<string>;
 };
 
-/** The answer to a request for a promise or a consent, with the updated book. */
-export type SeatAnswer = { readonly isGranted: boolean; readonly book: SeatBook };
+/** The answer to a request for a promise or a consent, with the updated commitments. */
+export type SeatAnswer = { readonly isGranted: boolean; readonly commitments: SeatCommitments };
 
-/** A book without promises or consents. */
-export const emptySeatBook: SeatBook = { promisedUntilMs: new Map(), consented: new Set() };
+/** Commitments without promises or consents. */
+export const noSeatCommitments: SeatCommitments = {
+  promisedUntilMs: new Map(),
+  consented: new Set(),
+};
 
 const termKey = ({ seat, epoch, holder }: SeatTerm): string => `${seat}/${epoch}/${holder}`;
 
 /**
  * Answers a holder that asks for a promise, so that it can continue without the platform.
  *
- * @param book - The promises and consents that this entry has given.
+ * @param commitments - The promises and consents that this entry has given.
  * @param term - The term of the holder that asks.
  * @param nowMs - The current time, in milliseconds.
- * @returns Whether the promise is given, and the updated book.
+ * @returns Whether the promise is given, and the updated commitments.
  */
-export const answerPromise = (book: SeatBook, term: SeatTerm, nowMs: number): SeatAnswer => {
+export const handlePromiseRequest = (
+  commitments: SeatCommitments,
+  term: SeatTerm,
+  nowMs: number,
+): SeatAnswer => {
   const key = termKey(term);
-  if (book.consented.has(key)) return { isGranted: false, book };
-  const promisedUntilMs = new Map(book.promisedUntilMs).set(key, nowMs + PROMISE_MS);
-  return { isGranted: true, book: { ...book, promisedUntilMs } };
+  if (commitments.consented.has(key)) return { isGranted: false, commitments };
+  const promisedUntilMs = new Map(commitments.promisedUntilMs).set(key, nowMs + PROMISE_MS);
+  return { isGranted: true, commitments: { ...commitments, promisedUntilMs } };
 };
 
 /**
  * Answers an entry that asks for consent to take over an expired seat.
  *
- * @param book - The promises and consents that this entry has given.
+ * @param commitments - The promises and consents that this entry has given.
  * @param term - The term that has expired.
  * @param isEntitled - Whether this entry's own lease is valid and was taken with consent.
  * @param nowMs - The current time, in milliseconds.
- * @returns Whether the consent is given, and the updated book.
+ * @returns Whether the consent is given, and the updated commitments.
  */
-export const answerConsent = (
-  book: SeatBook,
+export const handleConsentRequest = (
+  commitments: SeatCommitments,
   term: SeatTerm,
   isEntitled: boolean,
   nowMs: number,
 ): SeatAnswer => {
   const key = termKey(term);
-  if (!isEntitled || nowMs < (book.promisedUntilMs.get(key) ?? -Infinity)) {
-    return { isGranted: false, book };
+  if (!isEntitled || nowMs < (commitments.promisedUntilMs.get(key) ?? -Infinity)) {
+    return { isGranted: false, commitments };
   }
-  return { isGranted: true, book: { ...book, consented: new Set(book.consented).add(key) } };
+  return {
+    isGranted: true,
+    commitments: { ...commitments, consented: new Set(commitments.consented).add(key) },
+  };
 };
 
 /**
  * Checks whether this entry has consented to the end of a term. If so, the answers of the term's
  * holder no longer count.
  *
- * @param book - The promises and consents that this entry has given.
+ * @param commitments - The promises and consents that this entry has given.
  * @param term - The term.
  * @returns True if the term may have been taken over.
  */
-export const hasConsented = (book: SeatBook, term: SeatTerm): boolean =>
-  book.consented.has(termKey(term));
+export const hasConsented = (commitments: SeatCommitments, term: SeatTerm): boolean =>
+  commitments.consented.has(termKey(term));
 
 /**
  * Returns the time until which a holder may rely on a promise of this entry.
  *
- * @param book - The promises and consents that this entry has given.
+ * @param commitments - The promises and consents that this entry has given.
  * @param holder - The holder.
  * @returns The end of the last promise to the holder, in milliseconds, or -Infinity without one.
  */
-export const promisedUntilMs = (book: SeatBook, holder: EntryId): number =>
-  Array.from(book.promisedUntilMs)
+export const latestPromiseEndMs = (commitments: SeatCommitments, holder: EntryId): number =>
+  Array.from(commitments.promisedUntilMs)
     .filter(([key]) => key.endsWith(`/${holder}`))
     .reduce((latest, [, untilMs]) => Math.max(latest, untilMs), -Infinity);
 
@@ -126,5 +136,5 @@
  * @param portion - Which part may be used.
  * @returns The part, a whole number; `continuing` and `unconsented` add up to the whole share.
  */
-export const portionOfShare = (share: number, portion: SeatPortion): number =>
+export const computePortion = (share: number, portion: SeatPortion): number =>
   portionSizes[portion](share);
--- a/packages/daemon/src/data-path/endpoint-directory.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.ts
@@ -7,7 +7,7 @@
   createEndpoint,
   findDeclaration,
   groupBy,
-  portionOfShare,
+  computePortion,
   computeSeatShare,
   type Configuration,
   type Endpoint,
@@ -88,7 +88,7 @@
       currentSeat.seat,
       endpointId,
     );
-    return portionOfShare(share, currentSeat.portion);
+    return computePortion(share, currentSeat.portion);
   };
 
   const refreshEndpoint = (task: ObservedTask): Endpoint => {
--- a/packages/daemon/src/seats/seat-keeper.ts
+++ b/packages/daemon/src/seats/seat-keeper.ts
@@ -3,16 +3,16 @@
  * platform for as long as that is safe. The rules of promises and consent are in `@valvelatch/core`.
  */
 import {
-  answerConsent,
-  answerPromise,
-  emptySeatBook,
+  handleConsentRequest,
+  handlePromiseRequest,
+  noSeatCommitments,
   hasConsented,
-  LONGEST_CONTINUING_MS,
-  PROMISE_USE_MS,
-  promisedUntilMs,
+  MAX_CONTINUING_MS,
+  PROMISE_RELIANCE_MS,
+  latestPromiseEndMs,
   type EntryId,
   type LeaseRow,
-  type SeatBook,
+  type SeatCommitments,
   type SeatPortion,
   type SeatTerm,
 } from '@valvelatch/core';
@@ -97,7 +97,7 @@
   nowMs = () => performance.now(),
 }: SeatKeeperOptions): SeatKeeper => {
   const seats: Seat[] = [];
-  let seatBook: SeatBook = emptySeatBook;
+  let seatBook: SeatCommitments = noSeatCommitments;
   let ownSeat: Seat | null = null;
   let takenWithConsent = true;
   /** Time until which this entry may use its seat based on the promises of all other holders. */
@@ -173,12 +173,12 @@
     const requestedAtMs = nowMs();
     outageSinceMs ??= requestedAtMs;
     const row = seat.lease.lastRow();
-    if (row?.holder !== self || requestedAtMs - outageSinceMs > LONGEST_CONTINUING_MS) {
+    if (row?.holder !== self || requestedAtMs - outageSinceMs > MAX_CONTINUING_MS) {
       ownSeat = null;
       return;
     }
     const hasAllPromises = await allOthersGrant(seat, termOf(seat, row), askPromise);
-    if (hasAllPromises) promisedUseUntilMs = requestedAtMs + PROMISE_USE_MS;
+    if (hasAllPromises) promisedUseUntilMs = requestedAtMs + PROMISE_RELIANCE_MS;
   };
 
   const renewOwnSeat = async (seat: Seat): Promise<void> => {
@@ -225,13 +225,13 @@
     tick,
     held: heldSeat,
     onPromiseAsked: (term) => {
-      const answer = answerPromise(seatBook, term, nowMs());
-      seatBook = answer.book;
+      const answer = handlePromiseRequest(seatBook, term, nowMs());
+      seatBook = answer.commitments;
       return answer.isGranted;
     },
     onConsentAsked: (term) => {
-      const answer = answerConsent(seatBook, term, mayConsent(), nowMs());
-      seatBook = answer.book;
+      const answer = handleConsentRequest(seatBook, term, mayConsent(), nowMs());
+      seatBook = answer.commitments;
       return answer.isGranted;
     },
     otherHolders: () => otherSeats(ownSeat).map((seat) => holderOf(seat) as EntryId),
@@ -239,7 +239,7 @@
     hasLapsed: (holder, graceMs) =>
       // Without a promise of this entry, the holder cannot use its seat after its lease has lapsed.
       ownSeat !== null &&
-      nowMs() > promisedUntilMs(seatBook, holder) + graceMs &&
+      nowMs() > latestPromiseEndMs(seatBook, holder) + graceMs &&
       seats
         .filter((seat) => holderOf(seat) === holder)
         .every(({ lease }) => {
--- a/packages/daemon/src/seats/seats.test.ts
+++ b/packages/daemon/src/seats/seats.test.ts
@@ -1,10 +1,10 @@
 import { fc, test } from '@fast-check/vitest';
 import {
-  answerConsent,
-  answerPromise,
+  handleConsentRequest,
+  handlePromiseRequest,
   brand,
-  emptySeatBook,
-  portionOfShare,
+  noSeatCommitments,
+  computePortion,
   computeSeatShare,
   type EntryId,
 } from '@valvelatch/core';
@@ -31,7 +31,7 @@
         );
         expect(shares.reduce((a, b) => a + b, 0)).toBe(limit);
         shares.forEach((share) => {
-          const halves = portionOfShare(share, 'continuing') + portionOfShare(share, 'unconsented');
+          const halves = computePortion(share, 'continuing') + computePortion(share, 'unconsented');
           expect(halves).toBe(share);
         });
       },
@@ -47,7 +47,7 @@
       ],
       { seed: 22 },
     )('never let a holder keep using its seat after consent to its takeover', (requests) => {
-      let book = emptySeatBook;
+      let book = noSeatCommitments;
       let nowMs = 0;
       let promiseUseEndsMs = -Infinity;
       let hasConsent = false;
@@ -55,9 +55,9 @@
         nowMs += elapsedMs;
         const answer =
           kind === 'promise'
-            ? answerPromise(book, TERM, nowMs)
-            : answerConsent(book, TERM, true, nowMs);
-        book = answer.book;
+            ? handlePromiseRequest(book, TERM, nowMs)
+            : handleConsentRequest(book, TERM, true, nowMs);
+        book = answer.commitments;
         if (!answer.isGranted) return;
         if (kind === 'promise') {
           expect(hasConsent).toBe(false);
