--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/big-world.ts
@@ -1,7 +1,7 @@
 /** A pool's snapshot at the size of two years, for measuring turns. */
 import {
   brand,
-  declaredHosts,
+  listDeclaredHosts,
   emptyConfiguration,
   toExecutorJob,
   findDeclaration,
@@ -141,7 +141,7 @@
   pool: PoolName,
   jobs: ReadonlyMap<JobId, Versioned<JobRow>> = new Map(),
 ): PoolSnapshot => {
-  const specs = declaredHosts(configuration).filter(({ firstPool }) => firstPool === pool);
+  const specs = listDeclaredHosts(configuration).filter(({ initialPool }) => initialPool === pool);
   const hosts = new Map<HostId, Versioned<HostRow>>(
     specs.map(({ hostId }) => [
       hostId,
--- a/packages/bench/src/control/membership-model.test.ts
+++ b/packages/bench/src/control/membership-model.test.ts
@@ -1,5 +1,5 @@
 import { fc, test } from '@fast-check/vitest';
-import { createRng, pick } from '@valvelatch/core';
+import { createRng, pickRandom } from '@valvelatch/core';
 import { describe, expect, it } from 'vitest';
 
 import { createMembershipModel } from './membership-model.js';
@@ -41,7 +41,7 @@
       const rng = createRng(seed);
       const model = createMembershipModel(4, 4);
       for (let change = 0; change < 12; change += 1) {
-        const [victim, kind] = [pick(model.ids(), rng), rng()];
+        const [victim, kind] = [pickRandom(model.ids(), rng), rng()];
         if (kind < 0.4) model.kill(victim as never);
         else if (kind < 0.6) model.leave(victim as never);
         else model.add(Math.floor(rng() * 4));
--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -3,7 +3,7 @@
   brand,
   createEndpoint,
   recordOutcome,
-  pick,
+  pickRandom,
   computePortion,
   computeSeatShare,
   type CallerId,
@@ -85,11 +85,11 @@
 
 const valvelatch = (options: PolicyOptions): Policy => {
   const entries = Array.from({ length: ENTRIES }, (_, seat) => createEntry(options, seat));
-  return { submit: (request) => pick(entries, options.rng)?.submit(request) };
+  return { submit: (request) => pickRandom(entries, options.rng)?.submit(request) };
 };
 
 const noLimits = ({ rng, executors }: PolicyOptions): Policy => ({
-  submit: ({ onAnswer }) => pick(executors, rng)?.accept(onAnswer),
+  submit: ({ onAnswer }) => pickRandom(executors, rng)?.accept(onAnswer),
 });
 
 const staticShares = ({ executors, slots, callers }: PolicyOptions): Policy => {
--- a/packages/bench/src/waves/waves.ts
+++ b/packages/bench/src/waves/waves.ts
@@ -9,7 +9,7 @@
   type HostId,
   type HostRow,
   type HostSpec,
-  declaredHosts,
+  listDeclaredHosts,
   type WaveRow,
   type WaveStrategy,
 } from '@valvelatch/core';
@@ -44,9 +44,9 @@
  * can be without no more hosts at a time than leave room for its executors.
  */
 const boundS = (configuration: Configuration): number => {
-  const hosts = declaredHosts(configuration);
+  const hosts = listDeclaredHosts(configuration);
   const rounds = listDeclarations(configuration, 'Pool').map(({ name }) => {
-    const inPool = hosts.filter(({ firstPool }) => firstPool === name);
+    const inPool = hosts.filter(({ initialPool }) => initialPool === name);
     const needed = sum(
       listDeclarations(configuration, 'Service')
         .filter(({ spec }) => spec.pool === name)
@@ -112,7 +112,7 @@
     stepMs: STEP_MS,
     waveStrategy: strategy,
   });
-  const list = declaredHosts(configuration);
+  const list = listDeclaredHosts(configuration);
   const specs = new Map(list.map((spec) => [spec.hostId, spec]));
   const services = listDeclarations(configuration, 'Service');
   for (let step = 0; step < SETTLE_STEPS; step += 1) fleet.step();
@@ -166,7 +166,7 @@
  */
 export const benchWaves = async (example: string): Promise<readonly BenchRow[]> => {
   const configuration = await readExample(example);
-  const hosts = declaredHosts(configuration);
+  const hosts = listDeclaredHosts(configuration);
   const totalCores = sum(hosts.map(({ cores }) => cores));
   const bound = boundS(configuration);
   return allLosses.flatMap((losses) => {
--- a/packages/core/src/control/hosts.ts
+++ b/packages/core/src/control/hosts.ts
@@ -5,11 +5,11 @@
 import type { DrainPurpose, HostRow, HostSpec } from '../rows/rows.js';
 import { writeHost, type Draft } from './draft.js';
 
-const newRow = ({ hostId, firstPool }: HostSpec): HostRow => ({
+const newRow = ({ hostId, initialPool }: HostSpec): HostRow => ({
   hostId,
-  pool: firstPool,
+  pool: initialPool,
   phase: 'assigned',
-  reason: `declared for pool=${firstPool}`,
+  reason: `declared for pool=${initialPool}`,
   drain: null,
   bootsBefore: 0,
   maintainedBy: null,
@@ -17,7 +17,7 @@
 
 const addDeclaredHosts = (draft: Draft): void => {
   draft.snapshot.specs.forEach((spec) => {
-    if (spec.firstPool !== draft.snapshot.pool || draft.snapshot.hosts.has(spec.hostId)) return;
+    if (spec.initialPool !== draft.snapshot.pool || draft.snapshot.hosts.has(spec.hostId)) return;
     writeHost(draft, newRow(spec));
   });
 };
--- a/packages/core/src/control/pool-turn.test.ts
+++ b/packages/core/src/control/pool-turn.test.ts
@@ -4,7 +4,7 @@
 import { createFleetModel, type FleetModel, type PausedTurn } from '../replay/fleet-model.js';
 import { rowKey, rowPrefix, type JobRow, type PlacementRow } from '../rows/rows.js';
 import { brand, type DataCentreId, type HostId, type JobId, type PoolName } from '../shared/ids.js';
-import { createRng, pick } from '../shared/rng.js';
+import { createRng, pickRandom } from '../shared/rng.js';
 import { correctSize } from '../placement/corrected-size.js';
 import {
   changeHost,
@@ -295,7 +295,7 @@
     type Operation = (fleet: FleetModel, draw: () => number) => void;
     const paused: PausedTurn[] = [];
     const pickHost = (fleet: FleetModel, draw: () => number) =>
-      pick(allHosts(fleet), draw) as HostId;
+      pickRandom(allHosts(fleet), draw) as HostId;
     const pickPool = (draw: () => number) => brand<PoolName>(draw() < 0.5 ? 'main' : 'spare');
     const operations: readonly Operation[] = [
       (fleet, draw) => startHostTransfer(fleet, pickHost(fleet, draw), pickPool(draw)),
@@ -350,7 +350,7 @@
         const fleet = createFleet();
         paused.length = 0;
         for (let change = 0; change < 25; change += 1) {
-          (pick(operations, draw) as Operation)(fleet, draw);
+          (pickRandom(operations, draw) as Operation)(fleet, draw);
           const steps = 1 + Math.floor(draw() * 16);
           for (let step = 0; step < steps; step += 1) {
             fleet.step();
--- a/packages/core/src/fleet/fleet.ts
+++ b/packages/core/src/fleet/fleet.ts
@@ -3,7 +3,7 @@
 import { listDeclarations } from '../configuration/configuration.js';
 import type { DeclarationOf } from '../declarations/schema.js';
 import type { HostRow, HostSpec } from '../rows/rows.js';
-import { matches, type Selector } from '../selectors/selector.js';
+import { matchesSelector, type Selector } from '../selectors/selector.js';
 import {
   brand,
   type DataCentreId,
@@ -28,7 +28,7 @@
       hostId,
       dataCentre: brand<DataCentreId>(spec.dataCentre),
       rack: brand<RackId>(spec.rack),
-      firstPool: brand<PoolName>(spec.pool),
+      initialPool: brand<PoolName>(spec.pool),
       cores: spec.cores,
       memoryMb: spec.memoryMb,
       accelerators: spec.accelerators,
@@ -47,7 +47,7 @@
  * @param configuration - The configuration.
  * @returns The hosts, with their locations and labels.
  */
-export const declaredHosts = (configuration: Configuration): readonly HostSpec[] =>
+export const listDeclaredHosts = (configuration: Configuration): readonly HostSpec[] =>
   listDeclarations(configuration, 'HostGroup').flatMap(toHosts);
 
 /**
@@ -59,15 +59,15 @@
  * @param selector - The selector.
  * @returns The hosts' identifiers.
  */
-export const hostsNamedBy = (
+export const selectHosts = (
   configuration: Configuration,
   rows: readonly HostRow[],
   selector: Selector,
 ): readonly HostId[] => {
   const poolByHost = new Map(rows.map(({ hostId, pool }) => [hostId, pool]));
-  return declaredHosts(configuration)
+  return listDeclaredHosts(configuration)
     .filter(({ hostId, labels }) =>
-      matches(selector, { ...labels, [builtInLabel.pool]: poolByHost.get(hostId) ?? '' }),
+      matchesSelector(selector, { ...labels, [builtInLabel.pool]: poolByHost.get(hostId) ?? '' }),
     )
     .map(({ hostId }) => hostId);
 };
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -9,7 +9,7 @@
 import * as S from 'fp-ts/lib/string.js';
 
 import type { DataCentreId, EntryId } from '../shared/ids.js';
-import { hash32, rendezvousOrder } from '../shared/hash.js';
+import { hash32, orderByRendezvous } from '../shared/hash.js';
 
 /** The state of a member, as far as this entry knows. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
@@ -213,7 +213,7 @@
   if (others.length < MAX_FULLY_LINKED_MEMBERS) return others;
   const index = ids.indexOf(self);
   const successor = ids[(index + 1) % ids.length] as EntryId;
-  const hashed = rendezvousOrder(self, others).slice(0, LOCAL_LINKS - 1);
+  const hashed = orderByRendezvous(self, others).slice(0, LOCAL_LINKS - 1);
   return Array.from(new Set([successor, ...hashed]));
 };
 
@@ -229,13 +229,13 @@
     .filter((centre) => centre !== self.dataCentre)
     .flatMap((centre) => {
       const key = pairKey(self.dataCentre, centre);
-      const own = rendezvousOrder(key, membersIn(self.dataCentre)).slice(
+      const own = orderByRendezvous(key, membersIn(self.dataCentre)).slice(
         0,
         GATEWAYS_PER_DATA_CENTRE,
       );
       const index = own.indexOf(self.entryId);
       if (index < 0) return [];
-      const theirs = rendezvousOrder(key, membersIn(centre)).slice(0, GATEWAYS_PER_DATA_CENTRE);
+      const theirs = orderByRendezvous(key, membersIn(centre)).slice(0, GATEWAYS_PER_DATA_CENTRE);
       return [theirs[index % theirs.length] as EntryId];
     });
 };
@@ -269,5 +269,5 @@
   const self = state.members.get(state.self)?.member;
   if (!self) return false;
   const locals = liveMembers(state).filter(({ dataCentre }) => dataCentre === self.dataCentre);
-  return rendezvousOrder(duty, idsOf(locals)).slice(0, count).includes(state.self);
+  return orderByRendezvous(duty, idsOf(locals)).slice(0, count).includes(state.self);
 };
--- a/packages/core/src/placement/choose-host.ts
+++ b/packages/core/src/placement/choose-host.ts
@@ -3,7 +3,7 @@
  * the remaining ones are ranked by spread over data centres, racks and hosts, then by cores in use,
  * fullest first.
  */
-import { firstUnmet, requirementText } from '../selectors/selector.js';
+import { findUnmetRequirement, formatRequirement } from '../selectors/selector.js';
 import { builtInLabel } from '../fleet/fleet.js';
 import type { HostId } from '../shared/ids.js';
 import type { PlaceableJob, PlacementHost } from './placeable.js';
@@ -56,10 +56,10 @@
   if (host.row.pool !== job.pool) return `pool is not ${job.pool}`;
   if (job.selector.requirements.length > 0) {
     const { labels } = host.spec;
-    const unmet = firstUnmet(job.selector, (key) =>
+    const unmet = findUnmetRequirement(job.selector, (key) =>
       key === builtInLabel.pool ? host.row.pool : labels[key],
     );
-    if (unmet) return `selector ${requirementText(unmet)} not met`;
+    if (unmet) return `selector ${formatRequirement(unmet)} not met`;
   }
   return sizeObstacle(job, host);
 };
--- a/packages/core/src/replay/fleet-model.ts
+++ b/packages/core/src/replay/fleet-model.ts
@@ -9,7 +9,7 @@
 import { planPoolTurn } from '../control/plan-turn.js';
 import { createRowVersionTracker } from '../control/row-ages.js';
 import type { PoolSnapshot, WaveStrategy } from '../control/world.js';
-import { declaredHosts } from '../fleet/fleet.js';
+import { listDeclaredHosts } from '../fleet/fleet.js';
 import {
   rowKey,
   rowPrefix,
@@ -96,7 +96,7 @@
   goneAfterMs = 5000,
   waveStrategy = 'growing',
 }: FleetModelOptions): FleetModel => {
-  const specs = new Map(declaredHosts(configuration).map((spec) => [spec.hostId, spec]));
+  const specs = new Map(listDeclaredHosts(configuration).map((spec) => [spec.hostId, spec]));
   const places = new Map(Array.from(specs, ([id, { dataCentre }]) => [id, dataCentre]));
   const table = createTableModel();
   const workers = createWorkersModel(places, { startMs, rebootMs });
--- a/packages/core/src/replay/replay.ts
+++ b/packages/core/src/replay/replay.ts
@@ -1,6 +1,6 @@
 /** Replay of a trace against the real decisions, with its stated outcomes checked. */
 import { listDeclarations, type Configuration } from '../configuration/configuration.js';
-import { declaredHosts, hostsNamedBy } from '../fleet/fleet.js';
+import { listDeclaredHosts, selectHosts } from '../fleet/fleet.js';
 import { rowKey, rowPrefix, type HostRow, type JobRow, type WaveRow } from '../rows/rows.js';
 import { parseSelector } from '../selectors/parse-selector.js';
 import {
@@ -83,7 +83,7 @@
 
 const startWave = ({ fleet, configuration }: Run, wave: string, selectorText: string): void => {
   const selector = parseSelector(selectorText).unwrap();
-  const hosts = hostsNamedBy(configuration, fleet.rows<HostRow>(rowPrefix.host), selector);
+  const hosts = selectHosts(configuration, fleet.rows<HostRow>(rowPrefix.host), selector);
   const waveId = brand<WaveId>(wave);
   const row: WaveRow = {
     waveId,
@@ -133,7 +133,7 @@
   'host-fails-tasks': (run, { hosts }) => setHosts(run, hosts, { failsTasks: true }),
   'host-leaving': (run, { hosts }) => setHosts(run, hosts, { isLeaving: true }),
   'rack-kill': (run, { rack }) =>
-    declaredHosts(run.configuration)
+    listDeclaredHosts(run.configuration)
       .filter((spec) => spec.rack === rack)
       .forEach(({ hostId }) => run.fleet.workers.kill(hostId)),
   'data-centre-cut': ({ fleet }, { dataCentre }) =>
--- a/packages/core/src/routing/choose-endpoint.ts
+++ b/packages/core/src/routing/choose-endpoint.ts
@@ -2,7 +2,7 @@
  * Chooses an endpoint by the power of two choices: draws two usable endpoints at random and takes
  * the one with the shorter expected response time.
  */
-import { pick, type Rng } from '../shared/rng.js';
+import { pickRandom, type Rng } from '../shared/rng.js';
 import type { EndpointId } from '../shared/ids.js';
 import { decayedFailureShare, isEjected, type Endpoint } from './endpoint.js';
 
@@ -70,7 +70,7 @@
 ): Endpoint | undefined => {
   const usable = filterUsableEndpoints(endpoints, nowMs, options);
   if (usable.length < 2) return usable[0];
-  const first = pick(usable, rng) as Endpoint;
-  const second = pick(usable, rng) as Endpoint;
+  const first = pickRandom(usable, rng) as Endpoint;
+  const second = pickRandom(usable, rng) as Endpoint;
   return expectedResponseMs(second, nowMs) < expectedResponseMs(first, nowMs) ? second : first;
 };
--- a/packages/core/src/rows/rows.ts
+++ b/packages/core/src/rows/rows.ts
@@ -45,7 +45,7 @@
   readonly dataCentre: DataCentreId;
   readonly rack: RackId;
   /** The pool of a host that has no row yet. */
-  readonly firstPool: PoolName;
+  readonly initialPool: PoolName;
   readonly cores: number;
   readonly memoryMb: number;
   readonly accelerators: number;
@@ -120,7 +120,7 @@
  * The row that records that claims accepted in memory may be lost permanently, because all entries
  * of a data centre were replaced while they were cut off from the platform.
  */
-export type DoubtRow = { readonly dataCentres: readonly string[] };
+export type UnflushedClaimsRow = { readonly dataCentres: readonly string[] };
 
 /** The measured use of the tasks in one data centre, in cores by job id. */
 export type UsageRow = { readonly usedCores: Readonly<Record<string, number>> };
@@ -141,7 +141,7 @@
    * Written with each change of a row that the controller reads. While its version is unchanged,
    * those rows need not be read again.
    */
-  pulse: 'pulse',
+  controlChange: 'pulse',
   usage: (dataCentre: string) => `usage/${dataCentre}`,
 } as const;
 
--- a/packages/core/src/selectors/selector.test.ts
+++ b/packages/core/src/selectors/selector.test.ts
@@ -2,7 +2,12 @@
 import { describe, expect, it } from 'vitest';
 
 import { parseSelector } from './parse-selector.js';
-import { firstUnmet, matches, requirementText, type Requirement } from './selector.js';
+import {
+  findUnmetRequirement,
+  matchesSelector,
+  formatRequirement,
+  type Requirement,
+} from './selector.js';
 
 const parsed = (text: string) => parseSelector(text).unwrap();
 const word = fc.stringMatching(/^[a-z][a-z0-9]{0,5}$/).filter((w) => w !== 'in' && w !== 'notin');
@@ -18,19 +23,21 @@
   describe('matching', () => {
     it('matches only if every requirement is met', () => {
       const selector = parsed('rack in (r1, r2),!dirty,pool=dispatch,tier!=old,ssd');
-      expect(matches(selector, { rack: 'r2', pool: 'dispatch', ssd: 'yes' })).toBe(true);
-      expect(matches(selector, { rack: 'r3', pool: 'dispatch', ssd: 'yes' })).toBe(false);
-      expect(matches(selector, { rack: 'r1', pool: 'dispatch', ssd: 'y', dirty: 'x' })).toBe(false);
+      expect(matchesSelector(selector, { rack: 'r2', pool: 'dispatch', ssd: 'yes' })).toBe(true);
+      expect(matchesSelector(selector, { rack: 'r3', pool: 'dispatch', ssd: 'yes' })).toBe(false);
+      expect(
+        matchesSelector(selector, { rack: 'r1', pool: 'dispatch', ssd: 'y', dirty: 'x' }),
+      ).toBe(false);
     });
 
     it('returns the first requirement that the labels do not meet', () => {
       const labels: Record<string, string> = { a: '1', b: 'y' };
-      const unmet = firstUnmet(parsed('a,b notin (x,y)'), (key) => labels[key]);
-      expect(unmet && requirementText(unmet)).toBe('b notin (x,y)');
+      const unmet = findUnmetRequirement(parsed('a,b notin (x,y)'), (key) => labels[key]);
+      expect(unmet && formatRequirement(unmet)).toBe('b notin (x,y)');
     });
 
     it('matches all labels with an empty selector', () => {
-      expect(matches(parsed('  '), {})).toBe(true);
+      expect(matchesSelector(parsed('  '), {})).toBe(true);
     });
   });
 
@@ -38,7 +45,7 @@
     test.prop([fc.array(requirement, { minLength: 1, maxLength: 4 })], { seed: 11 })(
       'parses the formatted text back to the same requirements',
       (requirements) => {
-        const text = requirements.map(requirementText).join(',');
+        const text = requirements.map(formatRequirement).join(',');
         expect(parsed(text).requirements).toEqual(requirements);
       },
     );
--- a/packages/core/src/selectors/selector.ts
+++ b/packages/core/src/selectors/selector.ts
@@ -46,7 +46,10 @@
  * @param lookup - Returns the value of a label.
  * @returns The first requirement that the labels do not meet, or undefined if they match.
  */
-export const firstUnmet = (selector: Selector, lookup: LabelLookup): Requirement | undefined =>
+export const findUnmetRequirement = (
+  selector: Selector,
+  lookup: LabelLookup,
+): Requirement | undefined =>
   selector.requirements.find((requirement) => !meets(requirement, lookup(requirement.key)));
 
 /**
@@ -56,8 +59,8 @@
  * @param labels - The labels.
  * @returns True if every requirement is met.
  */
-export const matches = (selector: Selector, labels: Labels): boolean =>
-  firstUnmet(selector, (key) => labels[key]) === undefined;
+export const matchesSelector = (selector: Selector, labels: Labels): boolean =>
+  findUnmetRequirement(selector, (key) => labels[key]) === undefined;
 
 const formatters: {
   readonly [Name in Operator]: (requirement: RequirementOf<Name>) => string;
@@ -76,5 +79,5 @@
  * @param requirement - The requirement.
  * @returns Its text, for example `rack in (r1,r2)`.
  */
-export const requirementText = (requirement: Requirement): string =>
+export const formatRequirement = (requirement: Requirement): string =>
   (formatters[requirement.operator] as (candidate: Requirement) => string)(requirement);
--- a/packages/core/src/shared/hash.ts
+++ b/packages/core/src/shared/hash.ts
@@ -35,7 +35,7 @@
  * @param candidates - The names of those to which it can be assigned.
  * @returns The candidates, highest weight first; equal weights are ordered by name.
  */
-export const rendezvousOrder = <Name extends string>(
+export const orderByRendezvous = <Name extends string>(
   key: string,
   candidates: readonly Name[],
 ): readonly Name[] =>
--- a/packages/core/src/shared/rng.ts
+++ b/packages/core/src/shared/rng.ts
@@ -23,5 +23,5 @@
  * @param rng - The source of random numbers.
  * @returns An item, or undefined for an empty list.
  */
-export const pick = <Item>(items: readonly Item[], rng: Rng): Item | undefined =>
+export const pickRandom = <Item>(items: readonly Item[], rng: Rng): Item | undefined =>
   items[Math.floor(rng() * items.length)];
--- a/packages/core/src/verdict/verdict.ts
+++ b/packages/core/src/verdict/verdict.ts
@@ -110,7 +110,7 @@
  * @param evidence - What was observed of the attempt.
  * @returns The verdict that the evidence supports.
  */
-export const verdictOfAttempt = (evidence: AttemptEvidence): Verdict =>
+export const deriveVerdict = (evidence: AttemptEvidence): Verdict =>
   verdictByEvidence[evidence.kind];
 
 /** The higher the number, the stronger the evidence that the request ran. */
--- a/packages/daemon/src/control/pool-view.ts
+++ b/packages/daemon/src/control/pool-view.ts
@@ -1,7 +1,7 @@
 /** Input of the control turns of one pool: rows as read, and since when hosts and rows are unchanged. */
 import {
   createRowVersionTracker,
-  declaredHosts,
+  listDeclaredHosts,
   retryDelayMs,
   countBackoffFailures,
   rowPrefix,
@@ -92,7 +92,7 @@
   const currentSpecs = (): ReadonlyMap<HostId, HostSpec> => {
     const current = configuration();
     if (current.revision !== specsRevision) {
-      specs = new Map(declaredHosts(current).map((spec) => [spec.hostId, spec]));
+      specs = new Map(listDeclaredHosts(current).map((spec) => [spec.hostId, spec]));
       specsRevision = current.revision;
     }
     return specs;
--- a/packages/daemon/src/data-path/classify.ts
+++ b/packages/daemon/src/data-path/classify.ts
@@ -1,6 +1,6 @@
 /** Derives the verdict and the refusal reason from the result of an attempt. */
 import {
-  verdictOfAttempt,
+  deriveVerdict,
   type AttemptOutcome,
   type RefusalReason,
   type Verdict,
@@ -70,7 +70,7 @@
   if (result.kind === 'failed') {
     return {
       kind: 'bad',
-      verdict: verdictOfAttempt({ kind: result.evidence }),
+      verdict: deriveVerdict({ kind: result.evidence }),
       outcome: 'failed',
       reason: refusalReasonByFailure[result.reason],
       detail: result.detail,
--- a/packages/daemon/src/data-path/doubt-watch.ts
+++ b/packages/daemon/src/data-path/doubt-watch.ts
@@ -8,7 +8,7 @@
   rowKey,
   rowPrefix,
   updateSeatObservations,
-  type DoubtRow,
+  type UnflushedClaimsRow,
   type LeaseRow,
 } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
@@ -65,7 +65,7 @@
     const rows = await table.read([rowKey.doubt]);
     if (rows.isErr()) return false;
     const [row] = rows.value;
-    const recorded = (row?.value as DoubtRow | null)?.dataCentres ?? [];
+    const recorded = (row?.value as UnflushedClaimsRow | null)?.dataCentres ?? [];
     if (recorded.includes(dataCentre)) return true;
     const outcome = await table.transact({
       checks: [{ key: rowKey.doubt, version: row?.version ?? 0 }],
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -1,7 +1,7 @@
 /** Control plane of an entry: controls the pools whose leases it holds and the workers of its data centre. */
 import {
   controlPrefixes,
-  declaredHosts,
+  listDeclaredHosts,
   listDeclarations,
   storeDecision,
   type Configuration,
@@ -137,7 +137,7 @@
 
   const localHosts = (): ReadonlySet<HostId> =>
     new Set(
-      declaredHosts(configuration())
+      listDeclaredHosts(configuration())
         .filter((spec) => spec.dataCentre === dataCentre)
         .map(({ hostId }) => hostId),
     );
--- a/packages/daemon/src/mesh-link/mesh-link.ts
+++ b/packages/daemon/src/mesh-link/mesh-link.ts
@@ -6,8 +6,8 @@
   liveMembers,
   membershipHash,
   suspectSilentPeer,
-  pick,
-  rendezvousOrder,
+  pickRandom,
+  orderByRendezvous,
   mergeGossip,
   applyMembershipTimeouts,
   selectLinks,
@@ -224,7 +224,7 @@
     const localEntries = readyEntries.filter(
       ({ dataCentre }) => dataCentre === member().dataCentre,
     );
-    return pick(localEntries.length > 0 ? localEntries : readyEntries, rng);
+    return pickRandom(localEntries.length > 0 ? localEntries : readyEntries, rng);
   };
 
   return {
@@ -233,7 +233,7 @@
     ask: mesh.ask,
     hasDuty: (duty, count) => isSelectedForDuty(membership, duty, count),
     hasGlobalDuty: (duty) =>
-      rendezvousOrder(
+      orderByRendezvous(
         duty,
         members().map(({ entryId }) => entryId),
       )
--- a/packages/daemon/src/operators/list-handlers.ts
+++ b/packages/daemon/src/operators/list-handlers.ts
@@ -1,11 +1,12 @@
 /** Lists of what is in force. */
 import {
-  declaredHosts,
+  listDeclaredHosts,
   listDeclarations,
-  matches,
+  matchesSelector,
   parseSelector,
   rowPrefix,
   type HostRow,
+  type HostSpec,
 } from '@valvelatch/core';
 import { z } from 'zod';
 
@@ -27,16 +28,27 @@
 
 type Lister = (context: OperatorContext, selector: string) => Promise<OperatorResult>;
 
+/** A host's declaration as operators see it, under the view's own names. */
+const toHostView = ({ hostId, dataCentre, rack, initialPool, ...others }: HostSpec) => ({
+  hostId,
+  dataCentre,
+  rack,
+  firstPool: initialPool,
+  ...others,
+});
+
 const listHosts: Lister = async ({ table, configSync }, selectorText) => {
   const selector = parseSelector(selectorText);
   if (selector.isErr()) return selectorFault(selector.error);
   const rows = await scanRows<HostRow>(table, rowPrefix.host);
   if (rows.isErr()) return unavailable(rows.error);
-  const specs = new Map(declaredHosts(configSync.current()).map((spec) => [spec.hostId, spec]));
+  const views = new Map(
+    listDeclaredHosts(configSync.current()).map((spec) => [spec.hostId, toHostView(spec)]),
+  );
   return ok(
     rows.value
-      .map(({ value }) => ({ ...specs.get(value.hostId), ...value }))
-      .filter(({ labels = {}, pool }) => matches(selector.value, { ...labels, pool })),
+      .map(({ value }) => ({ ...views.get(value.hostId), ...value }))
+      .filter(({ labels = {}, pool }) => matchesSelector(selector.value, { ...labels, pool })),
   );
 };
 
--- a/packages/daemon/src/operators/wave-handlers.ts
+++ b/packages/daemon/src/operators/wave-handlers.ts
@@ -1,7 +1,7 @@
 /** Starting, holding, resuming and cancelling waves. */
 import {
   brand,
-  hostsNamedBy,
+  selectHosts,
   parseSelector,
   rowKey,
   rowPrefix,
@@ -43,7 +43,7 @@
   if (hostRows.isErr()) return unavailable(hostRows.error);
   const rows = hostRows.value.map(({ value }) => value);
   const configuration = configSync.current();
-  const hosts = hostsNamedBy(configuration, rows, selector.value);
+  const hosts = selectHosts(configuration, rows, selector.value);
   if (hosts.length === 0) {
     return { kind: 'invalid', detail: `selector '${text}' matches no host` };
   }
--- a/packages/platform/src/pulsed-table.ts
+++ b/packages/platform/src/pulsed-table.ts
@@ -21,7 +21,7 @@
   ...table,
   transact: (transaction) => {
     if (!touchesControl(transaction)) return table.transact(transaction);
-    const pulse = { key: rowKey.pulse, value: 1 };
+    const pulse = { key: rowKey.controlChange, value: 1 };
     return table.transact({ ...transaction, writes: [...transaction.writes, pulse] });
   },
 });
@@ -59,7 +59,7 @@
   return {
     read: async () => {
       // The pulse is read first: what changes while the rows are read shows in the next pulse.
-      const pulse = await table.read([rowKey.pulse]);
+      const pulse = await table.read([rowKey.controlChange]);
       if (pulse.isErr()) return pulse;
       const version = pulse.value[0]?.version ?? 0;
       if (last?.isOk() && version === lastPulse) return last;
--- a/packages/stand-ins/src/example-deployment.ts
+++ b/packages/stand-ins/src/example-deployment.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from 'node:url';
 
 import {
-  declaredHosts,
+  listDeclaredHosts,
   listDeclarations,
   emptyConfiguration,
   readDeclarations,
@@ -74,7 +74,7 @@
   };
 
   const startWorkersOf = async (dataCentre: string, platformUrl: string): Promise<void> => {
-    const hosts = declaredHosts(configuration).filter((spec) => spec.dataCentre === dataCentre);
+    const hosts = listDeclaredHosts(configuration).filter((spec) => spec.dataCentre === dataCentre);
     const workers = await start('standIn', [
       'workers',
       `--data-centre=${dataCentre}`,
