--- a/packages/daemon/src/control/change-writer.test.ts
+++ b/packages/daemon/src/control/change-writer.test.ts
@@ -46,14 +46,14 @@
   it('share transactions of 32', async () => {
     const { write, sizes, committed } = setUp();
     const outcome = await write(rowKeys(40).map((key) => changeOf(key)));
-    expect(outcome).toEqual({ committedCount: 40, isStopped: false });
+    expect(outcome).toEqual({ committedCount: 40, isLeaseLost: false });
     expect([sizes, committed]).toEqual([[32, 8], rowKeys(40)]);
   });
 
   it('are written one by one after a conflict, and all but the conflicting one are committed', async () => {
     const { write, sizes, committed } = setUp();
     const outcome = await write([changeOf('a'), changeOf('b', 7), changeOf('c')]);
-    expect(outcome).toEqual({ committedCount: 2, isStopped: false });
+    expect(outcome).toEqual({ committedCount: 2, isLeaseLost: false });
     expect([sizes, committed]).toEqual([
       [3, 1, 1, 1],
       ['a', 'c'],
@@ -73,7 +73,7 @@
       return transactionsLeft >= 0;
     });
     const outcome = await write(rowKeys(40).map((key) => changeOf(key)));
-    expect(outcome).toEqual({ committedCount: 32, isStopped: true });
+    expect(outcome).toEqual({ committedCount: 32, isLeaseLost: true });
     expect(sizes).toEqual([32]);
   });
 });
--- a/packages/daemon/src/control/change-writer.ts
+++ b/packages/daemon/src/control/change-writer.ts
@@ -20,7 +20,7 @@
 export type WriteOutcome = {
   readonly committedCount: number;
   /** True if the lease was lost before all changes were tried. */
-  readonly isStopped: boolean;
+  readonly isLeaseLost: boolean;
 };
 
 export type ChangeWriter = (changes: readonly ControlChange[]) => Promise<WriteOutcome>;
@@ -108,9 +108,9 @@
     const batches = toBatches(changes);
     let committedCount = 0;
     for (let index = 0; index < batches.length; index += 1) {
-      if (!mayWrite()) return { committedCount, isStopped: true };
+      if (!mayWrite()) return { committedCount, isLeaseLost: true };
       committedCount += await commit(batches[index] as readonly ControlChange[]);
     }
-    return { committedCount, isStopped: false };
+    return { committedCount, isLeaseLost: false };
   };
 };
--- a/packages/daemon/src/control/data-centre-agent.ts
+++ b/packages/daemon/src/control/data-centre-agent.ts
@@ -45,9 +45,9 @@
   /** The hosts of this data centre. */
   readonly localHosts: () => ReadonlySet<HostId>;
   /** The tasks that the workers last reported. */
-  readonly tasks: () => readonly ObservedTask[];
+  readonly observedTasks: () => readonly ObservedTask[];
   /** True once each entry that may send to the endpoint has confirmed that it has no request in flight there. */
-  readonly isQuiet: (endpointId: string) => Promise<boolean>;
+  readonly isIdle: (endpointId: string) => Promise<boolean>;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly nowMs?: () => number;
@@ -86,8 +86,8 @@
   hostList,
   configuration,
   localHosts,
-  tasks,
-  isQuiet,
+  observedTasks,
+  isIdle,
   log,
   metrics,
   nowMs = () => performance.now(),
@@ -132,7 +132,7 @@
       if (drained.isOk()) await handlers.stop({ kind: 'stop', task });
     },
     stop: async ({ task }) => {
-      if (task.service !== null && !(await isQuiet(endpointIdOf(task)))) return;
+      if (task.service !== null && !(await isIdle(endpointIdOf(task)))) return;
       const stopped = await workers.stop(task);
       if (stopped.isOk()) log.info('task-stopped', { jobId: task.jobId, epoch: task.epoch });
     },
@@ -168,7 +168,7 @@
       listed.value.filter(({ state }) => state === 'leaving').map(({ hostId }) => hostId),
     );
     await Promise.all(
-      tasks()
+      observedTasks()
         .filter(
           ({ hostId, phase, service }) =>
             service !== null && phase === 'running' && leaving.has(hostId),
--- a/packages/daemon/src/control/pool-control.ts
+++ b/packages/daemon/src/control/pool-control.ts
@@ -18,7 +18,7 @@
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import { createChangeWriter } from './change-writer.js';
-import { createPoolView, type Rows } from './pool-view.js';
+import { createPoolSnapshotBuilder, type RowsByKey } from './pool-view.js';
 
 export type PoolControlOptions = {
   readonly pool: PoolName;
@@ -42,7 +42,7 @@
   /** Whether this entry holds the control lease. */
   readonly holds: () => boolean;
   /** Actions that the last turn considered and did not take, with the reasons. */
-  readonly withheld: () => readonly WithheldAction[];
+  readonly withheldActions: () => readonly WithheldAction[];
   /** Releases the control lease. */
   readonly release: () => Promise<void>;
 };
@@ -73,7 +73,7 @@
   onChange,
   nowMs = () => performance.now(),
 }: PoolControlOptions): PoolControl => {
-  const view = createPoolView({ pool, configuration, nowMs });
+  const view = createPoolSnapshotBuilder({ pool, configuration, nowMs });
   const writeChanges = createChangeWriter({
     pool,
     table,
@@ -86,7 +86,7 @@
   let epochBase = 0;
   let nextEpoch = 0;
 
-  const readRows = async (): Promise<Rows | undefined> => {
+  const readRows = async (): Promise<RowsByKey | undefined> => {
     const read = await rowReader.read();
     if (read.isErr()) return undefined;
     return new Map(
@@ -107,8 +107,8 @@
   /** Writes the changes, then reboots hosts; returns the number of changes that were committed. */
   const execute = async (actions: readonly ControlAction[]): Promise<number> => {
     const changes = actions.filter((one): one is ControlChange => one.kind === 'write');
-    const { committedCount, isStopped } = await writeChanges(changes);
-    if (isStopped) return committedCount;
+    const { committedCount, isLeaseLost } = await writeChanges(changes);
+    if (isLeaseLost) return committedCount;
     const reboots = actions.flatMap((one) => (one.kind === 'reboot' ? [one] : []));
     await Promise.all(
       reboots.map(({ hostId, requestName }) => hostList.reboot(hostId, requestName)),
@@ -120,11 +120,14 @@
   const runTurn = async (): Promise<number> => {
     const listed = await hostList.list();
     if (listed.isErr()) return 0;
-    view.takeSightings(listed.value);
+    view.updateListedHosts(listed.value);
     const rows = await readRows();
     if (!rows || !lease.holds()) return 0;
     const startedMs = nowMs();
-    const world = view.toWorld(rows, { fence: lease.fence(), nextEpoch: currentNextEpoch() });
+    const world = view.createSnapshot(rows, {
+      fence: lease.fence(),
+      nextEpoch: currentNextEpoch(),
+    });
     const plan = planPoolTurn(world, nowMs());
     metrics.time('control_turn', (nowMs() - startedMs) * 1000);
     withheld = plan.withheld;
@@ -149,7 +152,7 @@
   return {
     tick,
     holds: lease.holds,
-    withheld: () => withheld,
+    withheldActions: () => withheld,
     release: async () => {
       await lease.release();
     },
@@ -162,7 +165,7 @@
  * @param pool - The pool.
  * @returns The lease's name.
  */
-export const controlLeaseName = (pool: PoolName): string => `control/${pool}`;
+export const formatControlLeaseName = (pool: PoolName): string => `control/${pool}`;
 
 /**
  * Converts the name of a declared pool to its branded type.
@@ -170,4 +173,4 @@
  * @param name - The declared name.
  * @returns The branded name.
  */
-export const poolName = (name: string): PoolName => brand<PoolName>(name);
+export const toPoolName = (name: string): PoolName => brand<PoolName>(name);
--- a/packages/daemon/src/control/pool-view.ts
+++ b/packages/daemon/src/control/pool-view.ts
@@ -22,31 +22,37 @@
 } from '@valvelatch/core';
 import type { ListedHost } from '@valvelatch/platform';
 
-export type PoolViewOptions = {
+export type PoolSnapshotBuilderOptions = {
   readonly pool: PoolName;
   readonly configuration: () => Configuration;
   readonly nowMs: () => number;
 };
 
 /** Collects the input of a pool's control turns. */
-export type PoolView = {
+export type PoolSnapshotBuilder = {
   /** Records the states of the hosts in the platform's host list. */
-  readonly takeSightings: (listed: readonly ListedHost[]) => void;
+  readonly updateListedHosts: (listed: readonly ListedHost[]) => void;
   /** Assembles the input of a turn. */
-  readonly toWorld: (rows: Rows, lease: Pick<PoolSnapshot, 'fence' | 'nextEpoch'>) => PoolSnapshot;
+  readonly createSnapshot: (
+    rows: RowsByKey,
+    lease: Pick<PoolSnapshot, 'fence' | 'nextEpoch'>,
+  ) => PoolSnapshot;
 };
 
 /** Rows by key. */
-export type Rows = ReadonlyMap<string, Versioned<unknown>>;
+export type RowsByKey = ReadonlyMap<string, Versioned<unknown>>;
 
-const rowsById = <Id extends string, Row>(rows: Rows, prefix: string): Map<Id, Versioned<Row>> =>
+const rowsById = <Id extends string, Row>(
+  rows: RowsByKey,
+  prefix: string,
+): Map<Id, Versioned<Row>> =>
   new Map(
     Array.from(rows)
       .filter(([key]) => key.startsWith(prefix))
       .map(([key, row]) => [key.slice(prefix.length) as Id, row as Versioned<Row>]),
   );
 
-const usedCoresIn = (rows: Rows): ReadonlyMap<JobId, number> =>
+const usedCoresIn = (rows: RowsByKey): ReadonlyMap<JobId, number> =>
   new Map(
     Array.from(rowsById<string, UsageRow>(rows, rowPrefix.usage).values()).flatMap(({ value }) =>
       Object.entries(value.usedCores).map(([jobId, cores]) => [jobId as JobId, cores] as const),
@@ -59,7 +65,11 @@
  * @param options - The pool, its configuration and the clock.
  * @returns The view, without any hosts or rows.
  */
-export const createPoolView = ({ pool, configuration, nowMs }: PoolViewOptions): PoolView => {
+export const createPoolSnapshotBuilder = ({
+  pool,
+  configuration,
+  nowMs,
+}: PoolSnapshotBuilderOptions): PoolSnapshotBuilder => {
   const listedHosts = new Map<HostId, ListedHostState>();
   const retriesByJob = new Map<JobId, { backoffFailures: number; retryAtMs: number }>();
   const hostRowVersions = createRowVersionTracker<HostId>();
@@ -67,7 +77,7 @@
   let specsRevision = -1;
   let specs: ReadonlyMap<HostId, HostSpec> = new Map();
 
-  const takeSightings = (listed: readonly ListedHost[]): void => {
+  const updateListedHosts = (listed: readonly ListedHost[]): void => {
     listed.forEach(({ hostId, state, boots }) => {
       const previous = listedHosts.get(hostId);
       const sinceMs = previous?.state === state ? previous.sinceMs : nowMs();
@@ -98,7 +108,7 @@
     return specs;
   };
 
-  const toWorld: PoolView['toWorld'] = (rows, { fence, nextEpoch }) => {
+  const createSnapshot: PoolSnapshotBuilder['createSnapshot'] = (rows, { fence, nextEpoch }) => {
     const jobs = rowsById<JobId, JobRow>(rows, rowPrefix.job);
     const hosts = rowsById<HostId, HostRow>(rows, rowPrefix.host);
     const placements = rowsById<JobId, PlacementRow>(rows, rowPrefix.placement);
@@ -121,5 +131,5 @@
     };
   };
 
-  return { takeSightings, toWorld };
+  return { updateListedHosts, createSnapshot };
 };
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -18,9 +18,9 @@
 
 import { createDataCentreAgent, type DataCentreAgent } from '../control/data-centre-agent.js';
 import {
-  controlLeaseName,
+  formatControlLeaseName,
   createPoolControl,
-  poolName,
+  toPoolName,
   type PoolControl,
 } from '../control/pool-control.js';
 import type { EndpointDirectory } from '../data-path/endpoint-directory.js';
@@ -120,7 +120,7 @@
    * seat of this data centre, so each holder must confirm it, unless its seat lease lapsed so long ago that
    * none of its requests can still be running.
    */
-  const isQuiet = async (endpointId: string): Promise<boolean> => {
+  const isIdle = async (endpointId: string): Promise<boolean> => {
     directory.markLeaving(endpointId);
     if (directory.inFlightAt(endpointId) > 0) return false;
     const graceMs = longestRequestTimeoutMs(configuration());
@@ -149,8 +149,8 @@
     hostList,
     configuration,
     localHosts,
-    tasks: directory.tasks,
-    isQuiet,
+    observedTasks: directory.tasks,
+    isIdle,
     log,
     metrics,
   });
@@ -169,7 +169,7 @@
   const getOrCreateControl = (pool: PoolName): PoolControl => {
     const existing = controls.get(pool);
     if (existing) return existing;
-    const name = controlLeaseName(pool);
+    const name = formatControlLeaseName(pool);
     const lease = createLeaseKeeper({ table, name, self, durationMs: leaseMs });
     const created = createPoolControl({
       pool,
@@ -187,17 +187,17 @@
   };
 
   const isEligible = (pool: PoolName): boolean =>
-    controls.get(pool)?.holds() === true || isCandidate(controlLeaseName(pool));
+    controls.get(pool)?.holds() === true || isCandidate(formatControlLeaseName(pool));
 
   return {
     agent,
     tick: async () => {
-      const pools = listDeclarations(configuration(), 'Pool').map(({ name }) => poolName(name));
+      const pools = listDeclarations(configuration(), 'Pool').map(({ name }) => toPoolName(name));
       await Promise.all(pools.filter(isEligible).map((pool) => getOrCreateControl(pool).tick()));
     },
     heldPools: () =>
       Array.from(controls).flatMap(([pool, control]) => (control.holds() ? [pool] : [])),
-    withheld: () => Array.from(controls.values()).flatMap((control) => control.withheld()),
+    withheld: () => Array.from(controls.values()).flatMap((control) => control.withheldActions()),
     release: async () => {
       await Promise.all(Array.from(controls.values(), (control) => control.release()));
     },
