--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -12,7 +12,7 @@
   type Rng,
   type ServiceName,
 } from '@valvelatch/core';
-import { createServiceGate } from '@valvelatch/daemon';
+import { createServiceAdmission } from '@valvelatch/daemon';
 
 import type { VirtualExecutor } from './executors.js';
 import type { VirtualTime } from './virtual-time.js';
@@ -42,7 +42,7 @@
 const LONGEST_MS = 120_000;
 
 const createEntry = ({ time, rng, executors, slots }: PolicyOptions, seat: number): Policy => {
-  const gate = createServiceGate({
+  const gate = createServiceAdmission({
     service: brand<ServiceName>('service'),
     rng,
     nowMs: time.nowMs,
@@ -59,11 +59,11 @@
     });
   });
   gate.setEndpoints(endpoints);
-  for (let atMs = PUMP_MS; atMs < LONGEST_MS; atMs += PUMP_MS) time.at(atMs, gate.pump);
+  for (let atMs = PUMP_MS; atMs < LONGEST_MS; atMs += PUMP_MS) time.at(atMs, gate.processQueue);
 
   const submit = async ({ caller, deadlineMs, onAnswer, onRefused }: VirtualRequest) => {
     const callerId = brand<CallerId>(caller);
-    const slot = await gate.acquire({ callerId, deadlineMs, exclude: [] });
+    const slot = await gate.acquire({ callerId, deadlineMs, excludedEndpoints: [] });
     if (slot.kind === 'none') {
       onRefused();
       return;
--- a/packages/daemon/src/data-path/attempt.ts
+++ b/packages/daemon/src/data-path/attempt.ts
@@ -15,16 +15,16 @@
   /** Time until the complete response must have been received, in milliseconds. */
   readonly timeoutMs: number;
   /** Maximum size of the response body, in bytes. */
-  readonly mostAnswerBytes: number;
+  readonly maxResponseBytes: number;
   /**
    * Checked immediately before the request is sent; if it returns false, the attempt fails with
    * `not-sent`. Undefined if the request may always be sent.
    */
-  readonly mayStillSend?: () => boolean;
+  readonly isSendAllowed?: () => boolean;
 };
 
 /** A response that was received completely. */
-export type WholeAnswer = {
+export type CompleteResponse = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
@@ -32,7 +32,7 @@
 
 /** The result of an attempt: a complete response, or the failure and its evidence. */
 export type AttemptResult =
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer }
+  | { readonly kind: 'answered'; readonly answer: CompleteResponse }
   | {
       readonly kind: 'failed';
       readonly evidence: AttemptEvidence['kind'];
@@ -54,7 +54,7 @@
 const TIMEOUT_DETAIL = 'no whole answer before the deadline';
 
 type Failure = Extract<AttemptResult, { kind: 'failed' }>;
-type Headers = WholeAnswer['headers'];
+type Headers = CompleteResponse['headers'];
 
 /**
  * Returns whether the end of the body can be told from a connection that was cut: the response has
@@ -79,7 +79,10 @@
  * @param request - The request, with its limits on time and size.
  * @returns The complete response, or the reason of the failure. The promise never rejects.
  */
-export const attempt = (dispatcher: Dispatcher, request: AttemptRequest): Promise<AttemptResult> =>
+export const sendAttempt = (
+  dispatcher: Dispatcher,
+  request: AttemptRequest,
+): Promise<AttemptResult> =>
   new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let evidence: AttemptEvidence['kind'] = 'nothing-sent';
@@ -117,7 +120,7 @@
             startedController.abort(new Error(TIMEOUT_DETAIL));
             return;
           }
-          if (request.mayStillSend?.() === false) {
+          if (request.isSendAllowed?.() === false) {
             fail('not-sent', 'the share of the endpoint ran out before the request was sent');
             return;
           }
@@ -135,8 +138,8 @@
         },
         onResponseData: (_, chunk) => {
           receivedBytes += chunk.length;
-          if (receivedBytes > request.mostAnswerBytes) {
-            fail('too-large', `the answer is larger than ${request.mostAnswerBytes} bytes`);
+          if (receivedBytes > request.maxResponseBytes) {
+            fail('too-large', `the answer is larger than ${request.maxResponseBytes} bytes`);
           } else {
             chunks.push(chunk);
           }
--- a/packages/daemon/src/data-path/callers-server.ts
+++ b/packages/daemon/src/data-path/callers-server.ts
@@ -10,21 +10,21 @@
 } from '@valvelatch/core';
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
 
-import { callerHeader, headersToReturn, isRepeatable } from './headers.js';
+import { callerHeader, selectResponseHeaders, isRepeatable } from './headers.js';
 import type { CallerRequest, RequestOutcome } from './request-types.js';
 
 export type CallersServerOptions = {
   /** Serves one request and returns its outcome. */
   readonly serve: (request: CallerRequest) => Promise<RequestOutcome>;
-  readonly newRequestId: () => RequestId;
+  readonly generateRequestId: () => RequestId;
   /** Returns whether a proof shows that an entry with the mesh key forwarded the request. */
-  readonly isForwardProof: (proof: string, requestId: string) => boolean;
+  readonly isValidForwardProof: (proof: string, requestId: string) => boolean;
   /** False once the load balancer is to send no more requests to this entry. */
   readonly isHealthy: () => boolean;
   /** Called for each refused request, with a description of each failed attempt. */
   readonly onRefusal: (refusal: Refusal, tried: readonly string[], service: string) => void;
-  readonly mostBodyBytes: number;
-  readonly mostHeaderBytes: number;
+  readonly maxBodyBytes: number;
+  readonly maxHeaderBytes: number;
   /** Time limit for receiving a request, in milliseconds. */
   readonly receiveTimeoutMs: number;
 };
@@ -98,7 +98,7 @@
       .send(Buffer.from(bodyBase64, 'base64'));
   }
   const { status, headers, body } = outcome.answer;
-  const returned = headersToReturn(headers);
+  const returned = selectResponseHeaders(headers);
   returned[callerHeader.requestId] = requestId;
   returned[callerHeader.verdict] = 'ran';
   return reply.code(status).headers(returned).send(body);
@@ -112,22 +112,22 @@
  */
 export const createCallersServer = ({
   serve,
-  newRequestId,
-  isForwardProof,
+  generateRequestId,
+  isValidForwardProof,
   isHealthy,
   onRefusal,
-  mostBodyBytes,
-  mostHeaderBytes,
+  maxBodyBytes,
+  maxHeaderBytes,
   receiveTimeoutMs,
 }: CallersServerOptions): FastifyInstance => {
   const app = fastify({
-    bodyLimit: mostBodyBytes,
+    bodyLimit: maxBodyBytes,
     requestTimeout: receiveTimeoutMs,
-    http: { maxHeaderSize: mostHeaderBytes, headersTimeout: receiveTimeoutMs },
+    http: { maxHeaderSize: maxHeaderBytes, headersTimeout: receiveTimeoutMs },
     routerOptions: { maxParamLength: MAX_SERVICE_NAME_LENGTH },
     exposeHeadRoutes: false,
     return503OnClosing: false,
-    genReqId: newRequestId,
+    genReqId: generateRequestId,
   } as object) as unknown as FastifyInstance;
 
   app.removeAllContentTypeParsers();
@@ -170,7 +170,7 @@
     const deadline = firstValue(headers[callerHeader.deadlineMs]);
     const proof = firstValue(headers[callerHeader.forwarded]);
     const suppliedId = firstValue(headers[callerHeader.requestId]) ?? '';
-    const isForwarded = proof !== undefined && isForwardProof(proof, suppliedId);
+    const isForwarded = proof !== undefined && isValidForwardProof(proof, suppliedId);
     return {
       requestId: brand<RequestId>(isForwarded ? suppliedId : request.id),
       service: brand<ServiceName>(service),
@@ -180,10 +180,10 @@
       body: (request.body as Buffer | undefined) ?? null,
       callerId: brand<CallerId>(firstValue(headers[callerHeader.caller]) ?? request.ip),
       isRepeatable: isRepeatable(request.method, firstValue(headers[callerHeader.repeatable])),
-      key: firstValue(headers[callerHeader.key]) ?? null,
+      idempotencyKey: firstValue(headers[callerHeader.key]) ?? null,
       isFirstAttempt: firstValue(headers[callerHeader.attempt]) === 'first',
       isForwarded,
-      wantedMs: deadline === undefined ? null : Number(deadline),
+      requestedTimeoutMs: deadline === undefined ? null : Number(deadline),
     };
   };
 
--- a/packages/daemon/src/data-path/claim-keeper.ts
+++ b/packages/daemon/src/data-path/claim-keeper.ts
@@ -16,7 +16,7 @@
 } from '@valvelatch/core';
 import type { GroupCommit, TableClient } from '@valvelatch/platform';
 
-import type { WholeAnswer } from './attempt.js';
+import type { CompleteResponse } from './attempt.js';
 import type { OutageClaims } from './outage-claims.js';
 
 /** A request whose key is to be claimed. */
@@ -47,31 +47,31 @@
   /** Frees the key for another attempt. Only for a request that certainly did not run. */
   readonly release: () => Promise<void>;
   /** Records that the request ran, and stores its response unless that is too large. */
-  readonly finish: (answer: WholeAnswer | null) => Promise<void>;
+  readonly complete: (answer: CompleteResponse | null) => Promise<void>;
 };
 
 /** Store of the claims of this entry's requests. */
-export type ClaimKeeper = {
+export type ClaimStore = {
   /** Claims the key of a request. */
   readonly claim: (request: ClaimRequest) => Promise<ClaimOutcome>;
   /** Releases claims whose write had an unknown outcome and whose requests were not sent. */
-  readonly releaseStrays: () => Promise<void>;
+  readonly releaseUncertainClaims: () => Promise<void>;
 };
 
-export type ClaimKeeperOptions = {
+export type ClaimStoreOptions = {
   readonly table: TableClient;
   /** Groups the writes of claims into transactions. */
-  readonly commits: GroupCommit;
-  readonly outage: OutageClaims;
+  readonly groupCommit: GroupCommit;
+  readonly outageClaims: OutageClaims;
   /** Returns the data centres that may hold unflushed claims, which are not in the table yet. */
-  readonly inDoubt: () => readonly string[];
+  readonly dataCentresWithUnflushedClaims: () => readonly string[];
   /** The id of this entry. */
-  readonly self: EntryId;
+  readonly ownEntryId: EntryId;
   /**
    * Maximum size of a stored response body, in bytes. Larger responses are not stored; a resend is
    * then refused with the information that the request ran.
    */
-  readonly mostKeptBytes?: number;
+  readonly maxStoredResponseBytes?: number;
 };
 
 /** A claim whose write had an unknown outcome and which may be in the table. */
@@ -86,7 +86,10 @@
   return (body === null ? hash : hash.update(body)).digest('base64url');
 };
 
-const toStoredResponse = (answer: WholeAnswer | null, maxBytes: number): StoredAnswer | null => {
+const toStoredResponse = (
+  answer: CompleteResponse | null,
+  maxBytes: number,
+): StoredAnswer | null => {
   if (!answer || answer.body.length > maxBytes) return null;
   const contentType = answer.headers['content-type'];
   return {
@@ -118,43 +121,47 @@
  * @param options - The table, the group commit, the claims in memory, and the id of this entry.
  * @returns The claim store.
  */
-export const createClaimKeeper = ({
+export const createClaimStore = ({
   table,
-  commits,
-  outage,
-  inDoubt,
-  self,
-  mostKeptBytes = 16_384,
-}: ClaimKeeperOptions): ClaimKeeper => {
+  groupCommit,
+  outageClaims,
+  dataCentresWithUnflushedClaims,
+  ownEntryId,
+  maxStoredResponseBytes = 16_384,
+}: ClaimStoreOptions): ClaimStore => {
   const uncertainClaims: UncertainClaim[] = [];
 
   const holdInTable = (key: string, row: ClaimRow, version: number): HeldClaim => {
     const updateRow = async (next: ClaimRow): Promise<void> => {
-      await commits.submit({
+      await groupCommit.submit({
         checks: [{ key: rowKey.claim(key), version }],
         writes: [{ key: rowKey.claim(key), value: next }],
       });
     };
     return {
       release: () => updateRow({ ...row, state: 'released' }),
-      finish: (answer) =>
-        updateRow({ ...row, state: 'done', answer: toStoredResponse(answer, mostKeptBytes) }),
+      complete: (answer) =>
+        updateRow({
+          ...row,
+          state: 'done',
+          answer: toStoredResponse(answer, maxStoredResponseBytes),
+        }),
     };
   };
 
   const holdInMemory = (key: string, row: ClaimRow): HeldClaim => ({
-    release: async () => outage.settle({ key, row: { ...row, state: 'released' } }),
-    finish: async (answer) =>
-      outage.settle({
+    release: async () => outageClaims.recordOutcome({ key, row: { ...row, state: 'released' } }),
+    complete: async (answer) =>
+      outageClaims.recordOutcome({
         key,
-        row: { ...row, state: 'done', answer: toStoredResponse(answer, mostKeptBytes) },
+        row: { ...row, state: 'done', answer: toStoredResponse(answer, maxStoredResponseBytes) },
       }),
   });
 
   const newRow = (request: ClaimRequest, fingerprint: string): ClaimRow => ({
     service: request.service,
     fingerprint,
-    entryId: self,
+    entryId: ownEntryId,
     claimId: request.requestId,
     state: 'claimed',
     answer: null,
@@ -168,7 +175,7 @@
   ): Promise<WriteResult> => {
     // Fails once a loss of claims has been recorded. A first attempt cannot have an earlier claim.
     const claimLossCheck = isFirstAttempt ? [] : [{ key: rowKey.doubt, version: 0 }];
-    const outcome = await commits.submit({
+    const outcome = await groupCommit.submit({
       checks: [{ key: rowKey.claim(key), version }, ...claimLossCheck],
       writes: [{ key: rowKey.claim(key), value: row }],
     });
@@ -194,7 +201,7 @@
   };
 
   const claimInMemory = async (request: ClaimRequest, row: ClaimRow): Promise<ClaimOutcome> => {
-    if (!outage.isOpen()) {
+    if (!outageClaims.isAccepting()) {
       return {
         kind: 'refused',
         verdict: 'notRun',
@@ -204,7 +211,7 @@
     }
     if (!request.isFirstAttempt) return claimUnknownRefusal('another data centre');
     const { key } = request;
-    if (await outage.take({ key, row })) {
+    if (await outageClaims.acquire({ key, row })) {
       return { kind: 'claimed', claim: holdInMemory(key, row) };
     }
     return {
@@ -226,7 +233,8 @@
     const storedRow = (stored?.value ?? null) as ClaimRow | null;
     const decision = decideFromRow(storedRow, row.fingerprint);
     if (decision !== 'claim') return decision;
-    const [centre] = request.isFirstAttempt || storedRow !== null ? [] : inDoubt();
+    const [centre] =
+      request.isFirstAttempt || storedRow !== null ? [] : dataCentresWithUnflushedClaims();
     if (centre !== undefined) return claimUnknownRefusal(`data centre ${centre}`);
     const retried = await writeClaim(request, row, stored?.version ?? 0);
     return retried === 'raced' ? ALREADY_RUNNING_REFUSAL : retried;
@@ -238,7 +246,7 @@
   ): Promise<ClaimOutcome | 'away'> => {
     // If no data centre may hold an unflushed claim of the key, the claim is written without reading
     // the row first, which takes a single round trip unless the row exists.
-    const maySkipRead = request.isFirstAttempt || inDoubt().length === 0;
+    const maySkipRead = request.isFirstAttempt || dataCentresWithUnflushedClaims().length === 0;
     if (!maySkipRead) return claimAfterRead(request, row);
     const written = await writeClaim(request, row, 0);
     return written === 'raced' ? claimAfterRead(request, row) : written;
@@ -247,12 +255,12 @@
   const claim = async (request: ClaimRequest): Promise<ClaimOutcome> => {
     const fingerprint = fingerprintOf(request);
     const row = newRow(request, fingerprint);
-    const inMemoryRow = outage.find(request.key);
+    const inMemoryRow = outageClaims.find(request.key);
     if (inMemoryRow) {
       const decision = decideFromRow(inMemoryRow, fingerprint);
       if (decision !== 'claim') return decision;
     }
-    if (outage.isOpen()) return claimInMemory(request, row);
+    if (outageClaims.isAccepting()) return claimInMemory(request, row);
     const inTable = await claimInTable(request, row);
     return inTable === 'away' ? claimInMemory(request, row) : inTable;
   };
@@ -270,12 +278,12 @@
     return outcome.isOk();
   };
 
-  const releaseStrays = async (): Promise<void> => {
+  const releaseUncertainClaims = async (): Promise<void> => {
     while (uncertainClaims.length > 0) {
       if (!(await releaseUncertainClaim(uncertainClaims[0] as UncertainClaim))) return;
       uncertainClaims.shift();
     }
   };
 
-  return { claim, releaseStrays };
+  return { claim, releaseUncertainClaims };
 };
--- a/packages/daemon/src/data-path/classify.ts
+++ b/packages/daemon/src/data-path/classify.ts
@@ -6,7 +6,7 @@
   type Verdict,
 } from '@valvelatch/core';
 
-import { endpointHeader, type AttemptResult, type WholeAnswer } from './attempt.js';
+import { endpointHeader, type AttemptResult, type CompleteResponse } from './attempt.js';
 import { callerHeader } from './headers.js';
 
 const MIN_SERVER_ERROR_STATUS = 500;
@@ -15,15 +15,15 @@
  * A classified attempt: a response for the caller, or a failure. `answer` of a failure is the
  * endpoint's own error response, or null if there is none.
  */
-export type Classified =
-  | { readonly kind: 'good'; readonly answer: WholeAnswer }
+export type AttemptClassification =
+  | { readonly kind: 'good'; readonly answer: CompleteResponse }
   | {
       readonly kind: 'bad';
       readonly verdict: Verdict;
       readonly outcome: AttemptOutcome;
       readonly reason: RefusalReason;
       readonly detail: string;
-      readonly answer: WholeAnswer | null;
+      readonly answer: CompleteResponse | null;
     };
 
 const refusalReasonByFailure: Record<
@@ -38,14 +38,14 @@
   timeout: 'deadline-passed',
 };
 
-const reportsNotRun = ({ headers }: WholeAnswer): boolean =>
+const reportsNotRun = ({ headers }: CompleteResponse): boolean =>
   headers[endpointHeader.notRun] === 'true';
 
 /**
  * Classifies the response of another entry. That entry states the verdict in a header, and its
  * refusals are not responses of an endpoint.
  */
-const classifyEntryResponse = (answer: WholeAnswer): Classified => {
+const classifyEntryResponse = (answer: CompleteResponse): AttemptClassification => {
   const reportedVerdict = answer.headers[callerHeader.verdict];
   if (reportedVerdict === 'ran') return { kind: 'good', answer };
   return {
@@ -66,7 +66,10 @@
  * @returns A response for the caller, or the verdict, the refusal reason and the outcome that is
  * recorded for the endpoint.
  */
-export const classify = (result: AttemptResult, isRemote: boolean): Classified => {
+export const classifyAttempt = (
+  result: AttemptResult,
+  isRemote: boolean,
+): AttemptClassification => {
   if (result.kind === 'failed') {
     return {
       kind: 'bad',
--- a/packages/daemon/src/data-path/connections.ts
+++ b/packages/daemon/src/data-path/connections.ts
@@ -2,17 +2,17 @@
 import { Pool } from 'undici';
 
 /** The connection pools of this entry. */
-export type Connections = {
+export type ConnectionPools = {
   /** Returns the pool of an address. `maxConnections` only applies when the pool is created. */
-  readonly to: (address: string, maxConnections: number) => Pool;
+  readonly poolFor: (address: string, maxConnections: number) => Pool;
   /** Closes the pools of all addresses that are not in the given set. */
-  readonly keepOnly: (addresses: ReadonlySet<string>) => void;
+  readonly closeAllExcept: (addresses: ReadonlySet<string>) => void;
   /** Destroys all pools, including their requests in flight. */
   readonly close: () => Promise<void>;
 };
 
 /** Options of the pools. `connectTimeoutMs` limits the time to establish a connection. */
-export type ConnectionsOptions = { readonly connectTimeoutMs?: number };
+export type ConnectionPoolsOptions = { readonly connectTimeoutMs?: number };
 
 /**
  * Creates the set of pools, which is empty at first.
@@ -20,12 +20,12 @@
  * @param options - The timeout for establishing a connection.
  * @returns The set of pools.
  */
-export const createConnections = ({
+export const createConnectionPools = ({
   connectTimeoutMs = 1000,
-}: ConnectionsOptions = {}): Connections => {
+}: ConnectionPoolsOptions = {}): ConnectionPools => {
   const pools = new Map<string, Pool>();
 
-  const to = (address: string, maxConnections: number): Pool => {
+  const poolFor = (address: string, maxConnections: number): Pool => {
     const existing = pools.get(address);
     if (existing) return existing;
     const pool = new Pool(address, {
@@ -41,8 +41,8 @@
   };
 
   return {
-    to,
-    keepOnly: (addresses) => {
+    poolFor,
+    closeAllExcept: (addresses) => {
       pools.forEach((pool, address) => {
         if (addresses.has(address)) return;
         pools.delete(address);
--- a/packages/daemon/src/data-path/doubt-watch.ts
+++ b/packages/daemon/src/data-path/doubt-watch.ts
@@ -14,19 +14,19 @@
 import type { TableClient } from '@valvelatch/platform';
 
 /** Monitor of the data centres that may hold unflushed claims. */
-export type DoubtWatch = {
+export type UnflushedClaimsMonitor = {
   /** Reads the seat rows of all data centres. */
-  readonly tick: () => Promise<void>;
+  readonly readSeats: () => Promise<void>;
   /** Returns the data centres that may hold unflushed claims. */
-  readonly inDoubt: () => readonly string[];
+  readonly dataCentresWithUnflushedClaims: () => readonly string[];
   /**
    * Records in the table, for all entries, that claims of a data centre may be lost. Resolves to
    * false if that could not be written.
    */
-  readonly raise: (dataCentre: string) => Promise<boolean>;
+  readonly recordPossibleClaimLoss: (dataCentre: string) => Promise<boolean>;
 };
 
-export type DoubtWatchOptions = {
+export type UnflushedClaimsMonitorOptions = {
   readonly table: TableClient;
   readonly nowMs?: () => number;
 };
@@ -42,14 +42,14 @@
  * @returns The monitor. Until it has read the seat rows twice, any data centre may hold unflushed
  * claims.
  */
-export const createDoubtWatch = ({
+export const createUnflushedClaimsMonitor = ({
   table,
   nowMs = () => performance.now(),
-}: DoubtWatchOptions): DoubtWatch => {
+}: UnflushedClaimsMonitorOptions): UnflushedClaimsMonitor => {
   let seatObservations = noSeatObservations;
   let scanCount = 0;
 
-  const tick = async (): Promise<void> => {
+  const readSeats = async (): Promise<void> => {
     const startedMs = nowMs();
     const rows = await table.scan(rowPrefix.seat);
     if (rows.isErr()) return;
@@ -61,7 +61,7 @@
     );
   };
 
-  const raise = async (dataCentre: string): Promise<boolean> => {
+  const recordPossibleClaimLoss = async (dataCentre: string): Promise<boolean> => {
     const rows = await table.read([rowKey.doubt]);
     if (rows.isErr()) return false;
     const [row] = rows.value;
@@ -75,11 +75,11 @@
   };
 
   return {
-    tick,
-    inDoubt: () =>
+    readSeats,
+    dataCentresWithUnflushedClaims: () =>
       scanCount < MIN_SCANS
         ? ANY_DATA_CENTRE
         : findDataCentresWithUnflushedClaims(seatObservations, nowMs()),
-    raise,
+    recordPossibleClaimLoss,
   };
 };
--- a/packages/daemon/src/data-path/endpoint-directory.test.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.test.ts
@@ -10,7 +10,7 @@
 import { change } from '@valvelatch/core/shared/change';
 
 import { createEndpointDirectory, endpointIdOf } from './endpoint-directory.js';
-import type { ServiceGate } from './service-gate.js';
+import type { ServiceAdmission } from './service-gate.js';
 
 const SERVICE = brand<ServiceName>('routing');
 
@@ -30,11 +30,11 @@
       setEndpoints: (endpoints: readonly Endpoint[]) => {
         offered = endpoints;
       },
-    } as Partial<ServiceGate> as ServiceGate;
+    } as Partial<ServiceAdmission> as ServiceAdmission;
     const directory = createEndpointDirectory({
       configuration: () => emptyConfiguration,
-      seat: () => null,
-      gate: () => admission,
+      heldSeat: () => null,
+      admissionFor: () => admission,
       knownServices: () => [SERVICE],
     });
     const onlyEndpoint = (): Endpoint => {
@@ -47,10 +47,10 @@
 
   it('resets load, ejection and the leaving flag for each epoch of a job', () => {
     const { directory, onlyEndpoint } = createDirectory();
-    directory.takeTasks([taskWithEpoch(1)]);
+    directory.updateTasks([taskWithEpoch(1)]);
     change(onlyEndpoint(), { inFlight: 3, ejectedUntilMs: Infinity, failureShare: 1 });
     directory.markLeaving(endpointIdOf(taskWithEpoch(1)));
-    directory.takeTasks([taskWithEpoch(2)]);
+    directory.updateTasks([taskWithEpoch(2)]);
     const { endpointId, inFlight, ejectedUntilMs, failureShare, isLeaving } = onlyEndpoint();
     expect(endpointId).toBe(endpointIdOf(taskWithEpoch(2)));
     expect({ inFlight, ejectedUntilMs, failureShare, isLeaving }).toEqual({
@@ -63,14 +63,14 @@
 
   it('counts requests in flight at the previous incarnation until they end, separately from the next', () => {
     const { directory, onlyEndpoint } = createDirectory();
-    directory.takeTasks([taskWithEpoch(1)]);
+    directory.updateTasks([taskWithEpoch(1)]);
     const previous = onlyEndpoint();
     change(previous, { inFlight: 1 });
-    directory.takeTasks([taskWithEpoch(2)]);
-    expect(directory.inFlightAt(endpointIdOf(taskWithEpoch(1)))).toBe(1);
-    expect(directory.inFlightAt(endpointIdOf(taskWithEpoch(2)))).toBe(0);
+    directory.updateTasks([taskWithEpoch(2)]);
+    expect(directory.inFlightCount(endpointIdOf(taskWithEpoch(1)))).toBe(1);
+    expect(directory.inFlightCount(endpointIdOf(taskWithEpoch(2)))).toBe(0);
     change(previous, { inFlight: 0 });
-    directory.takeTasks([taskWithEpoch(2)]);
-    expect(directory.inFlightAt(endpointIdOf(taskWithEpoch(1)))).toBe(0);
+    directory.updateTasks([taskWithEpoch(2)]);
+    expect(directory.inFlightCount(endpointIdOf(taskWithEpoch(1)))).toBe(0);
   });
 });
--- a/packages/daemon/src/data-path/endpoint-directory.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.ts
@@ -18,18 +18,18 @@
 import { change } from '@valvelatch/core/shared/change';
 
 import type { HeldSeat } from '../seats/seat-keeper.js';
-import type { ServiceGate } from './service-gate.js';
+import type { ServiceAdmission } from './service-gate.js';
 
 /** The endpoints of this data centre, from the tasks of its workers. */
 export type EndpointDirectory = {
   /** Replaces the endpoints by those of the tasks that the data centre's workers report. */
-  readonly takeTasks: (tasks: readonly ObservedTask[]) => void;
+  readonly updateTasks: (tasks: readonly ObservedTask[]) => void;
   /** Returns the tasks as last reported. */
   readonly tasks: () => readonly ObservedTask[];
   /** Immediately stops sending new requests to an endpoint. */
   readonly markLeaving: (endpointId: string) => void;
   /** Returns the number of requests that this entry has in flight at an endpoint. */
-  readonly inFlightAt: (endpointId: string) => number;
+  readonly inFlightCount: (endpointId: string) => number;
   /** Returns the addresses of all endpoints, including removed ones with requests in flight. */
   readonly addresses: () => ReadonlySet<string>;
 };
@@ -37,9 +37,9 @@
 export type EndpointDirectoryOptions = {
   readonly configuration: () => Configuration;
   /** Returns the held seat, or null if there is none: this entry must then send no requests. */
-  readonly seat: () => HeldSeat | null;
+  readonly heldSeat: () => HeldSeat | null;
   /** Returns the admission of a service, which receives the service's endpoints. */
-  readonly gate: (service: ServiceName) => ServiceGate;
+  readonly admissionFor: (service: ServiceName) => ServiceAdmission;
   /** Returns the services whose admission exists already, also if they have no endpoints now. */
   readonly knownServices: () => readonly ServiceName[];
 };
@@ -64,8 +64,8 @@
  */
 export const createEndpointDirectory = ({
   configuration,
-  seat,
-  gate,
+  heldSeat,
+  admissionFor,
   knownServices,
 }: EndpointDirectoryOptions): EndpointDirectory => {
   const endpoints = new Map<EndpointId, Endpoint>();
@@ -80,7 +80,7 @@
     findDeclaration(configuration(), 'Service', service)?.spec.slots ?? 0;
 
   const slotShareOf = (service: string, endpointId: EndpointId): number => {
-    const currentSeat = seat();
+    const currentSeat = heldSeat();
     if (currentSeat === null) return 0;
     const share = computeSeatShare(
       slotsPerEndpoint(service),
@@ -103,7 +103,7 @@
         address: task.address as string,
       });
     endpoint.slotShare = slotShareOf(endpoint.service, endpointId);
-    endpoint.slotShareExpiresAtMs = seat()?.untilMs ?? -Infinity;
+    endpoint.slotShareExpiresAtMs = heldSeat()?.untilMs ?? -Infinity;
     endpoint.isLeaving ||= task.phase === 'leaving' || leavingIds.has(endpointId);
     endpoints.set(endpointId, endpoint);
     return endpoint;
@@ -120,24 +120,24 @@
     });
   };
 
-  const takeTasks = (reportedTasks: readonly ObservedTask[]): void => {
+  const updateTasks = (reportedTasks: readonly ObservedTask[]): void => {
     tasks = reportedTasks;
     const serving = reportedTasks.filter(isServing).map(refreshEndpoint);
     removeAbsentEndpoints(new Set(serving.map(({ endpointId }) => endpointId)));
     const byService = groupBy(serving, ({ service }) => service);
     const services = new Set([...knownServices(), ...byService.keys()]);
-    services.forEach((service) => gate(service).setEndpoints(byService.get(service) ?? []));
+    services.forEach((service) => admissionFor(service).setEndpoints(byService.get(service) ?? []));
   };
 
   return {
-    takeTasks,
+    updateTasks,
     tasks: () => tasks,
     markLeaving: (endpointId) => {
       leavingIds.add(endpointId);
       const endpoint = endpoints.get(endpointId as EndpointId);
       if (endpoint) endpoint.isLeaving = true;
     },
-    inFlightAt: (endpointId) => endpoints.get(endpointId as EndpointId)?.inFlight ?? 0,
+    inFlightCount: (endpointId) => endpoints.get(endpointId as EndpointId)?.inFlight ?? 0,
     addresses: () => new Set(Array.from(endpoints.values(), ({ address }) => address)),
   };
 };
--- a/packages/daemon/src/data-path/headers.ts
+++ b/packages/daemon/src/data-path/headers.ts
@@ -44,7 +44,7 @@
  * @param added - Headers to add or replace.
  * @returns The headers to send.
  */
-export const headersToSend = (
+export const selectRequestHeaders = (
   headers: IncomingHttpHeaders,
   added: Readonly<Record<string, string>>,
 ): Record<string, string> => {
@@ -63,7 +63,7 @@
  * @param headers - The headers of the endpoint's response.
  * @returns The headers to return.
  */
-export const headersToReturn = (
+export const selectResponseHeaders = (
   headers: Readonly<Record<string, string | string[]>>,
 ): Record<string, string | string[]> => {
   const selected: Record<string, string | string[]> = {};
--- a/packages/daemon/src/data-path/outage-claims.ts
+++ b/packages/daemon/src/data-path/outage-claims.ts
@@ -7,23 +7,23 @@
 import type { TableClient } from '@valvelatch/platform';
 
 /** A claim and its key, as sent between entries. */
-export type SharedClaim = { readonly key: string; readonly row: ClaimRow };
+export type ReplicatedClaim = { readonly key: string; readonly row: ClaimRow };
 
 /** The claims in memory, with their replication and their flush to the table. */
 export type OutageClaims = {
   /** Returns the claim of a key, or null if there is none in memory. */
   readonly find: (key: string) => ClaimRow | null;
   /** Returns whether this entry may accept claims in memory. */
-  readonly isOpen: () => boolean;
+  readonly isAccepting: () => boolean;
   /**
    * Stores and replicates a claim. Resolves to false if claims in memory are not accepted now, the
    * key is already claimed, or another holder refused the replica.
    */
-  readonly take: (claim: SharedClaim) => Promise<boolean>;
+  readonly acquire: (claim: ReplicatedClaim) => Promise<boolean>;
   /** Records the outcome of a claim here and at the other seat holders. */
-  readonly settle: (claim: SharedClaim) => void;
+  readonly recordOutcome: (claim: ReplicatedClaim) => void;
   /** Stores a replica of another entry's claim; false if that is unsafe or the memory is full. */
-  readonly keepFor: (claim: SharedClaim) => boolean;
+  readonly storeReplica: (claim: ReplicatedClaim) => boolean;
   /** Writes all claims to the table and removes them; false if a write failed. */
   readonly flush: () => Promise<boolean>;
   readonly size: () => number;
@@ -32,17 +32,17 @@
 export type OutageClaimsOptions = {
   readonly table: TableClient;
   /** Time since this entry's seat lease lapsed, in milliseconds; negative while it is held. */
-  readonly lapsedForMs: () => number;
+  readonly leaseLapsedForMs: () => number;
   /** Whether this entry uses its seat without the platform, based on promises of other holders. */
-  readonly isContinuing: () => boolean;
+  readonly isUsingPromises: () => boolean;
   /** Duration of a seat lease, in milliseconds. */
   readonly leaseMs: number;
   /** Returns the holders of the other seats of the data centre. */
-  readonly otherHolders: () => readonly EntryId[];
+  readonly otherSeatHolders: () => readonly EntryId[];
   /** Asks a seat holder to store a replica; false if it refuses or cannot be reached. */
-  readonly askKeep: (seatHolder: EntryId, claim: SharedClaim) => Promise<boolean>;
+  readonly requestReplica: (seatHolder: EntryId, claim: ReplicatedClaim) => Promise<boolean>;
   /** Maximum number of claims in memory. */
-  readonly most?: number;
+  readonly maxClaims?: number;
 };
 
 /** Maximum number of claims written in one transaction. */
@@ -58,12 +58,12 @@
  */
 export const createOutageClaims = ({
   table,
-  lapsedForMs,
-  isContinuing,
+  leaseLapsedForMs,
+  isUsingPromises,
   leaseMs,
-  otherHolders,
-  askKeep,
-  most = 10_000,
+  otherSeatHolders,
+  requestReplica,
+  maxClaims = 10_000,
 }: OutageClaimsOptions): OutageClaims => {
   const claims = new Map<string, ClaimRow>();
 
@@ -72,10 +72,10 @@
    * that watch the seats in the table may still consider this data centre connected, and assume that
    * it holds no claims in memory.
    */
-  const isLapseVisibleToAll = (): boolean => lapsedForMs() >= leaseMs;
-  const hasCapacity = (): boolean => claims.size < most;
+  const isLapseVisibleToAll = (): boolean => leaseLapsedForMs() >= leaseMs;
+  const hasCapacity = (): boolean => claims.size < maxClaims;
 
-  const keepFor = ({ key, row }: SharedClaim): boolean => {
+  const storeReplica = ({ key, row }: ReplicatedClaim): boolean => {
     const existing = claims.get(key);
     if (existing && !isSameClaim(existing, row)) return false;
     if (!existing && (!isLapseVisibleToAll() || !hasCapacity())) return false;
@@ -83,32 +83,32 @@
     return true;
   };
 
-  const replicateToAll = async (claim: SharedClaim): Promise<boolean> => {
+  const replicateToAll = async (claim: ReplicatedClaim): Promise<boolean> => {
     const confirmations = await Promise.all(
-      otherHolders().map((seatHolder) => askKeep(seatHolder, claim)),
+      otherSeatHolders().map((seatHolder) => requestReplica(seatHolder, claim)),
     );
     return confirmations.every(Boolean);
   };
 
-  const isOpen = (): boolean =>
-    isContinuing() && isLapseVisibleToAll() && hasCapacity() && otherHolders().length > 0;
+  const isAccepting = (): boolean =>
+    isUsingPromises() && isLapseVisibleToAll() && hasCapacity() && otherSeatHolders().length > 0;
 
-  const settle = (claim: SharedClaim): void => {
+  const recordOutcome = (claim: ReplicatedClaim): void => {
     if (!isSameClaim(claims.get(claim.key), claim.row)) return;
     claims.set(claim.key, claim.row);
     replicateToAll(claim).catch(() => undefined);
   };
 
-  const take = async (claim: SharedClaim): Promise<boolean> => {
-    if (!isOpen() || claims.has(claim.key)) return false;
+  const acquire = async (claim: ReplicatedClaim): Promise<boolean> => {
+    if (!isAccepting() || claims.has(claim.key)) return false;
     claims.set(claim.key, claim.row);
     if (await replicateToAll(claim)) return true;
     // The request was certainly not sent, so the holders of replicas are told that the key is free.
-    settle({ key: claim.key, row: { ...claim.row, state: 'released' } });
+    recordOutcome({ key: claim.key, row: { ...claim.row, state: 'released' } });
     return false;
   };
 
-  const flushClaim = async ({ key, row }: SharedClaim): Promise<boolean> => {
+  const flushClaim = async ({ key, row }: ReplicatedClaim): Promise<boolean> => {
     const read = await table.read([rowKey.claim(key)]);
     if (read.isErr()) return false;
     const [stored] = read.value;
@@ -127,7 +127,7 @@
    * Writes a group of claims in one transaction without reading their rows, because most claims are
    * not in the table yet. After a conflict, each claim is written individually.
    */
-  const flushGroup = async (group: readonly SharedClaim[]): Promise<boolean> => {
+  const flushGroup = async (group: readonly ReplicatedClaim[]): Promise<boolean> => {
     const outcome = await table.transact({
       checks: group.map(({ key }) => ({ key: rowKey.claim(key), version: 0 })),
       writes: group.map(({ key, row }) => ({ key: rowKey.claim(key), value: row })),
@@ -155,10 +155,10 @@
 
   return {
     find: (key) => claims.get(key) ?? null,
-    isOpen,
-    take,
-    settle,
-    keepFor,
+    isAccepting,
+    acquire,
+    recordOutcome,
+    storeReplica,
     flush,
     size: () => claims.size,
   };
--- a/packages/daemon/src/data-path/request-types.ts
+++ b/packages/daemon/src/data-path/request-types.ts
@@ -13,10 +13,10 @@
 
 import type { Metrics } from '../observe/metrics.js';
 import type { Tracing } from '../observe/trace-types.js';
-import type { WholeAnswer } from './attempt.js';
-import type { ClaimKeeper } from './claim-keeper.js';
-import type { Connections } from './connections.js';
-import type { ServiceGate } from './service-gate.js';
+import type { CompleteResponse } from './attempt.js';
+import type { ClaimStore } from './claim-keeper.js';
+import type { ConnectionPools } from './connections.js';
+import type { ServiceAdmission } from './service-gate.js';
 
 /** A request as parsed from the caller's HTTP request. */
 export type CallerRequest = {
@@ -31,13 +31,13 @@
   /** True if the request may be sent more than once; otherwise its key must be claimed first. */
   readonly isRepeatable: boolean;
   /** The idempotency key, or null if the caller sent none. */
-  readonly key: string | null;
+  readonly idempotencyKey: string | null;
   /** True if the caller states that it has never sent this key before. */
   readonly isFirstAttempt: boolean;
   /** True if another entry forwarded the request; that entry has claimed the key if necessary. */
   readonly isForwarded: boolean;
   /** The time limit that the caller requested, in milliseconds, or null if it requested none. */
-  readonly wantedMs: number | null;
+  readonly requestedTimeoutMs: number | null;
 };
 
 /**
@@ -45,7 +45,7 @@
  * the same key, or a refusal with a description of each failed attempt.
  */
 export type RequestOutcome =
-  | { readonly kind: 'answer'; readonly answer: WholeAnswer }
+  | { readonly kind: 'answer'; readonly answer: CompleteResponse }
   | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | { readonly kind: 'refusal'; readonly refusal: Refusal; readonly tried: readonly string[] };
 
@@ -55,23 +55,23 @@
 /** The dependencies of serving a request. */
 export type ServeContext = {
   readonly configuration: () => Configuration;
-  readonly isConfigurationKnown: () => boolean;
+  readonly hasConfiguration: () => boolean;
   /** True if this entry accepts no new requests because it is being stopped. */
   readonly isStopping: () => boolean;
-  readonly gate: (service: ServiceName) => ServiceGate;
-  readonly connections: Connections;
+  readonly admissionFor: (service: ServiceName) => ServiceAdmission;
+  readonly connections: ConnectionPools;
   /** Returns the maximum number of connections of this entry to an endpoint. */
-  readonly connectionShare: (service: ServiceName, endpoint: Endpoint) => number;
-  readonly claims: ClaimKeeper;
+  readonly maxConnectionsFor: (service: ServiceName, endpoint: Endpoint) => number;
+  readonly claims: ClaimStore;
   /**
    * Returns another entry that has endpoints of the service, preferably in this data centre.
    * Undefined if there is none.
    */
-  readonly otherEntry: (service: ServiceName) => RemoteEntry | undefined;
+  readonly pickReadyEntry: (service: ServiceName) => RemoteEntry | undefined;
   /** Returns the proof to another entry that an entry with the mesh key forwarded the request. */
-  readonly forwardProof: (requestId: RequestId) => string;
+  readonly createForwardProof: (requestId: RequestId) => string;
   /** Maximum size of a response body, in bytes. */
-  readonly mostAnswerBytes: number;
+  readonly maxResponseBytes: number;
   readonly tracing: Tracing;
   readonly metrics: Metrics;
   /** Monotonic time, in milliseconds. */
--- a/packages/daemon/src/data-path/serve-request.ts
+++ b/packages/daemon/src/data-path/serve-request.ts
@@ -18,12 +18,12 @@
 } from '@valvelatch/core';
 
 import type { TraceHeaders } from '../observe/trace-types.js';
-import { attempt, type WholeAnswer } from './attempt.js';
+import { sendAttempt, type CompleteResponse } from './attempt.js';
 import type { ClaimOutcome, HeldClaim } from './claim-keeper.js';
-import { classify, type Classified } from './classify.js';
-import { callerHeader, headersToSend } from './headers.js';
+import { classifyAttempt, type AttemptClassification } from './classify.js';
+import { callerHeader, selectRequestHeaders } from './headers.js';
 import type { CallerRequest, RequestOutcome, ServeContext } from './request-types.js';
-import type { ServiceGate } from './service-gate.js';
+import type { ServiceAdmission } from './service-gate.js';
 
 /** `retry-after` of refusals caused by the platform or a missing configuration, in seconds. */
 const OUTAGE_RETRY_AFTER_S = 2;
@@ -44,7 +44,7 @@
   /** Number of attempts that may have run and ended without a response of the endpoint. */
   attemptsWithoutResponse: number;
   /** The last complete error response of an endpoint, or null if there was none. */
-  lastError: WholeAnswer | null;
+  lastError: CompleteResponse | null;
 };
 
 type RefusalOptions = {
@@ -75,7 +75,7 @@
 
 const sendToTarget = async (
   requestState: RequestState,
-  { address, maxConnections, addedHeaders, mayStillSend }: Target,
+  { address, maxConnections, addedHeaders, mayStillSend: isSendAllowed }: Target,
 ) => {
   const { context, request } = requestState;
   const isRemote = addedHeaders[callerHeader.forwarded] !== undefined;
@@ -85,23 +85,23 @@
     traceparent === undefined ? {} : { traceparent },
     { address, requestId: request.requestId },
   );
-  const headers = headersToSend(request.headers, {
+  const headers = selectRequestHeaders(request.headers, {
     ...addedHeaders,
     ...hop.headers,
     [callerHeader.requestId]: request.requestId,
     [callerHeader.deadlineMs]: String(Math.max(1, Math.floor(remainingMs(requestState)))),
   });
-  const result = await attempt(context.connections.to(address, maxConnections), {
+  const result = await sendAttempt(context.connections.poolFor(address, maxConnections), {
     method: request.method,
     path: isRemote ? `/services/${request.service}${request.path}` : request.path,
     headers,
     body: request.body,
     requestId: request.requestId,
     timeoutMs: Math.max(1, remainingMs(requestState)),
-    mostAnswerBytes: context.mostAnswerBytes,
-    mayStillSend,
+    maxResponseBytes: context.maxResponseBytes,
+    isSendAllowed,
   });
-  const classified = classify(result, isRemote);
+  const classified = classifyAttempt(result, isRemote);
   hop.end({
     outcome: classified.kind === 'good' ? 'answered' : classified.reason,
     isError: classified.kind === 'bad',
@@ -111,14 +111,14 @@
 
 const tryEndpoint = async (
   requestState: RequestState,
-  admission: ServiceGate,
+  admission: ServiceAdmission,
   endpoint: Endpoint,
 ) => {
   const { context, request } = requestState;
   const startedMs = context.nowMs();
   const classified = await sendToTarget(requestState, {
     address: endpoint.address,
-    maxConnections: context.connectionShare(request.service, endpoint),
+    maxConnections: context.maxConnectionsFor(request.service, endpoint),
     addedHeaders: {},
     mayStillSend: () => context.nowMs() < endpoint.slotShareExpiresAtMs,
   });
@@ -132,7 +132,7 @@
 const recordFailure = (
   requestState: RequestState,
   receiver: string,
-  failure: Extract<Classified, { kind: 'bad' }>,
+  failure: Extract<AttemptClassification, { kind: 'bad' }>,
 ): void => {
   const mutableState = requestState;
   mutableState.tried.push(`${receiver}: ${failure.reason} (${failure.verdict}): ${failure.detail}`);
@@ -153,7 +153,7 @@
 
 const mayAttemptAgain = (
   requestState: RequestState,
-  admission: ServiceGate,
+  admission: ServiceAdmission,
   verdict: Verdict,
 ): boolean =>
   canRetry({
@@ -162,7 +162,7 @@
     attemptsMade: requestState.verdicts.length,
     brokenOffEndpoints: requestState.attemptsWithoutResponse,
     remainingMs: remainingMs(requestState),
-    expectedAttemptMs: admission.usualMs(),
+    expectedAttemptMs: admission.smoothedRequestMs(),
   }) && takeRetryToken(admission.retryBudget);
 
 /**
@@ -174,14 +174,14 @@
 ): Promise<RequestOutcome | undefined> => {
   const { context, request } = requestState;
   if (request.isForwarded) return undefined;
-  const remote = context.otherEntry(request.service);
+  const remote = context.pickReadyEntry(request.service);
   if (!remote) return undefined;
   context.metrics.count('forwarded');
   const classified = await sendToTarget(requestState, {
     address: remote.callersUrl,
     maxConnections: MAX_CONNECTIONS_PER_ENTRY,
     addedHeaders: {
-      [callerHeader.forwarded]: context.forwardProof(request.requestId),
+      [callerHeader.forwarded]: context.createForwardProof(request.requestId),
       [callerHeader.caller]: request.callerId,
     },
   });
@@ -192,14 +192,14 @@
 
 const attemptUntilDone = async (
   requestState: RequestState,
-  admission: ServiceGate,
+  admission: ServiceAdmission,
 ): Promise<RequestOutcome> => {
   addRetryTokens(admission.retryBudget);
   for (;;) {
     const slot = await admission.acquire({
       callerId: requestState.request.callerId,
       deadlineMs: requestState.deadlineMs,
-      exclude: requestState.triedEndpoints,
+      excludedEndpoints: requestState.triedEndpoints,
     });
     if (slot.kind === 'none') {
       const canForward = slot.reason === 'no-endpoint' && requestState.verdicts.length === 0;
@@ -238,7 +238,7 @@
 };
 
 const writeClaimOutcome = (claim: HeldClaim, outcome: RequestOutcome): Promise<void> => {
-  if (outcome.kind === 'answer') return claim.finish(outcome.answer);
+  if (outcome.kind === 'answer') return claim.complete(outcome.answer);
   if (outcome.kind === 'refusal' && outcome.refusal.verdict === 'notRun') return claim.release();
   return Promise.resolve();
 };
@@ -251,16 +251,16 @@
 
 const serveWithClaim = async (
   requestState: RequestState,
-  admission: ServiceGate,
+  admission: ServiceAdmission,
 ): Promise<RequestOutcome> => {
-  const { key } = requestState.request;
-  if (key === null) {
+  const { idempotencyKey } = requestState.request;
+  if (idempotencyKey === null) {
     return refuse(requestState, {
       reason: 'key-required',
       detail: `a request that is not repeatable needs the header ${callerHeader.key}`,
     });
   }
-  const claimed = await claimInTime(requestState, key);
+  const claimed = await claimInTime(requestState, idempotencyKey);
   if (claimed.kind === 'replay') return claimed;
   if (claimed.kind === 'refused') {
     const retryAfterS = OUTAGE_RETRY_AFTER_S;
@@ -278,7 +278,7 @@
   if (context.isStopping()) {
     return { reason: 'entry-stopping', detail: 'this entry is being stopped; another will serve' };
   }
-  if (!context.isConfigurationKnown()) {
+  if (!context.hasConfiguration()) {
     const detail = 'this entry does not know the configuration yet';
     return { reason: 'no-configuration', detail, retryAfterS: OUTAGE_RETRY_AFTER_S };
   }
@@ -310,14 +310,15 @@
   const requestState: RequestState = {
     context,
     request,
-    deadlineMs: context.nowMs() + Math.min(maxTimeoutMs, request.wantedMs ?? maxTimeoutMs),
+    deadlineMs:
+      context.nowMs() + Math.min(maxTimeoutMs, request.requestedTimeoutMs ?? maxTimeoutMs),
     tried,
     verdicts: [],
     triedEndpoints: [],
     attemptsWithoutResponse: 0,
     lastError: null,
   };
-  const admission = context.gate(brand<ServiceName>(request.service));
+  const admission = context.admissionFor(brand<ServiceName>(request.service));
   const needsClaim = !request.isRepeatable && !request.isForwarded;
   return needsClaim
     ? serveWithClaim(requestState, admission)
--- a/packages/daemon/src/data-path/service-gate.test.ts
+++ b/packages/daemon/src/data-path/service-gate.test.ts
@@ -6,9 +6,10 @@
 import { brand, type EndpointId } from '@valvelatch/core/shared/ids';
 import { describe, expect, it } from 'vitest';
 
-import { createServiceGate, type Slot } from './service-gate.js';
+import { createServiceAdmission, type SlotOutcome } from './service-gate.js';
 
-const callerId = brand<Parameters<ReturnType<typeof createServiceGate>['release']>[1]>('caller');
+const callerId =
+  brand<Parameters<ReturnType<typeof createServiceAdmission>['release']>[1]>('caller');
 
 const createNamedEndpoint = (name: string) =>
   createEndpoint({
@@ -26,20 +27,20 @@
 describe('slot for a request that an endpoint has refused', () => {
   it('waits for another endpoint even though the refusing one has a free slot', async () => {
     const [refusing, busy] = [createNamedEndpoint('refusing'), createNamedEndpoint('busy')];
-    const admission = createServiceGate({ service: brand('routing'), rng: createRng(1) });
+    const admission = createServiceAdmission({ service: brand('routing'), rng: createRng(1) });
     admission.setEndpoints([refusing, busy]);
-    const acquireExcluding = (exclude: readonly EndpointId[]): Promise<Slot> =>
-      admission.acquire({ callerId, deadlineMs: performance.now() + 5000, exclude });
+    const acquireExcluding = (excludedEndpoints: readonly EndpointId[]): Promise<SlotOutcome> =>
+      admission.acquire({ callerId, deadlineMs: performance.now() + 5000, excludedEndpoints });
     const firstSlot = await acquireExcluding([refusing.endpointId]);
-    let secondSlot: Slot | undefined;
+    let secondSlot: SlotOutcome | undefined;
     void acquireExcluding([refusing.endpointId]).then((slot) => {
       secondSlot = slot;
     });
-    admission.pump();
+    admission.processQueue();
     await flushPromises();
     expect([firstSlot, secondSlot]).toEqual([{ kind: 'slot', endpoint: busy }, undefined]);
     admission.release(busy, callerId);
-    admission.pump();
+    admission.processQueue();
     await flushPromises();
     expect(secondSlot).toEqual({ kind: 'slot', endpoint: busy });
   });
--- a/packages/daemon/src/data-path/service-gate.ts
+++ b/packages/daemon/src/data-path/service-gate.ts
@@ -24,7 +24,7 @@
 import { change } from '@valvelatch/core/shared/change';
 
 /** The reason why a request got no slot. */
-export type NoSlot = {
+export type SlotRefusal = {
   readonly kind: 'none';
   readonly reason: RefusalReason;
   readonly detail: string;
@@ -38,45 +38,45 @@
   /** Deadline on the monotonic clock, in milliseconds. */
   readonly deadlineMs: number;
   /** Endpoints at which the request has already been attempted; none of them is chosen. */
-  readonly exclude: readonly EndpointId[];
+  readonly excludedEndpoints: readonly EndpointId[];
 };
 
 /**
  * The outcome of a request for a slot. A refusal is a value and not an exception, because most
  * requests are refused under overload and a stack trace for each would be expensive.
  */
-export type Slot = { readonly kind: 'slot'; readonly endpoint: Endpoint } | NoSlot;
-type Waiter = SlotRequest & { readonly resolve: (slot: Slot) => void };
+export type SlotOutcome = { readonly kind: 'slot'; readonly endpoint: Endpoint } | SlotRefusal;
+type Waiter = SlotRequest & { readonly resolve: (slot: SlotOutcome) => void };
 
 /** Admission of requests to the endpoints of one service. */
-export type ServiceGate = {
+export type ServiceAdmission = {
   readonly service: ServiceName;
   readonly retryBudget: RetryBudget;
   /** Returns all endpoints, including leaving and ejected ones. */
   readonly endpoints: () => readonly Endpoint[];
   readonly setEndpoints: (endpoints: readonly Endpoint[]) => void;
   /** Returns whether an endpoint has slots for this entry and is neither leaving nor ejected. */
-  readonly isReady: () => boolean;
+  readonly hasReadyEndpoint: () => boolean;
   /** Waits for a slot at an endpoint; a slot that is given must be released. */
-  readonly acquire: (request: SlotRequest) => Promise<Slot>;
+  readonly acquire: (request: SlotRequest) => Promise<SlotOutcome>;
   /** Ends a request at an endpoint and gives its slot to the next queued request. */
   readonly release: (endpoint: Endpoint, callerId: CallerId) => void;
   /**
    * Gives slots that became free without a release to queued requests, and refuses requests that can
    * no longer be served before their deadline.
    */
-  readonly pump: () => void;
+  readonly processQueue: () => void;
   /** Returns the number of queued requests. */
   readonly waitingCount: () => number;
   /** Returns the smoothed duration of a request, weighted by the endpoints' slots, in ms. */
-  readonly usualMs: () => number;
+  readonly smoothedRequestMs: () => number;
 };
 
-export type ServiceGateOptions = {
+export type ServiceAdmissionOptions = {
   readonly service: ServiceName;
   readonly rng: Rng;
   /** Maximum number of queued requests. */
-  readonly mostWaiting?: number;
+  readonly maxWaiting?: number;
   readonly nowMs?: () => number;
 };
 
@@ -90,12 +90,12 @@
  * @param options - The service, the random number generator, and the limit of the queue.
  * @returns The admission, without endpoints.
  */
-export const createServiceGate = ({
+export const createServiceAdmission = ({
   service,
   rng,
-  mostWaiting: maxWaiting = 256,
+  maxWaiting = 256,
   nowMs = () => performance.now(),
-}: ServiceGateOptions): ServiceGate => {
+}: ServiceAdmissionOptions): ServiceAdmission => {
   const queue: AdmissionQueue<Waiter> = createAdmissionQueue({ maxWaiting });
   let endpoints: readonly Endpoint[] = [];
 
@@ -114,21 +114,21 @@
     return { slots, typicalRequestMs: slots === 0 ? 0 : weightedMs / slots };
   };
 
-  const usualMs = (): number => capacity().typicalRequestMs;
+  const smoothedRequestMs = (): number => capacity().typicalRequestMs;
 
-  const grant = (endpoint: Endpoint, callerId: CallerId): Slot => {
+  const grant = (endpoint: Endpoint, callerId: CallerId): SlotOutcome => {
     recordSent(endpoint, nowMs());
     recordStarted(queue, callerId);
     return { kind: 'slot', endpoint };
   };
 
-  const refuse = (reason: RefusalReason, detail: string): Slot => {
+  const refuse = (reason: RefusalReason, detail: string): SlotOutcome => {
     const { slots, typicalRequestMs } = capacity();
     const waitMs = ((queue.waitingCount + 1) * typicalRequestMs) / Math.max(1, slots);
     return { kind: 'none', reason, detail, retryAfterS: toRetryAfterS(waitMs) };
   };
 
-  const joinQueue = (request: SlotRequest): Promise<Slot> =>
+  const joinQueue = (request: SlotRequest): Promise<SlotOutcome> =>
     new Promise((resolve) => {
       const waiter = { ...request, resolve };
       const { callerId, deadlineMs } = request;
@@ -155,19 +155,21 @@
       }
     });
 
-  const refuseIfNoEndpoint = (request: SlotRequest): Slot | undefined => {
+  const refuseIfNoEndpoint = (request: SlotRequest): SlotOutcome | undefined => {
     const candidates = readyEndpoints().filter(
-      ({ endpointId }) => !request.exclude.includes(endpointId),
+      ({ endpointId }) => !request.excludedEndpoints.includes(endpointId),
     );
     if (candidates.length > 0) return undefined;
     return refuse('no-endpoint', `no endpoint of ${service} is ready at this entry`);
   };
 
-  const acquire = async (request: SlotRequest): Promise<Slot> => {
+  const acquire = async (request: SlotRequest): Promise<SlotOutcome> => {
     const refusal = refuseIfNoEndpoint(request);
     if (refusal) return refusal;
     if (queue.waitingCount === 0) {
-      const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: request.exclude });
+      const endpoint = chooseEndpoint(endpoints, nowMs(), rng, {
+        exclude: request.excludedEndpoints,
+      });
       if (endpoint) return grant(endpoint, request.callerId);
     }
     return joinQueue(request);
@@ -181,7 +183,7 @@
     });
     if (!next) return false;
     const { payload: waiter } = next;
-    const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: waiter.exclude });
+    const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: waiter.excludedEndpoints });
     if (endpoint) {
       waiter.resolve(grant(endpoint, waiter.callerId));
       return true;
@@ -208,8 +210,8 @@
     }
   };
 
-  const pump = (): void => {
-    ejectStalled(endpoints, usualMs(), nowMs());
+  const processQueue = (): void => {
+    ejectStalled(endpoints, smoothedRequestMs(), nowMs());
     if (queue.waitingCount === 0) return;
     refuseQueuedIfNoEndpoint();
     while (queue.waitingCount > 0 && grantNext());
@@ -221,17 +223,17 @@
     endpoints: () => endpoints,
     setEndpoints: (next) => {
       endpoints = next;
-      pump();
+      processQueue();
     },
-    isReady: () => readyEndpoints().length > 0,
+    hasReadyEndpoint: () => readyEndpoints().length > 0,
     acquire,
     release: (endpoint, callerId) => {
       change(endpoint, { inFlight: endpoint.inFlight - 1 });
       recordFinished(queue, callerId);
-      pump();
+      processQueue();
     },
-    pump,
+    processQueue,
     waitingCount: () => queue.waitingCount,
-    usualMs,
+    smoothedRequestMs,
   };
 };
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -122,7 +122,7 @@
    */
   const isIdle = async (endpointId: string): Promise<boolean> => {
     directory.markLeaving(endpointId);
-    if (directory.inFlightAt(endpointId) > 0) return false;
+    if (directory.inFlightCount(endpointId) > 0) return false;
     const graceMs = longestRequestTimeoutMs(configuration());
     const answers = await Promise.all(
       seatKeeper
--- a/packages/daemon/src/entry/entry-loops.ts
+++ b/packages/daemon/src/entry/entry-loops.ts
@@ -19,7 +19,7 @@
 
 const TASK_POLL_INTERVAL_MS = 400;
 /**
- * Intervals at which the service gates assign free slots and refuse requests that waited too long: while requests
+ * Intervals at which the service admissions assign free slots and refuse requests that waited too long: while requests
  * are in flight, and otherwise.
  */
 const BUSY_PUMP_INTERVAL_MS = 20;
@@ -62,7 +62,7 @@
 
   const flushClaims = async (): Promise<void> => {
     await outage.flush();
-    await requestPlane.claims.releaseStrays();
+    await requestPlane.claims.releaseUncertainClaims();
   };
 
   const runAgent = async (): Promise<void> => {
@@ -80,12 +80,12 @@
     {
       name: 'pump',
       everyMs: () => (requestPlane.inFlight() > 0 ? BUSY_PUMP_INTERVAL_MS : IDLE_PUMP_INTERVAL_MS),
-      run: async () => requestPlane.gates().forEach((gate) => gate.pump()),
+      run: async () => requestPlane.gates().forEach((gate) => gate.processQueue()),
     },
     { name: 'mesh', everyMs: MESH_INTERVAL_MS, run: async () => meshLink.tick() },
     { name: 'configuration', everyMs: CONFIG_POLL_INTERVAL_MS, run: pollConfiguration },
     { name: 'seat', everyMs: leaseMs / SEAT_CHECKS_PER_LEASE, run: seatKeeper.tick },
-    { name: 'doubt', everyMs: leaseMs / SEAT_SCANS_PER_LEASE, run: doubtWatch.tick },
+    { name: 'doubt', everyMs: leaseMs / SEAT_SCANS_PER_LEASE, run: doubtWatch.readSeats },
     { name: 'claims', everyMs: CLAIMS_INTERVAL_MS, run: flushClaims },
     { name: 'agent', everyMs: AGENT_INTERVAL_MS, run: runAgent },
     { name: 'control', everyMs: settings['control-turn-ms'], run: controlPlane.tick },
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -13,7 +13,7 @@
 } from '@valvelatch/core';
 
 import { createConfigSync } from '../config-sync/config-sync.js';
-import type { SharedClaim } from '../data-path/outage-claims.js';
+import type { ReplicatedClaim } from '../data-path/outage-claims.js';
 import { createMeshLink } from '../mesh-link/mesh-link.js';
 import { createLog } from '../observe/log.js';
 import { createMetrics } from '../observe/metrics.js';
@@ -128,17 +128,17 @@
       controlPlane.withheld().filter((action) => action.subject === subject),
     'quiet-at': ({ endpointId }: { endpointId: string }) => {
       requestPlane.directory.markLeaving(endpointId);
-      return requestPlane.directory.inFlightAt(endpointId) === 0;
+      return requestPlane.directory.inFlightCount(endpointId) === 0;
     },
     'promise-seat': (term: SeatTerm) => seatKeeper.onPromiseAsked(term),
     'consent-seat': (term: SeatTerm) => seatKeeper.onConsentAsked(term),
-    'keep-claim': (claim: SharedClaim) => outage.keepFor(claim),
+    'keep-claim': (claim: ReplicatedClaim) => outage.storeReplica(claim),
   };
 
   const readyServices = (): readonly ServiceName[] =>
     requestPlane
       .gates()
-      .filter((gate) => gate.isReady())
+      .filter((gate) => gate.hasReadyEndpoint())
       .map(({ service }) => service);
 
   const meshLink = await createMeshLink({
@@ -176,7 +176,8 @@
    * claims that the table lacks.
    */
   const isWarmedUp = (): boolean =>
-    doubtWatch.inDoubt().length === 0 || performance.now() - startedMs > MAX_WARM_UP_MS;
+    doubtWatch.dataCentresWithUnflushedClaims().length === 0 ||
+    performance.now() - startedMs > MAX_WARM_UP_MS;
 
   const requestPlane = createRequestPlane({
     self,
@@ -185,7 +186,7 @@
     configSync,
     heldSeat: seatKeeper.held,
     outage,
-    inDoubt: doubtWatch.inDoubt,
+    inDoubt: doubtWatch.dataCentresWithUnflushedClaims,
     isHealthy: () => !isStopping && configSync.isKnown() && isWarmedUp(),
     otherEntry: meshLink.otherEntry,
     decisions,
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -1,4 +1,4 @@
-/** Request plane of an entry: service gates, endpoints, claims and the callers port. */
+/** Request plane of an entry: service admission, endpoints, claims and the callers port. */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
 import {
@@ -19,8 +19,8 @@
 
 import type { ConfigSync } from '../config-sync/config-sync.js';
 import { createCallersServer } from '../data-path/callers-server.js';
-import { createClaimKeeper, type ClaimKeeper } from '../data-path/claim-keeper.js';
-import { createConnections } from '../data-path/connections.js';
+import { createClaimStore, type ClaimStore } from '../data-path/claim-keeper.js';
+import { createConnectionPools } from '../data-path/connections.js';
 import {
   createEndpointDirectory,
   type EndpointDirectory,
@@ -33,7 +33,7 @@
   ServeContext,
 } from '../data-path/request-types.js';
 import { serveRequest } from '../data-path/serve-request.js';
-import { createServiceGate, type ServiceGate } from '../data-path/service-gate.js';
+import { createServiceAdmission, type ServiceAdmission } from '../data-path/service-gate.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import type { Tracing } from '../observe/trace-types.js';
@@ -46,8 +46,8 @@
   /** The server of the callers port. */
   readonly callers: FastifyInstance;
   readonly directory: EndpointDirectory;
-  readonly claims: ClaimKeeper;
-  readonly gates: () => readonly ServiceGate[];
+  readonly claims: ClaimStore;
+  readonly gates: () => readonly ServiceAdmission[];
   /** The number of requests that are being served. */
   readonly inFlight: () => number;
   /** Refuses all new requests from now on with the verdict `notRun`. */
@@ -102,15 +102,15 @@
  * @returns The request plane.
  */
 export const createRequestPlane = ({
-  self,
+  self: ownEntryId,
   settings,
   clients,
   configSync,
   heldSeat,
-  outage,
-  inDoubt,
+  outage: outageClaims,
+  inDoubt: dataCentresWithUnflushedClaims,
   isHealthy,
-  otherEntry,
+  otherEntry: pickReadyEntry,
   decisions,
   rng,
   tracing,
@@ -118,36 +118,36 @@
   log,
 }: RequestPlaneOptions): RequestPlane => {
   const { table, workers } = clients;
-  const gates = new Map<ServiceName, ServiceGate>();
-  const connections = createConnections();
+  const gates = new Map<ServiceName, ServiceAdmission>();
+  const connections = createConnectionPools();
   const proofs = createForwardProofFunctions(settings['mesh-key']);
   let inFlight = 0;
   let isRefusingNewRequests = false;
 
-  const getOrCreateGate = (service: ServiceName): ServiceGate => {
+  const getOrCreateGate = (service: ServiceName): ServiceAdmission => {
     const existing = gates.get(service);
     if (existing) return existing;
-    const created = createServiceGate({ service, rng, mostWaiting: settings['most-waiting'] });
+    const created = createServiceAdmission({ service, rng, maxWaiting: settings['most-waiting'] });
     gates.set(service, created);
     return created;
   };
 
   const directory = createEndpointDirectory({
     configuration: configSync.current,
-    seat: heldSeat,
-    gate: getOrCreateGate,
+    heldSeat,
+    admissionFor: getOrCreateGate,
     knownServices: () => Array.from(gates.keys()),
   });
 
-  const claims = createClaimKeeper({
+  const claims = createClaimStore({
     table,
-    commits: createGroupCommit({ table }),
-    outage,
-    inDoubt,
-    self,
+    groupCommit: createGroupCommit({ table }),
+    outageClaims,
+    dataCentresWithUnflushedClaims,
+    ownEntryId,
   });
 
-  const connectionShare = (service: ServiceName, endpoint: Endpoint): number => {
+  const maxConnectionsFor = (service: ServiceName, endpoint: Endpoint): number => {
     const spec = findDeclaration(configSync.current(), 'Service', service)?.spec;
     const held = heldSeat();
     if (!spec || !held) return endpoint.slotShare;
@@ -157,15 +157,15 @@
 
   const context: ServeContext = {
     configuration: configSync.current,
-    isConfigurationKnown: configSync.isKnown,
+    hasConfiguration: configSync.isKnown,
     isStopping: () => isRefusingNewRequests,
-    gate: getOrCreateGate,
+    admissionFor: getOrCreateGate,
     connections,
-    connectionShare,
+    maxConnectionsFor,
     claims,
-    otherEntry,
-    forwardProof: proofs.proofOf,
-    mostAnswerBytes: settings['most-body-bytes'],
+    pickReadyEntry,
+    createForwardProof: proofs.proofOf,
+    maxResponseBytes: settings['most-body-bytes'],
     tracing,
     metrics,
     nowMs: () => performance.now(),
@@ -198,19 +198,19 @@
 
   const callers = createCallersServer({
     serve,
-    newRequestId: createRequestIds(self),
-    isForwardProof: proofs.isProof,
+    generateRequestId: createRequestIds(ownEntryId),
+    isValidForwardProof: proofs.isProof,
     isHealthy,
     onRefusal,
-    mostBodyBytes: settings['most-body-bytes'],
-    mostHeaderBytes: settings['most-header-bytes'],
+    maxBodyBytes: settings['most-body-bytes'],
+    maxHeaderBytes: settings['most-header-bytes'],
     receiveTimeoutMs: settings['receive-timeout-ms'],
   });
 
   const pollTasks = async (otherAddresses: readonly string[]): Promise<void> => {
     const observed = await workers.tasks();
-    directory.takeTasks(observed.isOk() ? observed.value : directory.tasks());
-    connections.keepOnly(new Set([...directory.addresses(), ...otherAddresses]));
+    directory.updateTasks(observed.isOk() ? observed.value : directory.tasks());
+    connections.closeAllExcept(new Set([...directory.addresses(), ...otherAddresses]));
   };
 
   return {
--- a/packages/daemon/src/entry/seat-plane.ts
+++ b/packages/daemon/src/entry/seat-plane.ts
@@ -7,7 +7,10 @@
 } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
-import { createDoubtWatch, type DoubtWatch } from '../data-path/doubt-watch.js';
+import {
+  createUnflushedClaimsMonitor,
+  type UnflushedClaimsMonitor,
+} from '../data-path/doubt-watch.js';
 import { createOutageClaims, type OutageClaims } from '../data-path/outage-claims.js';
 import { createLeaseKeeper } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
@@ -19,7 +22,7 @@
   /** Claims kept in memory while the data centre cannot reach the platform. */
   readonly outage: OutageClaims;
   /** Watches the seats of all data centres for those that may hold claims which the table lacks. */
-  readonly doubtWatch: DoubtWatch;
+  readonly doubtWatch: UnflushedClaimsMonitor;
 };
 
 export type SeatPlaneOptions = {
@@ -49,7 +52,7 @@
   askEntry,
   log,
 }: SeatPlaneOptions): SeatPlane => {
-  const doubtWatch = createDoubtWatch({ table });
+  const doubtWatch = createUnflushedClaimsMonitor({ table });
   const seatKeeper = createSeatKeeper({
     self,
     seats: () => findDeclaration(configuration(), 'DataCentre', dataCentre)?.spec.entrySeats ?? 0,
@@ -65,16 +68,16 @@
       }),
     askPromise: (holder, term) => askEntry(holder, 'promise-seat', term),
     askConsent: (holder, term) => askEntry(holder, 'consent-seat', term),
-    beforeUnconsented: () => doubtWatch.raise(dataCentre),
+    beforeUnconsented: () => doubtWatch.recordPossibleClaimLoss(dataCentre),
     log,
   });
   const outage = createOutageClaims({
     table,
-    lapsedForMs: seatKeeper.lapsedForMs,
-    isContinuing: () => seatKeeper.held()?.portion === 'continuing',
+    leaseLapsedForMs: seatKeeper.lapsedForMs,
+    isUsingPromises: () => seatKeeper.held()?.portion === 'continuing',
     leaseMs,
-    otherHolders: seatKeeper.otherHolders,
-    askKeep: (holder, claim) => askEntry(holder, 'keep-claim', claim),
+    otherSeatHolders: seatKeeper.otherHolders,
+    requestReplica: (holder, claim) => askEntry(holder, 'keep-claim', claim),
   });
   return { seatKeeper, outage, doubtWatch };
 };
