--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -39,7 +39,7 @@
   /** The pools whose control lease this entry holds. */
   readonly heldPools: () => readonly PoolName[];
   /** Actions that the last turn of each pool considered and did not take, with the reasons. */
-  readonly withheld: () => readonly WithheldAction[];
+  readonly withheldActions: () => readonly WithheldAction[];
   /** Releases the control leases of all pools. */
   readonly release: () => Promise<void>;
 };
@@ -52,7 +52,7 @@
   readonly directory: EndpointDirectory;
   readonly seatKeeper: SeatKeeper;
   /** Asks another entry whether it has no request in flight at an endpoint; false if it does not answer. */
-  readonly askQuiet: (holder: EntryId, endpointId: string) => Promise<boolean>;
+  readonly askIfIdle: (holder: EntryId, endpointId: string) => Promise<boolean>;
   /** Whether this entry is one of the few that compete for a duty. */
   readonly isCandidate: (duty: string) => boolean;
   /** Duration of the control leases, in milliseconds. */
@@ -103,7 +103,7 @@
   configuration,
   directory,
   seatKeeper,
-  askQuiet,
+  askIfIdle,
   isCandidate,
   leaseMs,
   decisions,
@@ -129,7 +129,7 @@
         .otherHolders()
         .map(
           async (holder) =>
-            (await askQuiet(holder, endpointId)) || seatKeeper.hasLapsed(holder, graceMs),
+            (await askIfIdle(holder, endpointId)) || seatKeeper.hasLapsed(holder, graceMs),
         ),
     );
     return answers.every(Boolean);
@@ -197,7 +197,8 @@
     },
     heldPools: () =>
       Array.from(controls).flatMap(([pool, control]) => (control.holds() ? [pool] : [])),
-    withheld: () => Array.from(controls.values()).flatMap((control) => control.withheldActions()),
+    withheldActions: () =>
+      Array.from(controls.values()).flatMap((control) => control.withheldActions()),
     release: async () => {
       await Promise.all(Array.from(controls.values(), (control) => control.release()));
     },
--- a/packages/daemon/src/entry/entry-loops.ts
+++ b/packages/daemon/src/entry/entry-loops.ts
@@ -5,14 +5,14 @@
 import type { Loop } from '../shared/loops.js';
 import type { ControlPlane } from './control-plane.js';
 import type { RequestPlane } from './request-plane.js';
-import type { SeatPlane } from './seat-plane.js';
+import type { SeatServices } from './seat-plane.js';
 
 /** Parts of an entry that have periodic work. */
 export type EntryParts = {
   readonly settings: Settings;
   readonly configSync: ConfigSync;
   readonly meshLink: MeshLink;
-  readonly seatPlane: SeatPlane;
+  readonly seatPlane: SeatServices;
   readonly requestPlane: RequestPlane;
   readonly controlPlane: ControlPlane;
 };
@@ -45,11 +45,11 @@
  * @param parts - The parts of the entry.
  * @returns The loops. None has been started.
  */
-export const entryLoops = ({
+export const createEntryLoops = ({
   settings,
   configSync,
   meshLink,
-  seatPlane: { seatKeeper, outage, doubtWatch },
+  seatPlane: { seatKeeper, outageClaims, doubtWatch },
   requestPlane,
   controlPlane,
 }: EntryParts): readonly Loop[] => {
@@ -61,7 +61,7 @@
   };
 
   const flushClaims = async (): Promise<void> => {
-    await outage.flush();
+    await outageClaims.flush();
     await requestPlane.claims.releaseUncertainClaims();
   };
 
@@ -79,7 +79,8 @@
     },
     {
       name: 'pump',
-      everyMs: () => (requestPlane.inFlight() > 0 ? BUSY_PUMP_INTERVAL_MS : IDLE_PUMP_INTERVAL_MS),
+      everyMs: () =>
+        requestPlane.inFlightCount() > 0 ? BUSY_PUMP_INTERVAL_MS : IDLE_PUMP_INTERVAL_MS,
       run: async () => requestPlane.gates().forEach((gate) => gate.processQueue()),
     },
     { name: 'mesh', everyMs: MESH_INTERVAL_MS, run: async () => meshLink.tick() },
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -26,10 +26,10 @@
 import { sleep } from '../shared/sleep.js';
 import { createClients } from './clients.js';
 import { createControlPlane } from './control-plane.js';
-import { entryLoops } from './entry-loops.js';
-import { closeWhenIdle, listen, urlOf } from './ports.js';
+import { createEntryLoops } from './entry-loops.js';
+import { closeWhenIdle, listen, formatUrl } from './ports.js';
 import { createRequestPlane } from './request-plane.js';
-import { createSeatPlane } from './seat-plane.js';
+import { createSeatServices } from './seat-plane.js';
 
 /** Addresses on which a running entry listens. */
 export type EntryAddresses = {
@@ -125,14 +125,14 @@
       awaitRevision(revision, waitMs),
     recall: ({ subject }: { subject: string }) => findDecision(decisions, subject),
     withheld: ({ subject }: { subject: string }) =>
-      controlPlane.withheld().filter((action) => action.subject === subject),
+      controlPlane.withheldActions().filter((action) => action.subject === subject),
     'quiet-at': ({ endpointId }: { endpointId: string }) => {
       requestPlane.directory.markLeaving(endpointId);
       return requestPlane.directory.inFlightCount(endpointId) === 0;
     },
     'promise-seat': (term: SeatTerm) => seatKeeper.onPromiseAsked(term),
     'consent-seat': (term: SeatTerm) => seatKeeper.onConsentAsked(term),
-    'keep-claim': (claim: ReplicatedClaim) => outage.storeReplica(claim),
+    'keep-claim': (claim: ReplicatedClaim) => outageClaims.storeReplica(claim),
   };
 
   const readyServices = (): readonly ServiceName[] =>
@@ -160,7 +160,7 @@
     return (await meshLink.ask(peer, method, payload, ASK_TIMEOUT_MS).catch(() => false)) === true;
   };
 
-  const seatPlane = createSeatPlane({
+  const seatPlane = createSeatServices({
     self,
     dataCentre,
     table,
@@ -169,7 +169,7 @@
     askEntry,
     log,
   });
-  const { seatKeeper, outage, doubtWatch } = seatPlane;
+  const { seatKeeper, outageClaims, doubtWatch } = seatPlane;
 
   /**
    * A new entry must watch the seats of all data centres for a while before it knows which of them may hold
@@ -185,10 +185,10 @@
     clients,
     configSync,
     heldSeat: seatKeeper.held,
-    outage,
-    inDoubt: doubtWatch.dataCentresWithUnflushedClaims,
+    outageClaims,
+    dataCentresWithUnflushedClaims: doubtWatch.dataCentresWithUnflushedClaims,
     isHealthy: () => !isStopping && configSync.isKnown() && isWarmedUp(),
-    otherEntry: meshLink.otherEntry,
+    pickReadyEntry: meshLink.otherEntry,
     decisions,
     rng,
     tracing,
@@ -203,7 +203,7 @@
     configuration: configSync.current,
     directory: requestPlane.directory,
     seatKeeper,
-    askQuiet: (holder, endpointId) => askEntry(holder, 'quiet-at', { endpointId }),
+    askIfIdle: (holder, endpointId) => askEntry(holder, 'quiet-at', { endpointId }),
     isCandidate: meshLink.hasGlobalDuty,
     leaseMs: settings['control-lease-ms'],
     decisions,
@@ -214,7 +214,7 @@
   const updateGauges = (): void => {
     const { user, system } = process.cpuUsage();
     metrics.gauge('configuration_revision', configSync.current().revision);
-    metrics.gauge('requests_in_flight', requestPlane.inFlight());
+    metrics.gauge('requests_in_flight', requestPlane.inFlightCount());
     metrics.gauge('members', meshLink.members().length);
     metrics.gauge('process_cpu_us', user + system);
     metrics.gauge('process_resident_bytes', process.memoryUsage.rss());
@@ -226,7 +226,7 @@
       table,
       configSync,
       decisions,
-      withheld: controlPlane.withheld,
+      withheld: controlPlane.withheldActions,
       ownStatus,
       members: meshLink.members,
       ask: meshLink.ask,
@@ -238,13 +238,13 @@
   });
 
   addresses = {
-    callersUrl: await listen(requestPlane.callers, host, settings['callers-port']),
+    callersUrl: await listen(requestPlane.callersServer, host, settings['callers-port']),
     operatorsUrl: await listen(operators, host, settings['operators-port']),
-    meshUrl: urlOf('ws', host, meshLink.port),
+    meshUrl: formatUrl('ws', host, meshLink.port),
   };
   meshLink.join();
 
-  const loops = entryLoops({
+  const loops = createEntryLoops({
     settings,
     configSync,
     meshLink,
@@ -258,13 +258,13 @@
 
   const stop = async (): Promise<void> => {
     isStopping = true;
-    log.info('stopping', { inFlight: requestPlane.inFlight() });
+    log.info('stopping', { inFlight: requestPlane.inFlightCount() });
     await sleep(LOAD_BALANCER_DELAY_MS);
-    requestPlane.refuseNew();
-    await closeWhenIdle(requestPlane.callers);
+    requestPlane.refuseNewRequests();
+    await closeWhenIdle(requestPlane.callersServer);
     await running.stop();
     await controlPlane.release();
-    await outage.flush();
+    await outageClaims.flush();
     await seatKeeper.release();
     meshLink.leave();
     await operators.close();
--- a/packages/daemon/src/entry/ports.ts
+++ b/packages/daemon/src/entry/ports.ts
@@ -16,7 +16,7 @@
  * @param port - The port.
  * @returns The URL.
  */
-export const urlOf = (scheme: string, host: string, port: number): string =>
+export const formatUrl = (scheme: string, host: string, port: number): string =>
   `${scheme}://${host.includes(':') ? `[${host}]` : host}:${port}`;
 
 /**
@@ -30,7 +30,7 @@
  */
 export const listen = async (app: FastifyInstance, host: string, port: number): Promise<string> => {
   await app.listen({ host, port });
-  return urlOf('http', host, (app.server.address() as AddressInfo).port);
+  return formatUrl('http', host, (app.server.address() as AddressInfo).port);
 };
 
 /**
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -44,14 +44,14 @@
 /** Request plane of an entry. */
 export type RequestPlane = {
   /** The server of the callers port. */
-  readonly callers: FastifyInstance;
+  readonly callersServer: FastifyInstance;
   readonly directory: EndpointDirectory;
   readonly claims: ClaimStore;
   readonly gates: () => readonly ServiceAdmission[];
   /** The number of requests that are being served. */
-  readonly inFlight: () => number;
+  readonly inFlightCount: () => number;
   /** Refuses all new requests from now on with the verdict `notRun`. */
-  readonly refuseNew: () => void;
+  readonly refuseNewRequests: () => void;
   /** Reads the workers' tasks and closes connections to addresses that are no longer in use. */
   readonly pollTasks: (otherAddresses: readonly string[]) => Promise<void>;
   readonly close: () => Promise<void>;
@@ -63,10 +63,10 @@
   readonly clients: Clients;
   readonly configSync: ConfigSync;
   readonly heldSeat: () => HeldSeat | null;
-  readonly outage: OutageClaims;
-  readonly inDoubt: () => readonly string[];
+  readonly outageClaims: OutageClaims;
+  readonly dataCentresWithUnflushedClaims: () => readonly string[];
   readonly isHealthy: () => boolean;
-  readonly otherEntry: (service: ServiceName) => RemoteEntry | undefined;
+  readonly pickReadyEntry: (service: ServiceName) => RemoteEntry | undefined;
   readonly decisions: DecisionStore;
   readonly rng: Rng;
   readonly tracing: Tracing;
@@ -107,10 +107,10 @@
   clients,
   configSync,
   heldSeat,
-  outage: outageClaims,
-  inDoubt: dataCentresWithUnflushedClaims,
+  outageClaims,
+  dataCentresWithUnflushedClaims,
   isHealthy,
-  otherEntry: pickReadyEntry,
+  pickReadyEntry,
   decisions,
   rng,
   tracing,
@@ -196,7 +196,7 @@
     log.debug('request-refused', { requestId, reason, verdict });
   };
 
-  const callers = createCallersServer({
+  const callersServer = createCallersServer({
     serve,
     generateRequestId: createRequestIds(ownEntryId),
     isValidForwardProof: proofs.isProof,
@@ -214,12 +214,12 @@
   };
 
   return {
-    callers,
+    callersServer,
     directory,
     claims,
     gates: () => Array.from(gates.values()),
-    inFlight: () => inFlight,
-    refuseNew: () => {
+    inFlightCount: () => inFlight,
+    refuseNewRequests: () => {
       isRefusingNewRequests = true;
     },
     pollTasks,
--- a/packages/daemon/src/entry/seat-plane.ts
+++ b/packages/daemon/src/entry/seat-plane.ts
@@ -17,15 +17,15 @@
 import { createSeatKeeper, type SeatKeeper } from '../seats/seat-keeper.js';
 
 /** Parts that depend on the seat of an entry. */
-export type SeatPlane = {
+export type SeatServices = {
   readonly seatKeeper: SeatKeeper;
   /** Claims kept in memory while the data centre cannot reach the platform. */
-  readonly outage: OutageClaims;
+  readonly outageClaims: OutageClaims;
   /** Watches the seats of all data centres for those that may hold claims which the table lacks. */
   readonly doubtWatch: UnflushedClaimsMonitor;
 };
 
-export type SeatPlaneOptions = {
+export type SeatServicesOptions = {
   readonly self: EntryId;
   readonly dataCentre: DataCentreId;
   readonly table: TableClient;
@@ -38,12 +38,12 @@
 };
 
 /**
- * Creates the seat keeper, the claims in memory and the watch of the seats.
+ * Creates the seat manager, the claims in memory and the watch of the seats.
  *
  * @param options - The table, the configuration and how to reach the other entries.
  * @returns The three parts, with no seat held yet.
  */
-export const createSeatPlane = ({
+export const createSeatServices = ({
   self,
   dataCentre,
   table,
@@ -51,7 +51,7 @@
   leaseMs,
   askEntry,
   log,
-}: SeatPlaneOptions): SeatPlane => {
+}: SeatServicesOptions): SeatServices => {
   const doubtWatch = createUnflushedClaimsMonitor({ table });
   const seatKeeper = createSeatKeeper({
     self,
@@ -64,14 +64,14 @@
         durationMs: leaseMs,
         mayTake,
         // A renewed seat lease tells the other entries that this entry holds no claims which the table lacks.
-        beforeWrite: () => outage.flush(),
+        beforeWrite: () => outageClaims.flush(),
       }),
     askPromise: (holder, term) => askEntry(holder, 'promise-seat', term),
     askConsent: (holder, term) => askEntry(holder, 'consent-seat', term),
     beforeUnconsented: () => doubtWatch.recordPossibleClaimLoss(dataCentre),
     log,
   });
-  const outage = createOutageClaims({
+  const outageClaims = createOutageClaims({
     table,
     leaseLapsedForMs: seatKeeper.lapsedForMs,
     isUsingPromises: () => seatKeeper.held()?.portion === 'continuing',
@@ -79,5 +79,5 @@
     otherSeatHolders: seatKeeper.otherHolders,
     requestReplica: (holder, claim) => askEntry(holder, 'keep-claim', claim),
   });
-  return { seatKeeper, outage, doubtWatch };
+  return { seatKeeper, outageClaims, doubtWatch };
 };
