--- a/packages/daemon/src/data-path/endpoint-directory.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.ts
@@ -84,8 +84,8 @@
     if (currentSeat === null) return 0;
     const share = computeSeatShare(
       slotsPerEndpoint(service),
-      currentSeat.seats,
-      currentSeat.seat,
+      currentSeat.seatCount,
+      currentSeat.seatIndex,
       endpointId,
     );
     return computePortion(share, currentSeat.portion);
@@ -103,7 +103,7 @@
         address: task.address as string,
       });
     endpoint.slotShare = slotShareOf(endpoint.service, endpointId);
-    endpoint.slotShareExpiresAtMs = heldSeat()?.untilMs ?? -Infinity;
+    endpoint.slotShareExpiresAtMs = heldSeat()?.validUntilMs ?? -Infinity;
     endpoint.isLeaving ||= task.phase === 'leaving' || leavingIds.has(endpointId);
     endpoints.set(endpointId, endpoint);
     return endpoint;
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -27,7 +27,7 @@
 import { createLeaseKeeper } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
-import type { SeatKeeper } from '../seats/seat-keeper.js';
+import type { SeatManager } from '../seats/seat-keeper.js';
 import type { Clients } from './clients.js';
 
 /** Control plane of an entry. */
@@ -50,7 +50,7 @@
   readonly clients: Clients;
   readonly configuration: () => Configuration;
   readonly directory: EndpointDirectory;
-  readonly seatKeeper: SeatKeeper;
+  readonly seatKeeper: SeatManager;
   /** Asks another entry whether it has no request in flight at an endpoint; false if it does not answer. */
   readonly askIfIdle: (holder: EntryId, endpointId: string) => Promise<boolean>;
   /** Whether this entry is one of the few that compete for a duty. */
@@ -126,10 +126,10 @@
     const graceMs = longestRequestTimeoutMs(configuration());
     const answers = await Promise.all(
       seatKeeper
-        .otherHolders()
+        .otherSeatHolders()
         .map(
           async (holder) =>
-            (await askIfIdle(holder, endpointId)) || seatKeeper.hasLapsed(holder, graceMs),
+            (await askIfIdle(holder, endpointId)) || seatKeeper.hasStoppedSending(holder, graceMs),
         ),
     );
     return answers.every(Boolean);
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -101,7 +101,7 @@
     entryId: self,
     dataCentre,
     revision: configSync.current().revision,
-    seat: seatKeeper.held()?.seat ?? null,
+    seat: seatKeeper.heldSeat()?.seatIndex ?? null,
     controls: controlPlane.heldPools(),
     endpoints: Object.fromEntries(
       requestPlane.gates().map(({ service, endpoints }) => [service, endpoints().length]),
@@ -130,8 +130,8 @@
       requestPlane.directory.markLeaving(endpointId);
       return requestPlane.directory.inFlightCount(endpointId) === 0;
     },
-    'promise-seat': (term: SeatTerm) => seatKeeper.onPromiseAsked(term),
-    'consent-seat': (term: SeatTerm) => seatKeeper.onConsentAsked(term),
+    'promise-seat': (term: SeatTerm) => seatKeeper.handlePromiseRequest(term),
+    'consent-seat': (term: SeatTerm) => seatKeeper.handleConsentRequest(term),
     'keep-claim': (claim: ReplicatedClaim) => outageClaims.storeReplica(claim),
   };
 
@@ -184,7 +184,7 @@
     settings,
     clients,
     configSync,
-    heldSeat: seatKeeper.held,
+    heldSeat: seatKeeper.heldSeat,
     outageClaims,
     dataCentresWithUnflushedClaims: doubtWatch.dataCentresWithUnflushedClaims,
     isHealthy: () => !isStopping && configSync.isKnown() && isWarmedUp(),
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -151,7 +151,12 @@
     const spec = findDeclaration(configSync.current(), 'Service', service)?.spec;
     const held = heldSeat();
     if (!spec || !held) return endpoint.slotShare;
-    const share = computeSeatShare(spec.connections, held.seats, held.seat, endpoint.endpointId);
+    const share = computeSeatShare(
+      spec.connections,
+      held.seatCount,
+      held.seatIndex,
+      endpoint.endpointId,
+    );
     return Math.min(share, endpoint.slotShare);
   };
 
--- a/packages/daemon/src/entry/seat-plane.ts
+++ b/packages/daemon/src/entry/seat-plane.ts
@@ -14,11 +14,11 @@
 import { createOutageClaims, type OutageClaims } from '../data-path/outage-claims.js';
 import { createLeaseKeeper } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
-import { createSeatKeeper, type SeatKeeper } from '../seats/seat-keeper.js';
+import { createSeatManager, type SeatManager } from '../seats/seat-keeper.js';
 
 /** Parts that depend on the seat of an entry. */
 export type SeatServices = {
-  readonly seatKeeper: SeatKeeper;
+  readonly seatKeeper: SeatManager;
   /** Claims kept in memory while the data centre cannot reach the platform. */
   readonly outageClaims: OutageClaims;
   /** Watches the seats of all data centres for those that may hold claims which the table lacks. */
@@ -44,7 +44,7 @@
  * @returns The three parts, with no seat held yet.
  */
 export const createSeatServices = ({
-  self,
+  self: ownEntryId,
   dataCentre,
   table,
   configuration,
@@ -53,30 +53,31 @@
   log,
 }: SeatServicesOptions): SeatServices => {
   const doubtWatch = createUnflushedClaimsMonitor({ table });
-  const seatKeeper = createSeatKeeper({
-    self,
-    seats: () => findDeclaration(configuration(), 'DataCentre', dataCentre)?.spec.entrySeats ?? 0,
+  const seatKeeper = createSeatManager({
+    ownEntryId,
+    seatCount: () =>
+      findDeclaration(configuration(), 'DataCentre', dataCentre)?.spec.entrySeats ?? 0,
     createLease: (seat, mayTake) =>
       createLeaseKeeper({
         table,
         name: `seat/${dataCentre}/${seat}`,
-        self,
+        self: ownEntryId,
         durationMs: leaseMs,
         mayTake,
         // A renewed seat lease tells the other entries that this entry holds no claims which the table lacks.
         beforeWrite: () => outageClaims.flush(),
       }),
-    askPromise: (holder, term) => askEntry(holder, 'promise-seat', term),
-    askConsent: (holder, term) => askEntry(holder, 'consent-seat', term),
-    beforeUnconsented: () => doubtWatch.recordPossibleClaimLoss(dataCentre),
+    requestPromise: (holder, term) => askEntry(holder, 'promise-seat', term),
+    requestConsent: (holder, term) => askEntry(holder, 'consent-seat', term),
+    beforeTakingWithoutConsent: () => doubtWatch.recordPossibleClaimLoss(dataCentre),
     log,
   });
   const outageClaims = createOutageClaims({
     table,
-    leaseLapsedForMs: seatKeeper.lapsedForMs,
-    isUsingPromises: () => seatKeeper.held()?.portion === 'continuing',
+    leaseLapsedForMs: seatKeeper.leaseLapsedForMs,
+    isUsingPromises: () => seatKeeper.heldSeat()?.portion === 'continuing',
     leaseMs,
-    otherSeatHolders: seatKeeper.otherHolders,
+    otherSeatHolders: seatKeeper.otherSeatHolders,
     requestReplica: (holder, claim) => askEntry(holder, 'keep-claim', claim),
   });
   return { seatKeeper, outageClaims, doubtWatch };
--- a/packages/daemon/src/seats/seat-keeper.ts
+++ b/packages/daemon/src/seats/seat-keeper.ts
@@ -24,55 +24,55 @@
 /** The seat that this entry may use at present. */
 export type HeldSeat = {
   /** Number of seats of the data centre. */
-  readonly seats: number;
+  readonly seatCount: number;
   /** Index of the seat, starting from 0. */
-  readonly seat: number;
+  readonly seatIndex: number;
   /** The part of the seat's share that may be used. */
   readonly portion: SeatPortion;
   /** Time until which the seat may be used unless it is renewed, on the monotonic clock. */
-  readonly untilMs: number;
+  readonly validUntilMs: number;
 };
 
 /** Manager of this entry's seat. */
-export type SeatKeeper = {
+export type SeatManager = {
   /** Renews the held seat, or tries to take one, and reads the rows of the other seats. */
   readonly tick: () => Promise<void>;
   /** Returns the seat that may be used now, or null if there is none. */
-  readonly held: () => HeldSeat | null;
+  readonly heldSeat: () => HeldSeat | null;
   /** Handles a holder's request for a promise; returns whether the promise was given. */
-  readonly onPromiseAsked: (term: SeatTerm) => boolean;
+  readonly handlePromiseRequest: (term: SeatTerm) => boolean;
   /** Handles a request for consent to take over a lapsed seat; returns whether it was given. */
-  readonly onConsentAsked: (term: SeatTerm) => boolean;
+  readonly handleConsentRequest: (term: SeatTerm) => boolean;
   /** Returns the holders of the data centre's other seats, as last read from the table. */
-  readonly otherHolders: () => readonly EntryId[];
+  readonly otherSeatHolders: () => readonly EntryId[];
   /**
    * Returns the time since this entry's own lease lapsed, in milliseconds: negative while it is held,
    * minus infinity without a seat.
    */
-  readonly lapsedForMs: () => number;
+  readonly leaseLapsedForMs: () => number;
   /**
    * Returns whether a holder has certainly stopped sending: `graceMs` milliseconds have passed since
    * the last promise of this entry to it ended and since its leases, with a margin, have lapsed.
    * False while this entry has no seat.
    */
-  readonly hasLapsed: (holder: EntryId, graceMs: number) => boolean;
+  readonly hasStoppedSending: (holder: EntryId, graceMs: number) => boolean;
   /** Gives up the held seat. */
   readonly release: () => Promise<void>;
 };
 
-export type SeatKeeperOptions = {
+export type SeatManagerOptions = {
   /** The id of this entry. */
-  readonly self: EntryId;
+  readonly ownEntryId: EntryId;
   /** Returns the number of seats of the data centre, or 0 while it is unknown. */
-  readonly seats: () => number;
+  readonly seatCount: () => number;
   /** Creates the lease of a seat, which is only taken while `mayTake` returns true. */
   readonly createLease: (seat: number, mayTake: () => boolean) => LeaseKeeper;
   /** Asks a holder to promise not to consent to a takeover; false if it refuses or is unreachable. */
-  readonly askPromise: (holder: EntryId, term: SeatTerm) => Promise<boolean>;
+  readonly requestPromise: (holder: EntryId, term: SeatTerm) => Promise<boolean>;
   /** Asks a holder to consent to taking over a lapsed seat; false if it refuses or is unreachable. */
-  readonly askConsent: (holder: EntryId, term: SeatTerm) => Promise<boolean>;
+  readonly requestConsent: (holder: EntryId, term: SeatTerm) => Promise<boolean>;
   /** Called before a seat is taken without consent; false postpones the taking. */
-  readonly beforeUnconsented: () => Promise<boolean>;
+  readonly beforeTakingWithoutConsent: () => Promise<boolean>;
   readonly log: Log;
   readonly nowMs?: () => number;
 };
@@ -86,16 +86,16 @@
  * @param options - The id of this entry, the number of seats, and the calls to other holders.
  * @returns The seat manager, without a seat.
  */
-export const createSeatKeeper = ({
-  self,
-  seats: seatCount,
+export const createSeatManager = ({
+  ownEntryId,
+  seatCount,
   createLease,
-  askPromise,
-  askConsent,
-  beforeUnconsented,
+  requestPromise,
+  requestConsent,
+  beforeTakingWithoutConsent,
   log,
   nowMs = () => performance.now(),
-}: SeatKeeperOptions): SeatKeeper => {
+}: SeatManagerOptions): SeatManager => {
   const seats: Seat[] = [];
   let seatBook: SeatCommitments = noSeatCommitments;
   let ownSeat: Seat | null = null;
@@ -115,7 +115,7 @@
   const holderOf = ({ lease }: Seat): EntryId | null => lease.lastRow()?.holder ?? null;
 
   const otherSeats = (excluded: Seat | null): readonly Seat[] =>
-    seats.filter((seat) => seat !== excluded && (holderOf(seat) ?? self) !== self);
+    seats.filter((seat) => seat !== excluded && (holderOf(seat) ?? ownEntryId) !== ownEntryId);
 
   const termOf = (seat: Seat, row: LeaseRow): SeatTerm => ({
     seat: seat.index,
@@ -147,8 +147,8 @@
     if (formerHolder !== null && !isLapsed) return false;
     const hasConsent =
       formerHolder === null ||
-      (await allOthersGrant(seat, termOf(seat, row as LeaseRow), askConsent));
-    if (!hasConsent && !(await beforeUnconsented())) return false;
+      (await allOthersGrant(seat, termOf(seat, row as LeaseRow), requestConsent));
+    if (!hasConsent && !(await beforeTakingWithoutConsent())) return false;
     change(seat, { mayTake: true });
     await seat.lease.tick();
     change(seat, { mayTake: false });
@@ -173,11 +173,11 @@
     const requestedAtMs = nowMs();
     outageSinceMs ??= requestedAtMs;
     const row = seat.lease.lastRow();
-    if (row?.holder !== self || requestedAtMs - outageSinceMs > MAX_CONTINUING_MS) {
+    if (row?.holder !== ownEntryId || requestedAtMs - outageSinceMs > MAX_CONTINUING_MS) {
       ownSeat = null;
       return;
     }
-    const hasAllPromises = await allOthersGrant(seat, termOf(seat, row), askPromise);
+    const hasAllPromises = await allOthersGrant(seat, termOf(seat, row), requestPromise);
     if (hasAllPromises) promisedUseUntilMs = requestedAtMs + PROMISE_RELIANCE_MS;
   };
 
@@ -187,7 +187,7 @@
       outageSinceMs = null;
       return;
     }
-    if (holderOf(seat) !== self) {
+    if (holderOf(seat) !== ownEntryId) {
       log.warn('seat-lost', { seat: seat.index });
       ownSeat = null;
       return;
@@ -214,29 +214,34 @@
   const heldSeat = (): HeldSeat | null => {
     const currentPortion = ownSeat && currentPortionOf(ownSeat);
     if (!ownSeat || !currentPortion) return null;
-    const untilMs =
+    const validUntilMs =
       currentPortion === 'continuing' ? promisedUseUntilMs : ownSeat.lease.heldUntilMs();
-    return { seats: seats.length, seat: ownSeat.index, portion: currentPortion, untilMs };
+    return {
+      seatCount: seats.length,
+      seatIndex: ownSeat.index,
+      portion: currentPortion,
+      validUntilMs,
+    };
   };
 
   const mayConsent = (): boolean => ownSeat !== null && ownSeat.lease.holds() && takenWithConsent;
 
   return {
     tick,
-    held: heldSeat,
-    onPromiseAsked: (term) => {
+    heldSeat,
+    handlePromiseRequest: (term) => {
       const answer = handlePromiseRequest(seatBook, term, nowMs());
       seatBook = answer.commitments;
       return answer.isGranted;
     },
-    onConsentAsked: (term) => {
+    handleConsentRequest: (term) => {
       const answer = handleConsentRequest(seatBook, term, mayConsent(), nowMs());
       seatBook = answer.commitments;
       return answer.isGranted;
     },
-    otherHolders: () => otherSeats(ownSeat).map((seat) => holderOf(seat) as EntryId),
-    lapsedForMs: () => (ownSeat ? nowMs() - ownSeat.lease.heldUntilMs() : -Infinity),
-    hasLapsed: (holder, graceMs) =>
+    otherSeatHolders: () => otherSeats(ownSeat).map((seat) => holderOf(seat) as EntryId),
+    leaseLapsedForMs: () => (ownSeat ? nowMs() - ownSeat.lease.heldUntilMs() : -Infinity),
+    hasStoppedSending: (holder, graceMs) =>
       // Without a promise of this entry, the holder cannot use its seat after its lease has lapsed.
       ownSeat !== null &&
       nowMs() > latestPromiseEndMs(seatBook, holder) + graceMs &&
