--- a/packages/daemon/src/config-sync/configuration.test.ts
+++ b/packages/daemon/src/config-sync/configuration.test.ts
@@ -84,7 +84,7 @@
     ];
     const revisions = async (): Promise<readonly number[]> => {
       const [testEntry] = deployment.entries as [TestEntry];
-      const { value } = await deployment.operate(testEntry, 'status', {});
+      const { value } = await deployment.callOperatorApi(testEntry, 'status', {});
       return (value as { entries: readonly { revision: number }[] }).entries.map(
         ({ revision }) => revision,
       );
@@ -93,7 +93,7 @@
     it('accepts one of two racing operators and shows the other the difference', async () => {
       const responses = await Promise.all(
         deployment.entries.slice(0, 2).map((testEntry, index) =>
-          deployment.operate(testEntry, 'apply', {
+          deployment.callOperatorApi(testEntry, 'apply', {
             files: withTeam(index + 1),
             baseRevision: 1,
             waitMs: 3000,
@@ -111,7 +111,7 @@
       await pause(100);
       const added = await deployment.addEntry('east', 'east-entry-new');
       await waitUntil('the configuration', async () => {
-        const { value } = await deployment.operate(added, 'get', { kind: 'config' });
+        const { value } = await deployment.callOperatorApi(added, 'get', { kind: 'config' });
         return (value as { revision: number }).revision === 1;
       });
       // The new entry holds no seat, but it can forward requests to an entry of another data centre.
@@ -140,7 +140,7 @@
       for (let change = 1; change <= 6; change += 1) {
         if (change === 3) deployment.platform.setFault({ mode: 'down' });
         if (change === 4) deployment.platform.setFault({ mode: 'none' });
-        const response = await deployment.operate(first, 'apply', {
+        const response = await deployment.callOperatorApi(first, 'apply', {
           files: withTeam(change),
           waitMs: 3000,
         });
--- a/packages/daemon/src/data-path/attempts.test.ts
+++ b/packages/daemon/src/data-path/attempts.test.ts
@@ -4,7 +4,7 @@
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
 
 import {
-  executionsOf,
+  countExecutions,
   send,
   startDeployment,
   waitUntil,
@@ -52,7 +52,7 @@
         workers.setExecutorFault('*', fault);
         const key = randomUUID();
         expect(await sendOnce(key)).toMatchObject({ status, verdict, reason });
-        expect(executionsOf(deployment, key)).toBe(executions);
+        expect(countExecutions(deployment, key)).toBe(executions);
       },
     );
 
@@ -67,7 +67,7 @@
         reason: 'deadline-passed',
       });
       expect(performance.now() - startedMs).toBeGreaterThanOrEqual(295);
-      expect(executionsOf(deployment, key)).toBe(1);
+      expect(countExecutions(deployment, key)).toBe(1);
     });
 
     it('is sent to another endpoint if the first one reports that it did not run the request', async () => {
@@ -76,7 +76,7 @@
       const answers = await Promise.all(keys.map((key) => sendOnce(key)));
       expect(answers.filter(({ status }) => status !== 200)).toEqual([]);
       expect(answers).toHaveLength(keys.length);
-      expect(keys.map((key) => executionsOf(deployment, key))).toEqual(keys.map(() => 1));
+      expect(keys.map((key) => countExecutions(deployment, key))).toEqual(keys.map(() => 1));
     });
   });
 
@@ -101,7 +101,7 @@
       answers.forEach((answer) =>
         expect(answer).toMatchObject({ status: 503, verdict: 'mayHaveRun' }),
       );
-      expect(Math.max(...bodies.map((body) => executionsOf(deployment, body)))).toBe(2);
+      expect(Math.max(...bodies.map((body) => countExecutions(deployment, body)))).toBe(2);
     });
 
     it('is not retried indefinitely if all endpoints fail', async () => {
--- a/packages/daemon/src/data-path/claims.test.ts
+++ b/packages/daemon/src/data-path/claims.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 
 import {
-  executionsOf,
+  countExecutions,
   pause,
   send,
   startDeployment,
@@ -32,7 +32,7 @@
       const keys = newKeys(30);
       const sends = keys.flatMap((key) => deployment.entries.map((entry) => ({ entry, key })));
       const answers = await Promise.all(sends.map(({ entry, key }) => sendOnce(entry, key)));
-      expect(keys.map((key) => executionsOf(deployment, key))).toEqual(keys.map(() => 1));
+      expect(keys.map((key) => countExecutions(deployment, key))).toEqual(keys.map(() => 1));
       const refused = answers.filter(({ status }) => status !== 200);
       expect(refused.every(({ verdict }) => verdict === 'mayHaveRun')).toBe(true);
       expect(answers.filter(({ text, status }) => status === 200 && !keys.includes(text))).toEqual(
@@ -51,7 +51,7 @@
       const again = await sendOnce(westEntry, key);
       expect(again).toMatchObject({ text: key, verdict: 'ran' });
       expect(again.headers['valvelatch-replayed']).toBe('true');
-      expect(executionsOf(deployment, key)).toBe(1);
+      expect(countExecutions(deployment, key)).toBe(1);
     });
 
     it('refuses a key that was used for a different request', async () => {
@@ -71,7 +71,7 @@
         keys.map((key, index) => sendOnce(deployment.entries[index % 4] as TestEntry, key)),
       );
       keys.forEach((key, index) => {
-        const executions = executionsOf(deployment, key);
+        const executions = countExecutions(deployment, key);
         expect(executions).toBeLessThanOrEqual(1);
         if (answers[index]?.verdict === 'notRun') expect(executions).toBe(0);
       });
@@ -81,7 +81,7 @@
         const again = await sendOnce(deployment.entries[1] as TestEntry, key);
         return again.status === 200;
       });
-      expect(executionsOf(deployment, key)).toBe(1);
+      expect(countExecutions(deployment, key)).toBe(1);
     });
   });
 
@@ -120,7 +120,7 @@
           ({ status, headers }) => status === 200 && headers['valvelatch-replayed'] === 'true',
         );
       });
-      expect(keys.map((key) => executionsOf(deployment, key))).toEqual(keys.map(() => 1));
+      expect(keys.map((key) => countExecutions(deployment, key))).toEqual(keys.map(() => 1));
     });
 
     it('refuses a resend in another data centre while a disconnected one may hold its claim', async () => {
@@ -144,7 +144,7 @@
         'the stored response',
         async () => (await sendOnce(westEntry, key)).status === 200,
       );
-      expect(executionsOf(deployment, key)).toBe(1);
+      expect(countExecutions(deployment, key)).toBe(1);
     });
 
     it('either runs a request once or refuses it as not run, right after the outage begins', async () => {
@@ -155,7 +155,7 @@
       const answer = await sendOnce(eastEntry, key, first);
       if (answer.status !== 200)
         expect(answer).toMatchObject({ verdict: 'notRun', reason: 'claim-unavailable' });
-      expect(executionsOf(deployment, key)).toBe(answer.status === 200 ? 1 : 0);
+      expect(countExecutions(deployment, key)).toBe(answer.status === 200 ? 1 : 0);
     });
   });
 });
--- a/packages/daemon/src/entry/entry-processes.test.ts
+++ b/packages/daemon/src/entry/entry-processes.test.ts
@@ -5,7 +5,7 @@
 import { request } from 'undici';
 
 import { pause, waitUntil } from '../testing/deployment.fixtures.js';
-import { startProcesses, type ProcessDeployment } from '../testing/processes.fixtures.js';
+import { startProcessDeployment, type ProcessDeployment } from '../testing/processes.fixtures.js';
 
 const declarations = `
 kind: DataCentre
@@ -78,7 +78,7 @@
   };
 
   beforeEach(async () => {
-    deployment = await startProcesses(['east-entry-0', 'east-entry-1']);
+    deployment = await startProcessDeployment(['east-entry-0', 'east-entry-1']);
     await apply();
   });
   afterEach(() => deployment.close());
--- a/packages/daemon/src/entry/entry.test.ts
+++ b/packages/daemon/src/entry/entry.test.ts
@@ -102,14 +102,14 @@
     it('rejects all declarations if one is invalid and reports its file and path', async () => {
       const bad =
         'kind: Pool\nname: x\nspec: { reserveFor: planet }\n---\nkind: Team\nname: ok\nspec: { quotaCores: 1 }\n';
-      const response = await deployment.operate(testEntry, 'apply', {
+      const response = await deployment.callOperatorApi(testEntry, 'apply', {
         files: [{ file: 'bad.yaml', text: bad }],
       });
       expect(response).toMatchObject({
         kind: 'invalid',
         faults: [{ file: 'bad.yaml', path: 'document 1: spec.reserveFor' }],
       });
-      const { value } = await deployment.operate(testEntry, 'get', { kind: 'config' });
+      const { value } = await deployment.callOperatorApi(testEntry, 'get', { kind: 'config' });
       expect((value as { revision: number }).revision).toBe(1);
     });
 
@@ -117,7 +117,10 @@
       const refused = await send(testEntry, { service: 'nothing' });
       const { requestId } = JSON.parse(refused.text) as { requestId: string };
       const other = deployment.entries[1] as TestEntry;
-      const why = await deployment.operate(other, 'explain', { kind: 'request', name: requestId });
+      const why = await deployment.callOperatorApi(other, 'explain', {
+        kind: 'request',
+        name: requestId,
+      });
       expect(why).toMatchObject({
         kind: 'ok',
         value: { outcome: 'refused: unknown-service, verdict notRun' },
--- a/packages/daemon/src/leaving.test.ts
+++ b/packages/daemon/src/leaving.test.ts
@@ -21,7 +21,7 @@
 
   const placements = async (): Promise<readonly Placement[]> => {
     const [at] = deployment.entries as [TestEntry];
-    return (await deployment.operate(at, 'get', { kind: 'placements' })).value;
+    return (await deployment.callOperatorApi(at, 'get', { kind: 'placements' })).value;
   };
   const runningOn = async (hostId: string): Promise<readonly Placement[]> =>
     (await placements()).filter((one) => one.hostId === hostId && one.phase === 'running');
@@ -64,16 +64,16 @@
   it('moves executors off a host that an operator drains, and cuts nothing', async () => {
     const [at] = deployment.entries as [TestEntry];
     const { hostId, jobId } = (await placements())[0] as Placement;
-    const drained = await deployment.operate(at, 'host-drain', { hostId });
+    const drained = await deployment.callOperatorApi(at, 'host-drain', { hostId });
     expect(drained.kind).toBe('ok');
     await waitUntil('the host to be empty', async () => {
-      const { value } = await deployment.operate(at, 'get', { kind: 'hosts' });
+      const { value } = await deployment.callOperatorApi(at, 'get', { kind: 'hosts' });
       const hosts = value as readonly { hostId: string; phase: string }[];
       return hosts.find((host) => host.hostId === hostId)?.phase === 'empty';
     });
     expect(await runningOn(hostId)).toEqual([]);
     expect((await placements()).filter(({ phase }) => phase === 'running')).toHaveLength(2);
-    const why = await deployment.operate(at, 'explain', { kind: 'job', name: jobId });
+    const why = await deployment.callOperatorApi(at, 'explain', { kind: 'job', name: jobId });
     expect(why).toMatchObject({ kind: 'ok', value: { reason: 'its executor has stopped' } });
     expect(sums.failed).toEqual([]);
     expect(workers.report().cutRequests).toBe(0);
@@ -81,11 +81,14 @@
 
   it('runs a wave over all hosts under load and cuts nothing', async () => {
     const [at] = deployment.entries as [TestEntry];
-    await deployment.operate(at, 'wave-start', { name: 'all', selector: 'data-centre=east' });
+    await deployment.callOperatorApi(at, 'wave-start', {
+      name: 'all',
+      selector: 'data-centre=east',
+    });
     await waitUntil(
       'the wave',
       async () => {
-        const { value } = await deployment.operate(at, 'get', { kind: 'waves' });
+        const { value } = await deployment.callOperatorApi(at, 'get', { kind: 'waves' });
         return (value as readonly { phase: string }[])[0]?.phase === 'done';
       },
       40_000,
@@ -98,9 +101,9 @@
   it('moves a host to another pool only once it is empty', async () => {
     const [at] = deployment.entries as [TestEntry];
     const { hostId } = (await placements())[0] as Placement;
-    await deployment.operate(at, 'host-move', { hostId, toPool: 'spare' });
+    await deployment.callOperatorApi(at, 'host-move', { hostId, toPool: 'spare' });
     const poolOf = async (): Promise<string> => {
-      const { value } = await deployment.operate(at, 'get', { kind: 'hosts' });
+      const { value } = await deployment.callOperatorApi(at, 'get', { kind: 'hosts' });
       const hosts = value as readonly { hostId: string; pool: string }[];
       return hosts.find((host) => host.hostId === hostId)?.pool ?? '';
     };
--- a/packages/daemon/src/seats/seats.test.ts
+++ b/packages/daemon/src/seats/seats.test.ts
@@ -139,7 +139,7 @@
       deployment.entries.splice(1, 1);
       const added = await deployment.addEntry('east', 'east-entry-new');
       await waitUntil('the replacement entry to take the seat', async () => {
-        const { value } = await deployment.operate(first, 'status', {});
+        const { value } = await deployment.callOperatorApi(first, 'status', {});
         const { entries } = value as {
           entries: readonly { entryId: string; seat: number | null }[];
         };
--- a/packages/daemon/src/testing/deployment.fixtures.ts
+++ b/packages/daemon/src/testing/deployment.fixtures.ts
@@ -50,16 +50,16 @@
   readonly entries: TestEntry[];
   readonly addEntry: (dataCentre: string, entryId: string) => Promise<TestEntry>;
   /** Calls a method of an entry's operators API. */
-  readonly operate: (
+  readonly callOperatorApi: (
     testEntry: TestEntry,
     method: string,
     body: unknown,
-  ) => Promise<OperatorAnswer>;
+  ) => Promise<OperatorResponse>;
   readonly declarations: string;
   readonly close: () => Promise<void>;
 };
 
-export type OperatorAnswer = {
+export type OperatorResponse = {
   readonly kind: string;
   readonly value: never;
   readonly detail: string;
@@ -166,17 +166,17 @@
     return added;
   };
 
-  const operate = async (
+  const callOperatorApi = async (
     testEntry: TestEntry,
     method: string,
     body: unknown,
-  ): Promise<OperatorAnswer> => {
+  ): Promise<OperatorResponse> => {
     const response = await request(`${testEntry.entry.addresses.operatorsUrl}/v1/${method}`, {
       method: 'POST',
       headers: { 'content-type': 'application/json', authorization: `Bearer ${OPERATOR_KEY}` },
       body: JSON.stringify(body),
     });
-    return (await response.body.json()) as OperatorAnswer;
+    return (await response.body.json()) as OperatorResponse;
   };
 
   const allSeats = dataCentres.flatMap((name) =>
@@ -189,7 +189,7 @@
   const [first] = entries as [TestEntry];
   // On a busy machine the first call may exceed the 2 s timeout of the table; it is safe to repeat.
   await waitUntil('the declarations to be applied', async () => {
-    const applied = await operate(first, 'apply', {
+    const applied = await callOperatorApi(first, 'apply', {
       files: [{ file: 'all.yaml', text: declarations }],
       waitMs: 5000,
     });
@@ -200,7 +200,7 @@
 
   type EntryStatus = { seat: number | null; endpoints: { routing?: number } };
   await waitUntil('endpoints at every entry', async () => {
-    const status = await operate(first, 'status', {});
+    const status = await callOperatorApi(first, 'status', {});
     const { entries: statuses } = status.value as { entries: readonly EntryStatus[] };
     const endpointCount = statuses.reduce(
       (sum, { endpoints }) => sum + (endpoints?.routing ?? 0),
@@ -228,11 +228,11 @@
     await platform.close();
   };
 
-  return { platform, workers, entries, addEntry, operate, declarations, close };
+  return { platform, workers, entries, addEntry, callOperatorApi, declarations, close };
 };
 
 /** Response to a request, with its verdict and the reason of a refusal. */
-export type Sent = {
+export type SendResult = {
   readonly status: number;
   readonly text: string;
   readonly verdict: string;
@@ -257,7 +257,7 @@
 export const send = async (
   testEntry: TestEntry,
   { service = 'routing', body = 'hello', headers = {}, method = 'POST' }: SendOptions = {},
-): Promise<Sent> => {
+): Promise<SendResult> => {
   const hasIdempotencyKey = headers['idempotency-key'] !== undefined;
   const response = await request(
     `${testEntry.entry.addresses.callersUrl}/services/${service}/plan`,
@@ -283,7 +283,7 @@
  * @param key - The idempotency key.
  * @returns The count.
  */
-export const executionsOf = ({ workers }: Deployment, key: string): number =>
+export const countExecutions = ({ workers }: Deployment, key: string): number =>
   Array.from(workers.values()).reduce(
     (sum, standIn) => sum + (standIn.report().executions[key] ?? 0),
     0,
--- a/packages/daemon/src/testing/processes.fixtures.ts
+++ b/packages/daemon/src/testing/processes.fixtures.ts
@@ -19,7 +19,9 @@
  * @param entryIds - The entries to start.
  * @returns The running processes.
  */
-export const startProcesses = async (entryIds: readonly string[]): Promise<ProcessDeployment> => {
+export const startProcessDeployment = async (
+  entryIds: readonly string[],
+): Promise<ProcessDeployment> => {
   const platform = await startProcess('standIn', ['platform']);
   const platformUrl = platform.fields.url as string;
   const workers = await startProcess('standIn', [
