--- a/packages/daemon/src/config-sync/config-sync.ts
+++ b/packages/daemon/src/config-sync/config-sync.ts
@@ -38,7 +38,10 @@
   | { readonly kind: 'platform'; readonly error: PlatformError };
 
 /** The accepted revision and how it differs from the one before. */
-export type Applied = { readonly revision: number; readonly difference: ConfigurationDifference };
+export type ApplyResult = {
+  readonly revision: number;
+  readonly difference: ConfigurationDifference;
+};
 
 /** A complete set of declarations that is to become the configuration. */
 export type ApplyRequest = {
@@ -56,12 +59,12 @@
   readonly isKnown: () => boolean;
   /** The deltas that follow a revision, in order; undefined if not all of them are in memory any more. */
   readonly deltasAfter: (revision: number) => readonly ConfigurationDelta[] | undefined;
-  readonly takeFromPeer: (deltas: readonly ConfigurationDelta[]) => void;
-  readonly takeSnapshotFromPeer: (snapshot: ConfigurationSnapshot) => void;
+  readonly applyPeerDeltas: (deltas: readonly ConfigurationDelta[]) => void;
+  readonly applyPeerSnapshot: (snapshot: ConfigurationSnapshot) => void;
   /** Reads the latest revision from the table and loads what is missing. */
   readonly poll: () => Promise<void>;
   /** Writes a new revision to the table, unless another change was accepted since the base revision. */
-  readonly apply: (request: ApplyRequest) => Promise<Result<Applied, ApplyError>>;
+  readonly apply: (request: ApplyRequest) => Promise<Result<ApplyResult, ApplyError>>;
 };
 
 export type ConfigSyncOptions = {
@@ -192,7 +195,7 @@
     difference: diffConfiguration(configuration, request.declarations),
   });
 
-  const apply = async (request: ApplyRequest): Promise<Result<Applied, ApplyError>> => {
+  const apply = async (request: ApplyRequest): Promise<Result<ApplyResult, ApplyError>> => {
     const head = await readHead();
     if (head.isErr()) return Err({ kind: 'platform', error: head.error });
     await catchUp(head.value.revision);
@@ -226,11 +229,11 @@
     current: () => configuration,
     isKnown: () => isKnown,
     deltasAfter,
-    takeFromPeer: (deltas) => {
+    applyPeerDeltas: (deltas) => {
       advanceByDeltas(deltas);
       isKnown ||= configuration.revision > 0;
     },
-    takeSnapshotFromPeer: (snapshot) => {
+    applyPeerSnapshot: (snapshot) => {
       isKnown = true;
       advanceTo(applySnapshot(configuration, snapshot), []);
     },
--- a/packages/daemon/src/control/pool-control.ts
+++ b/packages/daemon/src/control/pool-control.ts
@@ -14,7 +14,7 @@
 } from '@valvelatch/core';
 import type { HostListClient, PulsedReader, TableClient } from '@valvelatch/platform';
 
-import type { LeaseKeeper } from '../leases/lease-keeper.js';
+import type { LeaseManager } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import { createChangeWriter } from './change-writer.js';
@@ -22,7 +22,7 @@
 
 export type PoolControlOptions = {
   readonly pool: PoolName;
-  readonly lease: LeaseKeeper;
+  readonly lease: LeaseManager;
   readonly table: TableClient;
   /** Reads the rows that control depends on; all pools of an entry share it. */
   readonly rowReader: PulsedReader;
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -86,7 +86,7 @@
     table,
     objects,
     log,
-    onChange: (deltas) => meshLink.spreadDeltas(deltas),
+    onChange: (deltas) => meshLink.broadcastDeltas(deltas),
   });
 
   const member = (): Member => ({
@@ -188,7 +188,7 @@
     outageClaims,
     dataCentresWithUnflushedClaims: doubtWatch.dataCentresWithUnflushedClaims,
     isHealthy: () => !isStopping && configSync.isKnown() && isWarmedUp(),
-    pickReadyEntry: meshLink.otherEntry,
+    pickReadyEntry: meshLink.pickReadyEntry,
     decisions,
     rng,
     tracing,
@@ -204,7 +204,7 @@
     directory: requestPlane.directory,
     seatKeeper,
     askIfIdle: (holder, endpointId) => askEntry(holder, 'quiet-at', { endpointId }),
-    isCandidate: meshLink.hasGlobalDuty,
+    isCandidate: meshLink.isGlobalDutyCandidate,
     leaseMs: settings['control-lease-ms'],
     decisions,
     log,
--- a/packages/daemon/src/leases/lease-keeper.test.ts
+++ b/packages/daemon/src/leases/lease-keeper.test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against a released lease whose row still names its former holder. If the response to a renewal is
- * lost, the keeper knows an older version of the row than the table has, so its release conflicts with its own
+ * lost, the manager knows an older version of the row than the table has, so its release conflicts with its own
  * renewal. When a conflict counted as a completed release, the row was never freed.
  *
  * In a run where the holder of control was partitioned off with a third of the entries, it gave control up after
--- a/packages/daemon/src/leases/lease-keeper.ts
+++ b/packages/daemon/src/leases/lease-keeper.ts
@@ -14,7 +14,7 @@
 import type { TableClient } from '@valvelatch/platform';
 
 /** A lease from the side of an entry that holds it, competes for it or only watches it. */
-export type LeaseKeeper = {
+export type LeaseManager = {
   /** Reads the row and acquires or renews the lease if that is due. */
   readonly tick: () => Promise<void>;
   /** Whether this entry holds the lease now. */
@@ -55,7 +55,7 @@
   readonly abandon: () => void;
 };
 
-export type LeaseKeeperOptions = {
+export type LeaseManagerOptions = {
   readonly table: TableClient;
   readonly name: string;
   readonly self: EntryId;
@@ -95,10 +95,10 @@
 const MAX_RELEASE_ATTEMPTS = 3;
 
 /**
- * Creates a lease keeper.
+ * Creates a lease manager.
  *
  * @param options - The table, the lease's name and duration, and the entry that uses it.
- * @returns The keeper, which does not hold the lease yet.
+ * @returns The manager, which does not hold the lease yet.
  */
 export const createLeaseKeeper = ({
   table,
@@ -112,7 +112,7 @@
   freeAfterMs = () => undefined,
   beforeWrite = async () => true,
   nowMs = () => performance.now(),
-}: LeaseKeeperOptions): LeaseKeeper => {
+}: LeaseManagerOptions): LeaseManager => {
   const key = rowKey.lease(name);
   const fenceKey = rowKey.fence(name);
   let state = createLeaseState({
--- a/packages/daemon/src/mesh-link/mesh-link.ts
+++ b/packages/daemon/src/mesh-link/mesh-link.ts
@@ -41,14 +41,14 @@
    */
   readonly hasDuty: (duty: string, count: number) => boolean;
   /** Whether this entry is one of the few among all data centres that compete for a duty. */
-  readonly hasGlobalDuty: (duty: string) => boolean;
+  readonly isGlobalDutyCandidate: (duty: string) => boolean;
   /**
    * A random linked entry that has ready endpoints of a service, from the own data centre if there is one there;
    * undefined if there is none.
    */
-  readonly otherEntry: (service: ServiceName) => RemoteEntry | undefined;
+  readonly pickReadyEntry: (service: ServiceName) => RemoteEntry | undefined;
   /** Sends deltas of the configuration to all linked entries. */
-  readonly spreadDeltas: (deltas: readonly ConfigurationDelta[]) => void;
+  readonly broadcastDeltas: (deltas: readonly ConfigurationDelta[]) => void;
   /** Starts to join the other entries; must be called once the own addresses are known. */
   readonly join: () => void;
   /** Updates the membership, opens missing links and sends a heartbeat. */
@@ -151,12 +151,12 @@
     },
     gossip: (peer, { members }) => applyStep(mergeGossip(membership, members, nowMs()), peer),
     deltas: (peer, { deltas }) => {
-      configSync.takeFromPeer(deltas);
+      configSync.applyPeerDeltas(deltas);
       const newest = deltas[deltas.length - 1]?.revision ?? 0;
       requestMissingDeltas(peer, newest);
     },
     'catch-up': (peer, { have }) => catchUpPeer(peer, have),
-    snapshot: (_, { snapshot }) => configSync.takeSnapshotFromPeer(snapshot),
+    snapshot: (_, { snapshot }) => configSync.applyPeerSnapshot(snapshot),
   };
 
   const heartbeat = (): HeartbeatMessage => ({
@@ -217,7 +217,7 @@
     mesh.broadcast(heartbeat());
   };
 
-  const otherEntry = (service: ServiceName): RemoteEntry | undefined => {
+  const pickReadyEntry = (service: ServiceName): RemoteEntry | undefined => {
     const readyEntries = members().filter(({ entryId }) =>
       peerStates.get(entryId)?.ready.has(service),
     );
@@ -232,15 +232,15 @@
     members,
     ask: mesh.ask,
     hasDuty: (duty, count) => isSelectedForDuty(membership, duty, count),
-    hasGlobalDuty: (duty) =>
+    isGlobalDutyCandidate: (duty) =>
       orderByRendezvous(
         duty,
         members().map(({ entryId }) => entryId),
       )
         .slice(0, GLOBAL_DUTY_CANDIDATES)
         .includes(membership.self),
-    otherEntry,
-    spreadDeltas: (deltas) => {
+    pickReadyEntry,
+    broadcastDeltas: (deltas) => {
       if (deltas.length > 0) mesh.broadcast({ type: 'deltas', deltas });
     },
     join: () => {
--- a/packages/daemon/src/seats/seat-keeper.ts
+++ b/packages/daemon/src/seats/seat-keeper.ts
@@ -18,7 +18,7 @@
 } from '@valvelatch/core';
 import { change } from '@valvelatch/core/shared/change';
 
-import type { LeaseKeeper } from '../leases/lease-keeper.js';
+import type { LeaseManager } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
 
 /** The seat that this entry may use at present. */
@@ -66,7 +66,7 @@
   /** Returns the number of seats of the data centre, or 0 while it is unknown. */
   readonly seatCount: () => number;
   /** Creates the lease of a seat, which is only taken while `mayTake` returns true. */
-  readonly createLease: (seat: number, mayTake: () => boolean) => LeaseKeeper;
+  readonly createLease: (seat: number, mayTake: () => boolean) => LeaseManager;
   /** Asks a holder to promise not to consent to a takeover; false if it refuses or is unreachable. */
   readonly requestPromise: (holder: EntryId, term: SeatTerm) => Promise<boolean>;
   /** Asks a holder to consent to taking over a lapsed seat; false if it refuses or is unreachable. */
@@ -78,7 +78,7 @@
 };
 
 /** A seat of the data centre. `mayTake` is only true while its lease is being taken. */
-type Seat = { readonly index: number; readonly lease: LeaseKeeper; mayTake: boolean };
+type Seat = { readonly index: number; readonly lease: LeaseManager; mayTake: boolean };
 
 /**
  * Creates the seat manager.
