--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/big-world.ts
@@ -1,11 +1,11 @@
-/** A pool's world at the size of two years, for measuring turns. */
+/** A pool's snapshot at the size of two years, for measuring turns. */
 import {
   brand,
-  declaredHosts,
+  listDeclaredHosts,
   emptyConfiguration,
-  executorJob,
+  toExecutorJob,
   findDeclaration,
-  takeSnapshot,
+  applySnapshot,
   type Configuration,
   type Declaration,
   type HostId,
@@ -14,7 +14,7 @@
   type JobRow,
   type PlacementRow,
   type PoolName,
-  type PoolWorld,
+  type PoolSnapshot,
   type ServiceName,
   type Versioned,
 } from '@valvelatch/core';
@@ -77,7 +77,7 @@
  * @returns Its configuration.
  */
 export const bigConfiguration = (size: FleetSize): Configuration =>
-  takeSnapshot(emptyConfiguration, {
+  applySnapshot(emptyConfiguration, {
     revision: 1,
     declarations: [
       ...range(size.dataCentres).map((index) =>
@@ -105,7 +105,7 @@
     const declaration = findDeclaration(configuration, 'Service', name);
     if (!declaration) return;
     range(EXECUTORS_PER_SERVICE).forEach((index) => {
-      const { jobId, leaseMs } = executorJob(declaration, brand<JobId>(`${name}-${index}`));
+      const { jobId, leaseMs } = toExecutorJob(declaration, brand<JobId>(`${name}-${index}`));
       const place = (service * EXECUTORS_PER_SERVICE + index) % hosts.length;
       placements.set(
         jobId,
@@ -129,19 +129,19 @@
 };
 
 /**
- * Builds the world of one pool in which all is placed and running.
+ * Builds the snapshot of one pool in which all is placed and running.
  *
  * @param configuration - The configuration of the fleet.
  * @param pool - The pool.
  * @param jobs - Jobs that are still to be placed.
- * @returns The world, with the rows of the pool's own hosts.
+ * @returns The snapshot, with the rows of the pool's own hosts.
  */
 export const bigWorld = (
   configuration: Configuration,
   pool: PoolName,
   jobs: ReadonlyMap<JobId, Versioned<JobRow>> = new Map(),
-): PoolWorld => {
-  const specs = declaredHosts(configuration).filter(({ firstPool }) => firstPool === pool);
+): PoolSnapshot => {
+  const specs = listDeclaredHosts(configuration).filter(({ initialPool }) => initialPool === pool);
   const hosts = new Map<HostId, Versioned<HostRow>>(
     specs.map(({ hostId }) => [
       hostId,
@@ -166,11 +166,11 @@
     placements: placeAll(configuration, pool, Array.from(hosts.keys())),
     jobs,
     waves: new Map(),
-    sightings: new Map(
+    listedHosts: new Map(
       specs.map(({ hostId }) => [hostId, { state: 'live', boots: 1, sinceMs: 0 }]),
     ),
-    hostSinceMs: new Map(),
-    placementSinceMs: new Map(),
+    hostRowSinceMs: new Map(),
+    placementRowSinceMs: new Map(),
     waveStrategy: 'growing',
     usedCores: new Map(),
     retryAtMs: new Map(),
--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -2,17 +2,17 @@
 import {
   brand,
   createEndpoint,
-  noteOutcome,
-  pick,
-  portionOfShare,
-  shareOfSeat,
+  recordOutcome,
+  pickRandom,
+  computePortion,
+  computeSeatShare,
   type CallerId,
   type EndpointId,
   type HostId,
   type Rng,
   type ServiceName,
 } from '@valvelatch/core';
-import { createServiceGate } from '@valvelatch/daemon';
+import { createServiceAdmission } from '@valvelatch/daemon';
 
 import type { VirtualExecutor } from './executors.js';
 import type { VirtualTime } from './virtual-time.js';
@@ -42,28 +42,28 @@
 const LONGEST_MS = 120_000;
 
 const createEntry = ({ time, rng, executors, slots }: PolicyOptions, seat: number): Policy => {
-  const gate = createServiceGate({
+  const gate = createServiceAdmission({
     service: brand<ServiceName>('service'),
     rng,
     nowMs: time.nowMs,
   });
   const endpoints = executors.map((_, index) => {
     const endpointId = brand<EndpointId>(`executor-${index}`);
-    const share = shareOfSeat(slots, ENTRIES, seat, endpointId);
+    const share = computeSeatShare(slots, ENTRIES, seat, endpointId);
     return createEndpoint({
       endpointId,
       service: brand<ServiceName>('service'),
       hostId: brand<HostId>(`host-${index}`),
       address: '',
-      slotShare: portionOfShare(share, 'full'),
+      slotShare: computePortion(share, 'full'),
     });
   });
   gate.setEndpoints(endpoints);
-  for (let atMs = PUMP_MS; atMs < LONGEST_MS; atMs += PUMP_MS) time.at(atMs, gate.pump);
+  for (let atMs = PUMP_MS; atMs < LONGEST_MS; atMs += PUMP_MS) time.at(atMs, gate.processQueue);
 
   const submit = async ({ caller, deadlineMs, onAnswer, onRefused }: VirtualRequest) => {
     const callerId = brand<CallerId>(caller);
-    const slot = await gate.acquire({ callerId, deadlineMs, exclude: [] });
+    const slot = await gate.acquire({ callerId, deadlineMs, excludedEndpoints: [] });
     if (slot.kind === 'none') {
       onRefused();
       return;
@@ -71,7 +71,7 @@
     const { endpoint } = slot;
     const startedMs = time.nowMs();
     executors[endpoints.indexOf(endpoint)]?.accept(() => {
-      noteOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
+      recordOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
       gate.release(endpoint, callerId);
       onAnswer();
     });
@@ -85,11 +85,11 @@
 
 const valvelatch = (options: PolicyOptions): Policy => {
   const entries = Array.from({ length: ENTRIES }, (_, seat) => createEntry(options, seat));
-  return { submit: (request) => pick(entries, options.rng)?.submit(request) };
+  return { submit: (request) => pickRandom(entries, options.rng)?.submit(request) };
 };
 
 const noLimits = ({ rng, executors }: PolicyOptions): Policy => ({
-  submit: ({ onAnswer }) => pick(executors, rng)?.accept(onAnswer),
+  submit: ({ onAnswer }) => pickRandom(executors, rng)?.accept(onAnswer),
 });
 
 const staticShares = ({ executors, slots, callers }: PolicyOptions): Policy => {
--- a/packages/core/src/explain/explain.ts
+++ b/packages/core/src/explain/explain.ts
@@ -1,59 +1,58 @@
-/** Records of decisions, so that an operator can ask why. */
+/** Stores recent decisions, so that an operator can query the reason for each of them. */
 
-/** One decision, as it is told to an operator. */
+/** One decision, as it is shown to an operator. */
 export type DecisionRecord = {
-  /** What it is about, in the form of a row key or `request/ID`. */
+  /** What the decision is about: a row key, or `request/ID`. */
   readonly subject: string;
   readonly outcome: string;
   /** Why, in terms of the operator's own labels and selectors. */
   readonly reason: string;
-  /** The configuration revision that was used. */
+  /** The configuration revision on which it was based. */
   readonly revision: number;
-  /** What was tried on the way, in order. */
+  /** The attempts that led to the outcome, in order. */
   readonly tried: readonly string[];
   readonly atMs: number;
 };
 
-/** A bounded memory of decisions. It changes in place. */
-export type DecisionMemory = {
-  readonly most: number;
+/** A bounded store of decisions, one for each subject. It is changed in place. */
+export type DecisionStore = {
+  /** The maximum number of subjects. */
+  readonly maxSubjects: number;
   readonly records: Map<string, DecisionRecord>;
 };
 
-export type DecisionMemoryOptions = { readonly most?: number };
+export type DecisionStoreOptions = { readonly maxSubjects?: number };
 
 /**
- * Builds an empty memory.
+ * Creates an empty store.
  *
- * @param options - How many subjects are remembered at most.
- * @returns The memory.
+ * @param options - The maximum number of subjects.
+ * @returns The store.
  */
-export const createDecisionMemory = ({
-  most = 10_000,
-}: DecisionMemoryOptions = {}): DecisionMemory => ({ most, records: new Map() });
+export const createDecisionStore = ({
+  maxSubjects = 10_000,
+}: DecisionStoreOptions = {}): DecisionStore => ({ maxSubjects, records: new Map() });
 
 /**
- * Remembers a decision; the oldest subject is forgotten where there is no room.
+ * Stores a decision. If there are too many subjects, the one with the oldest decision is removed.
  *
- * @param memory - The memory, changed in place.
- * @param record - The decision; it takes the place of an earlier one on the same subject.
+ * @param memory - The store, changed in place.
+ * @param record - The decision; it replaces an earlier one on the same subject.
  */
-export const rememberDecision = (memory: DecisionMemory, record: DecisionRecord): void => {
+export const storeDecision = (memory: DecisionStore, record: DecisionRecord): void => {
   memory.records.delete(record.subject);
   memory.records.set(record.subject, record);
-  if (memory.records.size <= memory.most) return;
+  if (memory.records.size <= memory.maxSubjects) return;
   const oldest = memory.records.keys().next();
   if (!oldest.done) memory.records.delete(oldest.value);
 };
 
 /**
- * Recalls the last decision on a subject.
+ * Returns the last decision on a subject.
  *
- * @param memory - The memory.
+ * @param memory - The store.
  * @param subject - The subject.
- * @returns The decision, or undefined if none is remembered.
+ * @returns The decision, or undefined if none is stored.
  */
-export const recallDecision = (
-  memory: DecisionMemory,
-  subject: string,
-): DecisionRecord | undefined => memory.records.get(subject);
+export const findDecision = (memory: DecisionStore, subject: string): DecisionRecord | undefined =>
+  memory.records.get(subject);
--- a/packages/core/src/selectors/selector.test.ts
+++ b/packages/core/src/selectors/selector.test.ts
@@ -2,7 +2,12 @@
 import { describe, expect, it } from 'vitest';
 
 import { parseSelector } from './parse-selector.js';
-import { firstUnmet, matches, requirementText, type Requirement } from './selector.js';
+import {
+  findUnmetRequirement,
+  matchesSelector,
+  formatRequirement,
+  type Requirement,
+} from './selector.js';
 
 const parsed = (text: string) => parseSelector(text).unwrap();
 const word = fc.stringMatching(/^[a-z][a-z0-9]{0,5}$/).filter((w) => w !== 'in' && w !== 'notin');
@@ -16,35 +21,37 @@
 
 describe('selectors', () => {
   describe('matching', () => {
-    it('requires every condition', () => {
+    it('matches only if every requirement is met', () => {
       const selector = parsed('rack in (r1, r2),!dirty,pool=dispatch,tier!=old,ssd');
-      expect(matches(selector, { rack: 'r2', pool: 'dispatch', ssd: 'yes' })).toBe(true);
-      expect(matches(selector, { rack: 'r3', pool: 'dispatch', ssd: 'yes' })).toBe(false);
-      expect(matches(selector, { rack: 'r1', pool: 'dispatch', ssd: 'y', dirty: 'x' })).toBe(false);
+      expect(matchesSelector(selector, { rack: 'r2', pool: 'dispatch', ssd: 'yes' })).toBe(true);
+      expect(matchesSelector(selector, { rack: 'r3', pool: 'dispatch', ssd: 'yes' })).toBe(false);
+      expect(
+        matchesSelector(selector, { rack: 'r1', pool: 'dispatch', ssd: 'y', dirty: 'x' }),
+      ).toBe(false);
     });
 
-    it('names the condition that ruled the labels out', () => {
+    it('returns the first requirement that the labels do not meet', () => {
       const labels: Record<string, string> = { a: '1', b: 'y' };
-      const unmet = firstUnmet(parsed('a,b notin (x,y)'), (key) => labels[key]);
-      expect(unmet && requirementText(unmet)).toBe('b notin (x,y)');
+      const unmet = findUnmetRequirement(parsed('a,b notin (x,y)'), (key) => labels[key]);
+      expect(unmet && formatRequirement(unmet)).toBe('b notin (x,y)');
     });
 
-    it('selects everything with an empty selector', () => {
-      expect(matches(parsed('  '), {})).toBe(true);
+    it('matches all labels with an empty selector', () => {
+      expect(matchesSelector(parsed('  '), {})).toBe(true);
     });
   });
 
   describe('parsing', () => {
     test.prop([fc.array(requirement, { minLength: 1, maxLength: 4 })], { seed: 11 })(
-      'reads back what it writes',
+      'parses the formatted text back to the same requirements',
       (requirements) => {
-        const text = requirements.map(requirementText).join(',');
+        const text = requirements.map(formatRequirement).join(',');
         expect(parsed(text).requirements).toEqual(requirements);
       },
     );
 
     test.prop([fc.string({ maxLength: 24 })], { seed: 12 })(
-      'never throws and points inside the text',
+      'never throws, and reports error positions within the text',
       (text) => {
         const result = parseSelector(text);
         if (result.isErr()) {
@@ -60,7 +67,7 @@
       ['a,,b', 2, "expected a label name, found ','"],
       ['a ~ b', 2, "unexpected '~'"],
       ['a constructor b', 2, "expected one of = == != in notin, found 'constructor'"],
-    ])('points at the fault in %j', (text, position, message) => {
+    ])('reports the position of the syntax error in %j', (text, position, message) => {
       expect(parseSelector(text).unwrapErr()).toMatchObject({ position, message });
     });
   });
--- a/packages/daemon/src/control/pool-view.ts
+++ b/packages/daemon/src/control/pool-view.ts
@@ -1,20 +1,20 @@
-/** What the control of one pool knows: rows as they were read, and since when it has seen what. */
+/** Input of the control turns of one pool: rows as read, and since when hosts and rows are unchanged. */
 import {
-  createRowAges,
-  declaredHosts,
+  createRowVersionTracker,
+  listDeclaredHosts,
   retryDelayMs,
-  setbacksOf,
+  countBackoffFailures,
   rowPrefix,
   type Configuration,
   type HostId,
   type HostRow,
-  type HostSighting,
+  type ListedHostState,
   type HostSpec,
   type JobId,
   type JobRow,
   type PlacementRow,
   type PoolName,
-  type PoolWorld,
+  type PoolSnapshot,
   type UsageRow,
   type Versioned,
   type WaveId,
@@ -22,80 +22,96 @@
 } from '@valvelatch/core';
 import type { ListedHost } from '@valvelatch/platform';
 
-export type PoolViewOptions = {
+export type PoolSnapshotBuilderOptions = {
   readonly pool: PoolName;
   readonly configuration: () => Configuration;
   readonly nowMs: () => number;
 };
 
-export type PoolView = {
-  /** Applies a reading of the platform's list of hosts. */
-  readonly takeSightings: (listed: readonly ListedHost[]) => void;
-  /** Puts together what a turn plans by. */
-  readonly toWorld: (rows: Rows, lease: Pick<PoolWorld, 'fence' | 'nextEpoch'>) => PoolWorld;
+/** Collects the input of a pool's control turns. */
+export type PoolSnapshotBuilder = {
+  /** Records the states of the hosts in the platform's host list. */
+  readonly updateListedHosts: (listed: readonly ListedHost[]) => void;
+  /** Assembles the input of a turn. */
+  readonly createSnapshot: (
+    rows: RowsByKey,
+    lease: Pick<PoolSnapshot, 'fence' | 'nextEpoch'>,
+  ) => PoolSnapshot;
 };
 
-/** Rows by their keys. */
-export type Rows = ReadonlyMap<string, Versioned<unknown>>;
+/** Rows by key. */
+export type RowsByKey = ReadonlyMap<string, Versioned<unknown>>;
 
-const byId = <Id extends string, Row>(rows: Rows, prefix: string): Map<Id, Versioned<Row>> =>
+const rowsById = <Id extends string, Row>(
+  rows: RowsByKey,
+  prefix: string,
+): Map<Id, Versioned<Row>> =>
   new Map(
     Array.from(rows)
       .filter(([key]) => key.startsWith(prefix))
       .map(([key, row]) => [key.slice(prefix.length) as Id, row as Versioned<Row>]),
   );
 
-const usedCoresIn = (rows: Rows): ReadonlyMap<JobId, number> =>
+const usedCoresIn = (rows: RowsByKey): ReadonlyMap<JobId, number> =>
   new Map(
-    Array.from(byId<string, UsageRow>(rows, rowPrefix.usage).values()).flatMap(({ value }) =>
+    Array.from(rowsById<string, UsageRow>(rows, rowPrefix.usage).values()).flatMap(({ value }) =>
       Object.entries(value.usedCores).map(([jobId, cores]) => [jobId as JobId, cores] as const),
     ),
   );
 
 /**
- * Builds the view of a pool.
+ * Creates the view of a pool.
  *
  * @param options - The pool, its configuration and the clock.
- * @returns The view, with nothing seen yet.
+ * @returns The view, without any hosts or rows.
  */
-export const createPoolView = ({ pool, configuration, nowMs }: PoolViewOptions): PoolView => {
-  const sightings = new Map<HostId, HostSighting>();
-  const setbacksSeen = new Map<JobId, { setbacks: number; retryAtMs: number }>();
-  const hostAges = createRowAges<HostId>();
-  const placementAges = createRowAges<JobId>();
+export const createPoolSnapshotBuilder = ({
+  pool,
+  configuration,
+  nowMs,
+}: PoolSnapshotBuilderOptions): PoolSnapshotBuilder => {
+  const listedHosts = new Map<HostId, ListedHostState>();
+  const retriesByJob = new Map<JobId, { backoffFailures: number; retryAtMs: number }>();
+  const hostRowVersions = createRowVersionTracker<HostId>();
+  const placementRowVersions = createRowVersionTracker<JobId>();
   let specsRevision = -1;
   let specs: ReadonlyMap<HostId, HostSpec> = new Map();
 
-  const takeSightings = (listed: readonly ListedHost[]): void => {
+  const updateListedHosts = (listed: readonly ListedHost[]): void => {
     listed.forEach(({ hostId, state, boots }) => {
-      const known = sightings.get(hostId);
-      const sinceMs = known?.state === state ? known.sinceMs : nowMs();
-      sightings.set(hostId, { state, boots, sinceMs });
+      const previous = listedHosts.get(hostId);
+      const sinceMs = previous?.state === state ? previous.sinceMs : nowMs();
+      listedHosts.set(hostId, { state, boots, sinceMs });
     });
   };
 
-  const retryTimes = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): Map<JobId, number> => {
+  /** Computes when each failed job may be tried again; a job gets a new time when it has failed again. */
+  const updateRetryTimes = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): Map<JobId, number> => {
     jobs.forEach(({ value }, jobId) => {
-      const setbacks = setbacksOf(value);
-      if (setbacks === 0 || setbacksSeen.get(jobId)?.setbacks === setbacks) return;
-      setbacksSeen.set(jobId, { setbacks, retryAtMs: nowMs() + retryDelayMs(setbacks) });
+      const backoffFailures = countBackoffFailures(value);
+      if (backoffFailures === 0 || retriesByJob.get(jobId)?.backoffFailures === backoffFailures)
+        return;
+      retriesByJob.set(jobId, {
+        backoffFailures,
+        retryAtMs: nowMs() + retryDelayMs(backoffFailures),
+      });
     });
-    return new Map(Array.from(setbacksSeen, ([jobId, { retryAtMs }]) => [jobId, retryAtMs]));
+    return new Map(Array.from(retriesByJob, ([jobId, { retryAtMs }]) => [jobId, retryAtMs]));
   };
 
   const currentSpecs = (): ReadonlyMap<HostId, HostSpec> => {
     const current = configuration();
     if (current.revision !== specsRevision) {
-      specs = new Map(declaredHosts(current).map((spec) => [spec.hostId, spec]));
+      specs = new Map(listDeclaredHosts(current).map((spec) => [spec.hostId, spec]));
       specsRevision = current.revision;
     }
     return specs;
   };
 
-  const toWorld: PoolView['toWorld'] = (rows, { fence, nextEpoch }) => {
-    const jobs = byId<JobId, JobRow>(rows, rowPrefix.job);
-    const hosts = byId<HostId, HostRow>(rows, rowPrefix.host);
-    const placements = byId<JobId, PlacementRow>(rows, rowPrefix.placement);
+  const createSnapshot: PoolSnapshotBuilder['createSnapshot'] = (rows, { fence, nextEpoch }) => {
+    const jobs = rowsById<JobId, JobRow>(rows, rowPrefix.job);
+    const hosts = rowsById<HostId, HostRow>(rows, rowPrefix.host);
+    const placements = rowsById<JobId, PlacementRow>(rows, rowPrefix.placement);
     return {
       pool,
       configuration: configuration(),
@@ -105,15 +121,15 @@
       hosts,
       placements,
       jobs,
-      waves: byId<WaveId, WaveRow>(rows, rowPrefix.wave),
-      sightings,
-      hostSinceMs: hostAges.see(hosts, nowMs()),
-      placementSinceMs: placementAges.see(placements, nowMs()),
+      waves: rowsById<WaveId, WaveRow>(rows, rowPrefix.wave),
+      listedHosts,
+      hostRowSinceMs: hostRowVersions.update(hosts, nowMs()),
+      placementRowSinceMs: placementRowVersions.update(placements, nowMs()),
       waveStrategy: 'growing',
       usedCores: usedCoresIn(rows),
-      retryAtMs: retryTimes(jobs),
+      retryAtMs: updateRetryTimes(jobs),
     };
   };
 
-  return { takeSightings, toWorld };
+  return { updateListedHosts, createSnapshot };
 };
--- a/packages/daemon/src/data-path/connections.ts
+++ b/packages/daemon/src/data-path/connections.ts
@@ -1,35 +1,38 @@
-/** Connections to endpoints and to other entries: one pool for each address. */
+/** Connection pools for endpoints and other entries, one per address. */
 import { Pool } from 'undici';
 
-/** The pools. */
-export type Connections = {
-  readonly to: (address: string, most: number) => Pool;
-  /** Closes pools of addresses that are not in use any more. */
-  readonly keepOnly: (addresses: ReadonlySet<string>) => void;
+/** The connection pools of this entry. */
+export type ConnectionPools = {
+  /** Returns the pool of an address. `maxConnections` only applies when the pool is created. */
+  readonly poolFor: (address: string, maxConnections: number) => Pool;
+  /** Closes the pools of all addresses that are not in the given set. */
+  readonly closeAllExcept: (addresses: ReadonlySet<string>) => void;
+  /** Destroys all pools, including their requests in flight. */
   readonly close: () => Promise<void>;
 };
 
-export type ConnectionsOptions = { readonly connectTimeoutMs?: number };
+/** Options of the pools. `connectTimeoutMs` limits the time to establish a connection. */
+export type ConnectionPoolsOptions = { readonly connectTimeoutMs?: number };
 
 /**
- * Builds the pools.
+ * Creates the set of pools, which is empty at first.
  *
- * @param options - The bound on connecting, in milliseconds.
- * @returns The pools.
+ * @param options - The timeout for establishing a connection.
+ * @returns The set of pools.
  */
-export const createConnections = ({
+export const createConnectionPools = ({
   connectTimeoutMs = 1000,
-}: ConnectionsOptions = {}): Connections => {
+}: ConnectionPoolsOptions = {}): ConnectionPools => {
   const pools = new Map<string, Pool>();
 
-  const to = (address: string, most: number): Pool => {
-    const known = pools.get(address);
-    if (known) return known;
+  const poolFor = (address: string, maxConnections: number): Pool => {
+    const existing = pools.get(address);
+    if (existing) return existing;
     const pool = new Pool(address, {
-      connections: Math.max(1, most),
+      connections: Math.max(1, maxConnections),
       pipelining: 1,
       connect: { timeout: connectTimeoutMs },
-      // The deadline of each request bounds it; the pool's own timers would cost without use.
+      // Each request has its own deadline, so timers of the pool would only add overhead.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -38,12 +41,12 @@
   };
 
   return {
-    to,
-    keepOnly: (addresses) => {
+    poolFor,
+    closeAllExcept: (addresses) => {
       pools.forEach((pool, address) => {
         if (addresses.has(address)) return;
         pools.delete(address);
-        // Closing waits for what is in flight.
+        // `close` waits for requests in flight.
         pool.close().catch(() => undefined);
       });
     },
--- a/packages/daemon/src/data-path/service-gate.ts
+++ b/packages/daemon/src/data-path/service-gate.ts
@@ -1,4 +1,4 @@
-/** The gate of one service at this entry: its endpoints, its queue and its retry budget. */
+/** Admission of requests to one service at this entry: endpoints, queue and retry budget. */
 import {
   chooseEndpoint,
   createAdmissionQueue,
@@ -7,10 +7,10 @@
   ejectStalled,
   enqueue,
   isEjected,
-  noteFinished,
-  noteSent,
-  noteStarted,
-  usableEndpoints,
+  recordFinished,
+  recordSent,
+  recordStarted,
+  filterUsableEndpoints,
   type AdmissionQueue,
   type CallerId,
   type Capacity,
@@ -23,45 +23,60 @@
 } from '@valvelatch/core';
 import { change } from '@valvelatch/core/shared/change';
 
-/** Why no slot was given. */
-export type NoSlot = {
+/** The reason why a request got no slot. */
+export type SlotRefusal = {
   readonly kind: 'none';
   readonly reason: RefusalReason;
   readonly detail: string;
+  /** Time after which the caller should send the request again, in seconds. */
   readonly retryAfterS: number;
 };
 
-/** A request that wants a slot. */
+/** A request for a slot. */
 export type SlotRequest = {
   readonly callerId: CallerId;
+  /** Deadline on the monotonic clock, in milliseconds. */
   readonly deadlineMs: number;
-  /** Endpoints that the request has already been tried at. */
-  readonly exclude: readonly EndpointId[];
+  /** Endpoints at which the request has already been attempted; none of them is chosen. */
+  readonly excludedEndpoints: readonly EndpointId[];
 };
 
-/** The outcome of asking for a slot. Under overload most are refused, without a stack trace. */
-export type Slot = { readonly kind: 'slot'; readonly endpoint: Endpoint } | NoSlot;
-type Waiter = SlotRequest & { readonly resolve: (slot: Slot) => void };
+/**
+ * The outcome of a request for a slot. A refusal is a value and not an exception, because most
+ * requests are refused under overload and a stack trace for each would be expensive.
+ */
+export type SlotOutcome = { readonly kind: 'slot'; readonly endpoint: Endpoint } | SlotRefusal;
+type Waiter = SlotRequest & { readonly resolve: (slot: SlotOutcome) => void };
 
-export type ServiceGate = {
+/** Admission of requests to the endpoints of one service. */
+export type ServiceAdmission = {
   readonly service: ServiceName;
   readonly retryBudget: RetryBudget;
+  /** Returns all endpoints, including leaving and ejected ones. */
   readonly endpoints: () => readonly Endpoint[];
   readonly setEndpoints: (endpoints: readonly Endpoint[]) => void;
-  /** True if an endpoint is there that is neither leaving nor ejected. */
-  readonly isReady: () => boolean;
-  readonly acquire: (request: SlotRequest) => Promise<Slot>;
+  /** Returns whether an endpoint has slots for this entry and is neither leaving nor ejected. */
+  readonly hasReadyEndpoint: () => boolean;
+  /** Waits for a slot at an endpoint; a slot that is given must be released. */
+  readonly acquire: (request: SlotRequest) => Promise<SlotOutcome>;
+  /** Ends a request at an endpoint and gives its slot to the next queued request. */
   readonly release: (endpoint: Endpoint, callerId: CallerId) => void;
-  /** Gives out slots that have come free otherwise, and refuses what has become too late. */
-  readonly pump: () => void;
+  /**
+   * Gives slots that became free without a release to queued requests, and refuses requests that can
+   * no longer be served before their deadline.
+   */
+  readonly processQueue: () => void;
+  /** Returns the number of queued requests. */
   readonly waitingCount: () => number;
-  readonly usualMs: () => number;
+  /** Returns the smoothed duration of a request, weighted by the endpoints' slots, in ms. */
+  readonly smoothedRequestMs: () => number;
 };
 
-export type ServiceGateOptions = {
+export type ServiceAdmissionOptions = {
   readonly service: ServiceName;
   readonly rng: Rng;
-  readonly mostWaiting?: number;
+  /** Maximum number of queued requests. */
+  readonly maxWaiting?: number;
   readonly nowMs?: () => number;
 };
 
@@ -70,45 +85,50 @@
 const toRetryAfterS = (waitMs: number): number => Math.max(1, Math.ceil(waitMs / MS_PER_S));
 
 /**
- * Builds a gate.
+ * Creates the admission of a service.
  *
- * @param options - The service, the random numbers, and how many requests may wait.
- * @returns The gate, without endpoints.
+ * @param options - The service, the random number generator, and the limit of the queue.
+ * @returns The admission, without endpoints.
  */
-export const createServiceGate = ({
+export const createServiceAdmission = ({
   service,
   rng,
-  mostWaiting = 256,
+  maxWaiting = 256,
   nowMs = () => performance.now(),
-}: ServiceGateOptions): ServiceGate => {
-  const queue: AdmissionQueue<Waiter> = createAdmissionQueue({ mostWaiting });
+}: ServiceAdmissionOptions): ServiceAdmission => {
+  const queue: AdmissionQueue<Waiter> = createAdmissionQueue({ maxWaiting });
   let endpoints: readonly Endpoint[] = [];
 
-  const inUse = () =>
-    endpoints.filter((one) => !one.isLeaving && one.slotShare > 0 && !isEjected(one, nowMs()));
+  const readyEndpoints = () =>
+    endpoints.filter(
+      (endpoint) => !endpoint.isLeaving && endpoint.slotShare > 0 && !isEjected(endpoint, nowMs()),
+    );
 
   const capacity = (): Capacity => {
-    const usable = inUse();
-    const slots = usable.reduce((sum, { slotShare }) => sum + slotShare, 0);
-    const totalMs = usable.reduce((sum, one) => sum + one.smoothedMs * one.slotShare, 0);
-    return { slots, requestMs: slots === 0 ? 0 : totalMs / slots };
+    const ready = readyEndpoints();
+    const slots = ready.reduce((sum, { slotShare }) => sum + slotShare, 0);
+    const weightedMs = ready.reduce(
+      (sum, endpoint) => sum + endpoint.smoothedResponseMs * endpoint.slotShare,
+      0,
+    );
+    return { slots, typicalRequestMs: slots === 0 ? 0 : weightedMs / slots };
   };
 
-  const usualMs = (): number => capacity().requestMs;
+  const smoothedRequestMs = (): number => capacity().typicalRequestMs;
 
-  const give = (endpoint: Endpoint, callerId: CallerId): Slot => {
-    noteSent(endpoint, nowMs());
-    noteStarted(queue, callerId);
+  const grant = (endpoint: Endpoint, callerId: CallerId): SlotOutcome => {
+    recordSent(endpoint, nowMs());
+    recordStarted(queue, callerId);
     return { kind: 'slot', endpoint };
   };
 
-  const refuse = (reason: RefusalReason, detail: string): Slot => {
-    const { slots, requestMs } = capacity();
-    const waitMs = ((queue.waitingCount + 1) * requestMs) / Math.max(1, slots);
+  const refuse = (reason: RefusalReason, detail: string): SlotOutcome => {
+    const { slots, typicalRequestMs } = capacity();
+    const waitMs = ((queue.waitingCount + 1) * typicalRequestMs) / Math.max(1, slots);
     return { kind: 'none', reason, detail, retryAfterS: toRetryAfterS(waitMs) };
   };
 
-  const join = (request: SlotRequest): Promise<Slot> =>
+  const joinQueue = (request: SlotRequest): Promise<SlotOutcome> =>
     new Promise((resolve) => {
       const waiter = { ...request, resolve };
       const { callerId, deadlineMs } = request;
@@ -129,54 +149,58 @@
       } else if (outcome.kind === 'full') {
         resolve(refuse('overloaded', `${queue.waitingCount} requests for ${service} wait already`));
       } else if (outcome.kind === 'displaced') {
-        const { payload } = outcome.displaced;
-        const detail = `caller ${payload.callerId} has the most requests waiting for ${service}`;
-        payload.resolve(refuse('caller-over-share', detail));
+        const { payload: displaced } = outcome.displaced;
+        const detail = `caller ${displaced.callerId} has the most requests waiting for ${service}`;
+        displaced.resolve(refuse('caller-over-share', detail));
       }
     });
 
-  const noEndpoint = (request: SlotRequest): Slot | undefined => {
-    const others = inUse().filter(({ endpointId }) => !request.exclude.includes(endpointId));
-    if (others.length > 0) return undefined;
+  const refuseIfNoEndpoint = (request: SlotRequest): SlotOutcome | undefined => {
+    const candidates = readyEndpoints().filter(
+      ({ endpointId }) => !request.excludedEndpoints.includes(endpointId),
+    );
+    if (candidates.length > 0) return undefined;
     return refuse('no-endpoint', `no endpoint of ${service} is ready at this entry`);
   };
 
-  const acquire = async (request: SlotRequest): Promise<Slot> => {
-    const none = noEndpoint(request);
-    if (none) return none;
+  const acquire = async (request: SlotRequest): Promise<SlotOutcome> => {
+    const refusal = refuseIfNoEndpoint(request);
+    if (refusal) return refusal;
     if (queue.waitingCount === 0) {
-      const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: request.exclude });
-      if (endpoint) return give(endpoint, request.callerId);
+      const endpoint = chooseEndpoint(endpoints, nowMs(), rng, {
+        exclude: request.excludedEndpoints,
+      });
+      if (endpoint) return grant(endpoint, request.callerId);
     }
-    return join(request);
+    return joinQueue(request);
   };
 
-  const giveNext = (): boolean => {
-    const hasSlot = usableEndpoints(endpoints, nowMs()).length > 0;
-    const { next, expired } = dequeue(queue, capacity().requestMs, nowMs(), hasSlot);
-    expired.forEach(({ payload }) => {
-      payload.resolve(refuse('deadline-too-short', 'no slot came free in time for its deadline'));
+  const grantNext = (): boolean => {
+    const hasFreeSlot = filterUsableEndpoints(endpoints, nowMs()).length > 0;
+    const { next, expired } = dequeue(queue, capacity().typicalRequestMs, nowMs(), hasFreeSlot);
+    expired.forEach(({ payload: waiter }) => {
+      waiter.resolve(refuse('deadline-too-short', 'no slot came free in time for its deadline'));
     });
     if (!next) return false;
-    const { payload } = next;
-    const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: payload.exclude });
+    const { payload: waiter } = next;
+    const endpoint = chooseEndpoint(endpoints, nowMs(), rng, { exclude: waiter.excludedEndpoints });
     if (endpoint) {
-      payload.resolve(give(endpoint, payload.callerId));
+      waiter.resolve(grant(endpoint, waiter.callerId));
       return true;
     }
-    const none = noEndpoint(payload);
-    if (none) {
-      payload.resolve(none);
+    const refusal = refuseIfNoEndpoint(waiter);
+    if (refusal) {
+      waiter.resolve(refusal);
       return true;
     }
-    // Only endpoints that it was tried at have a slot free: it waits for the others, which are busy
-    // and call here again when they are done.
-    void join(payload).then(payload.resolve);
+    // Only endpoints at which the request was already attempted have a free slot. The request waits
+    // for the others, which are busy; when one of them is released, the queue is processed again.
+    void joinQueue(waiter).then(waiter.resolve);
     return false;
   };
 
-  const refuseAllIfNoEndpoint = (): void => {
-    if (inUse().length > 0) return;
+  const refuseQueuedIfNoEndpoint = (): void => {
+    if (readyEndpoints().length > 0) return;
     let { next } = dequeue(queue, 0, nowMs(), true);
     while (next) {
       next.payload.resolve(
@@ -186,11 +210,11 @@
     }
   };
 
-  const pump = (): void => {
-    ejectStalled(endpoints, usualMs(), nowMs());
+  const processQueue = (): void => {
+    ejectStalled(endpoints, smoothedRequestMs(), nowMs());
     if (queue.waitingCount === 0) return;
-    refuseAllIfNoEndpoint();
-    while (queue.waitingCount > 0 && giveNext());
+    refuseQueuedIfNoEndpoint();
+    while (queue.waitingCount > 0 && grantNext());
   };
 
   return {
@@ -199,17 +223,17 @@
     endpoints: () => endpoints,
     setEndpoints: (next) => {
       endpoints = next;
-      pump();
+      processQueue();
     },
-    isReady: () => inUse().length > 0,
+    hasReadyEndpoint: () => readyEndpoints().length > 0,
     acquire,
     release: (endpoint, callerId) => {
       change(endpoint, { inFlight: endpoint.inFlight - 1 });
-      noteFinished(queue, callerId);
-      pump();
+      recordFinished(queue, callerId);
+      processQueue();
     },
-    pump,
+    processQueue,
     waitingCount: () => queue.waitingCount,
-    usualMs,
+    smoothedRequestMs,
   };
 };
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,10 +1,10 @@
-/** One entry, put together: request path, mesh, control and the two ports. */
+/** Assembles an entry: request plane, mesh link, seats, control plane and the servers of its ports. */
 import {
   brand,
-  createDecisionMemory,
+  createDecisionStore,
   createRng,
   hash32,
-  recallDecision,
+  findDecision,
   type DataCentreId,
   type EntryId,
   type Member,
@@ -13,7 +13,7 @@
 } from '@valvelatch/core';
 
 import { createConfigSync } from '../config-sync/config-sync.js';
-import type { SharedClaim } from '../data-path/outage-claims.js';
+import type { ReplicatedClaim } from '../data-path/outage-claims.js';
 import { createMeshLink } from '../mesh-link/mesh-link.js';
 import { createLog } from '../observe/log.js';
 import { createMetrics } from '../observe/metrics.js';
@@ -26,12 +26,12 @@
 import { sleep } from '../shared/sleep.js';
 import { createClients } from './clients.js';
 import { createControlPlane } from './control-plane.js';
-import { entryLoops } from './entry-loops.js';
-import { closeWhenIdle, listen, urlOf } from './ports.js';
+import { createEntryLoops } from './entry-loops.js';
+import { closeWhenIdle, listen, formatUrl } from './ports.js';
 import { createRequestPlane } from './request-plane.js';
-import { createSeatPlane } from './seat-plane.js';
+import { createSeatServices } from './seat-plane.js';
 
-/** The addresses of a running entry. */
+/** Addresses on which a running entry listens. */
 export type EntryAddresses = {
   readonly callersUrl: string;
   readonly operatorsUrl: string;
@@ -41,22 +41,30 @@
 /** A running entry. */
 export type Entry = {
   readonly addresses: EntryAddresses;
-  /** A planned stop: leaves the balancer, finishes what is in flight, ends. */
+  /**
+   * Shuts the entry down: reports itself unhealthy to the load balancer, finishes the requests in flight and
+   * closes its ports and clients.
+   */
   readonly stop: () => Promise<void>;
 };
 
-const ASK_MS = 1500;
-const LONGEST_WARM_UP_MS = 15_000;
-/** The balancer needs to see the health answer change before the entry stops to listen. */
-const BALANCER_NOTICE_MS = 500;
-const REVISION_LOOK_MS = 20;
+/** Timeout of a call to another entry. */
+const ASK_TIMEOUT_MS = 1500;
+/** After this time a new entry no longer waits for its warm-up before it reports itself healthy. */
+const MAX_WARM_UP_MS = 15_000;
+/**
+ * How long an entry that is stopping still accepts requests. The load balancer must see the health check fail
+ * before the entry stops listening.
+ */
+const LOAD_BALANCER_DELAY_MS = 500;
+const REVISION_POLL_MS = 20;
 
 /**
  * Starts an entry.
  *
- * @param settings - The checked settings.
+ * @param settings - The validated settings.
  * @returns The running entry.
- * @throws Where a port cannot be listened on.
+ * @throws If a port cannot be listened on.
  */
 export const startEntry = async (settings: Settings): Promise<Entry> => {
   const self = brand<EntryId>(settings['entry-id']);
@@ -65,7 +73,7 @@
   const log = createLog({ level: settings['log-level'], common: { entry: self } });
   const metrics = createMetrics();
   const tracing = await createTracing(settings, log);
-  const decisions = createDecisionMemory();
+  const decisions = createDecisionStore();
   const rng = createRng(hash32(self) % 2 ** 31);
   const clients = createClients(settings);
   const { table, objects } = clients;
@@ -78,7 +86,7 @@
     table,
     objects,
     log,
-    onChange: (deltas) => meshLink.spreadDeltas(deltas),
+    onChange: (deltas) => meshLink.broadcastDeltas(deltas),
   });
 
   const member = (): Member => ({
@@ -93,7 +101,7 @@
     entryId: self,
     dataCentre,
     revision: configSync.current().revision,
-    seat: seatKeeper.held()?.seat ?? null,
+    seat: seatKeeper.heldSeat()?.seatIndex ?? null,
     controls: controlPlane.heldPools(),
     endpoints: Object.fromEntries(
       requestPlane.gates().map(({ service, endpoints }) => [service, endpoints().length]),
@@ -101,35 +109,36 @@
   });
 
   const awaitRevision = async (revision: number, waitMs: number): Promise<boolean> => {
-    const untilMs = performance.now() + waitMs;
+    const deadlineMs = performance.now() + waitMs;
     while (configSync.current().revision < revision) {
-      if (performance.now() >= untilMs) throw new Error(`revision ${revision} is not in force yet`);
-      await sleep(REVISION_LOOK_MS);
+      if (performance.now() >= deadlineMs)
+        throw new Error(`revision ${revision} is not in force yet`);
+      await sleep(REVISION_POLL_MS);
     }
     return true;
   };
 
-  /** What other entries may ask of this one, by name. */
+  /** Handlers of the methods that other entries can call, by method name. */
   const askHandlers: Readonly<Record<string, (payload: never) => unknown>> = {
     status: () => ownStatus(),
     'await-revision': ({ revision, waitMs }: { revision: number; waitMs: number }) =>
       awaitRevision(revision, waitMs),
-    recall: ({ subject }: { subject: string }) => recallDecision(decisions, subject),
+    recall: ({ subject }: { subject: string }) => findDecision(decisions, subject),
     withheld: ({ subject }: { subject: string }) =>
-      controlPlane.withheld().filter((one) => one.subject === subject),
+      controlPlane.withheldActions().filter((action) => action.subject === subject),
     'quiet-at': ({ endpointId }: { endpointId: string }) => {
       requestPlane.directory.markLeaving(endpointId);
-      return requestPlane.directory.inFlightAt(endpointId) === 0;
+      return requestPlane.directory.inFlightCount(endpointId) === 0;
     },
-    'promise-seat': (term: SeatTerm) => seatKeeper.onPromiseAsked(term),
-    'consent-seat': (term: SeatTerm) => seatKeeper.onConsentAsked(term),
-    'keep-claim': (claim: SharedClaim) => outage.keepFor(claim),
+    'promise-seat': (term: SeatTerm) => seatKeeper.handlePromiseRequest(term),
+    'consent-seat': (term: SeatTerm) => seatKeeper.handleConsentRequest(term),
+    'keep-claim': (claim: ReplicatedClaim) => outageClaims.storeReplica(claim),
   };
 
   const readyServices = (): readonly ServiceName[] =>
     requestPlane
       .gates()
-      .filter((gate) => gate.isReady())
+      .filter((gate) => gate.hasReadyEndpoint())
       .map(({ service }) => service);
 
   const meshLink = await createMeshLink({
@@ -146,12 +155,12 @@
   });
 
   const askEntry = async (entryId: EntryId, method: string, payload: unknown): Promise<boolean> => {
-    const peer = meshLink.members().find((one) => one.entryId === entryId);
+    const peer = meshLink.members().find((other) => other.entryId === entryId);
     if (!peer) return false;
-    return (await meshLink.ask(peer, method, payload, ASK_MS).catch(() => false)) === true;
+    return (await meshLink.ask(peer, method, payload, ASK_TIMEOUT_MS).catch(() => false)) === true;
   };
 
-  const seatPlane = createSeatPlane({
+  const seatPlane = createSeatServices({
     self,
     dataCentre,
     table,
@@ -160,22 +169,26 @@
     askEntry,
     log,
   });
-  const { seatKeeper, outage, doubtWatch } = seatPlane;
+  const { seatKeeper, outageClaims, doubtWatch } = seatPlane;
 
-  /** A new entry watches the seats for a while before it can vouch for claims. */
-  const isWarm = (): boolean =>
-    doubtWatch.inDoubt().length === 0 || performance.now() - startedMs > LONGEST_WARM_UP_MS;
+  /**
+   * A new entry must watch the seats of all data centres for a while before it knows which of them may hold
+   * claims that the table lacks.
+   */
+  const isWarmedUp = (): boolean =>
+    doubtWatch.dataCentresWithUnflushedClaims().length === 0 ||
+    performance.now() - startedMs > MAX_WARM_UP_MS;
 
   const requestPlane = createRequestPlane({
     self,
     settings,
     clients,
     configSync,
-    heldSeat: seatKeeper.held,
-    outage,
-    inDoubt: doubtWatch.inDoubt,
-    isHealthy: () => !isStopping && configSync.isKnown() && isWarm(),
-    otherEntry: meshLink.otherEntry,
+    heldSeat: seatKeeper.heldSeat,
+    outageClaims,
+    dataCentresWithUnflushedClaims: doubtWatch.dataCentresWithUnflushedClaims,
+    isHealthy: () => !isStopping && configSync.isKnown() && isWarmedUp(),
+    pickReadyEntry: meshLink.pickReadyEntry,
     decisions,
     rng,
     tracing,
@@ -190,18 +203,18 @@
     configuration: configSync.current,
     directory: requestPlane.directory,
     seatKeeper,
-    askQuiet: (holder, endpointId) => askEntry(holder, 'quiet-at', { endpointId }),
-    isCandidate: meshLink.hasGlobalDuty,
+    askIfIdle: (holder, endpointId) => askEntry(holder, 'quiet-at', { endpointId }),
+    isCandidate: meshLink.isGlobalDutyCandidate,
     leaseMs: settings['control-lease-ms'],
     decisions,
     log,
     metrics,
   });
 
-  const noteGauges = (): void => {
+  const updateGauges = (): void => {
     const { user, system } = process.cpuUsage();
     metrics.gauge('configuration_revision', configSync.current().revision);
-    metrics.gauge('requests_in_flight', requestPlane.inFlight());
+    metrics.gauge('requests_in_flight', requestPlane.inFlightCount());
     metrics.gauge('members', meshLink.members().length);
     metrics.gauge('process_cpu_us', user + system);
     metrics.gauge('process_resident_bytes', process.memoryUsage.rss());
@@ -213,25 +226,25 @@
       table,
       configSync,
       decisions,
-      withheld: controlPlane.withheld,
+      withheld: controlPlane.withheldActions,
       ownStatus,
       members: meshLink.members,
       ask: meshLink.ask,
       self,
     }),
     metrics,
-    beforeMetrics: noteGauges,
+    beforeMetrics: updateGauges,
     onFault: (method, detail) => log.error('operator-fault', { method, detail }),
   });
 
   addresses = {
-    callersUrl: await listen(requestPlane.callers, host, settings['callers-port']),
+    callersUrl: await listen(requestPlane.callersServer, host, settings['callers-port']),
     operatorsUrl: await listen(operators, host, settings['operators-port']),
-    meshUrl: urlOf('ws', host, meshLink.port),
+    meshUrl: formatUrl('ws', host, meshLink.port),
   };
   meshLink.join();
 
-  const loops = entryLoops({
+  const loops = createEntryLoops({
     settings,
     configSync,
     meshLink,
@@ -245,13 +258,13 @@
 
   const stop = async (): Promise<void> => {
     isStopping = true;
-    log.info('stopping', { inFlight: requestPlane.inFlight() });
-    await sleep(BALANCER_NOTICE_MS);
-    requestPlane.refuseNew();
-    await closeWhenIdle(requestPlane.callers);
+    log.info('stopping', { inFlight: requestPlane.inFlightCount() });
+    await sleep(LOAD_BALANCER_DELAY_MS);
+    requestPlane.refuseNewRequests();
+    await closeWhenIdle(requestPlane.callersServer);
     await running.stop();
     await controlPlane.release();
-    await outage.flush();
+    await outageClaims.flush();
     await seatKeeper.release();
     meshLink.leave();
     await operators.close();
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -1,12 +1,12 @@
-/** The request path of an entry: gates, endpoints, claims and the port towards callers. */
+/** Request plane of an entry: service admission, endpoints, claims and the callers port. */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
 import {
   brand,
   findDeclaration,
-  rememberDecision,
-  shareOfSeat,
-  type DecisionMemory,
+  storeDecision,
+  computeSeatShare,
+  type DecisionStore,
   type Endpoint,
   type EntryId,
   type Refusal,
@@ -19,8 +19,8 @@
 
 import type { ConfigSync } from '../config-sync/config-sync.js';
 import { createCallersServer } from '../data-path/callers-server.js';
-import { createClaimKeeper, type ClaimKeeper } from '../data-path/claim-keeper.js';
-import { createConnections } from '../data-path/connections.js';
+import { createClaimStore, type ClaimStore } from '../data-path/claim-keeper.js';
+import { createConnectionPools } from '../data-path/connections.js';
 import {
   createEndpointDirectory,
   type EndpointDirectory,
@@ -33,7 +33,7 @@
   ServeContext,
 } from '../data-path/request-types.js';
 import { serveRequest } from '../data-path/serve-request.js';
-import { createServiceGate, type ServiceGate } from '../data-path/service-gate.js';
+import { createServiceAdmission, type ServiceAdmission } from '../data-path/service-gate.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import type { Tracing } from '../observe/trace-types.js';
@@ -41,16 +41,18 @@
 import type { Settings } from '../settings/settings.js';
 import type { Clients } from './clients.js';
 
-/** The request path. */
+/** Request plane of an entry. */
 export type RequestPlane = {
-  readonly callers: FastifyInstance;
+  /** The server of the callers port. */
+  readonly callersServer: FastifyInstance;
   readonly directory: EndpointDirectory;
-  readonly claims: ClaimKeeper;
-  readonly gates: () => readonly ServiceGate[];
-  readonly inFlight: () => number;
-  /** From now on new requests are refused as not run. */
-  readonly refuseNew: () => void;
-  /** Reads the workers' tasks, and closes connections that nobody needs any more. */
+  readonly claims: ClaimStore;
+  readonly gates: () => readonly ServiceAdmission[];
+  /** The number of requests that are being served. */
+  readonly inFlightCount: () => number;
+  /** Refuses all new requests from now on with the verdict `notRun`. */
+  readonly refuseNewRequests: () => void;
+  /** Reads the workers' tasks and closes connections to addresses that are no longer in use. */
   readonly pollTasks: (otherAddresses: readonly string[]) => Promise<void>;
   readonly close: () => Promise<void>;
 };
@@ -61,11 +63,11 @@
   readonly clients: Clients;
   readonly configSync: ConfigSync;
   readonly heldSeat: () => HeldSeat | null;
-  readonly outage: OutageClaims;
-  readonly inDoubt: () => readonly string[];
+  readonly outageClaims: OutageClaims;
+  readonly dataCentresWithUnflushedClaims: () => readonly string[];
   readonly isHealthy: () => boolean;
-  readonly otherEntry: (service: ServiceName) => RemoteEntry | undefined;
-  readonly decisions: DecisionMemory;
+  readonly pickReadyEntry: (service: ServiceName) => RemoteEntry | undefined;
+  readonly decisions: DecisionStore;
   readonly rng: Rng;
   readonly tracing: Tracing;
   readonly metrics: Metrics;
@@ -73,42 +75,42 @@
 };
 
 const createRequestIds = (self: EntryId): (() => RequestId) => {
-  const startedTag = Date.now().toString(36);
+  const startTag = Date.now().toString(36);
   let count = 0;
   return () => {
     count += 1;
-    return brand<RequestId>(`${self}.${startedTag}.${count.toString(36)}`);
+    return brand<RequestId>(`${self}.${startTag}.${count.toString(36)}`);
   };
 };
 
-/** Proofs that a request was passed on by an entry that knows the mesh key. */
-const createForwardProofs = (meshKey: string) => {
+/** Creates and checks HMACs that prove that a request was forwarded by an entry that knows the mesh key. */
+const createForwardProofFunctions = (meshKey: string) => {
   const proofOf = (requestId: string): string =>
     createHmac('sha256', meshKey).update(requestId).digest('base64url');
   const isProof = (proof: string, requestId: string): boolean => {
-    const wanted = Buffer.from(proofOf(requestId));
-    const given = Buffer.from(proof);
-    return wanted.length === given.length && timingSafeEqual(wanted, given);
+    const expected = Buffer.from(proofOf(requestId));
+    const actual = Buffer.from(proof);
+    return expected.length === actual.length && timingSafeEqual(expected, actual);
   };
   return { proofOf, isProof };
 };
 
 /**
- * Builds the request path; its port is not listened on yet.
+ * Creates the request plane. Its server does not listen yet.
  *
- * @param options - The settings, the clients, the seat and the links to the other entries.
- * @returns The request path.
+ * @param options - The settings, the clients, the seat and how to reach the other entries.
+ * @returns The request plane.
  */
 export const createRequestPlane = ({
-  self,
+  self: ownEntryId,
   settings,
   clients,
   configSync,
   heldSeat,
-  outage,
-  inDoubt,
+  outageClaims,
+  dataCentresWithUnflushedClaims,
   isHealthy,
-  otherEntry,
+  pickReadyEntry,
   decisions,
   rng,
   tracing,
@@ -116,54 +118,59 @@
   log,
 }: RequestPlaneOptions): RequestPlane => {
   const { table, workers } = clients;
-  const gates = new Map<ServiceName, ServiceGate>();
-  const connections = createConnections();
-  const proofs = createForwardProofs(settings['mesh-key']);
+  const gates = new Map<ServiceName, ServiceAdmission>();
+  const connections = createConnectionPools();
+  const proofs = createForwardProofFunctions(settings['mesh-key']);
   let inFlight = 0;
-  let refusesNew = false;
-
-  const gate = (service: ServiceName): ServiceGate => {
-    const known = gates.get(service);
-    if (known) return known;
-    const built = createServiceGate({ service, rng, mostWaiting: settings['most-waiting'] });
-    gates.set(service, built);
-    return built;
+  let isRefusingNewRequests = false;
+
+  const getOrCreateGate = (service: ServiceName): ServiceAdmission => {
+    const existing = gates.get(service);
+    if (existing) return existing;
+    const created = createServiceAdmission({ service, rng, maxWaiting: settings['most-waiting'] });
+    gates.set(service, created);
+    return created;
   };
 
   const directory = createEndpointDirectory({
     configuration: configSync.current,
-    seat: heldSeat,
-    gate,
+    heldSeat,
+    admissionFor: getOrCreateGate,
     knownServices: () => Array.from(gates.keys()),
   });
 
-  const claims = createClaimKeeper({
+  const claims = createClaimStore({
     table,
-    commits: createGroupCommit({ table }),
-    outage,
-    inDoubt,
-    self,
+    groupCommit: createGroupCommit({ table }),
+    outageClaims,
+    dataCentresWithUnflushedClaims,
+    ownEntryId,
   });
 
-  const connectionShare = (service: ServiceName, endpoint: Endpoint): number => {
+  const maxConnectionsFor = (service: ServiceName, endpoint: Endpoint): number => {
     const spec = findDeclaration(configSync.current(), 'Service', service)?.spec;
     const held = heldSeat();
     if (!spec || !held) return endpoint.slotShare;
-    const share = shareOfSeat(spec.connections, held.seats, held.seat, endpoint.endpointId);
+    const share = computeSeatShare(
+      spec.connections,
+      held.seatCount,
+      held.seatIndex,
+      endpoint.endpointId,
+    );
     return Math.min(share, endpoint.slotShare);
   };
 
   const context: ServeContext = {
     configuration: configSync.current,
-    isConfigurationKnown: configSync.isKnown,
-    isStopping: () => refusesNew,
-    gate,
+    hasConfiguration: configSync.isKnown,
+    isStopping: () => isRefusingNewRequests,
+    admissionFor: getOrCreateGate,
     connections,
-    connectionShare,
+    maxConnectionsFor,
     claims,
-    otherEntry,
-    forwardProof: proofs.proofOf,
-    mostAnswerBytes: settings['most-body-bytes'],
+    pickReadyEntry,
+    createForwardProof: proofs.proofOf,
+    maxResponseBytes: settings['most-body-bytes'],
     tracing,
     metrics,
     nowMs: () => performance.now(),
@@ -183,7 +190,7 @@
   const onRefusal = (refusal: Refusal, tried: readonly string[], service: string): void => {
     const { requestId, reason, verdict, detail } = refusal;
     metrics.count(`refused_${verdict}`);
-    rememberDecision(decisions, {
+    storeDecision(decisions, {
       subject: `request/${requestId}`,
       outcome: `refused: ${reason}, verdict ${verdict}`,
       reason: `service=${service}: ${detail}`,
@@ -194,31 +201,31 @@
     log.debug('request-refused', { requestId, reason, verdict });
   };
 
-  const callers = createCallersServer({
+  const callersServer = createCallersServer({
     serve,
-    newRequestId: createRequestIds(self),
-    isForwardProof: proofs.isProof,
+    generateRequestId: createRequestIds(ownEntryId),
+    isValidForwardProof: proofs.isProof,
     isHealthy,
     onRefusal,
-    mostBodyBytes: settings['most-body-bytes'],
-    mostHeaderBytes: settings['most-header-bytes'],
+    maxBodyBytes: settings['most-body-bytes'],
+    maxHeaderBytes: settings['most-header-bytes'],
     receiveTimeoutMs: settings['receive-timeout-ms'],
   });
 
   const pollTasks = async (otherAddresses: readonly string[]): Promise<void> => {
     const observed = await workers.tasks();
-    directory.takeTasks(observed.isOk() ? observed.value : directory.tasks());
-    connections.keepOnly(new Set([...directory.addresses(), ...otherAddresses]));
+    directory.updateTasks(observed.isOk() ? observed.value : directory.tasks());
+    connections.closeAllExcept(new Set([...directory.addresses(), ...otherAddresses]));
   };
 
   return {
-    callers,
+    callersServer,
     directory,
     claims,
     gates: () => Array.from(gates.values()),
-    inFlight: () => inFlight,
-    refuseNew: () => {
-      refusesNew = true;
+    inFlightCount: () => inFlight,
+    refuseNewRequests: () => {
+      isRefusingNewRequests = true;
     },
     pollTasks,
     close: connections.close,
--- a/packages/daemon/src/entry/seat-plane.ts
+++ b/packages/daemon/src/entry/seat-plane.ts
@@ -1,4 +1,4 @@
-/** The seat of an entry, with what is known of claims while the table does not show them. */
+/** An entry's seat, its claims that are not in the table yet, and which data centres may hold such claims. */
 import {
   findDeclaration,
   type Configuration,
@@ -7,71 +7,78 @@
 } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
-import { createDoubtWatch, type DoubtWatch } from '../data-path/doubt-watch.js';
+import {
+  createUnflushedClaimsMonitor,
+  type UnflushedClaimsMonitor,
+} from '../data-path/doubt-watch.js';
 import { createOutageClaims, type OutageClaims } from '../data-path/outage-claims.js';
 import { createLeaseKeeper } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
-import { createSeatKeeper, type SeatKeeper } from '../seats/seat-keeper.js';
+import { createSeatManager, type SeatManager } from '../seats/seat-keeper.js';
 
-/** The seat and the claims. */
-export type SeatPlane = {
-  readonly seatKeeper: SeatKeeper;
-  readonly outage: OutageClaims;
-  readonly doubtWatch: DoubtWatch;
+/** Parts that depend on the seat of an entry. */
+export type SeatServices = {
+  readonly seatKeeper: SeatManager;
+  /** Claims kept in memory while the data centre cannot reach the platform. */
+  readonly outageClaims: OutageClaims;
+  /** Watches the seats of all data centres for those that may hold claims which the table lacks. */
+  readonly doubtWatch: UnflushedClaimsMonitor;
 };
 
-export type SeatPlaneOptions = {
+export type SeatServicesOptions = {
   readonly self: EntryId;
   readonly dataCentre: DataCentreId;
   readonly table: TableClient;
   readonly configuration: () => Configuration;
+  /** Duration of a seat lease, in milliseconds. */
   readonly leaseMs: number;
-  /** Asks another entry by a method's name; false where it does not answer. */
+  /** Calls a method of another entry; false if it refuses or does not answer. */
   readonly askEntry: (entryId: EntryId, method: string, payload: unknown) => Promise<boolean>;
   readonly log: Log;
 };
 
 /**
- * Builds the keeper of the seat and of claims in memory.
+ * Creates the seat manager, the claims in memory and the watch of the seats.
  *
- * @param options - The table, the configuration and the links to the other entries.
- * @returns Both, with no seat held yet.
+ * @param options - The table, the configuration and how to reach the other entries.
+ * @returns The three parts, with no seat held yet.
  */
-export const createSeatPlane = ({
-  self,
+export const createSeatServices = ({
+  self: ownEntryId,
   dataCentre,
   table,
   configuration,
   leaseMs,
   askEntry,
   log,
-}: SeatPlaneOptions): SeatPlane => {
-  const doubtWatch = createDoubtWatch({ table });
-  const seatKeeper = createSeatKeeper({
-    self,
-    seats: () => findDeclaration(configuration(), 'DataCentre', dataCentre)?.spec.entrySeats ?? 0,
+}: SeatServicesOptions): SeatServices => {
+  const doubtWatch = createUnflushedClaimsMonitor({ table });
+  const seatKeeper = createSeatManager({
+    ownEntryId,
+    seatCount: () =>
+      findDeclaration(configuration(), 'DataCentre', dataCentre)?.spec.entrySeats ?? 0,
     createLease: (seat, mayTake) =>
       createLeaseKeeper({
         table,
         name: `seat/${dataCentre}/${seat}`,
-        self,
+        self: ownEntryId,
         durationMs: leaseMs,
         mayTake,
-        // A renewed seat says that this entry holds no claims which the table does not show.
-        beforeWrite: () => outage.flush(),
+        // A renewed seat lease tells the other entries that this entry holds no claims which the table lacks.
+        beforeWrite: () => outageClaims.flush(),
       }),
-    askPromise: (holder, term) => askEntry(holder, 'promise-seat', term),
-    askConsent: (holder, term) => askEntry(holder, 'consent-seat', term),
-    beforeUnconsented: () => doubtWatch.raise(dataCentre),
+    requestPromise: (holder, term) => askEntry(holder, 'promise-seat', term),
+    requestConsent: (holder, term) => askEntry(holder, 'consent-seat', term),
+    beforeTakingWithoutConsent: () => doubtWatch.recordPossibleClaimLoss(dataCentre),
     log,
   });
-  const outage = createOutageClaims({
+  const outageClaims = createOutageClaims({
     table,
-    lapsedForMs: seatKeeper.lapsedForMs,
-    isContinuing: () => seatKeeper.held()?.portion === 'continuing',
+    leaseLapsedForMs: seatKeeper.leaseLapsedForMs,
+    isUsingPromises: () => seatKeeper.heldSeat()?.portion === 'continuing',
     leaseMs,
-    otherHolders: seatKeeper.otherHolders,
-    askKeep: (holder, claim) => askEntry(holder, 'keep-claim', claim),
+    otherSeatHolders: seatKeeper.otherSeatHolders,
+    requestReplica: (holder, claim) => askEntry(holder, 'keep-claim', claim),
   });
-  return { seatKeeper, outage, doubtWatch };
+  return { seatKeeper, outageClaims, doubtWatch };
 };
--- a/packages/platform/src/pulsed-table.ts
+++ b/packages/platform/src/pulsed-table.ts
@@ -22,9 +22,9 @@
 export const withPulse = (table: TableClient): TableClient => ({
   ...table,
   transact: (transaction) => {
-    if (!writesControlRow(transaction)) return table.transact(transaction);
-    const marker = { key: rowKey.pulse, value: 1 };
-    return table.transact({ ...transaction, writes: [...transaction.writes, marker] });
+    if (!touchesControl(transaction)) return table.transact(transaction);
+    const pulse = { key: rowKey.controlChange, value: 1 };
+    return table.transact({ ...transaction, writes: [...transaction.writes, pulse] });
   },
 });
 
@@ -60,15 +60,14 @@
 
   return {
     read: async () => {
-      // The marker is read before the rows, so that a change made while they are read gives the marker a
-      // version above the cached one and the next call reads the rows again.
-      const marker = await table.read([rowKey.pulse]);
-      if (marker.isErr()) return marker;
-      const version = marker.value[0]?.version ?? 0;
-      if (cached?.isOk() && version === cachedVersion) return cached;
-      cached = await readAll();
-      cachedVersion = cached.isOk() ? version : -1;
-      return cached;
+      // The pulse is read first: what changes while the rows are read shows in the next pulse.
+      const pulse = await table.read([rowKey.controlChange]);
+      if (pulse.isErr()) return pulse;
+      const version = pulse.value[0]?.version ?? 0;
+      if (last?.isOk() && version === lastPulse) return last;
+      last = await readAll();
+      lastPulse = last.isOk() ? version : -1;
+      return last;
     },
   };
 };
--- a/packages/stand-ins/src/example-deployment.ts
+++ b/packages/stand-ins/src/example-deployment.ts
@@ -3,11 +3,11 @@
 import { fileURLToPath } from 'node:url';
 
 import {
-  declaredHosts,
-  declarationsOf,
+  listDeclaredHosts,
+  listDeclarations,
   emptyConfiguration,
   readDeclarations,
-  takeSnapshot,
+  applySnapshot,
   type Configuration,
 } from '@valvelatch/core';
 
@@ -44,7 +44,7 @@
     names.map(async (file) => ({ file, text: await readFile(new URL(file, folder), 'utf8') })),
   );
   const declarations = readDeclarations(files).unwrap();
-  return takeSnapshot(emptyConfiguration, { revision: 1, declarations });
+  return applySnapshot(emptyConfiguration, { revision: 1, declarations });
 };
 
 /** Runs an asynchronous function for each item, one after the other. */
@@ -77,7 +77,7 @@
   };
 
   const startWorkersOf = async (dataCentre: string, platformUrl: string): Promise<void> => {
-    const hosts = declaredHosts(configuration).filter((spec) => spec.dataCentre === dataCentre);
+    const hosts = listDeclaredHosts(configuration).filter((spec) => spec.dataCentre === dataCentre);
     const workers = await start('standIn', [
       'workers',
       `--data-centre=${dataCentre}`,
@@ -103,8 +103,8 @@
 
   try {
     const platformUrl = urlOf(await start('standIn', ['platform']));
-    const centres = declarationsOf(configuration, 'DataCentre');
-    await runSequentially(centres, ({ name }) => startWorkersOf(name, platformUrl));
+    const centres = listDeclarations(configuration, 'DataCentre');
+    await inTurn(centres, ({ name }) => startWorkersOf(name, platformUrl));
     const seats = centres.flatMap(({ name, spec }) =>
       Array.from({ length: spec.entrySeats }, (_, seat) => ({ name, seat })),
     );
