--- a/packages/cli/src/replay-command.ts
+++ b/packages/cli/src/replay-command.ts
@@ -23,7 +23,7 @@
     const [fault] = declarations.error;
     return Err(`${fault?.file ?? ''}: ${fault?.path ?? ''}: ${fault?.reason ?? ''}`);
   }
-  return Ok(applySnapshot(emptyConfiguration, { revision: 1, declarations: read.value }));
+  return Ok(applySnapshot(emptyConfiguration, { revision: 1, declarations: declarations.value }));
 };
 
 /**
--- a/packages/platform/src/pulsed-table.ts
+++ b/packages/platform/src/pulsed-table.ts
@@ -22,9 +22,9 @@
 export const withPulse = (table: TableClient): TableClient => ({
   ...table,
   transact: (transaction) => {
-    if (!touchesControl(transaction)) return table.transact(transaction);
-    const pulse = { key: rowKey.controlChange, value: 1 };
-    return table.transact({ ...transaction, writes: [...transaction.writes, pulse] });
+    if (!writesControlRow(transaction)) return table.transact(transaction);
+    const marker = { key: rowKey.controlChange, value: 1 };
+    return table.transact({ ...transaction, writes: [...transaction.writes, marker] });
   },
 });
 
@@ -60,14 +60,15 @@
 
   return {
     read: async () => {
-      // The pulse is read first: what changes while the rows are read shows in the next pulse.
-      const pulse = await table.read([rowKey.controlChange]);
-      if (pulse.isErr()) return pulse;
-      const version = pulse.value[0]?.version ?? 0;
-      if (last?.isOk() && version === lastPulse) return last;
-      last = await readAll();
-      lastPulse = last.isOk() ? version : -1;
-      return last;
+      // The marker is read before the rows, so that a change made while they are read gives the marker a
+      // version above the cached one and the next call reads the rows again.
+      const marker = await table.read([rowKey.controlChange]);
+      if (marker.isErr()) return marker;
+      const version = marker.value[0]?.version ?? 0;
+      if (cached?.isOk() && version === cachedVersion) return cached;
+      cached = await readAll();
+      cachedVersion = cached.isOk() ? version : -1;
+      return cached;
     },
   };
 };
--- a/packages/stand-ins/src/example-deployment.ts
+++ b/packages/stand-ins/src/example-deployment.ts
@@ -104,7 +104,7 @@
   try {
     const platformUrl = urlOf(await start('standIn', ['platform']));
     const centres = listDeclarations(configuration, 'DataCentre');
-    await inTurn(centres, ({ name }) => startWorkersOf(name, platformUrl));
+    await runSequentially(centres, ({ name }) => startWorkersOf(name, platformUrl));
     const seats = centres.flatMap(({ name, spec }) =>
       Array.from({ length: spec.entrySeats }, (_, seat) => ({ name, seat })),
     );
