--- a/packages/bench/src/backlog/backlog.ts
+++ b/packages/bench/src/backlog/backlog.ts
@@ -7,7 +7,7 @@
   schedulePool,
   upsertEndpoint,
   setAccounts,
-  takeEffects,
+  removeEffects,
   addJob,
   type BatchState,
   type JobSubmission,
@@ -113,7 +113,7 @@
     schedulePool(state, POOL, nowMs);
     const { user, system } = process.cpuUsage(before);
     const tookMs = (user + system) / US_PER_MS;
-    takeEffects(state);
+    removeEffects(state);
     return tookMs;
   };
   pass();
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-play.fixtures.ts
@@ -11,7 +11,7 @@
 import { setAccounts } from './quota.js';
 import type { EndedRunReport } from '../endpoints/reports.js';
 import { schedulePool } from '../placement/schedule.js';
-import { createBatchState, takeEffects } from '../model/state.js';
+import { createBatchState, removeEffects } from '../model/state.js';
 
 const STEP_MS = 20;
 const RUN_MS = 500;
@@ -120,7 +120,7 @@
     });
     countCompleted(nowMs);
     schedulePool(state, POOL, nowMs);
-    takeEffects(state).forEach((effect) => {
+    removeEffects(state).forEach((effect) => {
       if (effect.kind === 'start') scheduleEnd(effect.endpointId, effect.task, effect.run, nowMs);
     });
   }
--- a/packages/core/src/batch/domains/outage.test.ts
+++ b/packages/core/src/batch/domains/outage.test.ts
@@ -7,7 +7,7 @@
 import { isSchedulable } from '../endpoints/sound-endpoints.js';
 import {
   createBatchState,
-  takeEffects,
+  removeEffects,
   type BatchState,
   type EndpointState,
 } from '../model/state.js';
@@ -25,7 +25,7 @@
 ): { readonly state: BatchState; readonly endpoints: readonly EndpointState[] } => {
   const state = createBatchState(2);
   const endpoints = addFleet(state, fleet);
-  takeEffects(state);
+  removeEffects(state);
   return { state, endpoints };
 };
 
@@ -106,7 +106,7 @@
   it('has all its endpoints polled at once when it becomes suspected, and an event is recorded', () => {
     const { state, endpoints } = createFleet({ racks: 2, hostsPerRack: 4 });
     leaveUnanswered(state, endpoints.slice(0, 2));
-    const effects = takeEffects(state);
+    const effects = removeEffects(state);
     expect(effects.filter(({ kind }) => kind === 'ask')).toEqual(
       endpoints.slice(0, 4).map(({ endpointId }) => ({ kind: 'ask', endpointId })),
     );
@@ -123,11 +123,11 @@
     const { state, endpoints } = createFleet({ racks: 1, hostsPerRack: 4 });
     submitJob(state, JOB, { step: { taskCount: 8 } });
     schedulePool(state, POOL, 50);
-    takeEffects(state);
+    removeEffects(state);
     leaveUnanswered(state, endpoints.slice(0, 2));
     createScheduleCycle(state)(Infinity, 200);
     expect(endpoints.map(({ runs }) => runs.size)).toEqual([8, 0, 0, 0]);
-    expect(takeEffects(state).filter(({ kind }) => kind === 'stop')).toEqual([]);
+    expect(removeEffects(state).filter(({ kind }) => kind === 'stop')).toEqual([]);
   });
 });
 
@@ -144,10 +144,10 @@
     leaveUnanswered(state, endpoints.slice(0, 2));
     endpoints.slice(1, 3).forEach((endpoint) => recordAnswered(state, endpoint, 150));
     expect(suspectedIn(state)).toEqual([RACK]);
-    takeEffects(state);
+    removeEffects(state);
     endpoints.slice(3).forEach((endpoint) => recordAnswered(state, endpoint, 160));
     expect(suspectedIn(state)).toEqual([]);
-    expect(takeEffects(state)).toMatchObject([
+    expect(removeEffects(state)).toMatchObject([
       { event: 'domain-back', fields: { afterMs: 60, relief: 'answered', unanswering: 1 } },
     ]);
   });
--- a/packages/core/src/batch/endpoints/gone-endpoints.test.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.test.ts
@@ -15,7 +15,7 @@
 import { addPendingReports } from './endpoints.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from './gone-endpoints.js';
 import { endpointsOf } from '../placement/schedule.js';
-import { takeEffects, type BatchState } from '../model/state.js';
+import { removeEffects, type BatchState } from '../model/state.js';
 import type { EndpointId } from '../../shared/ids.js';
 
 /** Until this time the holder in these tests is certainly the only one. */
@@ -82,9 +82,9 @@
       const state = stateWithRunningTask();
       loseEndpoint(state, FIRST, SOLE_HOLDER_UNTIL_MS + 100);
       state.soleHolderUntilMs = SOLE_HOLDER_UNTIL_MS + 6000;
-      takeEffects(state);
+      removeEffects(state);
       giveUpRunsOfGoneEndpoints(state, SOLE_HOLDER_UNTIL_MS + 3100);
-      expect(takeEffects(state)).toMatchObject([
+      expect(removeEffects(state)).toMatchObject([
         { kind: 'save', isUrgent: false },
         {
           event: 'run-ended',
--- a/packages/core/src/batch/endpoints/run-end.test.ts
+++ b/packages/core/src/batch/endpoints/run-end.test.ts
@@ -17,7 +17,7 @@
 import { applyStartOutcome, applyStopResponse, type StartResponse } from './order-answers.js';
 import { type RunEndKind, type EndedRunReport } from './reports.js';
 import { schedulePool } from '../placement/schedule.js';
-import { createBatchState, takeEffects, type BatchState } from '../model/state.js';
+import { createBatchState, removeEffects, type BatchState } from '../model/state.js';
 import { handleStalledAndLapsedRuns } from './watch-runs.js';
 
 const endOf = (run: number, kind: RunEndKind): EndedRunReport => ({
@@ -29,7 +29,7 @@
 });
 
 const loggedFields = (state: BatchState, event: string): readonly object[] =>
-  takeEffects(state).flatMap((effect) =>
+  removeEffects(state).flatMap((effect) =>
     effect.kind === 'note' && effect.event === event ? [effect.fields] : [],
   );
 
@@ -43,7 +43,7 @@
   addEndpoint(state, FIRST);
   applyAnswer(state, { requestedAtMs: 50, nowMs: 60 });
   schedulePool(state, POOL, 100);
-  takeEffects(state);
+  removeEffects(state);
   return state;
 };
 
@@ -76,7 +76,7 @@
   it('is logged before its job is saved as ended', () => {
     const state = stateWithConfirmedRun();
     applyAnswer(state, { ended: [endOf(2001, 'done')], requestedAtMs: 900, nowMs: 1000 });
-    expect(takeEffects(state).map(({ kind }) => kind)).toEqual(['note', 'save']);
+    expect(removeEffects(state).map(({ kind }) => kind)).toEqual(['note', 'save']);
   });
 
   it('is followed by another run after a failure, until the job is over', () => {
@@ -268,7 +268,7 @@
     addEndpoint(state, FIRST);
     applyAnswer(state, { requestedAtMs: 50, nowMs: 60 });
     schedulePool(state, POOL, 100);
-    expect(takeEffects(state).map(({ kind }) => kind)).toEqual(['start']);
+    expect(removeEffects(state).map(({ kind }) => kind)).toEqual(['start']);
   });
 
   it('is logged as a restart with the previous run and the time waited since its end', () => {
--- a/packages/core/src/batch/index.ts
+++ b/packages/core/src/batch/index.ts
@@ -39,7 +39,7 @@
 export * from './jobs/step-times.js';
 export * from './jobs/waiting.js';
 export * from './maintenance/upkeep-progress.js';
-export type { MaintenanceContext as UpkeepWorld } from './maintenance/upkeep-rules.js';
+export type { MaintenanceContext } from './maintenance/upkeep-rules.js';
 export * from './maintenance/upkeep.js';
 export * from './model/accounts.js';
 export * from './model/endpoint-life.js';
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -301,7 +301,7 @@
  * @param state - The batch state; its list of effects is empty afterwards.
  * @returns The actions in order.
  */
-export const takeEffects = (state: BatchState): readonly BatchEffect[] =>
+export const removeEffects = (state: BatchState): readonly BatchEffect[] =>
   state.effects.splice(0, state.effects.length);
 
 /**
--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -9,7 +9,7 @@
   observeDemand,
   type DemandPeakHistory,
 } from './demand-peaks.js';
-import { toLearnedRow, restoreLearnedRow } from './learned.js';
+import { toDemandHistoryRow, restoreDemandHistoryRow } from './learned.js';
 import { createBatchState } from '../model/state.js';
 
 const POOLS = ['a', 'b', 'c', 'd'].map((name) => brand<PoolName>(name));
@@ -112,9 +112,9 @@
     const first = createBatchState(1);
     simulateDemand(first.peaks, rotation, 38_000);
     first.runTimes.byKind.set('q/image', { meanMs: 1234.4, completions: 9 });
-    const row = JSON.parse(JSON.stringify(toLearnedRow(first, 38_000, 1_000_000)));
+    const row = JSON.parse(JSON.stringify(toDemandHistoryRow(first, 38_000, 1_000_000)));
     const next = createBatchState(2);
-    restoreLearnedRow(next, row, 500, 1_000_500);
+    restoreDemandHistoryRow(next, row, 500, 1_000_500);
     expect(predictPeakCores(next.peaks, POOLS, 500)).toEqual(new Map([['a', 200]]));
     expect(next.runTimes.byKind.get('q/image')).toEqual({ meanMs: 1234, completions: 9 });
   });
@@ -123,7 +123,7 @@
     const first = createBatchState(1);
     simulateDemand(first.peaks, rotation, 32_000);
     const next = createBatchState(2);
-    restoreLearnedRow(next, toLearnedRow(first, 32_000, 0), 32_000, 0);
+    restoreDemandHistoryRow(next, toDemandHistoryRow(first, 32_000, 0), 32_000, 0);
     const demand = { cores: 200, minPeakCores: MIN_PEAK_CORES };
     expect(observeDemand(next.peaks, POOLS[3] as PoolName, demand, 32_250)).toBe(false);
   });
--- a/packages/core/src/batch/pools/learned.ts
+++ b/packages/core/src/batch/pools/learned.ts
@@ -6,7 +6,7 @@
 import type { BatchState } from '../model/state.js';
 
 /** The stored row. Times are wall-clock times, because the monotonic clocks of two holders are not comparable. */
-export type LearnedRow = {
+export type DemandHistoryRow = {
   /** Pool names, each with the wall-clock time at which a peak began, oldest first. */
   readonly onsets: readonly (readonly [string, number])[];
   /** Pool names, each with the cores of its highest peak. */
@@ -26,11 +26,11 @@
  * @param wallClockMs - The wall-clock time in milliseconds.
  * @returns The row.
  */
-export const toLearnedRow = (
+export const toDemandHistoryRow = (
   { peaks, runTimes }: BatchState,
   nowMs: number,
   wallClockMs: number,
-): LearnedRow => ({
+): DemandHistoryRow => ({
   onsets: peaks.onsets.map(({ pool, atMs }) => [pool, Math.round(wallClockMs - (nowMs - atMs))]),
   heights: Array.from(peaks.peakCores, ([pool, cores]) => [pool, Math.round(cores)]),
   runTimes: Array.from(
@@ -50,9 +50,9 @@
  * @param nowMs - The monotonic time in milliseconds.
  * @param wallClockMs - The wall-clock time in milliseconds.
  */
-export const restoreLearnedRow = (
+export const restoreDemandHistoryRow = (
   { peaks, runTimes }: BatchState,
-  { onsets, heights, runTimes: savedRunTimes }: LearnedRow,
+  { onsets, heights, runTimes: savedRunTimes }: DemandHistoryRow,
   nowMs: number,
   wallClockMs: number,
 ): void => {
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -150,7 +150,7 @@
 
 const MOVE_REASONS: Readonly<Record<WorkScope, string>> = {
   'within-share': 'counting running, waiting and forecast work',
-  all: 'counting work beyond fair shares',
+  all: "counting work beyond the accounts' shares",
 };
 
 /** The claim of a pool on hosts: what it lacked at first, and what it still lacks. */
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-play.fixtures.ts
@@ -22,7 +22,7 @@
 import { DEFAULT_STEP } from '../model/plain-step.js';
 import {
   createBatchState,
-  takeEffects,
+  removeEffects,
   type BatchState,
   type EndpointState,
 } from '../model/state.js';
@@ -300,7 +300,7 @@
     admission.checkTrackedRefusals(nowMs);
     if (step % TIME_STEPS_PER_MOVE_PASS === 0) fleet.planAndStartMoves(nowMs);
     pools.forEach(({ name }) => schedulePool(state, name, nowMs));
-    takeEffects(state).forEach((effect) => {
+    removeEffects(state).forEach((effect) => {
       const endpoint = effect.kind === 'start' && state.endpoints.get(effect.endpointId);
       if (endpoint) startRun(endpoint, effect.task, effect.run, nowMs);
     });
--- a/packages/daemon/src/batch/control/learned-keeper.test.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.test.ts
@@ -1,5 +1,5 @@
 /** A new holder takes over the stored demand history, also if the first read of it fails. */
-import { createBatchState, recordRunTime, type LearnedRow } from '@valvelatch/core/batch';
+import { createBatchState, recordRunTime, type DemandHistoryRow } from '@valvelatch/core/batch';
 import { Err, Ok } from 'ts-results-es';
 import { describe, expect, it } from 'vitest';
 
@@ -7,7 +7,7 @@
 import { batchKey } from '../keys.js';
 import { createLearnedKeeper, type LearnedKeeperOptions } from './learned-keeper.js';
 
-const EARLIER_ROW: LearnedRow = {
+const EARLIER_ROW: DemandHistoryRow = {
   onsets: [['alpha', 1000]],
   heights: [['alpha', 40]],
   runTimes: [['alpha/quick', 640, 200]],
@@ -48,7 +48,7 @@
       recordRunTime(state.runTimes, 'alpha/slow', 2100);
       await keeper.save();
       await keeper.save();
-      const { runTimes, heights } = stored.row as LearnedRow;
+      const { runTimes, heights } = stored.row as DemandHistoryRow;
       expect(runTimes.map(([kind]) => kind).sort()).toEqual(['alpha/quick', 'alpha/slow']);
       expect(heights).toEqual([['alpha', 40]]);
     });
--- a/packages/daemon/src/batch/control/learned-keeper.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.ts
@@ -1,9 +1,9 @@
 /** Stores a holder's demand history (demand and run times) in a row, for the next holder. */
 import {
-  toLearnedRow,
-  restoreLearnedRow,
+  toDemandHistoryRow,
+  restoreDemandHistoryRow,
   type BatchState,
-  type LearnedRow,
+  type DemandHistoryRow,
 } from '@valvelatch/core/batch';
 
 import type { Log } from '../../observe/log.js';
@@ -49,16 +49,16 @@
       return;
     }
     hasReadRow = true;
-    const row = rows.value[0]?.value as LearnedRow | null | undefined;
+    const row = rows.value[0]?.value as DemandHistoryRow | null | undefined;
     if (!row) return;
-    restoreLearnedRow(state, row, nowMs(), todayMs());
+    restoreDemandHistoryRow(state, row, nowMs(), todayMs());
     log.info('learned-read', { peaks: row.onsets.length, kinds: row.runTimes.length });
   };
 
   const save = async (): Promise<void> => {
     if (!hasReadRow) await restore();
     if (!hasReadRow) return;
-    const row = toLearnedRow(state, nowMs(), todayMs());
+    const row = toDemandHistoryRow(state, nowMs(), todayMs());
     const json = JSON.stringify([row.heights, row.runTimes, row.onsets.length]);
     if (json === lastSavedJson) return;
     const outcome = await table.transact({
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -18,7 +18,7 @@
   paceGapFillers,
   remainingSoleHolderMs,
   setAccounts,
-  takeEffects,
+  removeEffects,
   handleStalledAndLapsedRuns,
   type AdmissionControl,
   type BatchEffect,
@@ -335,7 +335,7 @@
   };
 
   const perform = (): void => {
-    takeEffects(state).forEach((effect) => {
+    removeEffects(state).forEach((effect) => {
       const handle = effectHandlers[effect.kind] as (one: BatchEffect) => void;
       handle(effect);
     });
--- a/packages/daemon/src/batch/endpoints/start-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.test.ts
@@ -6,7 +6,7 @@
   DEFAULT_STEP,
   schedulePool,
   upsertEndpoint,
-  takeEffects,
+  removeEffects,
   addJob,
   applyReport,
   type BatchEffect,
@@ -76,7 +76,7 @@
   const emptyReport = { running: [], ended: [], hasMoreEnds: false };
   applyReport(state, ENDPOINT, { ...emptyReport, requestedAtMs: heardAtMs, nowMs: heardAtMs });
   schedulePool(state, POOL, heardAtMs);
-  const [start] = takeEffects(state) as readonly Extract<BatchEffect, { kind: 'start' }>[];
+  const [start] = removeEffects(state) as readonly Extract<BatchEffect, { kind: 'start' }>[];
   if (!start) throw new Error('nothing was placed');
   const sent: StartOrder[] = [];
   const orders = createStartOrders({
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -18,7 +18,7 @@
   type QueueIndex,
   type HostMaintenanceOrder,
   type MaintenanceWave,
-  type UpkeepWorld,
+  type MaintenanceContext,
 } from '@valvelatch/core/batch';
 import { change } from '@valvelatch/core/shared/change';
 import type { RowCheck } from '@valvelatch/core/rows/transaction';
@@ -158,7 +158,7 @@
     todayMs,
   });
 
-  const maintenanceInput = (): UpkeepWorld => ({
+  const maintenanceInput = (): MaintenanceContext => ({
     ...knownHosts(),
     state,
     isCapacityShort: isAnyPoolShort(poolPlanInput()),
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -14,7 +14,7 @@
   parseTaskKey,
   createScheduleCycle,
   stopRun,
-  takeEffects,
+  removeEffects,
   addJob,
   handleStalledAndLapsedRuns,
   DEFAULT_STEP,
@@ -404,7 +404,7 @@
     if (isStopped) return;
     state.clockMs = nowMs();
     schedulePools(Infinity, nowMs());
-    takeEffects(state).forEach((effect) => {
+    removeEffects(state).forEach((effect) => {
       if (effect.kind === 'start' || effect.kind === 'stop') roster.perform(effect);
       if (effect.kind === 'save') saveCrashRecordLater(effect.jobId);
     });
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -11,7 +11,7 @@
   instanceIdOf,
   createScheduleCycle,
   parseTaskKey,
-  takeEffects,
+  removeEffects,
   addJob,
   handleStalledAndLapsedRuns,
   DEFAULT_STEP,
@@ -371,7 +371,7 @@
   const holdsControlLease = (): boolean => !isTermOver && nowMs() < renewedAtMs + CONTROL_LEASE_MS;
 
   const performEffects = (): void => {
-    takeEffects(state).forEach((effect) => {
+    removeEffects(state).forEach((effect) => {
       if (effect.kind === 'start' || effect.kind === 'stop') roster.perform(effect);
     });
   };
--- a/packages/daemon/src/observe/bounded-output.test.ts
+++ b/packages/daemon/src/observe/bounded-output.test.ts
@@ -4,7 +4,7 @@
   endpointIdOf,
   recordRunEnd,
   upsertEndpoint,
-  takeEffects,
+  removeEffects,
 } from '@valvelatch/core/batch';
 import { brand } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -151,7 +151,7 @@
         nowMs: 99_000,
         updateTask: () => undefined,
       });
-      return takeEffects(state).flatMap((one) => (one.kind === 'note' ? [one.fields] : []));
+      return removeEffects(state).flatMap((one) => (one.kind === 'note' ? [one.fields] : []));
     };
 
     const play = async (mayWrite: boolean) => {
