--- a/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
@@ -11,9 +11,9 @@
   createConfigurationKeeper,
   type ConfigurationKeeper,
 } from './configuration-keeper.js';
-import type { FeedReading, OperatorNews } from '../ports.js';
+import type { FeedReadStats, OperatorUpdate } from '../ports.js';
 
-const READING: FeedReading = { scope: 'changes', replaced: 0, bytes: 0, arrivingMs: 0 };
+const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
 const FEED_TIMEOUT_MS = 1900;
 const FEED_PAUSE_MS = 100;
 const TABLE_POLL_MS = 100;
@@ -55,9 +55,9 @@
 
   const log = createLog({ sink: () => undefined });
 
-  const feedAnswerTo = (knownVersion: number): OperatorNews => {
+  const feedAnswerTo = (knownVersion: number): OperatorUpdate => {
     const isNew = accepted.version > knownVersion;
-    return { waves: [], reading: READING, ...(isNew ? { configuration: accepted } : {}) };
+    return { waves: [], readStats: READING, ...(isNew ? { configuration: accepted } : {}) };
   };
 
   const addEntry = (name: string): Entry => {
@@ -116,7 +116,7 @@
     createConfigurationKeeper({
       feed: {
         next: async () =>
-          Ok({ waves: [], reading: READING, configuration: configurationOf(await read()) }),
+          Ok({ waves: [], readStats: READING, configuration: configurationOf(await read()) }),
       },
       neighbours: () => [brand<EntryId>('neighbour')],
       ask,
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -18,7 +18,7 @@
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
 import type { AskPeer } from '../entry/peers.js';
-import type { OperatorFeed, OperatorNews } from '../ports.js';
+import type { OperatorFeed, OperatorUpdate } from '../ports.js';
 import {
   createEvacuationKeeper,
   type EvacuationKeeper,
@@ -217,7 +217,7 @@
   };
 
   /** Reads the feed once; returns undefined if it does not answer. */
-  const readFeed = async (waitMs: number): Promise<OperatorNews | undefined> => {
+  const readFeed = async (waitMs: number): Promise<OperatorUpdate | undefined> => {
     const askedAtMs = nowMs();
     const news = await feed.next(waitMs);
     if (news.isErr()) {
@@ -225,11 +225,11 @@
       return undefined;
     }
     recordFeedAnswer();
-    const { configuration, faults = [], waves, reading } = news.value;
-    metrics.count('operator_feed_bytes', reading.bytes);
-    metrics.time('operator_feed_arriving', reading.arrivingMs * 1000);
+    const { configuration, faults = [], waves, readStats } = news.value;
+    metrics.count('operator_feed_bytes', readStats.bytes);
+    metrics.time('operator_feed_arriving', readStats.transferMs * 1000);
     if (configuration)
-      applyConfiguration(configuration, { from: 'table', silentMs: feedSilentMs(), ...reading });
+      applyConfiguration(configuration, { from: 'table', silentMs: feedSilentMs(), ...readStats });
     faults.forEach((detail) => log.warn('configuration-fault', { detail }));
     lastFeedAnswerAtMs = nowMs();
     confirmedAtMs = lastFeedAnswerAtMs;
@@ -243,7 +243,7 @@
    * at once for the changes since, because a full read may be stale. If that second answer is also a full read,
    * because the table no longer has the history, further calls read only once each.
    */
-  const readFeedAndChanges = async (waitMs: number): Promise<OperatorNews | undefined> => {
+  const readFeedAndChanges = async (waitMs: number): Promise<OperatorUpdate | undefined> => {
     const news = await readFeed(waitMs);
     const isFirstFullRead = !wasFullRead && news?.evacuations?.isFullRead === true;
     wasFullRead = news?.evacuations?.isFullRead ?? wasFullRead;
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
@@ -8,7 +8,7 @@
 
 import { createLog } from '../../observe/log.js';
 import { createMetrics } from '../../observe/metrics.js';
-import type { EvacuationNews, FeedReading } from '../ports.js';
+import type { EvacuationFeedUpdate, FeedReadStats } from '../ports.js';
 import {
   createConfigurationKeeper,
   type NeighbourAnswer,
@@ -17,7 +17,7 @@
 import { createEvacuationKeeper, type ToldEvacuations } from './evacuation-keeper.js';
 import { createStartGate } from './start-gate.js';
 
-const READING: FeedReading = { scope: 'changes', replaced: 0, bytes: 0, arrivingMs: 0 };
+const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
 const NORTH = brand<DataCentreId>('north');
 const SOUTH = brand<DataCentreId>('south');
 const BOUND_MS = 5000;
@@ -30,14 +30,14 @@
   isDeleted: false,
 });
 
-const changesAt = (revision: number, changes: EvacuationNews['changes'] = []): EvacuationNews => ({
+const changesAt = (revision: number, changes: EvacuationFeedUpdate['changes'] = []): EvacuationFeedUpdate => ({
   changes,
   revision,
   isFullRead: false,
   isCurrent: true,
 });
 
-const fullReadAt = (revision: number, changes: EvacuationNews['changes'] = []): EvacuationNews => ({
+const fullReadAt = (revision: number, changes: EvacuationFeedUpdate['changes'] = []): EvacuationFeedUpdate => ({
   changes,
   revision,
   isFullRead: true,
@@ -48,7 +48,7 @@
 
 /** Creates an entry whose feed gives these answers in order, and then repeats the last one. */
 const createEntry = (
-  answers: readonly (EvacuationNews | typeof NO_ANSWER)[],
+  answers: readonly (EvacuationFeedUpdate | typeof NO_ANSWER)[],
   {
     isBounded = true,
     neighbour,
@@ -72,7 +72,7 @@
         waits.push(waitMs);
         clock.ms += clock.feedDelayMs;
         if (news === NO_ANSWER) return Err({ kind: 'unknown', detail: 'no answer' });
-        return Ok({ waves: [], reading: READING, evacuations: news });
+        return Ok({ waves: [], readStats: READING, evacuations: news });
       },
     },
     neighbours: () => [brand<EntryId>('neighbour')],
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.ts
@@ -11,7 +11,7 @@
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
 import type { Log } from '../../observe/log.js';
-import type { EvacuationNews } from '../ports.js';
+import type { EvacuationFeedUpdate } from '../ports.js';
 
 /** How long a start order may be in flight after the last check of the view. */
 const MAX_START_IN_FLIGHT_MS = 1000;
@@ -47,7 +47,7 @@
   /** True if the view was confirmed by a read or question that was sent at this time or later. */
   readonly isConfirmedSince: (sinceMs: number) => boolean;
   /** Applies what the operator's feed answered to a read that began at `askedAtMs`. */
-  readonly take: (news: EvacuationNews, askedAtMs: number) => void;
+  readonly take: (news: EvacuationFeedUpdate, askedAtMs: number) => void;
   /** Merges the view in a neighbour's answer to a question that was sent at `askedAtMs`. */
   readonly takeAnswer: (message: ToldEvacuations, askedAtMs: number) => void;
   /**
--- a/packages/daemon/src/batch/control/learned-keeper.test.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.test.ts
@@ -29,7 +29,7 @@
         read: async () => {
           stored.calls += 1;
           if (stored.calls === 1) return Err({ kind: 'unknown', detail: 'no answer' });
-          return Ok([{ key: batchKey.learned, value: stored.row, version: 1 }]);
+          return Ok([{ key: batchKey.demandHistory, value: stored.row, version: 1 }]);
         },
         transact: async ({ writes }) => {
           stored.row = writes[0]?.value;
--- a/packages/daemon/src/batch/control/learned-keeper.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.ts
@@ -43,7 +43,7 @@
   let hasReadRow = false;
 
   const restore = async (): Promise<void> => {
-    const rows = await table.read([batchKey.learned]);
+    const rows = await table.read([batchKey.demandHistory]);
     if (rows.isErr()) {
       log.warn('learned-not-read', rows.error);
       return;
@@ -63,7 +63,7 @@
     if (json === lastSavedJson) return;
     const outcome = await table.transact({
       checks: [],
-      writes: [{ key: batchKey.learned, value: row }],
+      writes: [{ key: batchKey.demandHistory, value: row }],
     });
     if (outcome.isOk()) lastSavedJson = json;
     else log.debug('learned-not-written', outcome.error);
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -431,7 +431,7 @@
     jobRows.restore([firstRead, secondRead]);
     addPendingReports(
       state,
-      endpoints.seen.map(({ endpointId, pool }) => ({
+      endpoints.changed.map(({ endpointId, pool }) => ({
         instanceId: instanceIdOf(endpointId),
         pool,
       })),
@@ -442,7 +442,7 @@
       fence,
       jobs: state.jobs.size,
       ended: endedJobs.count(),
-      endpoints: endpoints.seen.length,
+      endpoints: endpoints.changed.length,
       tookMs: Math.round(nowMs() - startedAtMs),
     });
     perform();
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -236,7 +236,7 @@
   }: Extract<BatchEffect, { kind: 'pace' }>): Promise<void> => {
     if (!context.mayOrder() || isClosed) return;
     log.info('task-paced', { task, run, percent, endpoint: endpointId, reason });
-    const response = await orders.pace(target, { task, run, percent, fence: state.fence });
+    const response = await orders.setPace(target, { task, run, percent, fence: state.fence });
     if (response.isErr()) recordOrderError('pace', response.error, { task, run });
   };
 
@@ -398,7 +398,7 @@
     close: () => {
       isClosed = true;
       delayEstimator.close();
-      orders.forget(target);
+      orders.release(target);
     },
   };
 };
--- a/packages/daemon/src/batch/endpoints/endpoint-roster.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-roster.ts
@@ -16,7 +16,7 @@
 
 import { createEndpointLink, type EndpointLink, type LinkEffect } from './endpoint-link.js';
 import type { LinkContext } from './link-context.js';
-import type { EndpointFeed, EndpointNews } from '../ports.js';
+import type { EndpointFeed, EndpointChanges } from '../ports.js';
 
 const REASONS: Readonly<Record<GoneCause, string>> = {
   'host-list': 'the list of hosts names no endpoint on its host',
@@ -61,9 +61,9 @@
 
 export type EndpointRoster = {
   /** Reads the list of endpoints for recovery; undefined if the list could not be read. */
-  readonly read: () => Promise<EndpointNews | undefined>;
+  readonly read: () => Promise<EndpointChanges | undefined>;
   /** Applies changes of the list of endpoints. */
-  readonly take: (news: EndpointNews) => void;
+  readonly take: (news: EndpointChanges) => void;
   /** Reads and applies the changes of the list, then removes the endpoints that are gone. */
   readonly follow: () => Promise<void>;
   /** Removes an endpoint that is gone, and gives its runs up. */
@@ -164,10 +164,10 @@
       drop(endpointId, { reason: 'restarted', atMs: nowMs(), toldBy: 'answer' }),
   };
 
-  const take = ({ seen, gone }: EndpointNews): void => {
-    seen.forEach(({ endpointId }) => listed.add(endpointId));
-    gone.forEach((endpointId) => listed.delete(endpointId));
-    seen.forEach((description) => {
+  const take = ({ changed, removed }: EndpointChanges): void => {
+    changed.forEach(({ endpointId }) => listed.add(endpointId));
+    removed.forEach((endpointId) => listed.delete(endpointId));
+    changed.forEach((description) => {
       const { endpointId, address, pool, dataCentre } = description;
       if (endedIncarnations.has(endpointId)) return;
       const isNew = !state.endpoints.has(endpointId);
@@ -195,7 +195,7 @@
       });
       link.watch();
     });
-    gone.forEach((endpointId) => {
+    removed.forEach((endpointId) => {
       // The entry of an endpoint may vanish while the endpoint is only cut off. It is kept until its lease ends, but
       // gets no new work.
       const endpoint = state.endpoints.get(endpointId);
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -157,7 +157,7 @@
   const orders = createRelayedOrders({
     orders: platform.orders,
     peers: () => peers,
-    linkUse: platform.linkUse,
+    linkUse: platform.readLinkUsage,
     isAllowed: mayRelayOrders,
     log,
     metrics,
@@ -208,7 +208,7 @@
     port: meshPort,
     meshKey,
     log,
-    onFrame: platform.noteMeshFrame,
+    onFrame: platform.recordMeshFrame,
     answer: async (method, payload) => {
       if (method === ORDER_METHOD) return orderAgent.answer(payload);
       if (method === RELAY_METHOD) return table.answerNeighbour(payload as RelayCall);
--- a/packages/daemon/src/batch/jobs/job-rows.ts
+++ b/packages/daemon/src/batch/jobs/job-rows.ts
@@ -140,7 +140,7 @@
     });
     rows.forEach(({ key, value }) => {
       const parsed = parseJobKey(key);
-      if (parsed.isCancel && value !== null) cancelJob(state, parsed.jobId as JobId, parsed.by);
+      if (parsed.isCancel && value !== null) cancelJob(state, parsed.jobId as JobId, parsed.cancelledBy);
     });
   };
 
--- a/packages/daemon/src/batch/keys.ts
+++ b/packages/daemon/src/batch/keys.ts
@@ -23,13 +23,13 @@
   entry: (entryId: string) => `entry/${entryId}`,
   wave: (waveNumber: number) => `wave/${waveNumber}`,
   /** The demand history: what holders store of demand and run times. */
-  learned: 'learned/control',
+  demandHistory: 'learned/control',
 } as const;
 
 /** A parsed key of the kind `job`: either of the job's own row, or of a cancellation and the caller who wrote it. */
-export type JobKey =
+export type ParsedJobKey =
   | { readonly jobId: string; readonly isCancel: false }
-  | { readonly jobId: string; readonly isCancel: true; readonly by: Caller };
+  | { readonly jobId: string; readonly isCancel: true; readonly cancelledBy: Caller };
 
 /**
  * Parses the key of a row of the kind `job`.
@@ -37,13 +37,13 @@
  * @param key - The key.
  * @returns The job, and whether the row is a cancellation; if so, also the caller, which is null without an account.
  */
-export const parseJobKey = (key: string): JobKey => {
+export const parseJobKey = (key: string): ParsedJobKey => {
   const rowName = key.slice(key.indexOf('/') + 1);
   const suffixStart = rowName.indexOf(CANCEL_SUFFIX);
   if (suffixStart < 0) return { jobId: rowName, isCancel: false };
   const account = rowName.slice(suffixStart + CANCEL_SUFFIX.length + 1);
-  const by = account === '' ? null : brand<AccountName>(account);
-  return { jobId: rowName.slice(0, suffixStart), isCancel: true, by };
+  const cancelledBy = account === '' ? null : brand<AccountName>(account);
+  return { jobId: rowName.slice(0, suffixStart), isCancel: true, cancelledBy };
 };
 
 /** The name of the control lease. A fleet that is divided into cells would have one per cell. */
--- a/packages/daemon/src/batch/ports.ts
+++ b/packages/daemon/src/batch/ports.ts
@@ -53,47 +53,47 @@
 };
 
 /** Statistics of one answer of a feed, for logs and metrics. */
-export type FeedReading = {
+export type FeedReadStats = {
   readonly scope: FeedScope;
   /** How many rows of the answer are replaced by a later row of the same answer. */
-  readonly replaced: number;
+  readonly replacedRows: number;
   /** Size of the answer. */
   readonly bytes: number;
   /** Time from the first byte of the answer to its last. */
-  readonly arrivingMs: number;
+  readonly transferMs: number;
 };
 
 /** The evacuations according to one read of the operator's rows. */
-export type EvacuationNews = EvacuationUpdate & {
+export type EvacuationFeedUpdate = EvacuationUpdate & {
   /** True if the read contains every change up to its answer: it is not a full read and was not cut off at its end. */
   readonly isCurrent: boolean;
 };
 
 /** The operator's orders, as of one read of the operator's rows. */
-export type OperatorNews = {
+export type OperatorUpdate = {
   readonly configuration?: BatchConfiguration;
   /** The parts of the configuration that were ignored, described for people. */
   readonly faults?: readonly string[];
   readonly waves: readonly MaintenanceRequest[];
   /** Undefined on a platform that does not support the evacuation of data centres. */
-  readonly evacuations?: EvacuationNews;
-  readonly reading: FeedReading;
+  readonly evacuations?: EvacuationFeedUpdate;
+  readonly readStats: FeedReadStats;
 };
 
 /** A feed of the operator's orders. */
 export type OperatorFeed = {
-  readonly next: (waitMs: number) => Promise<Result<OperatorNews, PlatformError>>;
+  readonly next: (waitMs: number) => Promise<Result<OperatorUpdate, PlatformError>>;
 };
 
 /** Changes of the set of endpoints: those that are new or have changed, and those that are gone. */
-export type EndpointNews = {
-  readonly seen: readonly EndpointDescription[];
-  readonly gone: readonly EndpointId[];
+export type EndpointChanges = {
+  readonly changed: readonly EndpointDescription[];
+  readonly removed: readonly EndpointId[];
 };
 
 /** A feed of the platform's endpoints. */
 export type EndpointFeed = {
-  readonly next: (waitMs: number) => Promise<Result<EndpointNews, PlatformError>>;
+  readonly next: (waitMs: number) => Promise<Result<EndpointChanges, PlatformError>>;
 };
 
 /** The endpoint to which an order is sent. */
@@ -125,12 +125,12 @@
     order: StopOrder,
     timeoutMs: number,
   ) => Promise<Result<EndpointClock, OrderError>>;
-  readonly pace: (
+  readonly setPace: (
     target: OrderTarget,
     order: PaceOrder,
   ) => Promise<Result<EndpointClock, OrderError>>;
   /** Drops everything that is kept for an endpoint, such as its connection. */
-  readonly forget: (target: OrderTarget) => void;
+  readonly release: (target: OrderTarget) => void;
 };
 
 /** The advice service, which decides which endpoints may run a step of a queue that needs advice. */
@@ -145,22 +145,22 @@
 };
 
 /** The control holder that sends an order to a host, with its fence. */
-export type HostOrderer = { readonly holder: EntryId; readonly fence: number };
+export type HostOrderIssuer = { readonly holder: EntryId; readonly fence: number };
 
 /** The outcome of an order to a host, and the text of its answer for the log. */
-export type HostOrderAnswer = { readonly outcome: HostOrderOutcome; readonly detail: string };
+export type HostOrderResult = { readonly outcome: HostOrderOutcome; readonly detail: string };
 
 /** Lists the platform's hosts and sends orders about them. */
 export type HostPort = {
   readonly list: () => Promise<Result<readonly ListedHost[], PlatformError>>;
   readonly move: (
-    by: HostOrderer,
+    by: HostOrderIssuer,
     order: { readonly hostId: HostId; readonly toPool: PoolName },
-  ) => Promise<HostOrderAnswer>;
+  ) => Promise<HostOrderResult>;
   readonly maintain: (
-    by: HostOrderer,
+    by: HostOrderIssuer,
     order: { readonly hostId: HostId; readonly waveNumber: number },
-  ) => Promise<HostOrderAnswer>;
+  ) => Promise<HostOrderResult>;
   /** Reports the state of a maintenance wave to the operator. */
   readonly reportWave: (
     waveNumber: number,
@@ -194,9 +194,9 @@
   readonly hosts: HostPort;
   readonly advice: AdvicePort;
   /** The traffic that this entry's calls have caused on its network link. */
-  readonly linkUse: () => LinkUsage;
+  readonly readLinkUsage: () => LinkUsage;
   /** Records the traffic that the mesh between entries causes on the same link. */
-  readonly noteMeshFrame: (direction: 'sent' | 'received', bytes: number) => void;
+  readonly recordMeshFrame: (direction: 'sent' | 'received', bytes: number) => void;
   readonly bounds: () => PlatformBounds;
   readonly close: () => void;
 };
--- a/packages/daemon/src/batch/relays/relayed-orders.ts
+++ b/packages/daemon/src/batch/relays/relayed-orders.ts
@@ -218,11 +218,11 @@
       if (relay === undefined) return orders.stop(target, order, timeoutMs);
       return send(relay, { kind: 'stop', target, timeoutMs, order }, timeoutMs);
     },
-    pace: orders.pace,
-    forget: (target) => {
+    setPace: orders.setPace,
+    release: (target) => {
       assignment.unassign(target.endpointId);
       directUntilMs.delete(target.endpointId);
-      orders.forget(target);
+      orders.release(target);
     },
   };
 };
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -394,8 +394,8 @@
       }),
     stop: ({ endpointId }, order, timeoutMs) =>
       send('stop', endpointId, timeoutMs, ({ model }) => model.stop(order)),
-    pace: async () => Err(NO_ANSWER),
-    forget: () => undefined,
+    setPace: async () => Err(NO_ANSWER),
+    release: () => undefined,
   };
 
   const schedulePools = createScheduleCycle(state);
@@ -505,7 +505,7 @@
     setTimeout(() => {
       if (isStopped) return;
       target.isReplaced = true;
-      roster.take({ seen: [addEndpoint(target.model.capacity.cpuMillis / 1000)], gone: [] });
+      roster.take({ changed: [addEndpoint(target.model.capacity.cpuMillis / 1000)], removed: [] });
     }, backAfterMs);
   };
 
@@ -549,9 +549,9 @@
     cycle();
   }, TICK_MS);
 
-  const seen = rooms.map(addEndpoint);
+  const changed = rooms.map(addEndpoint);
   before(Array.from(endpoints.values(), ({ model }) => model));
-  setTimeout(() => roster.take({ seen, gone: [] }), meetsAfterMs);
+  setTimeout(() => roster.take({ changed, removed: [] }), meetsAfterMs);
 
   return {
     state,
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -360,8 +360,8 @@
         () => model.stop(order),
         timeoutMs,
       ),
-    pace: async () => Ok({ clockMs: 0 }),
-    forget: () => undefined,
+    setPace: async () => Ok({ clockMs: 0 }),
+    release: () => undefined,
   };
 
   const state = createBatchState(FENCE);
@@ -395,7 +395,7 @@
       Ok(
         isListed
           ? {
-              seen: [
+              changed: [
                 {
                   endpointId: ENDPOINT,
                   pool: brand(POOL),
@@ -407,9 +407,9 @@
                   isDraining: false,
                 },
               ],
-              gone: [],
+              removed: [],
             }
-          : { seen: [], gone: [ENDPOINT] },
+          : { changed: [], removed: [ENDPOINT] },
       ),
   };
 
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -394,7 +394,7 @@
           ).filter(({ entryId }) => entryId !== entry.entryId),
         silentForMs,
       }),
-      linkUse: platform.linkUse,
+      linkUse: platform.readLinkUsage,
       isAllowed: mayRelayOrders,
       log,
       metrics,
--- a/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
@@ -5,11 +5,11 @@
 import type { PlatformError } from '@valvelatch/platform';
 import { Err, Ok, type Result } from 'ts-results-es';
 
-import type { EvacuationNews, FeedReading, OperatorFeed, OperatorNews } from '../ports.js';
+import type { EvacuationFeedUpdate, FeedReadStats, OperatorFeed, OperatorUpdate } from '../ports.js';
 
 const STORE_MS = 4;
 const CALL_TIMEOUT_MS = 900;
-const READING: FeedReading = { scope: 'changes', replaced: 0, bytes: 0, arrivingMs: 0 };
+const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
 /**
  * After a compaction, full reads return the rows as they were some time ago, and do so for as long again. The time is
  * drawn between these two bounds.
@@ -81,7 +81,7 @@
       waiters.add(wake);
     });
 
-  const readFull = (): EvacuationNews => {
+  const readFull = (): EvacuationFeedUpdate => {
     const isStale = performance.now() < staleUntilMs;
     const asOfMs = performance.now() - (isStale ? staleByMs : 0);
     const visibleRows = history.filter(({ atMs }) => atMs <= asOfMs);
@@ -95,7 +95,7 @@
     let lastReadEpoch = 0;
     let hasFailed = false;
 
-    const readChanges = async (waitMs: number): Promise<EvacuationNews | undefined> => {
+    const readChanges = async (waitMs: number): Promise<EvacuationFeedUpdate | undefined> => {
       const position = lastRevision ?? 0;
       if (history.length <= position && waitMs > 0) await waitForChange(waitMs);
       if (lastReadEpoch < epoch || performance.now() < noChangesUntilMs) return undefined;
@@ -103,7 +103,7 @@
       return { changes, isFullRead: false, isCurrent: true, revision: history.length };
     };
 
-    const read = async (waitMs: number): Promise<EvacuationNews> => {
+    const read = async (waitMs: number): Promise<EvacuationFeedUpdate> => {
       const mustReadFull = lastRevision === undefined || hasFailed;
       const changes = mustReadFull ? undefined : await readChanges(waitMs);
       if (changes) return changes;
@@ -111,7 +111,7 @@
       return readFull();
     };
 
-    const next = async (waitMs: number): Promise<Result<OperatorNews, PlatformError>> => {
+    const next = async (waitMs: number): Promise<Result<OperatorUpdate, PlatformError>> => {
       await awake();
       await sleep(STORE_MS);
       const news = isCut() ? undefined : await read(waitMs);
@@ -126,7 +126,7 @@
       lastRevision = Math.max(lastRevision ?? 0, news.revision);
       await sleep(1);
       await awake();
-      const operatorNews = { waves: [], reading: READING, evacuations: news };
+      const operatorNews = { waves: [], readStats: READING, evacuations: news };
       return Ok(isFirst ? { ...operatorNews, configuration } : operatorNews);
     };
 
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -20,7 +20,7 @@
 import type { PlatformError } from '@valvelatch/platform';
 import { Err, Ok, type Result } from 'ts-results-es';
 
-import type { BatchPlatform, EndpointNews, HostOrderer, TableFeed } from '../ports.js';
+import type { BatchPlatform, EndpointChanges, HostOrderIssuer, TableFeed } from '../ports.js';
 import {
   MAINTENANCE_MS,
   mayRunAdvised,
@@ -346,15 +346,15 @@
   const createEndpointFeed = () => {
     const reportedIds = new Set<EndpointId>();
     return {
-      next: (): Promise<Result<EndpointNews, PlatformError>> =>
+      next: (): Promise<Result<EndpointChanges, PlatformError>> =>
         callEndpointList(() => {
           const live = Array.from(endpoints.values()).filter(isListed);
-          const gone = Array.from(reportedIds).filter(
+          const removed = Array.from(reportedIds).filter(
             (id) => !live.some((one) => one.endpointId === id),
           );
-          gone.forEach((id) => reportedIds.delete(id));
+          removed.forEach((id) => reportedIds.delete(id));
           live.forEach(({ endpointId }) => reportedIds.add(endpointId));
-          const seen = live.map((one) => ({
+          const changed = live.map((one) => ({
             ...locationOf(one),
             endpointId: one.endpointId,
             pool: one.pool,
@@ -363,13 +363,13 @@
             capacity: one.capacity,
             isDraining: false,
           }));
-          return { seen, gone };
+          return { changed, removed };
         }),
     };
   };
 
   const orderHost = async (
-    { fence }: HostOrderer,
+    { fence }: HostOrderIssuer,
     hostId: HostId,
     checkHost: (host: ListedHost) => void,
     act: (host: ListedHost) => void,
@@ -446,8 +446,8 @@
           },
           timeoutMs,
         ),
-      pace: async () => Ok({ clockMs: 0 }),
-      forget: () => undefined,
+      setPace: async () => Ok({ clockMs: 0 }),
+      release: () => undefined,
     },
     hosts: {
       list: async () => {
@@ -501,12 +501,12 @@
         return Ok({ good, validMs: 3000 });
       },
     },
-    linkUse: () => ({
+    readLinkUsage: () => ({
       sentBytes: entry.orderBytes.out,
       receivedBytes: entry.orderBytes.in,
       bytesPerS: (entry.link?.bytesPerMs ?? Infinity) * 1000,
     }),
-    noteMeshFrame: () => undefined,
+    recordMeshFrame: () => undefined,
     bounds: () => ({
       maintenanceMs: MAINTENANCE_MS,
       holderTurnMs: 3000,
