--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -19,14 +19,14 @@
 import type { ControlView } from '../jobs/control-view.js';
 import type { AcceptOutcome } from '../jobs/job-saver.js';
 import { ENDPOINT_LEASE_MS } from '../endpoints/endpoint-link.js';
-import { CONTROL_METHOD, createHolderClient, HOLDER_SILENT_MS } from './holder-client.js';
+import { CONTROL_METHOD, createHolderClient, HOLDER_SILENCE_LIMIT_MS } from './holder-client.js';
 import { createResignations } from './resignations.js';
 import { CONTROL_LEASE } from '../keys.js';
 import type { Peers } from '../entry/peers.js';
 import type { BatchPlatform } from '../ports.js';
 import type { RefusedJob } from '../jobs/refused-jobs.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
-import { createYielding, EQUAL_STANDING, HAND_OVER_LOOK_MS, type Standing } from './standing.js';
+import { createYieldTimer, EQUAL_PREFERENCE, HANDOVER_CHECK_INTERVAL_MS, type HolderPreference } from './standing.js';
 import { createTerm, type Term } from './term.js';
 import type { KnownWave } from '../hosts/wave-keeper.js';
 
@@ -108,13 +108,13 @@
   readonly log: Log;
   readonly metrics: Metrics;
   /** Whether this entry is preferred as holder; all entries are equal if left out. */
-  readonly standing?: Standing;
+  readonly holderPreference?: HolderPreference;
   /** How long an endpoint keeps its runs without contact with the holder, in milliseconds. */
   readonly endpointLeaseMs?: number;
   /** How endpoints are chosen for tasks of short steps; `fullest` if left out. */
   readonly placementPolicy?: PlacementPolicy;
   /** For how long another entry has been silent on the mesh, in milliseconds; Infinity without a link to it. */
-  readonly silentForMs?: (entryId: EntryId) => number;
+  readonly peerSilentForMs?: (entryId: EntryId) => number;
   readonly nowMs?: () => number;
 };
 
@@ -125,15 +125,15 @@
   /** Takes, renews or hands over the lease, and starts and ends terms; to be called several times within a lease. */
   readonly tick: () => Promise<void>;
   /** Adds maintenance waves that this entry has heard of; known ones are ignored. */
-  readonly takeWaves: (orders: readonly MaintenanceRequest[]) => void;
+  readonly addWaves: (orders: readonly MaintenanceRequest[]) => void;
   /** Answers a call of another entry, possibly with a promise; undefined for an unknown method. */
-  readonly answer: (method: string, payload: unknown) => unknown;
+  readonly handleCall: (method: string, payload: unknown) => unknown;
   /** The running term; undefined while this entry does not hold control. */
   readonly term: () => Term | undefined;
   /** The control holder at the last tick; null if there was none. */
   readonly holder: () => EntryId | null;
   /** Reports refused jobs to the holder, which may be this entry; false if it was not reached. */
-  readonly tellRefused: (jobs: readonly RefusedJob[]) => Promise<boolean>;
+  readonly reportRefusedJobs: (jobs: readonly RefusedJob[]) => Promise<boolean>;
   /** Gives up control, for a planned stop. */
   readonly resign: () => Promise<void>;
 };
@@ -153,10 +153,10 @@
   startGate,
   log,
   metrics,
-  standing = EQUAL_STANDING,
+  holderPreference = EQUAL_PREFERENCE,
   endpointLeaseMs = ENDPOINT_LEASE_MS,
   placementPolicy = 'fullest',
-  silentForMs = (entryId) => peers()?.silentForMs(entryId) ?? 0,
+  peerSilentForMs = (entryId) => peers()?.silentForMs(entryId) ?? 0,
   nowMs = () => performance.now(),
 }: ControlOptions): Control => {
   const keeper = createLeaseKeeper({
@@ -174,7 +174,7 @@
   const knownWaves = new Map<number, KnownWave>();
   let term: Term | undefined;
   let isResigned = false;
-  const recordLeaseObservation = createYielding();
+  const recordLeaseObservation = createYieldTimer();
   let checkedForStrongerAtMs = 0;
   let lostFence = -1;
   /** Other entries were told that this entry sends no more orders under this fence or an earlier one. */
@@ -193,7 +193,7 @@
   const isHolderSuspect = (): boolean => {
     const holder = keeper.lastRow()?.holder ?? null;
     if (holder === null || holder === self) return false;
-    return silentForMs(holder) > HOLDER_SILENT_MS || resignations.hasResigned(keeper.epoch());
+    return peerSilentForMs(holder) > HOLDER_SILENCE_LIMIT_MS || resignations.hasResigned(keeper.epoch());
   };
 
   /**
@@ -203,7 +203,7 @@
    */
   const mayTakeAtOnce = (): boolean => {
     const holder = keeper.lastRow()?.holder ?? null;
-    return standing.isStrong() && (holder === null || holder === self || isHolderSuspect());
+    return holderPreference.isPreferred() && (holder === null || holder === self || isHolderSuspect());
   };
 
   /** True if the lease has been free for long enough that every entry with priority could have taken it. */
@@ -252,13 +252,13 @@
       log,
       metrics,
       nowMs,
-      holds: keeper.holds,
+      holdsLease: keeper.holds,
       mayOrderHosts,
-      hostOrdersAfterMs: hostOrdersAfterMs(),
-      holdersBeforeMs: formerOrdersRemainingMs(),
+      hostOrderDelayMs: hostOrdersAfterMs(),
+      formerOrdersRemainingMs: formerOrdersRemainingMs(),
       endpointLeaseMs,
       placementPolicy,
-      isTableAway: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
+      isTableUnavailable: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
       soleHolderUntilMs: () => keeper.heldUntilMs() - CONTROL_LEASE_MS + SOLE_HOLDER_MS,
       configuration,
       startGate,
@@ -285,10 +285,10 @@
   /** The reason why control should go to another entry now; undefined if it should not. */
   const findHandoverReason = async (): Promise<string | undefined> => {
     if (isTableServingOthersOnly()) return 'the table serves other entries and not this one';
-    if (standing.isStrong() || nowMs() - checkedForStrongerAtMs < HAND_OVER_LOOK_MS)
+    if (holderPreference.isPreferred() || nowMs() - checkedForStrongerAtMs < HANDOVER_CHECK_INTERVAL_MS)
       return undefined;
     checkedForStrongerAtMs = nowMs();
-    const stronger = await standing.findStronger();
+    const stronger = await holderPreference.findHigherCapacityEntry();
     return stronger && `handed over to ${stronger}, which has more capacity`;
   };
 
@@ -329,11 +329,11 @@
   const resignations = createResignations({ ask: (...args) => peers()?.ask(...args), nowMs });
 
   const askHolderIfResigned = (): void => {
-    resignations.noteTable(table.isServed() ? table.silentForMs() : Infinity);
+    resignations.recordTableSilence(table.isServed() ? table.silentForMs() : Infinity);
     const row = keeper.lastRow();
     const isOther = row !== null && row.holder !== null && row.holder !== self;
     if (!isOther || !isWilling() || keeper.unchangedForMs() < SOLE_HOLDER_MS) return;
-    resignations.ask(row.holder, row.epoch);
+    resignations.askIfResigned(row.holder, row.epoch);
   };
 
   let pendingLeaseTick: Promise<void> | undefined;
@@ -370,7 +370,7 @@
   });
 
   const countWaitingHere = (): Record<string, number> | undefined => {
-    const counts = term?.waiting();
+    const counts = term?.countWaitingJobs();
     return counts && Object.fromEntries(counts);
   };
 
@@ -388,7 +388,7 @@
   };
 
   const admitWrittenHere = ({ row, version }: WrittenJob): boolean => {
-    if (row.kind === 'live') term?.takeIn(row, version);
+    if (row.kind === 'live') term?.addAcceptedJob(row, version);
     return term !== undefined;
   };
 
@@ -396,7 +396,7 @@
     (row.kind === 'live' ? await term?.accept(row) : undefined) ?? null;
 
   const recordRefusedHere = (jobs: readonly RefusedJob[]): boolean => {
-    term?.noteRefused(jobs);
+    term?.recordRefusedJobs(jobs);
     return term !== undefined;
   };
 
@@ -416,17 +416,17 @@
 
   return {
     tick,
-    tellRefused: async (jobs) =>
+    reportRefusedJobs: async (jobs) =>
       term
         ? recordRefusedHere(jobs)
         : (await holderClient.ask(CONTROL_METHOD.refused, jobs)) === true,
-    takeWaves: (waves) => {
+    addWaves: (waves) => {
       waves
         .filter(({ waveNumber }) => !knownWaves.has(waveNumber))
         .forEach((order) => knownWaves.set(order.waveNumber, { order, seenAtMs: nowMs() }));
       term?.fleet.takeWaves(Array.from(knownWaves.values()));
     },
-    answer: (method, payload) => handlers[method]?.(payload),
+    handleCall: (method, payload) => handlers[method]?.(payload),
     term: () => term,
     holder: () => lastHolder,
     resign: async () => {
@@ -453,8 +453,8 @@
       else void holderClient.ask(CONTROL_METHOD.taken, { row, version });
     },
     holderSilentMs: () => {
-      if (lastHolder === null || lastHolder === self || holderClient.isAway()) return Infinity;
-      return silentForMs(lastHolder);
+      if (lastHolder === null || lastHolder === self || holderClient.isTableUnavailableToHolder()) return Infinity;
+      return peerSilentForMs(lastHolder);
     },
     accept: async (row) => (await (term ? acceptHere(row) : holderClient.accept(row))) ?? undefined,
     tellCancelled: async (jobId, caller) => {
--- a/packages/daemon/src/batch/control/domain-gauges.ts
+++ b/packages/daemon/src/batch/control/domain-gauges.ts
@@ -9,7 +9,7 @@
 /** The failure domain gauges of one term. */
 export type DomainGauges = {
   /** Sets the gauges from the current state. */
-  readonly note: () => void;
+  readonly update: () => void;
   /** Sets all gauges to 0 at the end of the term, as the next holder reports them. */
   readonly clear: () => void;
 };
@@ -25,7 +25,7 @@
 export const createDomainGauges = (state: BatchState, metrics: Metrics): DomainGauges => {
   const reportedGauges = new Set<string>();
   return {
-    note: () => {
+    update: () => {
       const counts = new Map(
         countSuspects(state).map(({ dataCentre, suspected }) => [
           `suspected_endpoints{data_centre="${escapeLabel(dataCentre)}"}`,
--- a/packages/daemon/src/batch/control/evacuation-watch.ts
+++ b/packages/daemon/src/batch/control/evacuation-watch.ts
@@ -14,7 +14,7 @@
   /** Since when this holder knows of it, by its monotonic clock. */
   readonly knownSinceMs: number;
   /** The same by the wall clock. */
-  readonly knownSinceDay: number;
+  readonly knownSinceWallClockMs: number;
   /** True if no short run is left there. Long-running tasks stay and are not counted. */
   readonly isEmpty: boolean;
 };
@@ -25,17 +25,17 @@
   readonly log: Log;
   readonly metrics: Metrics;
   readonly nowMs: () => number;
-  readonly todayMs: () => number;
+  readonly wallClockMs: () => number;
 };
 
 export type EvacuationWatch = {
   /** Logs changes and sets the gauges; to be called several times a second. */
-  readonly look: () => void;
+  readonly update: () => void;
   readonly evacuations: () => ReadonlyMap<DataCentreId, WatchedEvacuation>;
   /** The version of the operator's rows that this entry knows. */
   readonly revision: () => number;
   /** The age of this entry's evacuation view in milliseconds: newer rows may have been missed for that long. */
-  readonly ageMs: () => number;
+  readonly viewAgeMs: () => number;
   /** Sets all gauges to 0, at the end of the term. */
   readonly close: () => void;
 };
@@ -55,15 +55,15 @@
   log,
   metrics,
   nowMs,
-  todayMs,
+  wallClockMs,
 }: EvacuationWatchOptions): EvacuationWatch => {
   const watched = new Map<DataCentreId, WatchedEvacuation>();
 
-  const ageMs = (): number => Math.round(gate.ageMs());
+  const viewAgeMs = (): number => Math.round(gate.ageMs());
 
   const startWatching = (dataCentre: DataCentreId, revision: number): void => {
     const { endpoints, shortRuns, longRuns } = countRunsInDataCentre(state, dataCentre);
-    const fields = { dataCentre, revision, ageMs: ageMs(), endpoints, shortRuns, longRuns };
+    const fields = { dataCentre, revision, ageMs: viewAgeMs(), endpoints, shortRuns, longRuns };
     // A data centre without endpoints may be a misspelt name.
     if (endpoints === 0) log.warn('evacuation-begun', fields);
     else log.info('evacuation-begun', fields);
@@ -71,7 +71,7 @@
       dataCentre,
       revision,
       knownSinceMs: nowMs(),
-      knownSinceDay: todayMs(),
+      knownSinceWallClockMs: wallClockMs(),
       isEmpty: false,
     });
   };
@@ -88,7 +88,7 @@
     log.info('evacuation-empty', {
       dataCentre,
       revision,
-      ageMs: ageMs(),
+      ageMs: viewAgeMs(),
       afterMs: sinceKnownMs,
       longRuns,
     });
@@ -97,12 +97,12 @@
   const stopWatching = ({ dataCentre, knownSinceMs }: WatchedEvacuation): void => {
     const { revision } = gate.belief();
     const lastedMs = Math.round(nowMs() - knownSinceMs);
-    log.info('evacuation-ended', { dataCentre, revision, ageMs: ageMs(), lastedMs });
+    log.info('evacuation-ended', { dataCentre, revision, ageMs: viewAgeMs(), lastedMs });
     metrics.gauge(gaugeName(dataCentre), 0);
     watched.delete(dataCentre);
   };
 
-  const look = (): void => {
+  const update = (): void => {
     const { evacuated } = gate.belief();
     evacuated.forEach((revision, dataCentre) => {
       if (!watched.has(dataCentre)) startWatching(dataCentre, revision);
@@ -115,10 +115,10 @@
   };
 
   return {
-    look,
+    update,
     evacuations: () => watched,
     revision: () => gate.belief().revision,
-    ageMs,
+    viewAgeMs,
     close: () => {
       watched.forEach(({ dataCentre }) => metrics.gauge(gaugeName(dataCentre), 0));
       metrics.gauge('evacuated_data_centres', 0);
--- a/packages/daemon/src/batch/control/guard.ts
+++ b/packages/daemon/src/batch/control/guard.ts
@@ -5,7 +5,7 @@
 import type { BatchTable } from '../ports.js';
 
 /** The result of an attempt to change the guard row. */
-export type GuardOutcome =
+export type AcquireGuardResult =
   /** The row carries this term's fence; `check` makes a write depend on that. */
   | { readonly kind: 'taken'; readonly check: RowCheck }
   /** A later holder has changed the row. */
@@ -20,10 +20,10 @@
  * @param fence - The term's fence.
  * @returns Whether the row was changed.
  */
-export const takeGuard = async (
+export const acquireGuard = async (
   table: Pick<BatchTable, 'read' | 'transact'>,
   fence: number,
-): Promise<GuardOutcome> => {
+): Promise<AcquireGuardResult> => {
   const key = batchKey.guard;
   const rows = await table.read([key]);
   if (rows.isErr()) return { kind: 'open' };
--- a/packages/daemon/src/batch/control/holder-client.ts
+++ b/packages/daemon/src/batch/control/holder-client.ts
@@ -13,7 +13,7 @@
 /** Time limit for having the holder write a job: with a slow table such a write takes well over a second. */
 const ACCEPT_TIMEOUT_MS = 2200;
 /** A holder is considered silent after this time without a message. Entries send one on each link every 0.5 s. */
-export const HOLDER_SILENT_MS = 1400;
+export const HOLDER_SILENCE_LIMIT_MS = 1400;
 const SILENCE_CHECK_INTERVAL_MS = 100;
 /** After a holder did not answer in time, this entry writes the rows of new jobs itself for this long. */
 const SKIP_HOLDER_MS = 1500;
@@ -54,7 +54,7 @@
   /** Has the holder write a job; null if this entry must write it itself. */
   readonly accept: (row: BatchJobRow) => Promise<AcceptOutcome | null>;
   /** True for a few seconds after the holder reported that the table does not answer it. */
-  readonly isAway: () => boolean;
+  readonly isTableUnavailableToHolder: () => boolean;
 };
 
 /**
@@ -103,14 +103,14 @@
       await sleep(SILENCE_CHECK_INTERVAL_MS);
       const entryId = holder();
       const silentMs = entryId === null ? 0 : (peers()?.silentForMs(entryId) ?? 0);
-      if (silentMs > HOLDER_SILENT_MS && silentMs < Infinity) return undefined;
+      if (silentMs > HOLDER_SILENCE_LIMIT_MS && silentMs < Infinity) return undefined;
     }
     return undefined;
   };
 
   return {
     ask,
-    isAway: () => nowMs() < tableUnavailableUntilMs,
+    isTableUnavailableToHolder: () => nowMs() < tableUnavailableUntilMs,
     accept: async (row) => {
       if (nowMs() < holderSkippedUntilMs || findReachableHolder() === undefined) return null;
       const answer = await Promise.race([
--- a/packages/daemon/src/batch/control/learned-keeper.test.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.test.ts
@@ -5,7 +5,7 @@
 
 import { createLog } from '../../observe/log.js';
 import { batchKey } from '../keys.js';
-import { createLearnedKeeper, type LearnedKeeperOptions } from './learned-keeper.js';
+import { createDemandHistoryStore, type DemandHistoryStoreOptions } from './learned-keeper.js';
 
 const EARLIER_ROW: DemandHistoryRow = {
   onsets: [['alpha', 1000]],
@@ -14,18 +14,18 @@
 };
 
 describe('the stored demand history', () => {
-  const createKeeper = (table: LearnedKeeperOptions['table']) => {
+  const createKeeper = (table: DemandHistoryStoreOptions['table']) => {
     const state = createBatchState(2);
     const log = createLog({ sink: () => undefined });
-    const times = { nowMs: () => 5000, todayMs: () => 5000 };
-    return { state, keeper: createLearnedKeeper({ table, state, log, ...times }) };
+    const times = { nowMs: () => 5000, wallClockMs: () => 5000 };
+    return { state, keeper: createDemandHistoryStore({ table, state, log, ...times }) };
   };
 
   describe('if the table does not answer the first read', () => {
     /** A table with one row, which does not answer the first read. */
     const createTable = () => {
       const stored = { row: EARLIER_ROW as unknown, calls: 0 };
-      const table: LearnedKeeperOptions['table'] = {
+      const table: DemandHistoryStoreOptions['table'] = {
         read: async () => {
           stored.calls += 1;
           if (stored.calls === 1) return Err({ kind: 'unknown', detail: 'no answer' });
--- a/packages/daemon/src/batch/control/learned-keeper.ts
+++ b/packages/daemon/src/batch/control/learned-keeper.ts
@@ -10,15 +10,15 @@
 import { batchKey } from '../keys.js';
 import type { BatchTable } from '../ports.js';
 
-export type LearnedKeeperOptions = {
+export type DemandHistoryStoreOptions = {
   readonly table: Pick<BatchTable, 'read' | 'transact'>;
   readonly state: BatchState;
   readonly log: Log;
   readonly nowMs: () => number;
-  readonly todayMs: () => number;
+  readonly wallClockMs: () => number;
 };
 
-export type LearnedKeeper = {
+export type DemandHistoryStore = {
   /** Reads the stored history into the state; if the table does not answer, the next `save` tries again. */
   readonly restore: () => Promise<void>;
   /** Writes the history if it has changed since it was last written. */
@@ -31,13 +31,13 @@
  * @param options - The state and the table.
  * @returns The store.
  */
-export const createLearnedKeeper = ({
+export const createDemandHistoryStore = ({
   table,
   state,
   log,
   nowMs,
-  todayMs,
-}: LearnedKeeperOptions): LearnedKeeper => {
+  wallClockMs,
+}: DemandHistoryStoreOptions): DemandHistoryStore => {
   let lastSavedJson = '';
   /** Until the row has been read it must not be overwritten, as it may hold the history of earlier holders. */
   let hasReadRow = false;
@@ -51,14 +51,14 @@
     hasReadRow = true;
     const row = rows.value[0]?.value as DemandHistoryRow | null | undefined;
     if (!row) return;
-    restoreDemandHistoryRow(state, row, nowMs(), todayMs());
+    restoreDemandHistoryRow(state, row, nowMs(), wallClockMs());
     log.info('learned-read', { peaks: row.onsets.length, kinds: row.runTimes.length });
   };
 
   const save = async (): Promise<void> => {
     if (!hasReadRow) await restore();
     if (!hasReadRow) return;
-    const row = toDemandHistoryRow(state, nowMs(), todayMs());
+    const row = toDemandHistoryRow(state, nowMs(), wallClockMs());
     const json = JSON.stringify([row.heights, row.runTimes, row.onsets.length]);
     if (json === lastSavedJson) return;
     const outcome = await table.transact({
--- a/packages/daemon/src/batch/control/load-note.ts
+++ b/packages/daemon/src/batch/control/load-note.ts
@@ -3,17 +3,17 @@
 
 import type { Log } from '../../observe/log.js';
 
-export type LoadNoteOptions = {
+export type LoadLogOptions = {
   readonly state: BatchState;
   /** Limits the orders in flight. */
-  readonly window: OrderWindow;
+  readonly orderWindow: OrderWindow;
   /** The estimated response time of endpoints. */
-  readonly linkDelay: SharedDelayEstimator;
+  readonly sharedDelayEstimator: SharedDelayEstimator;
   /**
    * For how many milliseconds it is still certain that no other entry holds control; negative once that time
    * is over.
    */
-  readonly soleForMs: () => number;
+  readonly remainingSoleHolderMs: () => number;
   readonly nowMs: () => number;
   readonly log: Log;
 };
@@ -23,14 +23,14 @@
  *
  * @param options - The state of the jobs, the orders in flight and the response times.
  */
-export const noteLoad = ({
+export const logLoad = ({
   state,
-  window,
-  linkDelay,
-  soleForMs,
+  orderWindow,
+  sharedDelayEstimator,
+  remainingSoleHolderMs,
   nowMs,
   log,
-}: LoadNoteOptions): void => {
+}: LoadLogOptions): void => {
   const pools = Array.from(state.pools.values());
   const steps = pools.flatMap(({ openSteps }) => Array.from(openSteps));
   const waitingTasks = steps.reduce((sum, { waiting }) => sum + waiting.length, 0);
@@ -41,10 +41,10 @@
     waitingTasks,
     oldestMs: Math.round(Math.max(...steps.map(({ job }) => nowMs() - job.submittedAtMs))),
     notReported: pools.reduce((sum, { unreportedInstances }) => sum + unreportedInstances.size, 0),
-    soleForMs: Math.round(soleForMs()),
-    window: window.size(),
-    underWay: window.inFlight(),
-    answerMs: Math.round(linkDelay.meanMs()),
-    timeoutMs: Math.round(linkDelay.timeoutMs()),
+    soleForMs: Math.round(remainingSoleHolderMs()),
+    window: orderWindow.size(),
+    underWay: orderWindow.inFlight(),
+    answerMs: Math.round(sharedDelayEstimator.meanMs()),
+    timeoutMs: Math.round(sharedDelayEstimator.timeoutMs()),
   });
 };
--- a/packages/daemon/src/batch/control/resignations.ts
+++ b/packages/daemon/src/batch/control/resignations.ts
@@ -29,12 +29,12 @@
    * Records for how long the table has not answered this entry, in milliseconds; Infinity if its last direct call
    * failed.
    */
-  readonly noteTable: (silentMs: number) => void;
+  readonly recordTableSilence: (silentMs: number) => void;
   /**
    * Asks a holder whether it has resigned under a fence. Does nothing while a question is in flight, or if the table
    * has not served this entry for long enough.
    */
-  readonly ask: (holder: EntryId, fence: number) => void;
+  readonly askIfResigned: (holder: EntryId, fence: number) => void;
   /** True if the holder has answered that it sends no more orders under the fence. */
   readonly hasResigned: (fence: number) => boolean;
 };
@@ -61,10 +61,10 @@
   };
 
   return {
-    noteTable: (silentMs) => {
+    recordTableSilence: (silentMs) => {
       if (silentMs > MAX_TABLE_SILENCE_MS) servedSinceMs = nowMs();
     },
-    ask: (holder, fence) => {
+    askIfResigned: (holder, fence) => {
       const isServedForLong = nowMs() - servedSinceMs >= MIN_SERVED_MS;
       if (isAsking || !isServedForLong || fence <= resignedFence) return;
       isAsking = true;
--- a/packages/daemon/src/batch/control/standing.ts
+++ b/packages/daemon/src/batch/control/standing.ts
@@ -18,7 +18,7 @@
  * @param linkBytesPerS - The bandwidth of its link in each direction.
  * @returns The capacity, in cores.
  */
-export const strengthOf = (cores: number, linkBytesPerS: number): number =>
+export const computeHolderCapacity = (cores: number, linkBytesPerS: number): number =>
   Math.min(cores, linkBytesPerS / LINK_BYTES_PER_S_PER_CORE);
 
 /** An entry is preferred as holder if its capacity is at least this share of the highest one. */
@@ -27,32 +27,32 @@
  * How long an entry leaves a free lease to entries with more capacity. Those check the lease every 400 ms,
  * and one that has just started has to read the operator's configuration first.
  */
-export const YIELD_MS = 1200;
+export const YIELD_TO_HIGHER_CAPACITY_MS = 1200;
 /** Interval at which a holder that is not preferred looks for an entry with more capacity to hand control over to. */
-export const HAND_OVER_LOOK_MS = 4000;
+export const HANDOVER_CHECK_INTERVAL_MS = 4000;
 
 /** Whether an entry is preferred as holder, compared with the other entries. */
-export type Standing = {
+export type HolderPreference = {
   /** False while an entry with clearly more capacity is known, or the other entries are not known yet. */
-  readonly isStrong: () => boolean;
+  readonly isPreferred: () => boolean;
   /**
    * Asks the entries with clearly more capacity than this one whether they would take control, and returns the
    * one with the highest capacity that agrees; undefined if none does.
    */
-  readonly findStronger: () => Promise<EntryId | undefined>;
+  readonly findHigherCapacityEntry: () => Promise<EntryId | undefined>;
 };
 
 /** For an entry of a fleet whose entries all have the same capacity: each of them is preferred. */
-export const EQUAL_STANDING: Standing = {
-  isStrong: () => true,
-  findStronger: async () => undefined,
+export const EQUAL_PREFERENCE: HolderPreference = {
+  isPreferred: () => true,
+  findHigherCapacityEntry: async () => undefined,
 };
 
-export type StandingOptions = {
+export type HolderPreferenceOptions = {
   /** This entry's capacity, in cores. */
-  readonly strength: number;
+  readonly capacity: number;
   /** The capacities of all other entries; undefined until they were read once. */
-  readonly othersStrength: () => ReadonlyMap<EntryId, number> | undefined;
+  readonly othersCapacity: () => ReadonlyMap<EntryId, number> | undefined;
   /** Asks another entry whether it would take control; rejects if there is no answer. */
   readonly ask: (entryId: EntryId) => Promise<unknown>;
 };
@@ -63,10 +63,10 @@
  * @param options - The capacity of this entry and of the others.
  * @returns The preference.
  */
-export const createStanding = ({ strength, othersStrength, ask }: StandingOptions): Standing => {
+export const createHolderPreference = ({ capacity, othersCapacity, ask }: HolderPreferenceOptions): HolderPreference => {
   const listStrongerEntries = (): readonly EntryId[] =>
-    Array.from(othersStrength() ?? [])
-      .filter(([, others]) => strength < others * PREFERRED_CAPACITY_SHARE)
+    Array.from(othersCapacity() ?? [])
+      .filter(([, others]) => capacity < others * PREFERRED_CAPACITY_SHARE)
       .sort(([, left], [, right]) => right - left)
       .map(([entryId]) => entryId);
 
@@ -80,8 +80,8 @@
   };
 
   return {
-    isStrong: () => othersStrength() !== undefined && listStrongerEntries().length === 0,
-    findStronger: async () => {
+    isPreferred: () => othersCapacity() !== undefined && listStrongerEntries().length === 0,
+    findHigherCapacityEntry: async () => {
       const candidates = listStrongerEntries();
       const willing = await Promise.all(candidates.map(isWilling));
       return candidates.find((_, index) => willing[index]);
@@ -99,7 +99,7 @@
  * @returns A function that records one observation and returns whether the lease has been left to entries with more
  *   capacity for long enough.
  */
-export const createYielding = (): ((isFree: boolean, nowMs: number) => boolean) => {
+export const createYieldTimer = (): ((isFree: boolean, nowMs: number) => boolean) => {
   let freeSinceMs = Infinity;
   let lastObservedAtMs = -Infinity;
   return (isFree, nowMs) => {
@@ -107,6 +107,6 @@
     lastObservedAtMs = nowMs;
     if (!isFree) freeSinceMs = Infinity;
     else if (hasGap || freeSinceMs === Infinity) freeSinceMs = nowMs;
-    return isFree && nowMs - freeSinceMs >= YIELD_MS;
+    return isFree && nowMs - freeSinceMs >= YIELD_TO_HIGHER_CAPACITY_MS;
   };
 };
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -45,7 +45,7 @@
 import { createFleetCycle, type FleetCycle } from '../hosts/fleet-cycle.js';
 import { createEvacuationWatch, type EvacuationWatch } from './evacuation-watch.js';
 import { createDomainGauges } from './domain-gauges.js';
-import { takeGuard } from './guard.js';
+import { acquireGuard } from './guard.js';
 import { createJobAdmission, noteAdmission } from '../jobs/job-admission.js';
 import { createRowLookup } from '../jobs/row-lookup.js';
 import { createJobRows, type Until } from '../jobs/job-rows.js';
@@ -56,8 +56,8 @@
   type LiveRow,
 } from '../jobs/job-saver.js';
 import { batchKey } from '../keys.js';
-import { createLearnedKeeper } from './learned-keeper.js';
-import { noteLoad, type LoadNoteOptions } from './load-note.js';
+import { createDemandHistoryStore } from './learned-keeper.js';
+import { logLoad, type LoadLogOptions } from './load-note.js';
 import type { BatchPlatform } from '../ports.js';
 import type { RefusedJob } from '../jobs/refused-jobs.js';
 
@@ -89,19 +89,19 @@
   readonly log: Log;
   readonly metrics: Metrics;
   /** True while the lease is certainly held. */
-  readonly holds: () => boolean;
+  readonly holdsLease: () => boolean;
   /** True while orders to hosts may be sent. */
   readonly mayOrderHosts: () => boolean;
   /** How long after its start the term may order hosts for the first time, in milliseconds. */
-  readonly hostOrdersAfterMs: number;
+  readonly hostOrderDelayMs: number;
   /** For how long after the start of the term earlier holders may still order endpoints, in milliseconds. */
-  readonly holdersBeforeMs: number;
+  readonly formerOrdersRemainingMs: number;
   /** How long an endpoint keeps its runs without contact with the holder, in milliseconds. */
   readonly endpointLeaseMs: number;
   /** How endpoints are chosen for tasks of short steps; `fullest` if left out. */
   readonly placementPolicy?: PlacementPolicy;
   /** True once the table has answered nothing for long enough to count as unavailable. */
-  readonly isTableAway: () => boolean;
+  readonly isTableUnavailable: () => boolean;
   /**
    * Until this time no other entry can have become the holder, so that what was not reported to this holder was not
    * reported to another one either.
@@ -114,7 +114,7 @@
   /** Called once if the term finds that another holder has replaced it. */
   readonly onLost: (reason: string) => void;
   readonly nowMs?: () => number;
-  readonly todayMs?: () => number;
+  readonly wallClockMs?: () => number;
 };
 
 /** A term as other parts of the entry use it. */
@@ -131,16 +131,16 @@
   /** The status of a job; undefined if the job is unknown or this entry cannot answer as the holder. */
   readonly statusOf: (jobId: JobId) => JobStatus | undefined;
   /** The number of waiting jobs by queue; undefined if this entry cannot answer as the holder. */
-  readonly waiting: () => ReadonlyMap<string, number> | undefined;
+  readonly countWaitingJobs: () => ReadonlyMap<string, number> | undefined;
   /** Writes and admits a job; undefined if this entry cannot act as the holder. */
   readonly accept: (row: LiveRow) => Promise<AcceptOutcome | undefined>;
   /**
    * Admits a job whose row another entry wrote. Ignored before the recovery, and while another entry may have become the
    * holder.
    */
-  readonly takeIn: (row: LiveRow, version: number) => void;
+  readonly addAcceptedJob: (row: LiveRow, version: number) => void;
   /** Records jobs that were refused and that their clients will submit again. */
-  readonly noteRefused: (jobs: readonly RefusedJob[]) => void;
+  readonly recordRefusedJobs: (jobs: readonly RefusedJob[]) => void;
   /**
    * Cancels a job and returns its phase afterwards; undefined if the job is unknown or belongs to another account, or
    * if this entry cannot answer as the holder.
@@ -161,28 +161,28 @@
   platform,
   log,
   metrics,
-  holds,
+  holdsLease,
   mayOrderHosts,
-  hostOrdersAfterMs,
-  holdersBeforeMs,
+  hostOrderDelayMs,
+  formerOrdersRemainingMs,
   endpointLeaseMs,
   placementPolicy = 'fullest',
-  isTableAway,
+  isTableUnavailable,
   soleHolderUntilMs,
   configuration,
   startGate = OPEN_GATE,
   onLost,
   nowMs = () => performance.now(),
-  todayMs = () => Date.now(),
+  wallClockMs = () => Date.now(),
 }: TermOptions): Term => {
   const state = createBatchState(fence);
   const createdAtMs = nowMs();
   state.placementPolicy = placementPolicy;
   const schedulePools = createScheduleCycle(state);
   const inheritedLeasesMs =
-    endpointLeaseMs * LEASE_CLOCK_FACTOR + LEASE_MARGIN_MS + holdersBeforeMs;
-  const window = createOrderWindow();
-  const linkDelay = createSharedDelayEstimator();
+    endpointLeaseMs * LEASE_CLOCK_FACTOR + LEASE_MARGIN_MS + formerOrdersRemainingMs;
+  const orderWindow = createOrderWindow();
+  const sharedDelayEstimator = createSharedDelayEstimator();
   let guard: RowCheck = { key: batchKey.guard, version: -1 };
   let isStopped = false;
   let isReady = false;
@@ -204,7 +204,7 @@
   };
 
   /** False once the lease has lapsed, since another holder may have changed what this one would answer. */
-  const isAnswering = (): boolean => !isStopped && isReady && holds();
+  const isAnswering = (): boolean => !isStopped && isReady && holdsLease();
 
   const endAsLost = (reason: string): void => {
     if (isStopped) return;
@@ -227,13 +227,13 @@
     linkContext: {
       state,
       orders: platform.orders,
-      linkDelay,
-      window,
+      linkDelay: sharedDelayEstimator,
+      window: orderWindow,
       endpointLeaseMs,
       log,
       metrics,
       nowMs,
-      mayOrder: () => !isStopped && holds(),
+      mayOrder: () => !isStopped && holdsLease(),
       mayStartIn: (dataCentre) => mayStart() && startGate.mayStartIn(dataCentre),
       poke: requestCycle,
       wantSave: () => saver.poke(),
@@ -248,7 +248,7 @@
     guard: () => guard,
     log,
     answerableMs: () => platform.bounds().answerableMs,
-    todayMs,
+    todayMs: wallClockMs,
   });
 
   const saver: JobSaver = createJobSaver({
@@ -257,11 +257,11 @@
     fence: () => guard,
     log,
     metrics,
-    todayMs,
-    isTableAway,
+    todayMs: wallClockMs,
+    isTableAway: isTableUnavailable,
     beginRound: roster.mark,
     onSaved: ({ job, phase, reason }: JobState) => {
-      endedJobs.add(job.jobId, { phase, reason, ...accountOf(job) }, todayMs());
+      endedJobs.add(job.jobId, { phase, reason, ...accountOf(job) }, wallClockMs());
       state.jobs.delete(job.jobId);
       saver.versions.delete(job.jobId);
     },
@@ -280,7 +280,7 @@
     poke: requestCycle,
     log,
     nowMs,
-    todayMs,
+    todayMs: wallClockMs,
   });
 
   const admission = createAdmissionControl({ state });
@@ -294,7 +294,7 @@
     nowMs,
   });
 
-  const demandHistory = createLearnedKeeper({ table: platform.table, state, log, nowMs, todayMs });
+  const demandHistory = createDemandHistoryStore({ table: platform.table, state, log, nowMs, wallClockMs });
 
   const advisor = createAdvisor({
     state,
@@ -311,7 +311,7 @@
     log,
     metrics,
     nowMs,
-    todayMs,
+    wallClockMs,
   });
 
   const effectHandlers: {
@@ -343,31 +343,31 @@
 
   const cycle = (): void => {
     state.evacuatedDataCentres = startGate.evacuated();
-    if (isStopped || !isReady || !holds()) {
+    if (isStopped || !isReady || !holdsLease()) {
       perform();
       return;
     }
     state.clockMs = nowMs();
-    state.wallClockOffsetMs = todayMs() - nowMs();
+    state.wallClockOffsetMs = wallClockMs() - nowMs();
     state.soleHolderUntilMs = soleHolderUntilMs();
     setAccounts(state, configuration()?.accounts.byName ?? state.accounts);
-    schedulePools(mayStart() ? window.available() : 0, nowMs());
+    schedulePools(mayStart() ? orderWindow.available() : 0, nowMs());
     perform();
   };
 
   const domainGauges = createDomainGauges(state, metrics);
 
-  const loadLogOptions: LoadNoteOptions = {
+  const loadLogOptions: LoadLogOptions = {
     state,
-    window,
-    linkDelay,
-    soleForMs: () => soleHolderUntilMs() - nowMs(),
+    orderWindow,
+    sharedDelayEstimator,
+    remainingSoleHolderMs: () => soleHolderUntilMs() - nowMs(),
     nowMs,
     log,
   };
 
   const reportLoad = (): void => {
-    noteLoad(loadLogOptions);
+    logLoad(loadLogOptions);
     noteAdmission(admission, metrics);
   };
 
@@ -382,8 +382,8 @@
     if (isStopped || !isReady) return;
     state.soleHolderUntilMs = soleHolderUntilMs();
     saver.lookAtTable();
-    evacuations.look();
-    state.recurringJobs.forEach((job) => startDueOccurrences(state, job, nowMs(), todayMs()));
+    evacuations.update();
+    state.recurringJobs.forEach((job) => startDueOccurrences(state, job, nowMs(), wallClockMs()));
     handleStalledAndLapsedRuns(state, nowMs()).forEach(logLapsedLease);
     paceGapFillers(state, nowMs());
     admission.checkTrackedRefusals(nowMs());
@@ -402,7 +402,7 @@
   };
 
   const takeGuardForTerm = async (): Promise<true | undefined> => {
-    const outcome = await takeGuard(platform.table, fence);
+    const outcome = await acquireGuard(platform.table, fence);
     if (outcome.kind === 'superseded') endAsLost('a later holder has written the guard row');
     if (outcome.kind !== 'taken') return undefined;
     guard = outcome.check;
@@ -414,7 +414,7 @@
     state.takenOverAtMs = startedAtMs;
     state.longestLeaseMs = platform.bounds().longestLeaseMs;
     state.inheritedLeasesEndAtMs = startedAtMs + inheritedLeasesMs;
-    state.formerOrdersEndAtMs = startedAtMs + holdersBeforeMs;
+    state.formerOrdersEndAtMs = startedAtMs + formerOrdersRemainingMs;
     state.isHostListAwaited = true;
     // Only inherited tasks wait for the list of hosts.
     void fleet.refreshHosts();
@@ -457,9 +457,9 @@
     log,
     metrics,
     nowMs,
-    todayMs,
-    mayOrder: () => !isStopped && isReady && holds() && mayOrderHosts(),
-    orderAfterMs: hostOrdersAfterMs,
+    todayMs: wallClockMs,
+    mayOrder: () => !isStopped && isReady && holdsLease() && mayOrderHosts(),
+    orderAfterMs: hostOrderDelayMs,
     configuration,
     dropEndpoint: roster.drop,
   });
@@ -480,7 +480,7 @@
         { name: 'waves', everyMs: fleet.everyMs, run: fleet.follow },
         { name: 'sweep', everyMs: SWEEP_INTERVAL_MS, run: endedJobs.sweep },
         { name: 'load', everyMs: LOAD_LOG_INTERVAL_MS, run: async () => reportLoad() },
-        { name: 'domains', everyMs: LOAD_LOG_INTERVAL_MS, run: async () => domainGauges.note() },
+        { name: 'domains', everyMs: LOAD_LOG_INTERVAL_MS, run: async () => domainGauges.update() },
         { name: 'learned', everyMs: DEMAND_HISTORY_SAVE_INTERVAL_MS, run: demandHistory.save },
       ],
       (name, error) => {
@@ -513,17 +513,17 @@
       !isAnswering()
         ? undefined
         : (endedJobs.statusOf(jobId) ?? reportedStatus(state.jobs.get(jobId))),
-    waiting: () => (isAnswering() ? countWaitingJobs(state) : undefined),
+    countWaitingJobs: () => (isAnswering() ? countWaitingJobs(state) : undefined),
     accept: async (row) => {
       if (!isAnswering()) return undefined;
       const { jobId } = row.job;
       if (state.jobs.has(jobId) || endedJobs.has(jobId)) return { kind: 'conflict' };
       return admitJob(row);
     },
-    takeIn: (row, version) => {
+    addAcceptedJob: (row, version) => {
       if (isReady && !isStopped && isSoleHolder()) jobRows.takeIn(row, version);
     },
-    noteRefused: (jobs) =>
+    recordRefusedJobs: (jobs) =>
       recordFirstAttempts(
         state,
         jobs.map(([jobId, agoMs]) => ({ jobId, atMs: nowMs() - agoMs })),
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -30,7 +30,7 @@
 import { answerOperator, OPERATORS_METHOD, type OperatorQuestion } from '../operators/operators.js';
 import { createOrderAgent } from '../relays/order-agent.js';
 import { createRelayedOrders, ORDER_METHOD, RELAYS_EVERY_MS } from '../relays/relayed-orders.js';
-import { createStanding, strengthOf } from '../control/standing.js';
+import { createHolderPreference, computeHolderCapacity } from '../control/standing.js';
 import type { BatchPlatform } from '../ports.js';
 import { createRefusedJobs, TELL_REFUSED_EVERY_MS } from '../jobs/refused-jobs.js';
 import {
@@ -143,7 +143,7 @@
     feed: platform.operator,
     neighbours,
     ask: askPeer,
-    onWaves: (waves) => control.takeWaves(waves),
+    onWaves: (waves) => control.addWaves(waves),
     log,
     metrics,
   });
@@ -174,9 +174,9 @@
     placementPolicy,
     log,
     metrics,
-    standing: createStanding({
-      strength: strengthOf(cores, linkBytesPerS),
-      othersStrength: () => peers?.strengths(),
+    holderPreference: createHolderPreference({
+      capacity: computeHolderCapacity(cores, linkBytesPerS),
+      othersCapacity: () => peers?.strengths(),
       ask: async (entryId) => peers?.ask(entryId, CONTROL_METHOD.willing, null, WILLING_TIMEOUT_MS),
     }),
   });
@@ -216,12 +216,12 @@
         return configuration.answerNeighbour(payload as NeighbourQuestion | number);
       }
       if (method === OPERATORS_METHOD) return answerAsHolder(payload as OperatorQuestion) ?? null;
-      return control.answer(method, payload);
+      return control.handleCall(method, payload);
     },
   });
   const openPeers = peers;
 
-  const refusedJobs = createRefusedJobs({ send: control.tellRefused });
+  const refusedJobs = createRefusedJobs({ send: control.reportRefusedJobs });
 
   const intake = createIntake({
     onRefused: refusedJobs.add,
--- a/packages/daemon/src/batch/entry/peers.ts
+++ b/packages/daemon/src/batch/entry/peers.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../../observe/log.js';
 import { batchKey } from '../keys.js';
 import type { BatchTable } from '../ports.js';
-import { strengthOf } from '../control/standing.js';
+import { computeHolderCapacity } from '../control/standing.js';
 
 /** The stored row of an entry. */
 type EntryRow = {
@@ -180,7 +180,7 @@
       strengths = new Map(
         others.map(([entryId, row]) => [
           entryId,
-          strengthOf(row.cores, row.linkBytesPerS ?? Infinity),
+          computeHolderCapacity(row.cores, row.linkBytesPerS ?? Infinity),
         ]),
       );
     },
--- a/packages/daemon/src/batch/operators/data-centre-views.ts
+++ b/packages/daemon/src/batch/operators/data-centre-views.ts
@@ -40,7 +40,7 @@
 
 /** The age of the evacuation view in milliseconds, or `never` if the view has not been confirmed yet. */
 const evacuationAgeOf = ({ evacuations }: Term): number | string =>
-  Number.isFinite(evacuations.ageMs()) ? evacuations.ageMs() : 'never';
+  Number.isFinite(evacuations.viewAgeMs()) ? evacuations.viewAgeMs() : 'never';
 
 /**
  * Lists the data centres.
@@ -55,7 +55,7 @@
     const evacuation = term.evacuations.evacuations().get(dataCentre);
     return {
       dataCentre,
-      evacuatedSince: evacuation ? new Date(evacuation.knownSinceDay).toISOString() : '',
+      evacuatedSince: evacuation ? new Date(evacuation.knownSinceWallClockMs).toISOString() : '',
       ageMs: evacuationAgeOf(term),
       revision: term.evacuations.revision(),
       hosts: hosts.filter((host) => host.dataCentre === dataCentre).length,
@@ -86,7 +86,7 @@
     lastExpectedEndMs === undefined
       ? 'no short run is left'
       : `the last ends in about ${remainingMs} ms`;
-  return `evacuated since ${new Date(evacuation.knownSinceDay).toISOString()}: ${remaining} there, ${lastEnd}`;
+  return `evacuated since ${new Date(evacuation.knownSinceWallClockMs).toISOString()}: ${remaining} there, ${lastEnd}`;
 };
 
 /**
--- a/packages/daemon/src/batch/operators/domain-views.test.ts
+++ b/packages/daemon/src/batch/operators/domain-views.test.ts
@@ -116,7 +116,7 @@
     const metrics = createMetrics();
     const gauges = createDomainGauges(state, metrics);
     suspectRack(fleet);
-    gauges.note();
+    gauges.update();
     expect(metrics.text()).toContain('valvelatch_suspected_endpoints{data_centre="dc-0"} 0\n');
     expect(metrics.text()).toContain('valvelatch_suspected_endpoints{data_centre="dc-1"} 4\n');
     gauges.clear();
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -45,7 +45,7 @@
 import { batchKey } from '../keys.js';
 import type { Peers } from '../entry/peers.js';
 import { createRelayedTable, type RelayCall, type RelayedTable } from '../relays/relayed-table.js';
-import { createStanding } from '../control/standing.js';
+import { createHolderPreference } from '../control/standing.js';
 import { createOrderAgent } from '../relays/order-agent.js';
 import { createRelayedOrders } from '../relays/relayed-orders.js';
 import {
@@ -284,7 +284,7 @@
       await sleep(1);
       const other = entries.find((one) => one.entryId === entryId);
       if (!other || isCut(other)) return never();
-      const answer = await other.control.answer(method, payload);
+      const answer = await other.control.handleCall(method, payload);
       await sleep(1);
       await awake();
       return isCut(other) ? never() : answer;
@@ -425,13 +425,13 @@
       metrics,
       ...(endpointLeaseMs === undefined ? {} : { endpointLeaseMs }),
       ...(placementPolicy === undefined ? {} : { placementPolicy }),
-      silentForMs: (entryId) => {
+      peerSilentForMs: (entryId) => {
         const other = entries.find((one) => one.entryId === entryId);
         return !other || other.isFrozen || other.isSilent ? Infinity : 0;
       },
-      standing: createStanding({
-        strength: cores,
-        othersStrength: () => new Map(registeredStrengths),
+      holderPreference: createHolderPreference({
+        capacity: cores,
+        othersCapacity: () => new Map(registeredStrengths),
         ask: async (entryId) => entries.some((other) => other.entryId === entryId),
       }),
     });
@@ -548,9 +548,9 @@
     forgetOperatorHistory: operator.forgetHistory,
     order: (wave) => {
       waves.set(wave.waveNumber, wave);
-      entries.forEach(({ control }) => control.takeWaves([wave]));
+      entries.forEach(({ control }) => control.addWaves([wave]));
     },
-    reorder: () => entries.forEach(({ control }) => control.takeWaves(Array.from(waves.values()))),
+    reorder: () => entries.forEach(({ control }) => control.addWaves(Array.from(waves.values()))),
     crash: world.crash,
     crashes: world.crashes,
     unlist: (instanceId) => unlisted.add(instanceId),
