--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -227,16 +227,16 @@
     linkContext: {
       state,
       orders: platform.orders,
-      linkDelay: sharedDelayEstimator,
-      window: orderWindow,
+      sharedDelayEstimator,
+      orderWindow,
       endpointLeaseMs,
       log,
       metrics,
       nowMs,
-      mayOrder: () => !isStopped && holdsLease(),
-      mayStartIn: (dataCentre) => mayStart() && startGate.mayStartIn(dataCentre),
-      poke: requestCycle,
-      wantSave: () => saver.poke(),
+      isCertainlyHolder: () => !isStopped && holdsLease(),
+      isStartAllowedIn: (dataCentre) => mayStart() && startGate.mayStartIn(dataCentre),
+      requestScheduling: requestCycle,
+      requestSave: () => saver.poke(),
       onFenceLost: () => endAsLost('an endpoint has seen a higher fence'),
     },
     inheritedLeasesMs,
@@ -259,7 +259,7 @@
     metrics,
     todayMs: wallClockMs,
     isTableAway: isTableUnavailable,
-    beginRound: roster.mark,
+    beginRound: roster.snapshotAppliedEnds,
     onSaved: ({ job, phase, reason }: JobState) => {
       endedJobs.add(job.jobId, { phase, reason, ...accountOf(job) }, wallClockMs());
       state.jobs.delete(job.jobId);
@@ -302,7 +302,7 @@
     log,
     metrics,
     nowMs,
-    poke: requestCycle,
+    requestScheduling: requestCycle,
   });
 
   const evacuations = createEvacuationWatch({
@@ -422,7 +422,7 @@
     const [, firstRead, endpoints] = await Promise.all([
       retryUntilDefined(takeGuardForTerm),
       jobRows.read(retryUntilDefined),
-      retryUntilDefined(roster.read),
+      retryUntilDefined(roster.readList),
       demandHistory.restore(),
     ]);
     const secondRead = await jobRows.read(retryUntilDefined);
@@ -436,7 +436,7 @@
         pool,
       })),
     );
-    roster.take(endpoints);
+    roster.applyListChanges(endpoints);
     isReady = true;
     log.info('term-recovered', {
       fence,
@@ -461,7 +461,7 @@
     mayOrder: () => !isStopped && isReady && holdsLease() && mayOrderHosts(),
     orderAfterMs: hostOrderDelayMs,
     configuration,
-    dropEndpoint: roster.drop,
+    dropEndpoint: roster.removeGoneEndpoint,
   });
 
   const start = async (): Promise<void> => {
@@ -474,7 +474,7 @@
       [
         { name: 'tick', everyMs: TICK_MS, run: tick },
         { name: 'evacuations', everyMs: TICK_MS, run: confirmEvacuations },
-        { name: 'endpoints', everyMs: ENDPOINT_FEED_MS, run: roster.follow },
+        { name: 'endpoints', everyMs: ENDPOINT_FEED_MS, run: roster.refresh },
         { name: 'jobs', everyMs: JOB_FEED_MS, run: jobRows.follow },
         { name: 'fleet', everyMs: fleet.everyMs, run: fleet.run },
         { name: 'waves', everyMs: fleet.everyMs, run: fleet.follow },
--- a/packages/daemon/src/batch/endpoints/acknowledgement.test.ts
+++ b/packages/daemon/src/batch/endpoints/acknowledgement.test.ts
@@ -5,7 +5,7 @@
 import { MAX_ORDER_DELAY_MS } from '@valvelatch/core/batch';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { createAcknowledgement } from './acknowledgement.js';
+import { createAcknowledgementTracker } from './acknowledgement.js';
 import { createLeasedEndpoint } from '../testing/leased-endpoint.fixtures.js';
 import { advance, FAKED } from '../testing/virtual-time.fixtures.js';
 
@@ -14,56 +14,56 @@
 describe('an acknowledgement', () => {
   const createRespondedWith = (written: number) => {
     const clock = { ms: 0 };
-    const acknowledgement = createAcknowledgement(() => clock.ms);
-    acknowledgement.noteAnswer(0);
-    acknowledgement.noteWritten(written);
+    const acknowledgement = createAcknowledgementTracker(() => clock.ms);
+    acknowledgement.recordResponse(0);
+    acknowledgement.recordStored(written);
     return { clock, acknowledgement };
   };
 
   it('names the last stored ended run if its incarnation has responded recently', () => {
-    expect(createRespondedWith(7).acknowledgement.toSend(PAUSE_MS)).toBe(7);
+    expect(createRespondedWith(7).acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(7);
   });
 
   it('names none before its incarnation has responded', () => {
-    const acknowledgement = createAcknowledgement(() => 0);
-    acknowledgement.noteWritten(7);
-    expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
+    const acknowledgement = createAcknowledgementTracker(() => 0);
+    acknowledgement.recordStored(7);
+    expect(acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(0);
   });
 
   it('names none if its incarnation has not responded for some time', () => {
     const { clock, acknowledgement } = createRespondedWith(7);
     clock.ms = 1000;
-    expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
-    expect(acknowledgement.toSend(1000)).toBe(7);
+    expect(acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(0);
+    expect(acknowledgement.computeNumberToSend(1000)).toBe(7);
   });
 
   it('names none after an unanswered list request until its incarnation responds again', () => {
     const { acknowledgement } = createRespondedWith(7);
-    acknowledgement.noteMiss(7);
-    expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
-    acknowledgement.noteAnswer(0);
-    expect(acknowledgement.toSend(PAUSE_MS)).toBe(7);
+    acknowledgement.recordMiss(7);
+    expect(acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(0);
+    acknowledgement.recordResponse(0);
+    expect(acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(7);
   });
 
   it('may arrive late once its incarnation has responded after an unanswered list request', () => {
     const { clock, acknowledgement } = createRespondedWith(7);
-    expect(acknowledgement.toSend(PAUSE_MS)).toBe(7);
-    acknowledgement.noteMiss(7);
+    expect(acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(7);
+    acknowledgement.recordMiss(7);
     // So far, the request may have been lost with its incarnation.
-    expect(acknowledgement.lateUntilMs()).toBe(0);
+    expect(acknowledgement.lateArrivalUntilMs()).toBe(0);
     clock.ms = 100;
-    acknowledgement.noteAnswer(0);
-    expect(acknowledgement.lateUntilMs()).toBe(MAX_ORDER_DELAY_MS);
+    acknowledgement.recordResponse(0);
+    expect(acknowledgement.lateArrivalUntilMs()).toBe(MAX_ORDER_DELAY_MS);
     clock.ms = MAX_ORDER_DELAY_MS;
-    expect(acknowledgement.lateUntilMs()).toBe(0);
+    expect(acknowledgement.lateArrivalUntilMs()).toBe(0);
   });
 
   it('is not sent again once its incarnation has responded to it', () => {
     const { acknowledgement } = createRespondedWith(7);
-    acknowledgement.noteAnswer(7);
-    expect(acknowledgement.toSend(PAUSE_MS)).toBe(0);
-    acknowledgement.noteWritten(9);
-    expect(acknowledgement.toSend(PAUSE_MS)).toBe(9);
+    acknowledgement.recordResponse(7);
+    expect(acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(0);
+    acknowledgement.recordStored(9);
+    expect(acknowledgement.computeNumberToSend(PAUSE_MS)).toBe(9);
   });
 });
 
--- a/packages/daemon/src/batch/endpoints/acknowledgement.ts
+++ b/packages/daemon/src/batch/endpoints/acknowledgement.ts
@@ -15,11 +15,11 @@
 const FRESHNESS_MARGIN_MS = 500;
 
 /** Tracks the acknowledged runs of one incarnation of an endpoint. */
-export type Acknowledgement = {
+export type AcknowledgementTracker = {
   /** Records that the ended runs up to this number are stored. */
-  readonly noteWritten: (number: number) => void;
+  readonly recordStored: (number: number) => void;
   /** The highest number that is stored; 0 if there is none. */
-  readonly written: () => number;
+  readonly storedNumber: () => number;
   /**
    * Determines the number to send with a list request.
    *
@@ -27,11 +27,11 @@
    * @returns The number of the highest ended run that is stored. It is 0, which acknowledges none, if the incarnation
    *   may have ended or has already confirmed that number.
    */
-  readonly toSend: (pauseMs: number) => number;
+  readonly computeNumberToSend: (pauseMs: number) => number;
   /** Records that the incarnation responded to a list request that acknowledged this number. */
-  readonly noteAnswer: (sent: number) => void;
+  readonly recordResponse: (sent: number) => void;
   /** Records that a list request that acknowledged this number got no response. */
-  readonly noteMiss: (sent: number) => void;
+  readonly recordMiss: (sent: number) => void;
   /**
    * Determines until when a list request with an acknowledgement may arrive late, at the next incarnation.
    *
@@ -39,7 +39,7 @@
    *   a list request with an acknowledgement had got no response: otherwise that request counts as lost with the
    *   incarnation, not as delayed on the network.
    */
-  readonly lateUntilMs: () => number;
+  readonly lateArrivalUntilMs: () => number;
 };
 
 /**
@@ -48,7 +48,7 @@
  * @param nowMs - The holder's monotonic clock, in milliseconds.
  * @returns The acknowledgement state.
  */
-export const createAcknowledgement = (nowMs: () => number): Acknowledgement => {
+export const createAcknowledgementTracker = (nowMs: () => number): AcknowledgementTracker => {
   let written = 0;
   let confirmed = 0;
   let respondedAtMs = -Infinity;
@@ -58,26 +58,26 @@
   let survivedMissAtMs = -Infinity;
 
   return {
-    noteWritten: (number) => {
+    recordStored: (number) => {
       written = Math.max(written, number);
     },
-    written: () => written,
-    toSend: (pauseMs) => {
+    storedNumber: () => written,
+    computeNumberToSend: (pauseMs) => {
       const isFresh = nowMs() - respondedAtMs < pauseMs + FRESHNESS_MARGIN_MS;
       const isNeeded = isFresh && written > confirmed;
       if (isNeeded) sentAtMs = nowMs();
       return isNeeded ? written : 0;
     },
-    noteAnswer: (sent) => {
+    recordResponse: (sent) => {
       confirmed = Math.max(confirmed, sent);
       respondedAtMs = nowMs();
       survivedMissAtMs = Math.max(survivedMissAtMs, missedAtMs);
     },
-    noteMiss: (sent) => {
+    recordMiss: (sent) => {
       respondedAtMs = -Infinity;
       if (sent > 0) missedAtMs = nowMs();
     },
-    lateUntilMs: () => {
+    lateArrivalUntilMs: () => {
       const mayBeLate = nowMs() < survivedMissAtMs + MAX_ORDER_DELAY_MS;
       return mayBeLate ? sentAtMs + MAX_ORDER_DELAY_MS : 0;
     },
--- a/packages/daemon/src/batch/endpoints/advisor.ts
+++ b/packages/daemon/src/batch/endpoints/advisor.ts
@@ -22,7 +22,7 @@
   /** The holder's monotonic clock, in milliseconds. */
   readonly nowMs: () => number;
   /** Requests a scheduling cycle, because tasks may be placeable now. */
-  readonly poke: () => void;
+  readonly requestScheduling: () => void;
 };
 
 export type Advisor = {
@@ -42,7 +42,7 @@
   log,
   metrics,
   nowMs,
-  poke,
+  requestScheduling,
 }: AdvisorOptions): Advisor => {
   const queue: AdviceQuestion[] = [];
   let inFlight = 0;
@@ -62,7 +62,7 @@
       log.info('advice', { job: jobId, step, asked: endpoints.length, good });
     }
     applyAdvice(state, question, answer.isOk() ? answer.value : undefined, nowMs());
-    poke();
+    requestScheduling();
   };
 
   /** Sends the next question of the queue; questions about jobs that are gone are dropped. */
--- a/packages/daemon/src/batch/endpoints/endpoint-clock.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-clock.ts
@@ -14,18 +14,18 @@
 const MAX_READING_AGE_MS = 30_000;
 
 /** The estimate of an endpoint's clock. */
-export type EndpointClock = {
+export type EndpointClockEstimate = {
   /** Records the clock reading of a response. */
-  readonly note: (reading: ClockReading) => void;
+  readonly recordReading: (reading: ClockReading) => void;
   /**
    * Estimates a future time on the endpoint's clock.
    *
    * @param ms - How far the time is ahead of now, in milliseconds.
    * @returns The time on the endpoint's clock in milliseconds; undefined before the first reading.
    */
-  readonly after: (ms: number) => number | undefined;
+  readonly estimateTimeAfter: (ms: number) => number | undefined;
   /** True if the last reading is too old to compute a lease from; false before the first reading. */
-  readonly isOld: () => boolean;
+  readonly isReadingTooOld: () => boolean;
 };
 
 /**
@@ -34,17 +34,17 @@
  * @param nowMs - The holder's monotonic clock, in milliseconds.
  * @returns The estimate, without a reading.
  */
-export const createEndpointClock = (nowMs: () => number): EndpointClock => {
+export const createEndpointClockEstimate = (nowMs: () => number): EndpointClockEstimate => {
   let lastReading: { readonly clockMs: number; readonly atMs: number } | undefined;
 
   return {
-    note: ({ clockMs }) => {
+    recordReading: ({ clockMs }) => {
       lastReading = { clockMs, atMs: nowMs() };
     },
-    after: (ms) => {
+    estimateTimeAfter: (ms) => {
       if (!lastReading) return undefined;
       return Math.floor(lastReading.clockMs + (nowMs() - lastReading.atMs) * MIN_CLOCK_RATE + ms);
     },
-    isOld: () => lastReading !== undefined && nowMs() - lastReading.atMs > MAX_READING_AGE_MS,
+    isReadingTooOld: () => lastReading !== undefined && nowMs() - lastReading.atMs > MAX_READING_AGE_MS,
   };
 };
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -15,12 +15,12 @@
 import type { Result } from 'ts-results-es';
 
 import { sleep } from '../../shared/sleep.js';
-import { createAcknowledgement } from './acknowledgement.js';
-import { createEndpointClock } from './endpoint-clock.js';
+import { createAcknowledgementTracker } from './acknowledgement.js';
+import { createEndpointClockEstimate } from './endpoint-clock.js';
 import type { LinkContext } from './link-context.js';
 import type { OrderTarget } from '../ports.js';
-import { createStartOrders } from './start-orders.js';
-import { createStopOrders } from './stop-orders.js';
+import { createStartOrderSender } from './start-orders.js';
+import { createStopOrderSender } from './stop-orders.js';
 
 /**
  * For how long an endpoint keeps its runs without contact with the holder. It is longer than a takeover of control,
@@ -72,18 +72,18 @@
 export type EndpointLink = {
   readonly target: OrderTarget;
   /** Returns the number of the last ended run that was applied; 0 if there is none. */
-  readonly takenNumber: () => number;
+  readonly lastAppliedEnd: () => number;
   /** Records that the ended runs up to this number are stored. */
-  readonly acknowledge: (number: number) => void;
+  readonly recordStored: (number: number) => void;
   /** Returns until when a list request to this incarnation may reach the next one, in milliseconds; 0 if none may. */
-  readonly lateUntilMs: () => number;
+  readonly lateArrivalUntilMs: () => number;
   /** Sends the order of an effect. */
   readonly perform: (effect: LinkEffect) => void;
   /**
    * Sends list requests until the endpoint has reported, and for as long as it has runs, its domain is suspected or
    * ended runs of it are not stored yet.
    */
-  readonly watch: () => void;
+  readonly startPolling: () => void;
   readonly close: () => void;
 };
 
@@ -97,19 +97,19 @@
 export const createEndpointLink = (target: OrderTarget, context: LinkContext): EndpointLink => {
   const { state, orders, endpointLeaseMs, log, metrics, nowMs } = context;
   const { endpointId } = target;
-  const clock = createEndpointClock(nowMs);
+  const clock = createEndpointClockEstimate(nowMs);
   /** The endpoint's clock in the response that was applied last, in milliseconds. */
   let reportClockMs = 0;
   /** The number of the last ended run that was applied. */
   let lastAppliedNumber = 0;
-  const acknowledgement = createAcknowledgement(context.nowMs);
+  const acknowledgement = createAcknowledgementTracker(context.nowMs);
   let isWatching = false;
   let isClosed = false;
   /** The number of unanswered list requests since the last response. */
   let misses = 0;
   /** The list request in flight from whose response the clock is read; undefined if there is none. */
   let pendingClockRequest: Promise<boolean> | undefined;
-  const delayEstimator = createEndpointDelayEstimator(context.linkDelay);
+  const delayEstimator = createEndpointDelayEstimator(context.sharedDelayEstimator);
 
   const isResponsive = (): boolean => misses < MISSES_TO_WITHHOLD;
 
@@ -125,9 +125,9 @@
    * this entry's own link is the cause, a missing response says nothing about domains and is not recorded.
    */
   const recordNoResponse = (): void => {
-    if (context.linkDelay.isLocalFault()) return;
+    if (context.sharedDelayEstimator.isLocalFault()) return;
     recordUnanswered(state, endpointId, nowMs());
-    if (isDomainSuspected()) context.poke();
+    if (isDomainSuspected()) context.requestScheduling();
   };
 
   /** Records that the endpoint responded. */
@@ -142,7 +142,7 @@
    */
   const keepUntil = (): number | undefined => {
     const endpoint = findEndpoint();
-    const untilMs = clock.after(endpointLeaseMs);
+    const untilMs = clock.estimateTimeAfter(endpointLeaseMs);
     if (untilMs === undefined || !endpoint) return undefined;
     const leaseEndsAtMs = nowMs() + endpointLeaseMs * LEASE_CLOCK_FACTOR + LEASE_MARGIN_MS;
     endpoint.leaseEndsAtMs = Math.max(endpoint.leaseEndsAtMs, leaseEndsAtMs);
@@ -197,33 +197,33 @@
    * requests. Tasks that start there together wait for the same response.
    */
   const refreshClock = async (): Promise<void> => {
-    if (!clock.isOld()) return;
+    if (!clock.isReadingTooOld()) return;
     pendingClockRequest ??= sendListRequest(0).finally(() => {
       pendingClockRequest = undefined;
     });
     await pendingClockRequest;
   };
 
-  const start = createStartOrders({
+  const start = createStartOrderSender({
     target,
     context,
     refreshClock,
-    keepUntil: () => keepUntil(),
-    noteClock: clock.note,
+    computeLeaseEnd: () => keepUntil(),
+    recordClockReading: clock.recordReading,
     send: sendTimed,
-    noteError: (error, fields) => recordOrderError('start', error, fields),
+    recordError: (error, fields) => recordOrderError('start', error, fields),
     isClosed: () => isClosed,
   });
 
-  const stop = createStopOrders({
+  const stop = createStopOrderSender({
     target,
     context,
     send: sendTimed,
-    noteError: (error, fields) => recordOrderError('stop', error, fields),
+    recordError: (error, fields) => recordOrderError('stop', error, fields),
     // The list request in flight may be waiting for a run to end, and until then does not show that this run is gone.
     onStopped: async ({ task, run }) => {
       if (findEndpoint()?.runs.get(task)?.run === run) await sendListRequest(0);
-      watch();
+      startPolling();
     },
     isClosed: () => isClosed,
   });
@@ -234,7 +234,7 @@
     percent,
     reason,
   }: Extract<BatchEffect, { kind: 'pace' }>): Promise<void> => {
-    if (!context.mayOrder() || isClosed) return;
+    if (!context.isCertainlyHolder() || isClosed) return;
     log.info('task-paced', { task, run, percent, endpoint: endpointId, reason });
     const response = await orders.setPace(target, { task, run, percent, fence: state.fence });
     if (response.isErr()) recordOrderError('pace', response.error, { task, run });
@@ -244,7 +244,7 @@
   const computeListWaitMs = (): number => {
     if (
       isDomainSuspected() ||
-      acknowledgement.written() < lastAppliedNumber ||
+      acknowledgement.storedNumber() < lastAppliedNumber ||
       !findEndpoint()?.hasReported
     )
       return 0;
@@ -262,7 +262,7 @@
    */
   const recordMiss = (error: OrderError, acknowledged: number): void => {
     misses += 1;
-    acknowledgement.noteMiss(acknowledged);
+    acknowledgement.recordMiss(acknowledged);
     recordOrderError('list', error, { misses });
     if (isResponsive()) return;
     const endpoint = findEndpoint();
@@ -285,7 +285,7 @@
   const sendListRequest = async (maxWaitMs: number): Promise<boolean> => {
     const requestedAtMs = nowMs();
     const keepUntilMs = isResponsive() && !isDomainSuspected() ? keepUntil() : undefined;
-    const acknowledged = acknowledgement.toSend(computeListPauseMs(context.linkDelay.meanMs()));
+    const acknowledged = acknowledgement.computeNumberToSend(computeListPauseMs(context.sharedDelayEstimator.meanMs()));
     const order = {
       fence: state.fence,
       acknowledged,
@@ -310,8 +310,8 @@
     if (delayMs >= 0) delayEstimator.recordResponse(delayMs);
     if (!isResponsive()) log.info('endpoint-answers', { endpoint: endpointId });
     misses = 0;
-    acknowledgement.noteAnswer(acknowledged);
-    clock.note(response.value);
+    acknowledgement.recordResponse(acknowledged);
+    clock.recordReading(response.value);
     // List requests on different connections may overtake each other, and so may their responses.
     if (
       requestedAtMs < (findEndpoint()?.reportedAtMs ?? 0) ||
@@ -327,8 +327,8 @@
     applyReport(state, endpointId, report);
     // Only ended runs that were applied may be acknowledged.
     lastAppliedNumber = Math.max(lastAppliedNumber, ...newEnds.map(({ number }) => number));
-    if (lastAppliedNumber > acknowledgement.written()) context.wantSave();
-    context.poke();
+    if (lastAppliedNumber > acknowledgement.storedNumber()) context.requestSave();
+    context.requestScheduling();
     return true;
   };
 
@@ -339,7 +339,7 @@
       (endpoint.runs.size > 0 ||
         !endpoint.hasReported ||
         isDomainSuspected() ||
-        acknowledgement.written() < lastAppliedNumber)
+        acknowledgement.storedNumber() < lastAppliedNumber)
     );
   };
 
@@ -351,21 +351,21 @@
     const isStopping = Array.from(findEndpoint()?.runs.values() ?? []).some(
       ({ phase }) => phase === 'stopping',
     );
-    const pauseMs = computeListPauseMs(context.linkDelay.meanMs());
+    const pauseMs = computeListPauseMs(context.sharedDelayEstimator.meanMs());
     await sleep(isStopping ? Math.max(STOPPING_LIST_PAUSE_MS, pauseMs) : pauseMs);
     const untilMs = nowMs() + Math.max(SAVE_WAIT_MS, pauseMs);
-    while (acknowledgement.written() < lastAppliedNumber && nowMs() < untilMs)
+    while (acknowledgement.storedNumber() < lastAppliedNumber && nowMs() < untilMs)
       await sleep(MIN_LIST_PAUSE_MS);
   };
 
   const runListLoop = async (): Promise<void> => {
     while (!isClosed && needsWatch()) {
-      if (!context.mayOrder()) await sleep(RETRY_MS);
+      if (!context.isCertainlyHolder()) await sleep(RETRY_MS);
       else await pauseAfterRequest(await sendListRequest(computeListWaitMs()));
     }
   };
 
-  const watch = (): void => {
+  const startPolling = (): void => {
     if (isWatching || isClosed) return;
     isWatching = true;
     void runListLoop()
@@ -379,22 +379,22 @@
 
   /** Sends a list request that does not wait, next to the one in flight, which may be waiting for a run to end. */
   const requestReportNow = (): void => {
-    if (isWatching && context.mayOrder() && !isClosed) void sendListRequest(0);
-    watch();
+    if (isWatching && context.isCertainlyHolder() && !isClosed) void sendListRequest(0);
+    startPolling();
   };
 
   return {
     target,
-    takenNumber: () => lastAppliedNumber,
-    acknowledge: acknowledgement.noteWritten,
-    lateUntilMs: acknowledgement.lateUntilMs,
+    lastAppliedEnd: () => lastAppliedNumber,
+    recordStored: acknowledgement.recordStored,
+    lateArrivalUntilMs: acknowledgement.lateArrivalUntilMs,
     perform: (effect) => {
-      if (effect.kind === 'start') void start(effect).then(watch);
+      if (effect.kind === 'start') void start(effect).then(startPolling);
       if (effect.kind === 'stop') void stop(effect);
       if (effect.kind === 'pace') void pace(effect);
       if (effect.kind === 'ask') requestReportNow();
     },
-    watch,
+    startPolling,
     close: () => {
       isClosed = true;
       delayEstimator.close();
--- a/packages/daemon/src/batch/endpoints/endpoint-roster.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-roster.ts
@@ -40,7 +40,7 @@
 
 /** Why an endpoint is considered gone, and when that was established. */
 export type GoneEvidence = {
-  readonly reason: GoneCause;
+  readonly cause: GoneCause;
   /** When the list was requested or the other endpoint responded, on the holder's monotonic clock in milliseconds. */
   readonly atMs: number;
   /** What showed a later incarnation; undefined for other reasons, which themselves name the source. */
@@ -61,17 +61,17 @@
 
 export type EndpointRoster = {
   /** Reads the list of endpoints for recovery; undefined if the list could not be read. */
-  readonly read: () => Promise<EndpointChanges | undefined>;
+  readonly readList: () => Promise<EndpointChanges | undefined>;
   /** Applies changes of the list of endpoints. */
-  readonly take: (news: EndpointChanges) => void;
+  readonly applyListChanges: (news: EndpointChanges) => void;
   /** Reads and applies the changes of the list, then removes the endpoints that are gone. */
-  readonly follow: () => Promise<void>;
+  readonly refresh: () => Promise<void>;
   /** Removes an endpoint that is gone, and gives its runs up. */
-  readonly drop: (endpointId: EndpointId, end: GoneEvidence) => void;
+  readonly removeGoneEndpoint: (endpointId: EndpointId, end: GoneEvidence) => void;
   /** Sends the order of an effect over the link of its endpoint. */
   readonly perform: (effect: LinkEffect) => void;
   /** Records which ended runs have been applied so far, and returns a function that marks them as stored. */
-  readonly mark: () => () => void;
+  readonly snapshotAppliedEnds: () => () => void;
   readonly close: () => void;
 };
 
@@ -88,7 +88,7 @@
   inheritedLeasesMs,
   isStopped,
 }: EndpointRosterOptions): EndpointRoster => {
-  const { log, nowMs, poke } = linkContext;
+  const { log, nowMs, requestScheduling } = linkContext;
   const links = new Map<EndpointId, EndpointLink>();
   /** The endpoints that the list names. */
   const listed = new Set<EndpointId>();
@@ -111,7 +111,7 @@
   /** Records until when list requests to an incarnation that is being removed may reach the next one. */
   const recordLateRequests = (endpointId: EndpointId): void => {
     const instanceId = instanceIdOf(endpointId);
-    const untilMs = links.get(endpointId)?.lateUntilMs() ?? 0;
+    const untilMs = links.get(endpointId)?.lateArrivalUntilMs() ?? 0;
     const latestMs = Math.max(untilMs, lateRequestsUntilMs.get(instanceId) ?? 0);
     if (latestMs > nowMs()) lateRequestsUntilMs.set(instanceId, latestMs);
     else lateRequestsUntilMs.delete(instanceId);
@@ -132,39 +132,39 @@
     });
   };
 
-  const drop = (endpointId: EndpointId, { reason, atMs, toldBy }: GoneEvidence): void => {
+  const removeGoneEndpoint = (endpointId: EndpointId, { cause, atMs, toldBy }: GoneEvidence): void => {
     const endpoint = state.endpoints.get(endpointId);
     if (!endpoint) return;
     log.info('endpoint-gone', {
       endpoint: endpointId,
       pool: endpoint.pool,
       runs: endpoint.runs.size,
-      reason: REASONS[reason],
+      reason: REASONS[cause],
       toldBy,
       knownForMs: Math.round(nowMs() - endpoint.seenAtMs),
       heardAgoMs: endpoint.hasReported ? Math.round(nowMs() - endpoint.reportedAtMs) : 'never',
-      lastEnd: links.get(endpointId)?.takenNumber(),
-      isCrash: isCrash({ endpoint, detail: reason }),
+      lastEnd: links.get(endpointId)?.lastAppliedEnd(),
+      isCrash: isCrash({ endpoint, detail: cause }),
       ageMs: Math.round(nowMs() - atMs),
       soleForMs: remainingSoleHolderMs(state, nowMs()),
     });
-    if (isCrash({ endpoint, detail: reason })) linkContext.metrics.count('endpoint_crashes');
+    if (isCrash({ endpoint, detail: cause })) linkContext.metrics.count('endpoint_crashes');
     recordLateRequests(endpointId);
     links.get(endpointId)?.close();
     links.delete(endpointId);
     endedIncarnations.add(endpointId);
-    removeEndpoint(state, endpointId, { detail: reason, atMs, nowMs: nowMs() });
-    poke();
+    removeEndpoint(state, endpointId, { detail: cause, atMs, nowMs: nowMs() });
+    requestScheduling();
   };
 
   const context: LinkContext = {
     ...linkContext,
-    onReplaced: (endpointId) => drop(endpointId, { reason: 'replaced', atMs: nowMs() }),
+    onReplaced: (endpointId) => removeGoneEndpoint(endpointId, { cause: 'replaced', atMs: nowMs() }),
     onRestarted: (endpointId) =>
-      drop(endpointId, { reason: 'restarted', atMs: nowMs(), toldBy: 'answer' }),
+      removeGoneEndpoint(endpointId, { cause: 'restarted', atMs: nowMs(), toldBy: 'answer' }),
   };
 
-  const take = ({ changed, removed }: EndpointChanges): void => {
+  const applyListChanges = ({ changed, removed }: EndpointChanges): void => {
     changed.forEach(({ endpointId }) => listed.add(endpointId));
     removed.forEach((endpointId) => listed.delete(endpointId));
     changed.forEach((description) => {
@@ -175,7 +175,7 @@
         instanceIdOf(endpointId),
       )?.endpointId;
       if (isNew && previousIncarnation) {
-        drop(previousIncarnation, { reason: 'restarted', atMs: nowMs(), toldBy: 'endpoint-list' });
+        removeGoneEndpoint(previousIncarnation, { cause: 'restarted', atMs: nowMs(), toldBy: 'endpoint-list' });
       }
       const endpoint = upsertEndpoint(state, description, nowMs());
       if (!isNew) return;
@@ -193,7 +193,7 @@
         lifeBefore: previousIncarnation,
         withheldMs,
       });
-      link.watch();
+      link.startPolling();
     });
     removed.forEach((endpointId) => {
       // The entry of an endpoint may vanish while the endpoint is only cut off. It is kept until its lease ends, but
@@ -201,13 +201,13 @@
       const endpoint = state.endpoints.get(endpointId);
       if (endpoint) endpoint.isDraining = true;
     });
-    poke();
+    requestScheduling();
   };
 
   /** Removes the endpoints on whose host another endpoint has responded after their lease ended. */
   const dropEndpointsWithSuccessor = (): void => {
     findEndpointsWithSuccessor(state).forEach((endpointId) =>
-      drop(endpointId, { reason: 'succeeded', atMs: nowMs() }),
+      removeGoneEndpoint(endpointId, { cause: 'succeeded', atMs: nowMs() }),
     );
   };
 
@@ -230,16 +230,16 @@
         return !listed.has(endpointId) && runs.size === 0 && !hasNotReported;
       })
       .forEach(({ endpointId }) => {
-        drop(endpointId, { reason: 'unlisted', atMs: askedAtMs });
+        removeGoneEndpoint(endpointId, { cause: 'unlisted', atMs: askedAtMs });
         // The endpoint may only have been unreachable, so it is added again if it is listed again.
         endedIncarnations.delete(endpointId);
       });
   };
 
   return {
-    read: async () => (await feed.next(0)).unwrapOr(undefined),
-    take,
-    follow: async () => {
+    readList: async () => (await feed.next(0)).unwrapOr(undefined),
+    applyListChanges,
+    refresh: async () => {
       const askedAtMs = nowMs();
       const news = await feed.next(0);
       if (news.isErr()) {
@@ -247,15 +247,15 @@
         return;
       }
       if (isStopped()) return;
-      take(news.value);
+      applyListChanges(news.value);
       dropEndpointsWithSuccessor();
       dropUnlisted(askedAtMs);
     },
-    drop,
+    removeGoneEndpoint,
     perform: (effect) => links.get(effect.endpointId)?.perform(effect),
-    mark: () => {
-      const marks = Array.from(links.values(), (link) => [link, link.takenNumber()] as const);
-      return () => marks.forEach(([link, number]) => link.acknowledge(number));
+    snapshotAppliedEnds: () => {
+      const marks = Array.from(links.values(), (link) => [link, link.lastAppliedEnd()] as const);
+      return () => marks.forEach(([link, number]) => link.recordStored(number));
     },
     close: () => links.forEach((link) => link.close()),
   };
--- a/packages/daemon/src/batch/endpoints/link-context.ts
+++ b/packages/daemon/src/batch/endpoints/link-context.ts
@@ -11,9 +11,9 @@
   readonly state: BatchState;
   readonly orders: EndpointOrders;
   /** Estimates the delay that affects the responses of all endpoints. */
-  readonly linkDelay: SharedDelayEstimator;
+  readonly sharedDelayEstimator: SharedDelayEstimator;
   /** Limits the start orders in flight to all endpoints. */
-  readonly window: OrderWindow;
+  readonly orderWindow: OrderWindow;
   /** For how long an endpoint keeps its runs without contact with the holder, in milliseconds. */
   readonly endpointLeaseMs: number;
   readonly log: Log;
@@ -21,13 +21,13 @@
   /** The holder's monotonic clock, in milliseconds. */
   readonly nowMs: () => number;
   /** True while this entry is certainly the holder. */
-  readonly mayOrder: () => boolean;
+  readonly isCertainlyHolder: () => boolean;
   /** False if the data centre is evacuated, or may have been evacuated without this entry having learned of it. */
-  readonly mayStartIn: (dataCentre: DataCentreId) => boolean;
+  readonly isStartAllowedIn: (dataCentre: DataCentreId) => boolean;
   /** Requests a scheduling cycle, because tasks may be placeable now. */
-  readonly poke: () => void;
+  readonly requestScheduling: () => void;
   /** Requests that the applied ends of runs are stored. */
-  readonly wantSave: () => void;
+  readonly requestSave: () => void;
   /** An endpoint rejected an order because of its fence: it knows a later holder. */
   readonly onFenceLost: () => void;
   /** The address of this endpoint belongs to another one, which has just responded. */
--- a/packages/daemon/src/batch/endpoints/start-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.test.ts
@@ -23,7 +23,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createMetrics } from '../../observe/metrics.js';
-import { createStartOrders } from './start-orders.js';
+import { createStartOrderSender } from './start-orders.js';
 
 const POOL = brand<PoolName>('alpha');
 const ENDPOINT = brand<EndpointId>('i-1');
@@ -44,7 +44,7 @@
 const sendStartAt = async (
   nowMs: number,
   heardAtMs: number,
-  { mayStartIn = () => true, isUnanswered = false, onSent = () => undefined }: SendOptions = {},
+  { mayStartIn: isStartAllowedIn = () => true, isUnanswered = false, onSent = () => undefined }: SendOptions = {},
 ): Promise<readonly StartOrder[]> => {
   const state = createBatchState(2);
   state.soleHolderUntilMs = SOLE_HOLDER_UNTIL_MS;
@@ -79,7 +79,7 @@
   const [start] = removeEffects(state) as readonly Extract<BatchEffect, { kind: 'start' }>[];
   if (!start) throw new Error('nothing was placed');
   const sent: StartOrder[] = [];
-  const orders = createStartOrders({
+  const orders = createStartOrderSender({
     target: { endpointId: ENDPOINT, address: '', dataCentre: DATA_CENTRE },
     context: {
       state,
@@ -92,25 +92,25 @@
             : Ok({ clockMs: 1 });
         },
       } as never,
-      linkDelay: createSharedDelayEstimator(),
-      window: createOrderWindow(),
+      sharedDelayEstimator: createSharedDelayEstimator(),
+      orderWindow: createOrderWindow(),
       endpointLeaseMs: 8000,
       log: { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} },
       metrics: createMetrics(),
       nowMs: () => nowMs,
-      mayOrder: () => true,
-      mayStartIn,
-      poke: () => undefined,
-      wantSave: () => undefined,
+      isCertainlyHolder: () => true,
+      isStartAllowedIn,
+      requestScheduling: () => undefined,
+      requestSave: () => undefined,
       onFenceLost: () => undefined,
       onReplaced: () => undefined,
       onRestarted: () => undefined,
     },
     refreshClock: async () => undefined,
-    keepUntil: () => 9000,
-    noteClock: () => undefined,
+    computeLeaseEnd: () => 9000,
+    recordClockReading: () => undefined,
     send: (order) => order(500),
-    noteError: () => undefined,
+    recordError: () => undefined,
     isClosed: () => false,
   });
   await orders(start);
--- a/packages/daemon/src/batch/endpoints/start-orders.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.ts
@@ -31,7 +31,7 @@
   readonly hasUnansweredOrder: boolean;
 };
 
-export type StartOrdersOptions = {
+export type StartOrderSenderOptions = {
   readonly target: OrderTarget;
   readonly context: LinkContext;
   /** Reads the endpoint's clock again if the last reading is too old. */
@@ -40,20 +40,20 @@
    * Computes the time on the endpoint's clock until which it keeps its runs, in milliseconds; undefined while its
    * clock is unknown.
    */
-  readonly keepUntil: () => number | undefined;
+  readonly computeLeaseEnd: () => number | undefined;
   /** Records a reading of the endpoint's clock. */
-  readonly noteClock: (reading: EndpointClock) => void;
+  readonly recordClockReading: (reading: EndpointClock) => void;
   /** Sends an order with the current timeout of the link. */
   readonly send: <Value>(
     order: (timeoutMs: number) => Promise<Result<Value, OrderError>>,
   ) => Promise<Result<Value, OrderError>>;
   /** Logs and handles an order that failed; the fields are added to the log line. */
-  readonly noteError: (error: OrderError, fields: Record<string, string | number>) => void;
+  readonly recordError: (error: OrderError, fields: Record<string, string | number>) => void;
   readonly isClosed: () => boolean;
 };
 
 /** Orders the endpoint to start a run, and applies the outcome to the state. */
-export type StartOrders = (effect: Extract<BatchEffect, { kind: 'start' }>) => Promise<void>;
+export type StartOrderSender = (effect: Extract<BatchEffect, { kind: 'start' }>) => Promise<void>;
 
 /**
  * Creates the sender of start orders of a link.
@@ -61,16 +61,16 @@
  * @param options - The endpoint and the parts of its link that the sender uses.
  * @returns The function that sends a start order and applies its outcome.
  */
-export const createStartOrders = ({
+export const createStartOrderSender = ({
   target,
   context,
   refreshClock,
-  keepUntil,
-  noteClock,
+  computeLeaseEnd,
+  recordClockReading,
   send,
-  noteError,
+  recordError,
   isClosed,
-}: StartOrdersOptions): StartOrders => {
+}: StartOrderSenderOptions): StartOrderSender => {
   const { state, orders, log, metrics, nowMs } = context;
   const { endpointId, dataCentre } = target;
 
@@ -83,7 +83,7 @@
    * holder.
    */
   const mayStart = (): boolean => {
-    if (!context.mayOrder() || !context.mayStartIn(dataCentre) || isClosed()) return false;
+    if (!context.isCertainlyHolder() || !context.isStartAllowedIn(dataCentre) || isClosed()) return false;
     const heardAtMs = state.endpoints.get(endpointId)?.reportedAtMs ?? -Infinity;
     return isSoleHolder(state, nowMs()) || nowMs() - heardAtMs < MAX_RESPONSE_GAP_MS;
   };
@@ -97,12 +97,12 @@
   /** Sends a start order, and counts it as in flight in the order window. */
   const sendInWindow = async (order: StartOrder): ReturnType<EndpointOrders['start']> => {
     const sentAtMs = nowMs();
-    context.window.begin();
+    context.orderWindow.begin();
     const response = await send((timeoutMs) => orders.start(target, order, timeoutMs));
     const durationMs = nowMs() - sentAtMs;
     const isUnanswered = response.isErr() && response.error.reason === 'no-answer';
-    if (isUnanswered && !context.linkDelay.isLocalFault()) context.window.cancel();
-    else context.window.end(durationMs, nowMs());
+    if (isUnanswered && !context.sharedDelayEstimator.isLocalFault()) context.orderWindow.cancel();
+    else context.orderWindow.end(durationMs, nowMs());
     metrics.time('order_start', durationMs * 1000);
     return response;
   };
@@ -117,11 +117,11 @@
       recordStartSent(state, endpointId, order, nowMs());
       const response = await sendInWindow(order);
       if (response.isOk()) {
-        noteClock(response.value);
+        recordClockReading(response.value);
         return { outcome: 'started', hasUnansweredOrder: isFirstUnanswered };
       }
       const { error } = response;
-      noteError(error, { task: order.task, run: order.run, attempt });
+      recordError(error, { task: order.task, run: order.run, attempt });
       // The first order started the run, which has already ended.
       if (isFirstUnanswered && error.reason === 'old')
         return { outcome: 'started', hasUnansweredOrder: true };
@@ -143,7 +143,7 @@
     await refreshClock();
     // The run may have been given up while the clock was read, and must not start after that.
     if (state.endpoints.get(endpointId)?.runs.get(task)?.run !== run) return;
-    const keepUntilMs = keepUntil();
+    const keepUntilMs = computeLeaseEnd();
     if (keepUntilMs === undefined || !mayStart() || isDomainSuspected()) {
       const reason = 'not-sent';
       applyStartOutcome(state, endpointId, {
@@ -162,7 +162,7 @@
     applyStartOutcome(state, endpointId, { task, run, outcome, reason, nowMs: nowMs() });
     if (!hasUnansweredOrder) recordStartsAnswered(state, endpointId, order);
     if (outcome !== 'started') {
-      context.poke();
+      context.requestScheduling();
       return;
     }
     log.debug('task-started', { task, run, endpoint: endpointId, reason: effect.reason });
--- a/packages/daemon/src/batch/endpoints/stop-orders.ts
+++ b/packages/daemon/src/batch/endpoints/stop-orders.ts
@@ -20,7 +20,7 @@
 
 type StopEffect = Extract<BatchEffect, { kind: 'stop' }>;
 
-export type StopOrdersOptions = {
+export type StopOrderSenderOptions = {
   readonly target: OrderTarget;
   readonly context: LinkContext;
   /** Sends an order with the current timeout of the link. */
@@ -28,14 +28,14 @@
     order: (timeoutMs: number) => Promise<Result<Value, OrderError>>,
   ) => Promise<Result<Value, OrderError>>;
   /** Logs and handles an order that failed; the fields are added to the log line. */
-  readonly noteError: (error: OrderError, fields: Record<string, string | number>) => void;
+  readonly recordError: (error: OrderError, fields: Record<string, string | number>) => void;
   /** Called when the endpoint has answered a stop order for the run. */
   readonly onStopped: (effect: StopEffect) => Promise<void>;
   readonly isClosed: () => boolean;
 };
 
 /** Orders the endpoint to stop a run, and applies its response to the state. */
-export type StopOrders = (effect: StopEffect) => Promise<void>;
+export type StopOrderSender = (effect: StopEffect) => Promise<void>;
 
 /**
  * Creates the sender of stop orders of a link.
@@ -43,14 +43,14 @@
  * @param options - The endpoint and the parts of its link that the sender uses.
  * @returns The function that sends a stop order and applies its response.
  */
-export const createStopOrders = ({
+export const createStopOrderSender = ({
   target,
   context,
   send,
-  noteError,
+  recordError,
   onStopped,
   isClosed,
-}: StopOrdersOptions): StopOrders => {
+}: StopOrderSenderOptions): StopOrderSender => {
   const { state, orders, log, nowMs } = context;
   const { endpointId } = target;
   const inFlight = new Set<string>();
@@ -60,7 +60,7 @@
     log.info('task-stop', { task, run, endpoint: endpointId, reason });
     for (
       let attempt = 0;
-      attempt < MAX_STOP_ATTEMPTS && !isClosed() && context.mayOrder();
+      attempt < MAX_STOP_ATTEMPTS && !isClosed() && context.isCertainlyHolder();
       attempt += 1
     ) {
       const order = { task, run, fence: state.fence };
@@ -70,7 +70,7 @@
         await onStopped(effect);
         return;
       }
-      noteError(response.error, { task, run });
+      recordError(response.error, { task, run });
       if (!RETRIED_REASONS.has(response.error.reason)) return;
       await sleep(RETRY_MS);
     }
--- a/packages/daemon/src/batch/hosts/host-roster.ts
+++ b/packages/daemon/src/batch/hosts/host-roster.ts
@@ -126,7 +126,7 @@
     if (state.isHostListAwaited) recordExpectedEndpoints(list);
     dropUnlistedPendingReports(state, expected, inventory.hosts, nowMs());
     findDeadEndpoints(state, inventory.hosts, askedAtMs).forEach(({ endpointId, cause }) =>
-      dropEndpoint(endpointId, { reason: cause, atMs: askedAtMs }),
+      dropEndpoint(endpointId, { cause, atMs: askedAtMs }),
     );
   };
 
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -423,7 +423,7 @@
     );
   };
 
-  const poke = (): void => {
+  const requestScheduling = (): void => {
     if (isCyclePending) return;
     isCyclePending = true;
     setImmediate(() => {
@@ -433,12 +433,12 @@
   };
 
   /** Acknowledges run ends once they are written: those that had been applied when the write began. */
-  const wantSave = (): void => {
+  const requestSave = (): void => {
     if (isSavePlanned) return;
     isSavePlanned = true;
     setTimeout(() => {
       isSavePlanned = false;
-      setTimeout(roster.mark(), saveMs);
+      setTimeout(roster.snapshotAppliedEnds(), saveMs);
     }, SAVE_AFTER_MS);
   };
 
@@ -448,16 +448,16 @@
     linkContext: {
       state,
       orders,
-      linkDelay: createSharedDelayEstimator(),
-      window: createOrderWindow(),
+      sharedDelayEstimator: createSharedDelayEstimator(),
+      orderWindow: createOrderWindow(),
       endpointLeaseMs: ENDPOINT_LEASE_MS,
       log: SILENT_LOG,
       metrics: createMetrics(),
       nowMs,
-      mayOrder: () => !isStopped,
-      mayStartIn: () => true,
-      poke,
-      wantSave,
+      isCertainlyHolder: () => !isStopped,
+      isStartAllowedIn: () => true,
+      requestScheduling,
+      requestSave,
       onFenceLost: () => {
         if (!hasSuccessor) recordViolation('the fence was lost');
         isStopped = true;
@@ -483,7 +483,7 @@
     };
     const added = addJob(state, { job, policy: POLICY, nowMs: nowMs(), wallClockMs: Date.now() });
     jobs.push(added);
-    poke();
+    requestScheduling();
     return added;
   };
 
@@ -505,7 +505,7 @@
     setTimeout(() => {
       if (isStopped) return;
       target.isReplaced = true;
-      roster.take({ changed: [addEndpoint(target.model.capacity.cpuMillis / 1000)], removed: [] });
+      roster.applyListChanges({ changed: [addEndpoint(target.model.capacity.cpuMillis / 1000)], removed: [] });
     }, backAfterMs);
   };
 
@@ -551,7 +551,7 @@
 
   const changed = rooms.map(addEndpoint);
   before(Array.from(endpoints.values(), ({ model }) => model));
-  setTimeout(() => roster.take({ changed, removed: [] }), meetsAfterMs);
+  setTimeout(() => roster.applyListChanges({ changed, removed: [] }), meetsAfterMs);
 
   return {
     state,
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -366,7 +366,7 @@
 
   const state = createBatchState(FENCE);
   const schedulePools = createScheduleCycle(state);
-  const window = createOrderWindow();
+  const orderWindow = createOrderWindow();
 
   const holdsControlLease = (): boolean => !isTermOver && nowMs() < renewedAtMs + CONTROL_LEASE_MS;
 
@@ -379,12 +379,12 @@
   const cycle = (): void => {
     if (hasFault('freeze') || isClosed) return;
     state.clockMs = nowMs();
-    if (holdsControlLease()) schedulePools(window.available(), nowMs());
+    if (holdsControlLease()) schedulePools(orderWindow.available(), nowMs());
     performEffects();
   };
 
   const save = async (): Promise<void> => {
-    const acknowledge = roster.mark();
+    const acknowledge = roster.snapshotAppliedEnds();
     await sleep(SAVE_DELAY_MS);
     await awake();
     acknowledge();
@@ -419,16 +419,16 @@
     linkContext: {
       state,
       orders,
-      linkDelay: createSharedDelayEstimator(),
-      window,
+      sharedDelayEstimator: createSharedDelayEstimator(),
+      orderWindow,
       endpointLeaseMs: ENDPOINT_LEASE_MS,
       log: SILENT_LOG,
       metrics: createMetrics(),
       nowMs,
-      mayOrder: holdsControlLease,
-      mayStartIn: () => true,
-      poke: () => setImmediate(cycle),
-      wantSave: () => {
+      isCertainlyHolder: holdsControlLease,
+      isStartAllowedIn: () => true,
+      requestScheduling: () => setImmediate(cycle),
+      requestSave: () => {
         void save();
       },
       onFenceLost: () => {
@@ -509,7 +509,7 @@
 
   const follow = async (): Promise<void> => {
     await awake();
-    await roster.follow();
+    await roster.refresh();
   };
 
   const timers = [setInterval(tick, TICK_MS), setInterval(follow, FEED_INTERVAL_MS)];
