--- a/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
@@ -7,9 +7,9 @@
 import { createLog } from '../../observe/log.js';
 import { createMetrics } from '../../observe/metrics.js';
 import {
-  ASK_NEIGHBOURS_EVERY_MS,
-  createConfigurationKeeper,
-  type ConfigurationKeeper,
+  NEIGHBOUR_POLL_INTERVAL_MS,
+  createConfigurationSync,
+  type ConfigurationSync,
 } from './configuration-keeper.js';
 import type { FeedReadStats, OperatorUpdate } from '../ports.js';
 
@@ -42,7 +42,7 @@
 /** An entry whose connection to the table can be cut. */
 type Entry = {
   readonly entryId: EntryId;
-  readonly sync: ConfigurationKeeper;
+  readonly sync: ConfigurationSync;
   isCutOff: boolean;
   /** The neighbours that it has asked, in order. */
   readonly asked: EntryId[];
@@ -64,7 +64,7 @@
     let readVersion = 0;
     const asked: EntryId[] = [];
     const others = (): readonly Entry[] => entries.filter(({ entryId }) => entryId !== name);
-    const sync = createConfigurationKeeper({
+    const sync = createConfigurationSync({
       feed: {
         next: async (waitMs) => {
           const untilMs = performance.now() + waitMs;
@@ -103,8 +103,8 @@
         await sleep(everyMs);
       }
     };
-    void repeat(sync.follow, FEED_PAUSE_MS);
-    void repeat(sync.askNeighbours, ASK_NEIGHBOURS_EVERY_MS);
+    void repeat(sync.pollFeed, FEED_PAUSE_MS);
+    void repeat(sync.askNeighbours, NEIGHBOUR_POLL_INTERVAL_MS);
     return entry;
   };
 
@@ -112,8 +112,8 @@
     read: () => Promise<number>,
     ask: () => Promise<unknown> = async () => undefined,
     nowMs?: () => number,
-  ): ConfigurationKeeper =>
-    createConfigurationKeeper({
+  ): ConfigurationSync =>
+    createConfigurationSync({
       feed: {
         next: async () =>
           Ok({ waves: [], readStats: READING, configuration: configurationOf(await read()) }),
@@ -186,7 +186,7 @@
     /** The answer of a neighbour that has this version, as if it were asked by an entry without one. */
     const answerOf = async (version: number) => {
       const neighbour = createTestSync(async () => version);
-      await neighbour.follow();
+      await neighbour.pollFeed();
       return neighbour.answerNeighbour(0);
     };
     const steps = fc.array(
@@ -206,7 +206,7 @@
           const { byTable, version: nextVersion } = updates[step] as (typeof updates)[number];
           version = nextVersion;
           nowMs += 10_000;
-          await (byTable ? sync.follow() : sync.askNeighbours());
+          await (byTable ? sync.pollFeed() : sync.askNeighbours());
           const inForce = sync.index()?.configuration.version ?? 0;
           expect(inForce).toBe(Math.max(highest, version));
           highest = inForce;
@@ -219,7 +219,7 @@
     // Guards against a log line per failed read: 35 entries that the table rejected wrote 2,818 lines in 10 s.
     const lines: string[] = [];
     let isTableDown = true;
-    const sync = createConfigurationKeeper({
+    const sync = createConfigurationSync({
       feed: {
         next: async () =>
           isTableDown
@@ -232,9 +232,9 @@
       log: createLog({ sink: (line) => lines.push(line) }),
       metrics: createMetrics(),
     });
-    for (let attempt = 0; attempt < 90; attempt += 1) await sync.follow();
+    for (let attempt = 0; attempt < 90; attempt += 1) await sync.pollFeed();
     isTableDown = false;
-    await sync.follow();
+    await sync.pollFeed();
     const feedLines = lines.filter((line) => line.includes('operator-feed'));
     expect(feedLines).toHaveLength(2);
     expect(feedLines[0]).toContain('event=operator-feed-lost');
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -20,9 +20,9 @@
 import type { AskPeer } from '../entry/peers.js';
 import type { OperatorFeed, OperatorUpdate } from '../ports.js';
 import {
-  createEvacuationKeeper,
-  type EvacuationKeeper,
-  type ToldEvacuations,
+  createEvacuationTracker,
+  type EvacuationTracker,
+  type EvacuationMessage,
 } from './evacuation-keeper.js';
 
 /**
@@ -37,7 +37,7 @@
  */
 const FEED_OVERDUE_MS = 1300;
 /** The interval at which an entry with an overdue feed asks its neighbours. */
-export const ASK_NEIGHBOURS_EVERY_MS = 500;
+export const NEIGHBOUR_POLL_INTERVAL_MS = 500;
 /** How long to wait for the answer of a neighbour. */
 const NEIGHBOUR_TIMEOUT_MS = 400;
 /** Client requests that call for a refresh within this interval share one round of questions to neighbours. */
@@ -68,7 +68,7 @@
   /** The version of the configuration in force at the entry that asks; 0 without one. */
   readonly version: number;
   /** The evacuation view of the entry that asks. */
-  readonly evacuations: ToldEvacuations;
+  readonly evacuations: EvacuationMessage;
 };
 
 /** The answer of a neighbour. */
@@ -78,10 +78,10 @@
   /** False if the neighbour's own feed is overdue, so that another entry may have a newer configuration. */
   readonly isUpToDate: boolean;
   /** The neighbour's evacuation view; undefined if it runs an earlier release. */
-  readonly evacuations?: ToldEvacuations;
+  readonly evacuations?: EvacuationMessage;
 };
 
-export type ConfigurationKeeperOptions = {
+export type ConfigurationSyncOptions = {
   readonly feed: OperatorFeed;
   /** The entries that can be asked. */
   readonly neighbours: () => readonly EntryId[];
@@ -89,7 +89,7 @@
   /** Called with the maintenance waves that the feed delivers. */
   readonly onWaves: (waves: readonly MaintenanceRequest[]) => void;
   /** Receives the evacuations that the same feed and neighbours deliver. If omitted, their age is not bounded. */
-  readonly evacuations?: EvacuationKeeper;
+  readonly evacuations?: EvacuationTracker;
   readonly log: Log;
   readonly metrics: Metrics;
   /** The monotonic clock. */
@@ -98,29 +98,29 @@
 };
 
 /** How up to date the configuration in force at an entry is. */
-export type Currency = {
+export type ConfigurationFreshness = {
   /** The version in force; 0 without a configuration. */
   readonly version: number;
   /** The time since it was last confirmed that there is no newer version; Infinity if that never happened. */
   readonly ageMs: number;
   /** True if the feed and every neighbour that was asked are overdue, so that a newer version may be in force. */
-  readonly isDoubtful: boolean;
+  readonly mayBeOutdated: boolean;
 };
 
-export type ConfigurationKeeper = {
+export type ConfigurationSync = {
   /** The configuration in force; undefined before the first one is known. */
   readonly index: () => QueueIndex | undefined;
-  readonly currency: () => Currency;
+  readonly freshness: () => ConfigurationFreshness;
   /**
    * Asks neighbours at once if the feed is overdue and they were not asked within the last 200 ms. Used for a client
    * request that the configuration in force does not allow, but a newer one may.
    */
-  readonly refresh: () => Promise<void>;
+  readonly refreshFromNeighbours: () => Promise<void>;
   /**
    * Reads the operator's feed once. Waits for a change, unless there is no configuration yet or the evacuation view
    * is too old. Called in a loop.
    */
-  readonly follow: () => Promise<void>;
+  readonly pollFeed: () => Promise<void>;
   /** Asks neighbours if the feed is overdue; called every `NEIGHBOUR_POLL_INTERVAL_MS`. */
   readonly askNeighbours: () => Promise<void>;
   /** Answers a neighbour. Entries of an earlier release send only the version. */
@@ -131,7 +131,7 @@
    */
   readonly confirmEvacuations: () => Promise<void>;
   /** True if neighbours have recently answered, and none of them can reach the table. */
-  readonly isAwayForNeighbours: () => boolean;
+  readonly isTableUnavailableToNeighbours: () => boolean;
 };
 
 const pack = (configuration: BatchConfiguration): Uint8Array =>
@@ -148,7 +148,7 @@
  * @param options - The operator's feed, access to neighbours, and the evacuation tracker.
  * @returns The configuration sync. It has no configuration until the feed or a neighbour has delivered one.
  */
-export const createConfigurationKeeper = ({
+export const createConfigurationSync = ({
   feed,
   neighbours,
   ask,
@@ -156,9 +156,9 @@
   log,
   metrics,
   nowMs = () => performance.now(),
-  evacuations = createEvacuationKeeper({ evacuateMs: () => undefined, log, nowMs }),
+  evacuations = createEvacuationTracker({ maxEvacuationDelayMs: () => undefined, log, nowMs }),
   random = Math.random,
-}: ConfigurationKeeperOptions): ConfigurationKeeper => {
+}: ConfigurationSyncOptions): ConfigurationSync => {
   let index: QueueIndex | undefined;
   let lastFeedAnswerAtMs = nowMs();
   /** When the feed, or a neighbour with an up-to-date feed, last confirmed that no newer version exists. */
@@ -233,7 +233,7 @@
     faults.forEach((detail) => log.warn('configuration-fault', { detail }));
     lastFeedAnswerAtMs = nowMs();
     confirmedAtMs = lastFeedAnswerAtMs;
-    if (news.value.evacuations) evacuations.take(news.value.evacuations, askedAtMs);
+    if (news.value.evacuations) evacuations.applyFeedUpdate(news.value.evacuations, askedAtMs);
     if (waves.length > 0) onWaves(waves);
     return news.value;
   };
@@ -253,7 +253,7 @@
     return changes;
   };
 
-  const follow = async (): Promise<void> => {
+  const pollFeed = async (): Promise<void> => {
     const mayWait = index !== undefined && evacuations.isRecent();
     await readFeedAndChanges(mayWait ? FEED_WAIT_MS : 0);
   };
@@ -275,7 +275,7 @@
     metrics.count('configuration_questions');
     const version = versionInForce();
     const askedAtMs = nowMs();
-    const question: NeighbourQuestion = { version, evacuations: evacuations.tell() };
+    const question: NeighbourQuestion = { version, evacuations: evacuations.toMessage() };
     try {
       const answer = (await ask(
         neighbour,
@@ -293,7 +293,7 @@
         });
       }
       if (answer?.isUpToDate) confirmedAtMs = Math.max(confirmedAtMs, askedAtMs);
-      if (answer?.evacuations) evacuations.takeAnswer(answer.evacuations, askedAtMs);
+      if (answer?.evacuations) evacuations.applyAnswer(answer.evacuations, askedAtMs);
       return answer?.isUpToDate;
     } catch (error) {
       metrics.count('configuration_questions_unanswered');
@@ -327,16 +327,16 @@
     await confirming;
   };
 
-  const refresh = async (): Promise<void> => {
+  const refreshFromNeighbours = async (): Promise<void> => {
     if (!isFeedOverdue() || nowMs() - refreshedAtMs < MIN_REFRESH_INTERVAL_MS) return refreshing;
     refreshedAtMs = nowMs();
     refreshing = askNeighbours();
     return refreshing;
   };
 
-  const currency = (): Currency => {
+  const freshness = (): ConfigurationFreshness => {
     const ageMs = Math.round(nowMs() - confirmedAtMs);
-    return { version: versionInForce(), ageMs, isDoubtful: ageMs > FEED_OVERDUE_MS };
+    return { version: versionInForce(), ageMs, mayBeOutdated: ageMs > FEED_OVERDUE_MS };
   };
 
   const packedConfiguration = ({ configuration }: QueueIndex): Uint8Array => {
@@ -347,21 +347,21 @@
 
   return {
     index: () => index,
-    currency,
-    refresh,
-    follow,
+    freshness,
+    refreshFromNeighbours,
+    pollFeed,
     askNeighbours,
     answerNeighbour: (question) => {
       const isVersionOnly = typeof question === 'number';
       const version = isVersionOnly ? question : question.version;
-      if (!isVersionOnly) evacuations.takeQuestion(question.evacuations);
+      if (!isVersionOnly) evacuations.applyQuestion(question.evacuations);
       return {
         packed: index && versionInForce() > version ? packedConfiguration(index) : null,
         isUpToDate: !isFeedOverdue(),
-        evacuations: evacuations.tell(),
+        evacuations: evacuations.toMessage(),
       };
     },
     confirmEvacuations,
-    isAwayForNeighbours: () => nowMs() - neighboursWithoutTableAtMs < NEIGHBOUR_ANSWERS_VALID_MS,
+    isTableUnavailableToNeighbours: () => nowMs() - neighboursWithoutTableAtMs < NEIGHBOUR_ANSWERS_VALID_MS,
   };
 };
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
@@ -10,11 +10,11 @@
 import { createMetrics } from '../../observe/metrics.js';
 import type { EvacuationFeedUpdate, FeedReadStats } from '../ports.js';
 import {
-  createConfigurationKeeper,
+  createConfigurationSync,
   type NeighbourAnswer,
   type NeighbourQuestion,
 } from './configuration-keeper.js';
-import { createEvacuationKeeper, type ToldEvacuations } from './evacuation-keeper.js';
+import { createEvacuationTracker, type EvacuationMessage } from './evacuation-keeper.js';
 import { createStartGate } from './start-gate.js';
 
 const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
@@ -60,12 +60,12 @@
   const waits: number[] = [];
   const questions: NeighbourQuestion[] = [];
   const table = { isUnavailable: false };
-  const evacuations = createEvacuationKeeper({
-    evacuateMs: () => (isBounded ? BOUND_MS : undefined),
+  const evacuations = createEvacuationTracker({
+    maxEvacuationDelayMs: () => (isBounded ? BOUND_MS : undefined),
     log,
     nowMs,
   });
-  const sync = createConfigurationKeeper({
+  const sync = createConfigurationSync({
     feed: {
       next: async (waitMs) => {
         const news = answers[Math.min(waits.length, answers.length - 1)];
@@ -90,12 +90,12 @@
   const gate = createStartGate({
     evacuations,
     configuration: sync,
-    isTableAway: () => table.isUnavailable,
+    isTableUnavailable: () => table.isUnavailable,
   });
   return { clock, waits, questions, evacuations, sync, gate, table };
 };
 
-const evacuationMessage = (fields: Partial<ToldEvacuations>): ToldEvacuations => ({
+const evacuationMessage = (fields: Partial<EvacuationMessage>): EvacuationMessage => ({
   revision: 0,
   evacuated: [],
   confirmedAgoMs: null,
@@ -110,9 +110,9 @@
         changesAt(2, [writtenRow(NORTH, 2)]),
         changesAt(3, [deleted]),
       ]);
-      await sync.follow();
+      await sync.pollFeed();
       expect([gate.mayStartIn(NORTH), gate.mayStartIn(SOUTH)]).toEqual([false, true]);
-      await sync.follow();
+      await sync.pollFeed();
       expect(gate.mayStartIn(NORTH)).toBe(true);
     });
 
@@ -120,7 +120,7 @@
       // An entry that was paused while the answer waited in its socket must not treat it as recent.
       const { clock, sync, evacuations } = createEntry([changesAt(1)]);
       clock.feedDelayMs = 9000;
-      await sync.follow();
+      await sync.pollFeed();
       expect(evacuations.ageMs()).toBe(9000);
       expect(evacuations.isRecent()).toBe(false);
     });
@@ -131,25 +131,25 @@
         fullReadAt(4),
         changesAt(5),
       ]);
-      await sync.follow();
+      await sync.pollFeed();
       expect(waits).toHaveLength(2);
       expect(evacuations.isRecent()).toBe(false);
-      await sync.follow();
+      await sync.pollFeed();
       expect(evacuations.isRecent()).toBe(true);
     });
 
     it('costs one read per call while the table gives only full reads', async () => {
       const { sync, waits } = createEntry([fullReadAt(4)]);
-      await sync.follow();
-      await sync.follow();
-      await sync.follow();
+      await sync.pollFeed();
+      await sync.pollFeed();
+      await sync.pollFeed();
       expect(waits).toHaveLength(4);
     });
 
     it('is not confirmed by an answer with a revision below a known evacuation', async () => {
       const { sync, evacuations } = createEntry([changesAt(3)]);
-      evacuations.takeAnswer(evacuationMessage({ revision: 8, evacuated: [[NORTH, 8]] }), 0);
-      await sync.follow();
+      evacuations.applyAnswer(evacuationMessage({ revision: 8, evacuated: [[NORTH, 8]] }), 0);
+      await sync.pollFeed();
       expect(evacuations.isRecent()).toBe(false);
       expect(Array.from(evacuations.evacuated())).toEqual([NORTH]);
     });
@@ -160,10 +160,10 @@
       // Otherwise a holder that got the view from a neighbour while it was cut off would start no task until the next
       // change.
       const { sync, evacuations, clock } = createEntry([changesAt(3)]);
-      await sync.follow();
-      evacuations.takeAnswer(evacuationMessage({ revision: 8 }), 0);
+      await sync.pollFeed();
+      evacuations.applyAnswer(evacuationMessage({ revision: 8 }), 0);
       clock.ms = BOUND_MS;
-      await sync.follow();
+      await sync.pollFeed();
       expect(evacuations.isRecent()).toBe(true);
     });
   });
@@ -175,7 +175,7 @@
         { isBounded: false },
       );
       expect(gate.mayStartIn(NORTH)).toBe(true);
-      await sync.follow();
+      await sync.pollFeed();
       expect(waits).toHaveLength(1);
       clock.ms += 60_000;
       expect([gate.mayStartIn(NORTH), gate.mayStartIn(SOUTH)]).toEqual([false, true]);
@@ -225,7 +225,7 @@
   describe('that is too old', () => {
     const createEntryWithOldView = async (neighbour: NeighbourAnswer | undefined) => {
       const entry = createEntry([changesAt(1), NO_ANSWER], { neighbour });
-      await entry.sync.follow();
+      await entry.sync.pollFeed();
       entry.clock.ms = BOUND_MS - START_IN_FLIGHT_MS - 1;
       expect(entry.gate.mayStartIn(SOUTH)).toBe(true);
       entry.clock.ms += 1;
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.ts
@@ -17,7 +17,7 @@
 const MAX_START_IN_FLIGHT_MS = 1000;
 
 /** An evacuation view as entries send it to each other. */
-export type ToldEvacuations = {
+export type EvacuationMessage = {
   /** The table's revision up to which the view is complete; -1 before the first read. */
   readonly revision: number;
   /** Each evacuated data centre with the revision at which its row was written. */
@@ -26,16 +26,16 @@
   readonly confirmedAgoMs: number | null;
 };
 
-export type EvacuationKeeperOptions = {
+export type EvacuationTrackerOptions = {
   /** The maximum time between an evacuation order and the last task start there; undefined without a bound. */
-  readonly evacuateMs: () => number | undefined;
+  readonly maxEvacuationDelayMs: () => number | undefined;
   readonly log: Log;
   /** The monotonic clock. */
   readonly nowMs?: () => number;
 };
 
-export type EvacuationKeeper = {
-  readonly belief: () => EvacuationView;
+export type EvacuationTracker = {
+  readonly view: () => EvacuationView;
   /** The evacuated data centres. */
   readonly evacuated: () => ReadonlySet<DataCentreId>;
   /** The time since the view was last confirmed; Infinity before the first confirmation. */
@@ -47,19 +47,19 @@
   /** True if the view was confirmed by a read or question that was sent at this time or later. */
   readonly isConfirmedSince: (sinceMs: number) => boolean;
   /** Applies what the operator's feed answered to a read that began at `askedAtMs`. */
-  readonly take: (news: EvacuationFeedUpdate, askedAtMs: number) => void;
+  readonly applyFeedUpdate: (news: EvacuationFeedUpdate, askedAtMs: number) => void;
   /** Merges the view in a neighbour's answer to a question that was sent at `askedAtMs`. */
-  readonly takeAnswer: (message: ToldEvacuations, askedAtMs: number) => void;
+  readonly applyAnswer: (message: EvacuationMessage, askedAtMs: number) => void;
   /**
    * Merges the view that a neighbour sent with its question. It does not confirm the view, since it is not known how
    * long the question was in flight.
    */
-  readonly takeQuestion: (message: ToldEvacuations) => void;
+  readonly applyQuestion: (message: EvacuationMessage) => void;
   /** Returns the view as it is sent to other entries. */
-  readonly tell: () => ToldEvacuations;
+  readonly toMessage: () => EvacuationMessage;
 };
 
-const toView = ({ revision, evacuated }: ToldEvacuations): EvacuationView => ({
+const toView = ({ revision, evacuated }: EvacuationMessage): EvacuationView => ({
   revision,
   evacuated: new Map(evacuated),
 });
@@ -70,11 +70,11 @@
  * @param options - The bound, the log and the clock.
  * @returns The tracker. Its view is empty and unconfirmed.
  */
-export const createEvacuationKeeper = ({
-  evacuateMs,
+export const createEvacuationTracker = ({
+  maxEvacuationDelayMs,
   log,
   nowMs = () => performance.now(),
-}: EvacuationKeeperOptions): EvacuationKeeper => {
+}: EvacuationTrackerOptions): EvacuationTracker => {
   let view = UNREAD_EVACUATION_VIEW;
   let evacuated: ReadonlySet<DataCentreId> = new Set();
   let confirmedAtMs = -Infinity;
@@ -84,7 +84,7 @@
   const ageMs = (): number => nowMs() - confirmedAtMs;
 
   const isRecent = (): boolean => {
-    const boundMs = evacuateMs();
+    const boundMs = maxEvacuationDelayMs();
     return boundMs === undefined || ageMs() < boundMs - MAX_START_IN_FLIGHT_MS;
   };
 
@@ -116,24 +116,24 @@
   };
 
   return {
-    belief: () => view,
+    view: () => view,
     evacuated: () => evacuated,
     ageMs,
-    isBounded: () => evacuateMs() !== undefined,
+    isBounded: () => maxEvacuationDelayMs() !== undefined,
     isRecent,
     isConfirmedSince: (sinceMs) => confirmedAtMs >= sinceMs,
-    take: (news, askedAtMs) => {
+    applyFeedUpdate: (news, askedAtMs) => {
       const isConfirmation = news.isCurrent && !isLagging(news.revision);
       feedRevision = Math.max(feedRevision, news.revision);
       updateView(applyEvacuationUpdate(view, news), 'table');
       if (isConfirmation) recordConfirmation(askedAtMs);
     },
-    takeAnswer: (message, askedAtMs) => {
+    applyAnswer: (message, askedAtMs) => {
       updateView(mergeEvacuationViews(view, toView(message)), 'neighbour');
       if (message.confirmedAgoMs !== null) recordConfirmation(askedAtMs - message.confirmedAgoMs);
     },
-    takeQuestion: (message) => updateView(mergeEvacuationViews(view, toView(message)), 'neighbour'),
-    tell: () => ({
+    applyQuestion: (message) => updateView(mergeEvacuationViews(view, toView(message)), 'neighbour'),
+    toMessage: () => ({
       revision: view.revision,
       evacuated: Array.from(view.evacuated),
       confirmedAgoMs: confirmedAtMs === -Infinity ? null : ageMs(),
--- a/packages/daemon/src/batch/configuration/start-gate.ts
+++ b/packages/daemon/src/batch/configuration/start-gate.ts
@@ -2,18 +2,18 @@
 import { UNREAD_EVACUATION_VIEW, type EvacuationView } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
-import type { ConfigurationKeeper } from './configuration-keeper.js';
-import type { EvacuationKeeper } from './evacuation-keeper.js';
+import type { ConfigurationSync } from './configuration-keeper.js';
+import type { EvacuationTracker } from './evacuation-keeper.js';
 
 export type StartGateOptions = {
-  readonly evacuations: EvacuationKeeper;
-  readonly configuration: Pick<ConfigurationKeeper, 'confirmEvacuations' | 'isAwayForNeighbours'>;
+  readonly evacuations: EvacuationTracker;
+  readonly configuration: Pick<ConfigurationSync, 'confirmEvacuations' | 'isTableUnavailableToNeighbours'>;
   /** True if the table does not answer this entry, neither directly nor through its neighbours. */
-  readonly isTableAway: () => boolean;
+  readonly isTableUnavailable: () => boolean;
 };
 
 export type StartGate = {
-  readonly belief: () => EvacuationView;
+  readonly view: () => EvacuationView;
   readonly evacuated: () => ReadonlySet<DataCentreId>;
   /**
    * The time since the view was last confirmed; a newer evacuation may exist for as long. Infinity before the first.
@@ -31,7 +31,7 @@
 
 /** A gate that allows every start, for an entry without evacuations. */
 export const OPEN_GATE: StartGate = {
-  belief: () => UNREAD_EVACUATION_VIEW,
+  view: () => UNREAD_EVACUATION_VIEW,
   evacuated: () => new Set(),
   ageMs: () => 0,
   isOpen: () => true,
@@ -49,7 +49,7 @@
 export const createStartGate = ({
   evacuations,
   configuration,
-  isTableAway,
+  isTableUnavailable,
 }: StartGateOptions): StartGate => {
   /**
    * True if the table is unavailable to this entry and to its neighbours. Starts may then go on, since no operator
@@ -57,12 +57,12 @@
    * entry itself may be cut off while the table accepts orders.
    */
   const isTableUnavailableForAll = (): boolean =>
-    isTableAway() && configuration.isAwayForNeighbours();
+    isTableUnavailable() && configuration.isTableUnavailableToNeighbours();
 
   const isOpen = (): boolean => evacuations.isRecent() || isTableUnavailableForAll();
 
   return {
-    belief: evacuations.belief,
+    view: evacuations.view,
     evacuated: evacuations.evacuated,
     ageMs: evacuations.ageMs,
     isOpen,
--- a/packages/daemon/src/batch/control/evacuation-watch.ts
+++ b/packages/daemon/src/batch/control/evacuation-watch.ts
@@ -21,7 +21,7 @@
 
 export type EvacuationWatchOptions = {
   readonly state: BatchState;
-  readonly gate: Pick<StartGate, 'belief' | 'ageMs'>;
+  readonly gate: Pick<StartGate, 'view' | 'ageMs'>;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly nowMs: () => number;
@@ -95,7 +95,7 @@
   };
 
   const stopWatching = ({ dataCentre, knownSinceMs }: WatchedEvacuation): void => {
-    const { revision } = gate.belief();
+    const { revision } = gate.view();
     const lastedMs = Math.round(nowMs() - knownSinceMs);
     log.info('evacuation-ended', { dataCentre, revision, ageMs: viewAgeMs(), lastedMs });
     metrics.gauge(gaugeName(dataCentre), 0);
@@ -103,7 +103,7 @@
   };
 
   const update = (): void => {
-    const { evacuated } = gate.belief();
+    const { evacuated } = gate.view();
     evacuated.forEach((revision, dataCentre) => {
       if (!watched.has(dataCentre)) startWatching(dataCentre, revision);
     });
@@ -117,7 +117,7 @@
   return {
     update,
     evacuations: () => watched,
-    revision: () => gate.belief().revision,
+    revision: () => gate.view().revision,
     viewAgeMs,
     close: () => {
       watched.forEach(({ dataCentre }) => metrics.gauge(gaugeName(dataCentre), 0));
--- a/packages/daemon/src/batch/entry/access.test.ts
+++ b/packages/daemon/src/batch/entry/access.test.ts
@@ -13,7 +13,7 @@
 
 import { createMetrics } from '../../observe/metrics.js';
 import { createAccess, type AccessRequest } from './access.js';
-import type { Currency } from '../configuration/configuration-keeper.js';
+import type { ConfigurationFreshness } from '../configuration/configuration-keeper.js';
 
 const hashKey = (key: string): KeyDigest =>
   brand<KeyDigest>(createHash('sha256').update(key).digest('base64'));
@@ -51,7 +51,7 @@
   readonly index?: QueueIndex | undefined;
   /** The configuration that neighbours give when they are asked; none if undefined. */
   readonly refreshed?: QueueIndex;
-  readonly currency?: Partial<Currency>;
+  readonly currency?: Partial<ConfigurationFreshness>;
 };
 
 const createTestAccess = ({ index, refreshed, currency = {} }: Options) => {
@@ -64,8 +64,8 @@
   const access = createAccess({
     configuration: {
       index: () => inForce,
-      currency: () => ({ version: 1, ageMs: 20, isDoubtful: false, ...currency }),
-      refresh: async () => {
+      freshness: () => ({ version: 1, ageMs: 20, mayBeOutdated: false, ...currency }),
+      refreshFromNeighbours: async () => {
         refreshes += 1;
         inForce = refreshed ?? inForce;
       },
@@ -117,7 +117,7 @@
   it('is to be retried, not refused for good, at an entry that may have missed a newer version', async () => {
     const { admit } = createTestAccess({
       index: BEFORE,
-      currency: { ageMs: 9000, isDoubtful: true },
+      currency: { ageMs: 9000, mayBeOutdated: true },
     });
     expect(await admit('new-key')).toMatchObject({
       status: 503,
@@ -128,7 +128,7 @@
   });
 
   it('is allowed by the version in force at an entry that may have missed a newer one', async () => {
-    const { admit } = createTestAccess({ index: BEFORE, currency: { isDoubtful: true } });
+    const { admit } = createTestAccess({ index: BEFORE, currency: { mayBeOutdated: true } });
     expect(await admit('old-key')).toMatchObject({ kind: 'admitted', caller: 'north' });
   });
 
@@ -154,7 +154,7 @@
   it('is refused with 404 by an up-to-date entry, with 503 by one that may have missed a newer version', async () => {
     const known = createTestAccess({ index: BEFORE });
     expect(await known.admit(undefined, '/none/1')).toMatchObject({ status: 404 });
-    const doubtful = createTestAccess({ index: BEFORE, currency: { isDoubtful: true } });
+    const doubtful = createTestAccess({ index: BEFORE, currency: { mayBeOutdated: true } });
     expect(await doubtful.admit(undefined, '/none/1')).toMatchObject({ status: 503 });
   });
 });
--- a/packages/daemon/src/batch/entry/access.ts
+++ b/packages/daemon/src/batch/entry/access.ts
@@ -7,7 +7,7 @@
 
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
-import type { ConfigurationKeeper } from '../configuration/configuration-keeper.js';
+import type { ConfigurationSync } from '../configuration/configuration-keeper.js';
 import { createRefusal, type IntakeAnswer } from '../jobs/intake.js';
 
 /** The parts of a request that access depends on, known before its body is read. */
@@ -34,7 +34,7 @@
 };
 
 export type AccessOptions = {
-  readonly configuration: Pick<ConfigurationKeeper, 'index' | 'currency' | 'refresh'>;
+  readonly configuration: Pick<ConfigurationSync, 'index' | 'freshness' | 'refreshFromNeighbours'>;
   readonly log: Log;
   readonly metrics: Metrics;
 };
@@ -65,18 +65,18 @@
  */
 export const createAccess = ({ configuration, log, metrics }: AccessOptions): Access => {
   const deny = (request: AccessRequest, { reason, detail }: Denial): IntakeAnswer => {
-    const { version, ageMs, isDoubtful } = configuration.currency();
-    metrics.count(isDoubtful ? 'access_doubtful' : 'access_denied');
+    const { version, ageMs, mayBeOutdated } = configuration.freshness();
+    metrics.count(mayBeOutdated ? 'access_doubtful' : 'access_denied');
     log.info('access-denied', {
       path: request.path,
       reason,
       hasKey: request.keyDigest !== undefined,
       version,
       ageMs,
-      isDoubtful,
+      isDoubtful: mayBeOutdated,
     });
     const basis = `at version ${version}, ${ageMs} ms old`;
-    if (!isDoubtful) return createRefusal('notRun', reason, `${detail} ${basis}`);
+    if (!mayBeOutdated) return createRefusal('notRun', reason, `${detail} ${basis}`);
     const doubtfulDetail = `${detail} ${basis}, and a newer one may be in force`;
     return createRefusal('notRun', 'configuration-doubtful', doubtfulDetail);
   };
@@ -91,7 +91,7 @@
     admit: async (request) => {
       const first = findAccessNow(request);
       if (first && 'kind' in first) return first;
-      await configuration.refresh();
+      await configuration.refreshFromNeighbours();
       const last = findAccessNow(request);
       if (!last) {
         return createRefusal('notRun', 'no-configuration', 'the configuration is not known here yet');
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -15,12 +15,12 @@
 import type { OperatorResult } from '../../operators/operator-result.js';
 import { startLoops, type RunningLoops } from '../../shared/loops.js';
 import {
-  ASK_NEIGHBOURS_EVERY_MS,
+  NEIGHBOUR_POLL_INTERVAL_MS,
   CONFIGURATION_METHOD,
-  createConfigurationKeeper,
+  createConfigurationSync,
   type NeighbourQuestion,
 } from '../configuration/configuration-keeper.js';
-import { createEvacuationKeeper } from '../configuration/evacuation-keeper.js';
+import { createEvacuationTracker } from '../configuration/evacuation-keeper.js';
 import { createStartGate } from '../configuration/start-gate.js';
 import { createAccess, type Access } from './access.js';
 import { createControl, type Control } from '../control/control.js';
@@ -133,12 +133,12 @@
     metrics,
   });
 
-  const evacuations = createEvacuationKeeper({
-    evacuateMs: () => platform.bounds().evacuateMs,
+  const evacuations = createEvacuationTracker({
+    maxEvacuationDelayMs: () => platform.bounds().evacuateMs,
     log,
   });
 
-  const configuration = createConfigurationKeeper({
+  const configuration = createConfigurationSync({
     evacuations,
     feed: platform.operator,
     neighbours,
@@ -151,7 +151,7 @@
   const startGate = createStartGate({
     evacuations,
     configuration,
-    isTableAway: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
+    isTableUnavailable: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
   });
 
   const orders = createRelayedOrders({
@@ -256,10 +256,10 @@
 
   const loops: RunningLoops = startLoops(
     [
-      { name: 'operator', everyMs: FEED_PAUSE_MS, run: configuration.follow },
+      { name: 'operator', everyMs: FEED_PAUSE_MS, run: configuration.pollFeed },
       {
         name: 'configuration',
-        everyMs: ASK_NEIGHBOURS_EVERY_MS,
+        everyMs: NEIGHBOUR_POLL_INTERVAL_MS,
         run: configuration.askNeighbours,
       },
       { name: 'lease', everyMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -34,12 +34,12 @@
 import type { Log } from '../../observe/log.js';
 import { createMetrics } from '../../observe/metrics.js';
 import {
-  ASK_NEIGHBOURS_EVERY_MS,
-  createConfigurationKeeper,
-  type ConfigurationKeeper,
+  NEIGHBOUR_POLL_INTERVAL_MS,
+  createConfigurationSync,
+  type ConfigurationSync,
   type NeighbourQuestion,
 } from '../configuration/configuration-keeper.js';
-import { createEvacuationKeeper } from '../configuration/evacuation-keeper.js';
+import { createEvacuationTracker } from '../configuration/evacuation-keeper.js';
 import { createStartGate } from '../configuration/start-gate.js';
 import { createControl, type Control } from '../control/control.js';
 import { batchKey } from '../keys.js';
@@ -85,7 +85,7 @@
   readonly control: Control;
   readonly table: RelayedTable;
   /** Follows the operator's rows for evacuations only; the configuration comes from the fleet. */
-  readonly operatorRows: ConfigurationKeeper;
+  readonly operatorRows: ConfigurationSync;
   /** Relays an order to an endpoint for another entry, and returns the answer. */
   readonly answerOrder: (payload: unknown) => Promise<unknown>;
 };
@@ -320,8 +320,8 @@
     const metrics = createMetrics();
     const neighbours = (): readonly EntryId[] =>
       entries.filter((other) => other !== entry).map((other) => other.entryId);
-    const evacuations = createEvacuationKeeper({ evacuateMs: () => evacuateMs, log });
-    const operatorRows = createConfigurationKeeper({
+    const evacuations = createEvacuationTracker({ maxEvacuationDelayMs: () => evacuateMs, log });
+    const operatorRows = createConfigurationSync({
       feed: platform.operator,
       neighbours,
       ask: async (entryId, _, payload, ms) => {
@@ -343,7 +343,7 @@
     const startGate = createStartGate({
       evacuations,
       configuration: operatorRows,
-      isTableAway: () => relayed.silentForMs() >= TABLE_UNAVAILABLE_MS,
+      isTableUnavailable: () => relayed.silentForMs() >= TABLE_UNAVAILABLE_MS,
     });
     const agent = createOrderAgent(platform.orders, metrics, startGate);
     entry.answerOrder = async (payload) => {
@@ -454,8 +454,8 @@
       }
     };
     void runControl();
-    void repeat(operatorRows.follow, OPERATOR_RETRY_MS);
-    void repeat(operatorRows.askNeighbours, ASK_NEIGHBOURS_EVERY_MS);
+    void repeat(operatorRows.pollFeed, OPERATOR_RETRY_MS);
+    void repeat(operatorRows.askNeighbours, NEIGHBOUR_POLL_INTERVAL_MS);
     entries.push(entry);
     return entry;
   };
