--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -268,7 +268,7 @@
       },
     });
     term = newTerm;
-    newTerm.fleet.takeWaves(Array.from(knownWaves.values()));
+    newTerm.fleet.addWaves(Array.from(knownWaves.values()));
     void newTerm.start().catch((error: unknown) => {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
       log.error('term-failed', { fence, detail });
@@ -294,7 +294,7 @@
 
   const handOver = async (): Promise<void> => {
     const reason = term && (await findHandoverReason());
-    if (reason !== undefined && (await keeper.release(term?.fleet.idleMs()))) await endTerm(reason);
+    if (reason !== undefined && (await keeper.release(term?.fleet.sinceLastOrderMs()))) await endTerm(reason);
   };
 
   /**
@@ -423,8 +423,8 @@
     addWaves: (waves) => {
       waves
         .filter(({ waveNumber }) => !knownWaves.has(waveNumber))
-        .forEach((order) => knownWaves.set(order.waveNumber, { order, seenAtMs: nowMs() }));
-      term?.fleet.takeWaves(Array.from(knownWaves.values()));
+        .forEach((request) => knownWaves.set(request.waveNumber, { request, firstSeenAtMs: nowMs() }));
+      term?.fleet.addWaves(Array.from(knownWaves.values()));
     },
     handleCall: (method, payload) => handlers[method]?.(payload),
     term: () => term,
@@ -433,7 +433,7 @@
       isResigned = true;
       const untilMs = nowMs() + RESIGN_TIMEOUT_MS;
       // While the platform is unavailable no entry could take over, so this term continues until it is back.
-      while (term && nowMs() < untilMs && !(await keeper.release(term.fleet.idleMs()))) {
+      while (term && nowMs() < untilMs && !(await keeper.release(term.fleet.sinceLastOrderMs()))) {
         await sleep(RESIGN_RETRY_MS);
       }
       await endTerm('planned stop of this entry');
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -29,7 +29,7 @@
 import type { GoneEvidence } from '../endpoints/endpoint-roster.js';
 import { createHostRoster } from './host-roster.js';
 import type { BatchPlatform } from '../ports.js';
-import { createWaveKeeper, type KnownWave } from './wave-keeper.js';
+import { createWaveTracker, type KnownWave } from './wave-keeper.js';
 
 /** The pause between cycles. It is short because a wave over 15 hosts within 26 s has no second to spare. */
 const CYCLE_MS = 250;
@@ -57,11 +57,11 @@
   /** The monotonic clock. */
   readonly nowMs: () => number;
   /** The wall clock. */
-  readonly todayMs: () => number;
+  readonly wallClockMs: () => number;
   /** True while this entry may send orders. */
   readonly mayOrder: () => boolean;
   /** No order is sent until this time has passed since the start of the term. */
-  readonly orderAfterMs: number;
+  readonly minTermAgeToOrderMs: number;
   readonly configuration: () => QueueIndex | undefined;
   /** Removes an endpoint that the list of hosts shows to be gone. */
   readonly dropEndpoint: (endpointId: EndpointId, evidence: GoneEvidence) => void;
@@ -69,17 +69,17 @@
 
 export type FleetCycle = {
   /** The pause between calls of `run`. */
-  readonly everyMs: number;
+  readonly intervalMs: number;
   /** Reads the list of hosts if it is old, and sends the orders that are due for waves and pool moves. */
   readonly run: () => Promise<void>;
   /** Reads and writes the state of waves. Separate from `run`, which must not wait for the table. */
-  readonly follow: () => Promise<void>;
+  readonly syncWaves: () => Promise<void>;
   /** Reads the list of hosts. */
   readonly refreshHosts: () => Promise<void>;
   /** Adds waves that this entry has learned of; those already known are ignored. */
-  readonly takeWaves: (known: readonly KnownWave[]) => void;
+  readonly addWaves: (known: readonly KnownWave[]) => void;
   /** The time since the last order to a host, or since the start of the term if it has sent none. */
-  readonly idleMs: () => number;
+  readonly sinceLastOrderMs: () => number;
   /** The hosts as of the last list. */
   readonly inventory: () => HostInventory;
   readonly waves: () => readonly MaintenanceWave[];
@@ -102,9 +102,9 @@
   log,
   metrics,
   nowMs,
-  todayMs,
+  wallClockMs,
   mayOrder,
-  orderAfterMs,
+  minTermAgeToOrderMs,
   configuration,
   dropEndpoint,
 }: FleetCycleOptions): FleetCycle => {
@@ -149,13 +149,13 @@
     downMs: platform.bounds().maintenanceMs + MAX_LIST_LAG_MS,
   });
 
-  const waveTracker = createWaveKeeper({
+  const waveTracker = createWaveTracker({
     platform,
     fenceCheck,
-    sight: knownHosts,
+    knownHosts,
     log,
     nowMs,
-    todayMs,
+    wallClockMs,
   });
 
   const maintenanceInput = (): MaintenanceContext => ({
@@ -242,10 +242,10 @@
     const ageMs = nowMs() - roster.inventory().lastRequestedAtMs;
     if (ageMs > (isBusy() ? BUSY_LIST_INTERVAL_MS : LIST_INTERVAL_MS)) await roster.refresh();
     observePeaks(poolPlanInput()).forEach((pool) => log.info('peak-begun', { pool }));
-    if (!mayOrder() || nowMs() - termStartedAtMs < orderAfterMs) return;
+    if (!mayOrder() || nowMs() - termStartedAtMs < minTermAgeToOrderMs) return;
     Object.assign(state, { clockMs: nowMs() });
     const orders = planMaintenance(maintenanceInput(), waveTracker.waves(), nowMs());
-    waveTracker.noteReasons();
+    waveTracker.logWaitReasons();
     await Promise.all(orders.map(orderMaintenance));
     // A repeated order gets the same answer as the first one; only the list of hosts shows its effect.
     if (orders.length > 0) await roster.refresh();
@@ -253,12 +253,12 @@
   };
 
   return {
-    everyMs: CYCLE_MS,
+    intervalMs: CYCLE_MS,
     run,
-    follow: waveTracker.follow,
+    syncWaves: waveTracker.sync,
     refreshHosts: roster.refresh,
-    takeWaves: waveTracker.take,
-    idleMs: () => nowMs() - lastOrderAtMs,
+    addWaves: waveTracker.add,
+    sinceLastOrderMs: () => nowMs() - lastOrderAtMs,
     inventory: roster.inventory,
     waves: waveTracker.waves,
     isComplete: waveTracker.isComplete,
--- a/packages/daemon/src/batch/hosts/host-roster.ts
+++ b/packages/daemon/src/batch/hosts/host-roster.ts
@@ -47,7 +47,7 @@
  * @param ageMs - The age in milliseconds; Infinity if the list was never read.
  * @returns The age in whole milliseconds, or `never`.
  */
-export const ageText = (ageMs: number): number | string =>
+export const formatListAge = (ageMs: number): number | string =>
   ageMs === Infinity ? 'never' : Math.round(ageMs);
 
 const formatHostIds = (hostIds: readonly HostId[]): string =>
@@ -82,7 +82,7 @@
     log.warn('host-list-lost', {
       ...error,
       hosts: hosts.size,
-      listAgeMs: ageText(nowMs() - lastRequestedAtMs),
+      listAgeMs: formatListAge(nowMs() - lastRequestedAtMs),
     });
   };
 
--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -11,15 +11,15 @@
 import type { HostId } from '@valvelatch/core/shared/ids';
 
 import type { Log, LogFields } from '../../observe/log.js';
-import { ageText } from './host-roster.js';
+import { formatListAge } from './host-roster.js';
 import { batchKey } from '../keys.js';
 import type { BatchPlatform } from '../ports.js';
 
 /** A maintenance wave that this entry has learned of. */
 export type KnownWave = {
-  readonly order: MaintenanceRequest;
+  readonly request: MaintenanceRequest;
   /** When this entry first saw the wave, by its monotonic clock. */
-  readonly seenAtMs: number;
+  readonly firstSeenAtMs: number;
 };
 
 /** The stored row of a wave. */
@@ -30,29 +30,29 @@
   readonly takenAtTodayMs?: number;
 };
 
-export type WaveKeeperOptions = {
+export type WaveTrackerOptions = {
   readonly platform: Pick<BatchPlatform, 'table' | 'hosts'>;
   /** Every write checks this row, so that a former holder writes nothing. */
   readonly fenceCheck: RowCheck;
   /** What is known about hosts. */
-  readonly sight: () => KnownHosts;
+  readonly knownHosts: () => KnownHosts;
   readonly log: Log;
   /** The monotonic clock. */
   readonly nowMs: () => number;
   /** The wall clock. */
-  readonly todayMs: () => number;
+  readonly wallClockMs: () => number;
 };
 
-export type WaveKeeper = {
+export type WaveTracker = {
   /** Adds waves; those already known are ignored. */
-  readonly take: (known: readonly KnownWave[]) => void;
+  readonly add: (known: readonly KnownWave[]) => void;
   /** Reads the rows of new waves, saves the progress of all waves and reports it to the operator. */
-  readonly follow: () => Promise<void>;
+  readonly sync: () => Promise<void>;
   readonly waves: () => readonly MaintenanceWave[];
   /** True if every host of the wave has been down and is back, or has left the fleet for good. */
   readonly isComplete: (wave: MaintenanceWave) => boolean;
   /** Logs why each host waits when the reason changes, and once for each wave that it is expected to be late. */
-  readonly noteReasons: () => void;
+  readonly logWaitReasons: () => void;
 };
 
 /**
@@ -61,14 +61,14 @@
  * @param options - Access to rows and hosts, and what is known about hosts.
  * @returns The tracker. It has no waves yet.
  */
-export const createWaveKeeper = ({
+export const createWaveTracker = ({
   platform,
   fenceCheck,
-  sight,
+  knownHosts,
   log,
   nowMs,
-  todayMs,
-}: WaveKeeperOptions): WaveKeeper => {
+  wallClockMs,
+}: WaveTrackerOptions): WaveTracker => {
   const waves = new Map<number, MaintenanceWave>();
   /** The waves whose rows have not been read yet, by number. */
   const unopenedWaves = new Map<number, KnownWave>();
@@ -80,22 +80,22 @@
   /** The waves that were logged as expected to be late. */
   const wavesExpectedLate = new Set<number>();
 
-  const isComplete = (wave: MaintenanceWave): boolean => isWaveComplete(sight(), wave);
+  const isComplete = (wave: MaintenanceWave): boolean => isWaveComplete(knownHosts(), wave);
 
   /**
    * Returns when the wave was ordered, by the monotonic clock: when this entry first saw it, or earlier if the row
    * that an earlier holder wrote says so.
    */
-  const computeOrderedAtMs = ({ order, seenAtMs }: KnownWave, row: WaveRow | undefined): number => {
-    if (row?.takenAtTodayMs === undefined) return seenAtMs;
+  const computeOrderedAtMs = ({ request, firstSeenAtMs }: KnownWave, row: WaveRow | undefined): number => {
+    if (row?.takenAtTodayMs === undefined) return firstSeenAtMs;
     // The wall clock jumps on some hosts, so the age from the row is limited to the time that the wave has.
-    const ageMs = Math.max(0, Math.min(order.withinMs, todayMs() - row.takenAtTodayMs));
-    return Math.min(seenAtMs, nowMs() - ageMs);
+    const ageMs = Math.max(0, Math.min(request.withinMs, wallClockMs() - row.takenAtTodayMs));
+    return Math.min(firstSeenAtMs, nowMs() - ageMs);
   };
 
   /** Reads the row of a wave and adds the wave. If the table does not answer, the next call tries again. */
   const openWave = async (known: KnownWave): Promise<void> => {
-    const { order: request } = known;
+    const { request } = known;
     const rows = await platform.table.read([batchKey.wave(request.waveNumber)]);
     if (rows.isErr()) return;
     const row = (rows.value[0]?.value ?? undefined) as WaveRow | undefined;
@@ -119,7 +119,7 @@
       .filter(([, { phase }]) => phase === 'done' || phase === 'down')
       .map(([hostId]) => hostId);
     if (savedDoneCounts.get(waveNumber) === done.length) return true;
-    const row: WaveRow = { done, takenAtTodayMs: todayMs() - (nowMs() - wave.firstSeenAtMs) };
+    const row: WaveRow = { done, takenAtTodayMs: wallClockMs() - (nowMs() - wave.firstSeenAtMs) };
     const outcome = await platform.table.transact({
       checks: [fenceCheck],
       writes: [{ key: batchKey.wave(waveNumber), value: row }],
@@ -131,7 +131,7 @@
 
   /** Returns what a report is based on: how many hosts are in each phase, and the size and age of the list of hosts. */
   const describeWave = ({ hosts: inWave }: MaintenanceWave): LogFields => {
-    const { hosts: listed, lastRequestedAtMs } = sight().inventory;
+    const { hosts: listed, lastRequestedAtMs } = knownHosts().inventory;
     const phases = Array.from(inWave.values(), ({ phase }) => phase);
     const count = (counted: MaintenanceHost['phase']): number =>
       phases.filter((phase) => phase === counted).length;
@@ -143,7 +143,7 @@
       refused: count('refused'),
       unlisted: Array.from(inWave.keys()).filter((hostId) => !listed.has(hostId)).length,
       listed: listed.size,
-      listAgeMs: ageText(nowMs() - lastRequestedAtMs),
+      listAgeMs: formatListAge(nowMs() - lastRequestedAtMs),
     };
   };
 
@@ -177,17 +177,17 @@
   };
 
   return {
-    take: (known) =>
+    add: (known) =>
       known
-        .filter(({ order: request }) => !waves.has(request.waveNumber))
-        .forEach((wave) => unopenedWaves.set(wave.order.waveNumber, wave)),
-    follow: async () => {
+        .filter(({ request }) => !waves.has(request.waveNumber))
+        .forEach((wave) => unopenedWaves.set(wave.request.waveNumber, wave)),
+    sync: async () => {
       await Promise.all(Array.from(unopenedWaves.values()).map(openWave));
       await Promise.all(Array.from(waves.values()).map(report));
     },
     waves: () => Array.from(waves.values()),
     isComplete,
-    noteReasons: () =>
+    logWaitReasons: () =>
       waves.forEach((wave) => {
         logLateForecast(wave);
         const { waveNumber } = wave.request;
