--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -187,7 +187,7 @@
    * An entry without its own route to the table does not take control: feeds are read over that route only, so
    * it could keep the lease through neighbours but learn of no new work.
    */
-  const isWilling = (): boolean => !isResigned && configuration() !== undefined && table.isServed();
+  const isWilling = (): boolean => !isResigned && configuration() !== undefined && table.isDirectRouteUp();
 
   /** True if another entry holds the lease and is silent or has resigned: it may be taken after `EARLY_TAKEOVER_MS`. */
   const isHolderSuspect = (): boolean => {
@@ -239,7 +239,7 @@
   const formerOrdersRemainingMs = (): number => Math.max(0, keeper.earlierUntilMs() - nowMs());
 
   const mayOrderHosts = (): boolean =>
-    table.isServed() &&
+    table.isDirectRouteUp() &&
     keeper.heldUntilMs() - nowMs() > CONTROL_LEASE_MS - MAX_RENEWAL_AGE_FOR_HOST_ORDERS_MS;
 
   const beginTerm = (fence: number): void => {
@@ -258,7 +258,7 @@
       formerOrdersRemainingMs: formerOrdersRemainingMs(),
       endpointLeaseMs,
       placementPolicy,
-      isTableUnavailable: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
+      isTableUnavailable: () => table.unansweredForMs() >= TABLE_UNAVAILABLE_MS,
       soleHolderUntilMs: () => keeper.heldUntilMs() - CONTROL_LEASE_MS + SOLE_HOLDER_MS,
       configuration,
       startGate,
@@ -278,9 +278,9 @@
 
   /** True if the table serves other entries and not this one: then one of them must hold control. */
   const isTableServingOthersOnly = (): boolean =>
-    nowMs() - table.lostSinceMs() > TABLE_ROUTE_LOST_MS &&
-    table.answeredAtMs() - table.lostSinceMs() > TABLE_ROUTE_LOST_MS / 2 &&
-    nowMs() - table.answeredAtMs() < TABLE_ROUTE_LOST_MS;
+    nowMs() - table.directRouteLostSinceMs() > TABLE_ROUTE_LOST_MS &&
+    table.lastAnsweredAtMs() - table.directRouteLostSinceMs() > TABLE_ROUTE_LOST_MS / 2 &&
+    nowMs() - table.lastAnsweredAtMs() < TABLE_ROUTE_LOST_MS;
 
   /** The reason why control should go to another entry now; undefined if it should not. */
   const findHandoverReason = async (): Promise<string | undefined> => {
@@ -307,7 +307,7 @@
   /** True if the last renewal is so old that another entry may take the lease, and the table does not answer. */
   const cannotRenew = (): boolean => {
     const renewedAtMs = keeper.heldUntilMs() - CONTROL_LEASE_MS;
-    const unansweredMs = Math.max(table.silentForMs(), nowMs() - table.lostSinceMs());
+    const unansweredMs = Math.max(table.unansweredForMs(), nowMs() - table.directRouteLostSinceMs());
     return nowMs() - renewedAtMs >= SOLE_HOLDER_MS && unansweredMs >= TABLE_SILENCE_LIMIT_MS;
   };
 
@@ -329,7 +329,7 @@
   const resignations = createResignations({ ask: (...args) => peers()?.ask(...args), nowMs });
 
   const askHolderIfResigned = (): void => {
-    resignations.recordTableSilence(table.isServed() ? table.silentForMs() : Infinity);
+    resignations.recordTableSilence(table.isDirectRouteUp() ? table.unansweredForMs() : Infinity);
     const row = keeper.lastRow();
     const isOther = row !== null && row.holder !== null && row.holder !== self;
     if (!isOther || !isWilling() || keeper.unchangedForMs() < SOLE_HOLDER_MS) return;
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -28,16 +28,16 @@
 import { createIntake, type Intake } from '../jobs/intake.js';
 import { HEARTBEAT_INTERVAL_MS, createPeers, type AskPeer, type Peers } from './peers.js';
 import { answerOperator, OPERATORS_METHOD, type OperatorQuestion } from '../operators/operators.js';
-import { createOrderAgent } from '../relays/order-agent.js';
-import { createRelayedOrders, ORDER_METHOD, RELAYS_EVERY_MS } from '../relays/relayed-orders.js';
+import { createRelayOrderHandler } from '../relays/order-agent.js';
+import { createRelayedOrders, RELAY_ORDER_METHOD, RELAY_REFRESH_INTERVAL_MS } from '../relays/relayed-orders.js';
 import { createHolderPreference, computeHolderCapacity } from '../control/standing.js';
 import type { BatchPlatform } from '../ports.js';
 import { createRefusedJobs, REPORT_REFUSED_INTERVAL_MS } from '../jobs/refused-jobs.js';
 import {
   createRelayedTable,
-  PROBE_EVERY_MS,
-  RELAY_METHOD,
-  type RelayCall,
+  PROBE_INTERVAL_MS,
+  TABLE_CALL_METHOD,
+  type TableCall,
 } from '../relays/relayed-table.js';
 
 /** The interval at which this entry tries to acquire or renew the control lease. */
@@ -151,18 +151,18 @@
   const startGate = createStartGate({
     evacuations,
     configuration,
-    isTableUnavailable: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
+    isTableUnavailable: () => table.unansweredForMs() >= TABLE_UNAVAILABLE_MS,
   });
 
   const orders = createRelayedOrders({
     orders: platform.orders,
     peers: () => peers,
-    linkUse: platform.readLinkUsage,
-    isAllowed: mayRelayOrders,
+    readLinkUsage: platform.readLinkUsage,
+    mayRelay: mayRelayOrders,
     log,
     metrics,
   });
-  const orderAgent = createOrderAgent(platform.orders, metrics, startGate);
+  const orderAgent = createRelayOrderHandler(platform.orders, metrics, startGate);
 
   const control = createControl({
     self,
@@ -210,8 +210,8 @@
     log,
     onFrame: platform.recordMeshFrame,
     answer: async (method, payload) => {
-      if (method === ORDER_METHOD) return orderAgent.answer(payload);
-      if (method === RELAY_METHOD) return table.answerNeighbour(payload as RelayCall);
+      if (method === RELAY_ORDER_METHOD) return orderAgent.answer(payload);
+      if (method === TABLE_CALL_METHOD) return table.callForNeighbour(payload as TableCall);
       if (method === CONFIGURATION_METHOD) {
         return configuration.answerNeighbour(payload as NeighbourQuestion | number);
       }
@@ -263,11 +263,11 @@
         run: configuration.askNeighbours,
       },
       { name: 'lease', everyMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
-      { name: 'relays', everyMs: RELAYS_EVERY_MS, run: refreshRelays },
+      { name: 'relays', everyMs: RELAY_REFRESH_INTERVAL_MS, run: refreshRelays },
       { name: 'refused', everyMs: REPORT_REFUSED_INTERVAL_MS, run: refusedJobs.report },
       { name: 'peers', everyMs: PEERS_REFRESH_INTERVAL_MS, run: refreshPeers },
       { name: 'beat', everyMs: HEARTBEAT_INTERVAL_MS, run: async () => openPeers.sendHeartbeats() },
-      { name: 'probe', everyMs: PROBE_EVERY_MS, run: async () => table.probe() },
+      { name: 'probe', everyMs: PROBE_INTERVAL_MS, run: async () => table.probe() },
     ],
     (name, error) => {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
--- a/packages/daemon/src/batch/jobs/intake.ts
+++ b/packages/daemon/src/batch/jobs/intake.ts
@@ -132,7 +132,7 @@
   const statusCache = new Map<JobId, JobStatus>();
   const submission = createSubmissionWriter({ table, groupCommit, control, nowMs });
 
-  const retryAfterS = (): number => chooseRetryAfterS(table.silentForMs(), random());
+  const retryAfterS = (): number => chooseRetryAfterS(table.unansweredForMs(), random());
 
   /** Builds the refusal for a write with the outcome `unreachable` or `unknown`; undefined for the others. */
   const toRefusal = (written: RowWriteOutcome): IntakeAnswer | undefined => {
@@ -160,7 +160,7 @@
       account: job.owner?.account,
       steps: job.steps.length,
       outcome: written.kind,
-      tableSilentMs: Math.round(table.silentForMs()),
+      tableSilentMs: Math.round(table.unansweredForMs()),
       tookMs: Math.round(nowMs() - startedAtMs),
     });
     if (NOT_WRITTEN.has(written.kind)) onRefused(job.jobId);
--- a/packages/daemon/src/batch/jobs/submission.test.ts
+++ b/packages/daemon/src/batch/jobs/submission.test.ts
@@ -61,7 +61,7 @@
         : Err({ kind: 'unreachable', detail: '503' });
     };
     const submission = createSubmissionWriter({
-      table: { isServed: () => true, silentForMs: silentMs },
+      table: { isDirectRouteUp: () => true, unansweredForMs: silentMs },
       groupCommit: createGroupCommit({ table: { transact } }),
       control: {
         holderSilentMs: silentMs,
@@ -117,7 +117,7 @@
     const backAtMs = startedAtMs + 3000;
     const silentMs = (): number => (performance.now() < backAtMs ? 10_000 : 0);
     const submission = createSubmissionWriter({
-      table: { isServed: () => true, silentForMs: silentMs },
+      table: { isDirectRouteUp: () => true, unansweredForMs: silentMs },
       groupCommit: createGroupCommit({
         table: { transact: async () => Ok({ kind: 'committed', version: 7 }) },
       }),
@@ -205,7 +205,7 @@
           let writes = 0;
           const silentMs = (): number => (isUnavailable ? 10_000 : 0);
           const submission = createSubmissionWriter({
-            table: { isServed: () => true, silentForMs: silentMs },
+            table: { isDirectRouteUp: () => true, unansweredForMs: silentMs },
             groupCommit: {
               submit: async (_, leave = () => true) => {
                 await step('line');
--- a/packages/daemon/src/batch/jobs/submission.ts
+++ b/packages/daemon/src/batch/jobs/submission.ts
@@ -28,7 +28,7 @@
 const PATH_CHECK_INTERVAL_MS = 50;
 
 export type SubmissionWriterOptions = {
-  readonly table: Pick<RelayedTable, 'isServed' | 'silentForMs'>;
+  readonly table: Pick<RelayedTable, 'isDirectRouteUp' | 'unansweredForMs'>;
   readonly groupCommit: GroupCommit;
   readonly control: Pick<ControlClient, 'accept' | 'holderSilentMs' | 'notifyAccepted'>;
   /** Monotonic clock, in milliseconds. */
@@ -67,7 +67,7 @@
   pause = sleep,
 }: SubmissionWriterOptions): SubmissionWriter => {
   const canSubmit = (): boolean =>
-    hasWritePath({ tableSilentMs: table.silentForMs(), holderSilentMs: control.holderSilentMs() });
+    hasWritePath({ tableSilentMs: table.unansweredForMs(), holderSilentMs: control.holderSilentMs() });
 
   const write = async (
     transaction: Parameters<GroupCommit['submit']>[0],
@@ -107,7 +107,7 @@
 
   const submitOnce = async (row: LiveRow, attempt: Attempt, untilMs: number): Promise<AttemptEnd> => {
     const outcome = await askHolder(row, attempt, nowMs() + HOLDER_WAIT_MS);
-    if (outcome?.kind === 'away' && !table.isServed()) return { kind: 'failed', detail: NO_PATH };
+    if (outcome?.kind === 'away' && !table.isDirectRouteUp()) return { kind: 'failed', detail: NO_PATH };
     if (outcome && outcome.kind !== 'unheard' && outcome.kind !== 'away') return outcome;
     if (outcome?.kind === 'unheard' && nowMs() + MIN_WRITE_MS > untilMs) {
       return { kind: 'failed', detail: 'the holder of control did not answer' };
--- a/packages/daemon/src/batch/relays/first-answered.ts
+++ b/packages/daemon/src/batch/relays/first-answered.ts
@@ -2,7 +2,7 @@
 import type { PlatformError } from '@valvelatch/platform';
 import { Err, type Result } from 'ts-results-es';
 
-export type AnyResult = Result<unknown, PlatformError>;
+export type CallResult = Result<unknown, PlatformError>;
 
 /**
  * Tells whether the platform answered a call.
@@ -10,14 +10,14 @@
  * @param result - The result of the call.
  * @returns True for a success and for an answer that rejects the call permanently (`rejected`).
  */
-export const isAnswered = (result: AnyResult): boolean =>
+export const isAnswered = (result: CallResult): boolean =>
   result.isOk() || result.error.kind === 'rejected';
 
 /**
  * Combines the results of two attempts at one call. An answer in the second result takes precedence. Two failures are
  * `unknown` if either call may have been carried out, else `unreachable`.
  */
-const combineFailures = (first: AnyResult, second: AnyResult): AnyResult => {
+const combineFailures = (first: CallResult, second: CallResult): CallResult => {
   if (isAnswered(second) || first.isOk() || second.isOk()) return second;
   const isUnknown = first.error.kind === 'unknown' || second.error.kind === 'unknown';
   return Err({
@@ -34,18 +34,18 @@
  * @param staggerMs - How long to wait for the latest attempt before the next one starts in parallel, in milliseconds.
  * @returns The first answer, or all failures combined if no attempt was answered.
  */
-export const firstAnswered = (
-  attempts: readonly (() => Promise<AnyResult>)[],
+export const firstAnswer = (
+  attempts: readonly (() => Promise<CallResult>)[],
   staggerMs: number,
-): Promise<AnyResult> =>
+): Promise<CallResult> =>
   new Promise((resolve) => {
     let startedCount = 0;
     let pending = 0;
     let isDone = false;
-    let combinedFailure: AnyResult | undefined;
+    let combinedFailure: CallResult | undefined;
     let timer: NodeJS.Timeout | undefined;
 
-    const finish = (result: AnyResult): void => {
+    const finish = (result: CallResult): void => {
       isDone = true;
       clearTimeout(timer);
       resolve(result);
--- a/packages/daemon/src/batch/relays/order-agent.test.ts
+++ b/packages/daemon/src/batch/relays/order-agent.test.ts
@@ -8,8 +8,8 @@
 import { describe, expect, it } from 'vitest';
 
 import { createMetrics } from '../../observe/metrics.js';
-import { createOrderAgent } from './order-agent.js';
-import { decodeAnswer, encodeOrder, type CarriedOrder } from './order-message.js';
+import { createRelayOrderHandler } from './order-agent.js';
+import { decodeAnswer, encodeOrder, type RelayedOrder } from './order-message.js';
 
 const NORTH = brand<DataCentreId>('north');
 const SOUTH = brand<DataCentreId>('south');
@@ -21,14 +21,14 @@
   dataCentre,
 });
 
-const startIn = (dataCentre: DataCentreId): CarriedOrder => ({
+const startIn = (dataCentre: DataCentreId): RelayedOrder => ({
   kind: 'start',
   target: targetIn(dataCentre),
   timeoutMs: 500,
   order: { task: TASK, run: 1, spec: '', keepUntilMs: 1, fence: 1, checkpoint: '', ticket: '' },
 });
 
-const stopIn = (dataCentre: DataCentreId): CarriedOrder => ({
+const stopIn = (dataCentre: DataCentreId): RelayedOrder => ({
   kind: 'stop',
   target: targetIn(dataCentre),
   timeoutMs: 500,
@@ -39,7 +39,7 @@
  * Has a relay answer an order. It knows that the north data centre is evacuated, which the holder does not know yet. With
  * `isOpen` false, its evacuation view is too old to allow any start.
  */
-const answerOf = async (carried: CarriedOrder, isOpen = true) => {
+const answerOf = async (carried: RelayedOrder, isOpen = true) => {
   const sent: string[] = [];
   const recordSent = (kind: string) => async () => {
     sent.push(kind);
@@ -50,7 +50,7 @@
     isOpen: () => isOpen,
     mayStartIn: (dataCentre: DataCentreId) => isOpen && dataCentre !== NORTH,
   };
-  const agent = createOrderAgent(orders, createMetrics(), gate);
+  const agent = createRelayOrderHandler(orders, createMetrics(), gate);
   return { answer: decodeAnswer(await agent.answer(encodeOrder(carried))), sent };
 };
 
--- a/packages/daemon/src/batch/relays/order-agent.ts
+++ b/packages/daemon/src/batch/relays/order-agent.ts
@@ -7,7 +7,7 @@
 
 import type { Metrics } from '../../observe/metrics.js';
 import { OPEN_GATE, type StartGate } from '../configuration/start-gate.js';
-import { decodeOrder, encodeAnswer, SPEC_MISSING, type CarriedOrder } from './order-message.js';
+import { decodeOrder, encodeAnswer, SPEC_MISSING, type RelayedOrder } from './order-message.js';
 import type { EndpointOrders } from '../ports.js';
 
 /** Maximum number of job specs in the cache. A spec has 4 KB at most, and all starts of a job arrive within seconds. */
@@ -29,7 +29,7 @@
   detail: 'the relay has not heard of evacuations for too long',
 };
 
-export type OrderAgent = {
+export type RelayOrderHandler = {
   /**
    * Decodes an order, sends it to its endpoint and returns the encoded answer, which the mesh sends back to the holder.
    * Throws if the payload is not an order.
@@ -47,11 +47,11 @@
  * before the holder does, and a relay whose process was paused may send an order seconds after the holder's check.
  * @returns The handler.
  */
-export const createOrderAgent = (
+export const createRelayOrderHandler = (
   orders: EndpointOrders,
   metrics: Metrics,
   gate: Pick<StartGate, 'mayStartIn' | 'isOpen'> = OPEN_GATE,
-): OrderAgent => {
+): RelayOrderHandler => {
   const cachedSpecs = new Map<string, string>();
 
   const cacheSpec = (jobId: string, spec: string): void => {
@@ -64,7 +64,7 @@
     target,
     timeoutMs,
     order,
-  }: Extract<CarriedOrder, { kind: 'start' }>): Promise<unknown> => {
+  }: Extract<RelayedOrder, { kind: 'start' }>): Promise<unknown> => {
     const jobId = parseTaskKey(order.task)?.jobId ?? '';
     if (order.spec !== null) cacheSpec(jobId, order.spec);
     const spec = cachedSpecs.get(jobId);
@@ -75,8 +75,8 @@
   };
 
   const handlers: {
-    readonly [Kind in CarriedOrder['kind']]: (
-      carried: Extract<CarriedOrder, { kind: Kind }>,
+    readonly [Kind in RelayedOrder['kind']]: (
+      carried: Extract<RelayedOrder, { kind: Kind }>,
     ) => Promise<unknown>;
   } = {
     start,
@@ -91,7 +91,7 @@
       const carried = decodeOrder(payload);
       if (!carried) throw new Error('this is no order');
       metrics.count(`carried_${carried.kind}`);
-      const handle = handlers[carried.kind] as (order: CarriedOrder) => Promise<unknown>;
+      const handle = handlers[carried.kind] as (order: RelayedOrder) => Promise<unknown>;
       return handle(carried);
     },
   };
--- a/packages/daemon/src/batch/relays/order-message.ts
+++ b/packages/daemon/src/batch/relays/order-message.ts
@@ -19,12 +19,12 @@
 import type { OrderTarget } from '../ports.js';
 
 /** A start order. `spec` is the job's spec, or null if the relay has received it with an earlier start of the job. */
-export type CarriedStart = Omit<StartOrder, 'spec'> & { readonly spec: string | null };
+export type RelayedStart = Omit<StartOrder, 'spec'> & { readonly spec: string | null };
 
 /** An order that another entry is to send to its endpoint. */
-export type CarriedOrder = { readonly target: OrderTarget; readonly timeoutMs: number } & (
+export type RelayedOrder = { readonly target: OrderTarget; readonly timeoutMs: number } & (
   | { readonly kind: 'list'; readonly order: ListOrder }
-  | { readonly kind: 'start'; readonly order: CarriedStart }
+  | { readonly kind: 'start'; readonly order: RelayedStart }
   | { readonly kind: 'stop'; readonly order: StopOrder }
 );
 
@@ -45,7 +45,7 @@
     waitMs,
     keepUntilMs ?? null,
   ],
-  start: ({ fence, task, run, keepUntilMs, checkpoint, ticket, spec }: CarriedStart): Row => [
+  start: ({ fence, task, run, keepUntilMs, checkpoint, ticket, spec }: RelayedStart): Row => [
     fence,
     task,
     run,
@@ -63,10 +63,10 @@
  * @param carried - The order.
  * @returns The message.
  */
-export const encodeOrder = (carried: CarriedOrder): Row => {
+export const encodeOrder = (carried: RelayedOrder): Row => {
   const { kind, target, timeoutMs, order } = carried;
   const { endpointId, address, dataCentre } = target;
-  const encodeFields = orderEncoders[kind] as (one: CarriedOrder['order']) => Row;
+  const encodeFields = orderEncoders[kind] as (one: RelayedOrder['order']) => Row;
   return [
     KIND_CODE[kind],
     endpointId,
@@ -77,7 +77,7 @@
   ];
 };
 
-const decoders: Readonly<Record<string, (row: Row) => Pick<CarriedOrder, 'kind' | 'order'>>> = {
+const decoders: Readonly<Record<string, (row: Row) => Pick<RelayedOrder, 'kind' | 'order'>>> = {
   [KIND_CODE.list]: ([fence, acknowledged, waitMs, keepUntilMs]) => ({
     kind: 'list',
     order: {
@@ -111,7 +111,7 @@
  * @param payload - The received message.
  * @returns The order; undefined if the message is not an order.
  */
-export const decodeOrder = (payload: unknown): CarriedOrder | undefined => {
+export const decodeOrder = (payload: unknown): RelayedOrder | undefined => {
   if (!Array.isArray(payload)) return undefined;
   const [kindCode, endpointId, address, dataCentre, timeoutMs, ...row] = payload as Row;
   const decodeFields = decoders[String(kindCode)];
@@ -121,7 +121,7 @@
     address: String(address),
     dataCentre: String(dataCentre),
   } as OrderTarget;
-  return { target, timeoutMs: Number(timeoutMs), ...decodeFields(row) } as CarriedOrder;
+  return { target, timeoutMs: Number(timeoutMs), ...decodeFields(row) } as RelayedOrder;
 };
 
 /** The answer to a start without a spec if the relay does not have the job's spec. */
--- a/packages/daemon/src/batch/relays/relayed-orders.ts
+++ b/packages/daemon/src/batch/relays/relayed-orders.ts
@@ -22,14 +22,14 @@
   decodeAnswer,
   encodeOrder,
   SPEC_MISSING,
-  type CarriedOrder,
+  type RelayedOrder,
   type ListAnswer,
 } from './order-message.js';
 import type { Peers } from '../entry/peers.js';
 import type { EndpointOrders, OrderTarget } from '../ports.js';
 
 /** The mesh method that asks another entry to relay an order. */
-export const ORDER_METHOD = 'order';
+export const RELAY_ORDER_METHOD = 'order';
 
 /** A relay that has sent nothing for this long gets no orders. Entries send each other a message every 0.5 s. */
 const MAX_RELAY_SILENCE_MS = 1200;
@@ -43,7 +43,7 @@
 /** Links are kept open to more entries than serve as relays, so that replacing a lost relay needs no new link. */
 const LINKS_PER_DATA_CENTRE = 5;
 /** How often the relays are selected again. */
-export const RELAYS_EVERY_MS = 400;
+export const RELAY_REFRESH_INTERVAL_MS = 400;
 /**
  * Maximum number of jobs for which the holder remembers, per relay, that the relay has the spec. It must not exceed the
  * number of specs that a relay caches (`MAX_CACHED_SPECS`): otherwise starts would be sent without a spec that the relay
@@ -56,9 +56,9 @@
   /** Returns the other entries; undefined while they are not known yet. */
   readonly peers: () => Pick<Peers, 'ask' | 'ensureLink' | 'members' | 'silentForMs'> | undefined;
   /** Returns how many bytes this entry's link has transferred so far, and its capacity. */
-  readonly linkUse: () => LinkUsage;
+  readonly readLinkUsage: () => LinkUsage;
   /** False if all orders are to be sent directly, however busy the link is. */
-  readonly isAllowed: boolean;
+  readonly mayRelay: boolean;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly nowMs?: () => number;
@@ -81,8 +81,8 @@
 export const createRelayedOrders = ({
   orders,
   peers,
-  linkUse,
-  isAllowed,
+  readLinkUsage,
+  mayRelay,
   log,
   metrics,
   nowMs = () => performance.now(),
@@ -109,7 +109,7 @@
 
   const refresh = (): void => {
     const wasRelaying = isRelaying;
-    isRelaying = isAllowed && isRelayingNeeded(linkUse(), nowMs());
+    isRelaying = mayRelay && isRelayingNeeded(readLinkUsage(), nowMs());
     if (!isRelaying) return;
     if (!wasRelaying) log.info('orders-relayed', { reason: 'the link of the holder is busy' });
     const all = listCandidates();
@@ -139,11 +139,11 @@
 
   const sendToRelay = async (
     relay: EntryId,
-    carried: CarriedOrder,
+    carried: RelayedOrder,
     waitMs: number,
   ): Promise<unknown> => {
     metrics.count(`relayed_${carried.kind}`);
-    return peers()?.ask(relay, ORDER_METHOD, encodeOrder(carried), waitMs + RELAY_ROUND_TRIP_MS);
+    return peers()?.ask(relay, RELAY_ORDER_METHOD, encodeOrder(carried), waitMs + RELAY_ROUND_TRIP_MS);
   };
 
   /**
@@ -161,7 +161,7 @@
 
   const send = async (
     relay: EntryId,
-    carried: CarriedOrder,
+    carried: RelayedOrder,
     waitMs: number,
   ): Promise<Result<ListAnswer, OrderError>> => {
     try {
@@ -189,7 +189,7 @@
     const relay = relayFor(target);
     if (relay === undefined) return orders.start(target, order, timeoutMs);
     const isNew = recordSentSpec(relay, parseTaskKey(order.task)?.jobId ?? '');
-    const withSpec = (spec: string | null): CarriedOrder => ({
+    const withSpec = (spec: string | null): RelayedOrder => ({
       kind: 'start',
       target,
       timeoutMs,
--- a/packages/daemon/src/batch/relays/relayed-table.test.ts
+++ b/packages/daemon/src/batch/relays/relayed-table.test.ts
@@ -103,7 +103,7 @@
       nowMs: () => 1000,
     });
     await table.read(['lease/control']);
-    const answer = await table.answerNeighbour({ kind: 'read', keys: ['job/a'] });
+    const answer = await table.callForNeighbour({ kind: 'read', keys: ['job/a'] });
     expect([answer.isOk, calls]).toEqual([false, 1]);
   });
 
@@ -145,10 +145,10 @@
 
   it('is counted from the first unanswered call on, before that call times out', async () => {
     const { table, clock } = silentTable(() => false);
-    expect(table.silentForMs()).toBe(0);
+    expect(table.unansweredForMs()).toBe(0);
     void table.read(['lease/control']);
     clock.nowMs += 700;
-    expect(table.silentForMs()).toBe(700);
+    expect(table.unansweredForMs()).toBe(700);
   });
 
   it('ends when a probe is answered, even if earlier calls are still unanswered', async () => {
@@ -160,6 +160,6 @@
     table.probe();
     await Promise.resolve();
     await Promise.resolve();
-    expect(table.silentForMs()).toBe(0);
+    expect(table.unansweredForMs()).toBe(0);
   });
 });
--- a/packages/daemon/src/batch/relays/relayed-table.ts
+++ b/packages/daemon/src/batch/relays/relayed-table.ts
@@ -9,7 +9,7 @@
 
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
-import { firstAnswered, isAnswered, type AnyResult } from './first-answered.js';
+import { firstAnswer, isAnswered, type CallResult } from './first-answered.js';
 import { LEASE_PREFIX } from '../keys.js';
 import type { AskPeer } from '../entry/peers.js';
 import type { BatchTable } from '../ports.js';
@@ -47,12 +47,12 @@
  * time-outs, so that submissions are admitted again within `PROBE_EVERY_MS` of the table's return.
  */
 const PROBE_AFTER_MS = 400;
-export const PROBE_EVERY_MS = 200;
+export const PROBE_INTERVAL_MS = 200;
 const MAX_PROBES_IN_FLIGHT = 4;
 const PROBE_KEY = `${LEASE_PREFIX}control`;
 
 /** A table call that an entry makes on behalf of a neighbour. */
-export type RelayCall =
+export type TableCall =
   | { readonly kind: 'read'; readonly keys: readonly string[] }
   | { readonly kind: 'scan'; readonly prefix: string }
   | { readonly kind: 'transact'; readonly transaction: TableTransaction };
@@ -60,10 +60,10 @@
 /**
  * The result of a table call as sent between entries: `value` is the call's value, or a `PlatformError` if not `isOk`.
  */
-type RelayAnswer = { readonly isOk: boolean; readonly value: unknown };
+type TableCallAnswer = { readonly isOk: boolean; readonly value: unknown };
 
 /** The mesh method that asks a neighbour to make a table call. */
-export const RELAY_METHOD = 'table';
+export const TABLE_CALL_METHOD = 'table';
 
 export type RelayedTableOptions = {
   readonly table: BatchTable;
@@ -80,29 +80,29 @@
    * When the table last answered, directly or through a neighbour, by the monotonic clock; -Infinity before the first
    * answer.
    */
-  readonly answeredAtMs: () => number;
+  readonly lastAnsweredAtMs: () => number;
   /**
    * Makes a call on behalf of a neighbour. Fails at once, without a call, if this entry's last direct call failed
    * recently.
    */
-  readonly answerNeighbour: (call: RelayCall) => Promise<RelayAnswer>;
+  readonly callForNeighbour: (call: TableCall) => Promise<TableCallAnswer>;
   /**
    * Milliseconds since the first direct call after the last answer, if nothing has been answered since, directly or
    * through a neighbour; else 0.
    */
-  readonly silentForMs: () => number;
+  readonly unansweredForMs: () => number;
   /**
    * Reads a row while the table is not answering, so that its return is noticed quickly. To be called every
    * `PROBE_EVERY_MS`.
    */
   readonly probe: () => void;
   /** True if the last direct call that has ended was answered, or if none has ended yet. */
-  readonly isServed: () => boolean;
+  readonly isDirectRouteUp: () => boolean;
   /**
    * When the first of the current run of failed direct calls failed, by the monotonic clock; Infinity if the last one
    * was answered.
    */
-  readonly lostSinceMs: () => number;
+  readonly directRouteLostSinceMs: () => number;
 };
 
 const ALSO_REFUSED: PlatformError = {
@@ -117,7 +117,7 @@
 const LAST_CALL_SUCCEEDED = -1;
 
 /** Tells whether a call reads or writes a lease row; a lease may be lost if such a call is late. */
-const touchesLease = (call: RelayCall): boolean => {
+const touchesLease = (call: TableCall): boolean => {
   const keys = {
     read: () => (call.kind === 'read' ? call.keys : []),
     scan: () => [],
@@ -126,7 +126,7 @@
   return keys.some((key) => key.startsWith(LEASE_PREFIX));
 };
 
-const callDirectly = (table: BatchTable, call: RelayCall): Promise<AnyResult> => {
+const callDirectly = (table: BatchTable, call: TableCall): Promise<CallResult> => {
   if (call.kind === 'read') return table.read(call.keys);
   if (call.kind === 'scan') return table.scan(call.prefix);
   return table.transact(call.transaction);
@@ -157,7 +157,7 @@
   let unansweredSinceMs = Infinity;
   let probesInFlight = 0;
 
-  const callTable = async (call: RelayCall): Promise<AnyResult> => {
+  const callTable = async (call: TableCall): Promise<CallResult> => {
     unansweredSinceMs = Math.min(unansweredSinceMs, nowMs());
     const result = await callDirectly(table, call);
     if (result.isOk() || result.error.kind === 'rejected') {
@@ -179,20 +179,20 @@
     unansweredSinceMs = Infinity;
   };
 
-  const silentForMs = (): number => Math.max(0, nowMs() - unansweredSinceMs);
+  const unansweredForMs = (): number => Math.max(0, nowMs() - unansweredSinceMs);
 
   const probe = (): void => {
-    if (silentForMs() < PROBE_AFTER_MS || probesInFlight >= MAX_PROBES_IN_FLIGHT) return;
+    if (unansweredForMs() < PROBE_AFTER_MS || probesInFlight >= MAX_PROBES_IN_FLIGHT) return;
     probesInFlight += 1;
     void callTable({ kind: 'read', keys: [PROBE_KEY] }).then(() => {
       probesInFlight -= 1;
     });
   };
 
-  const callThroughNeighbour = async (neighbour: EntryId, call: RelayCall): Promise<AnyResult> => {
+  const callThroughNeighbour = async (neighbour: EntryId, call: TableCall): Promise<CallResult> => {
     metrics.count('table_relays');
     try {
-      const answer = (await ask(neighbour, RELAY_METHOD, call, RELAY_TIMEOUT_MS)) as RelayAnswer;
+      const answer = (await ask(neighbour, TABLE_CALL_METHOD, call, RELAY_TIMEOUT_MS)) as TableCallAnswer;
       if (!answer.isOk) {
         failedAtMs.set(neighbour, nowMs());
         return Err(answer.value as PlatformError);
@@ -225,7 +225,7 @@
       .slice(0, MAX_NEIGHBOURS)
       .map(({ entryId }) => entryId);
 
-  const callThroughNeighbours = async (call: RelayCall): Promise<AnyResult> => {
+  const callThroughNeighbours = async (call: TableCall): Promise<CallResult> => {
     if (nowMs() < neighboursBackoffUntilMs) {
       return Err({ kind: 'unreachable', detail: 'neighbours are turned away too' });
     }
@@ -233,24 +233,24 @@
       (neighbour) => () => callThroughNeighbour(neighbour, call),
     );
     if (attempts.length === 0) return Err({ kind: 'unreachable', detail: 'no neighbour' });
-    const result = await firstAnswered(attempts, touchesLease(call) ? STAGGER_MS : NO_STAGGER_MS);
+    const result = await firstAnswer(attempts, touchesLease(call) ? STAGGER_MS : NO_STAGGER_MS);
     if (!isAnswered(result)) neighboursBackoffUntilMs = nowMs() + NEIGHBOURS_BACKOFF_MS;
     return result;
   };
 
-  const callByEitherRoute = async (call: RelayCall): Promise<AnyResult> => {
+  const callByEitherRoute = async (call: TableCall): Promise<CallResult> => {
     const isNeighboursFirst = nowMs() < neighboursFirstUntilMs;
     const routes = isNeighboursFirst
       ? [callThroughNeighbours, callTable]
       : [callTable, callThroughNeighbours];
     const staggerMs = touchesLease(call) ? HEDGE_MS : NO_STAGGER_MS;
-    return firstAnswered(
+    return firstAnswer(
       routes.map((route) => () => route(call)),
       staggerMs,
     );
   };
 
-  const answerNeighbour = async (call: RelayCall): Promise<RelayAnswer> => {
+  const callForNeighbour = async (call: TableCall): Promise<TableCallAnswer> => {
     const result = nowMs() < neighboursFirstUntilMs ? Err(ALSO_REFUSED) : await callTable(call);
     return result.isOk()
       ? { isOk: true, value: result.value }
@@ -258,7 +258,7 @@
   };
 
   return {
-    answerNeighbour,
+    callForNeighbour,
     read: (keys) =>
       callByEitherRoute({ kind: 'read', keys }) as Promise<
         Result<readonly TableRow[], PlatformError>
@@ -271,10 +271,10 @@
       callByEitherRoute({ kind: 'transact', transaction }) as Promise<
         Result<TransactionOutcome, PlatformError>
       >,
-    answeredAtMs: () => answeredAtMs,
-    silentForMs,
+    lastAnsweredAtMs: () => answeredAtMs,
+    unansweredForMs,
     probe,
-    isServed: () => consecutiveFailures === 0,
-    lostSinceMs: () => lostSinceMs,
+    isDirectRouteUp: () => consecutiveFailures === 0,
+    directRouteLostSinceMs: () => lostSinceMs,
   };
 };
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -44,9 +44,9 @@
 import { createControl, type Control } from '../control/control.js';
 import { batchKey } from '../keys.js';
 import type { Peers } from '../entry/peers.js';
-import { createRelayedTable, type RelayCall, type RelayedTable } from '../relays/relayed-table.js';
+import { createRelayedTable, type TableCall, type RelayedTable } from '../relays/relayed-table.js';
 import { createHolderPreference } from '../control/standing.js';
-import { createOrderAgent } from '../relays/order-agent.js';
+import { createRelayOrderHandler } from '../relays/order-agent.js';
 import { createRelayedOrders } from '../relays/relayed-orders.js';
 import {
   createSimLink,
@@ -343,9 +343,9 @@
     const startGate = createStartGate({
       evacuations,
       configuration: operatorRows,
-      isTableUnavailable: () => relayed.silentForMs() >= TABLE_UNAVAILABLE_MS,
+      isTableUnavailable: () => relayed.unansweredForMs() >= TABLE_UNAVAILABLE_MS,
     });
-    const agent = createOrderAgent(platform.orders, metrics, startGate);
+    const agent = createRelayOrderHandler(platform.orders, metrics, startGate);
     entry.answerOrder = async (payload) => {
       await awake();
       await carryMessage('in', payload);
@@ -394,8 +394,8 @@
           ).filter(({ entryId }) => entryId !== entry.entryId),
         silentForMs,
       }),
-      linkUse: platform.readLinkUsage,
-      isAllowed: mayRelayOrders,
+      readLinkUsage: platform.readLinkUsage,
+      mayRelay: mayRelayOrders,
       log,
       metrics,
     });
@@ -406,7 +406,7 @@
         await awake();
         const other = entries.find((one) => one.entryId === entryId);
         const isCut = !other || other.isSilent || entry.isSilent || entry.isCutFromRelays;
-        const answer = isCut ? never() : other.table.answerNeighbour(payload as RelayCall);
+        const answer = isCut ? never() : other.table.callForNeighbour(payload as TableCall);
         return Promise.race([answer, sleep(ms).then(() => Promise.reject(new Error('no answer')))]);
       },
       log,
