--- a/packages/daemon/src/batch/control/domain-gauges.ts
+++ b/packages/daemon/src/batch/control/domain-gauges.ts
@@ -2,7 +2,7 @@
 import type { BatchState } from '@valvelatch/core/batch';
 
 import type { Metrics } from '../../observe/metrics.js';
-import { countSuspects } from '../operators/domain-views.js';
+import { countSuspectedEndpoints } from '../operators/domain-views.js';
 
 const escapeLabel = (label: string): string => label.replace(/["\\\n]/g, '_');
 
@@ -27,7 +27,7 @@
   return {
     update: () => {
       const counts = new Map(
-        countSuspects(state).map(({ dataCentre, suspected }) => [
+        countSuspectedEndpoints(state).map(({ dataCentre, suspected }) => [
           `suspected_endpoints{data_centre="${escapeLabel(dataCentre)}"}`,
           suspected,
         ]),
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -27,7 +27,7 @@
 import { CONTROL_METHOD } from '../control/holder-client.js';
 import { createIntake, type Intake } from '../jobs/intake.js';
 import { HEARTBEAT_INTERVAL_MS, createPeers, type AskPeer, type Peers } from './peers.js';
-import { answerOperator, OPERATORS_METHOD, type OperatorQuestion } from '../operators/operators.js';
+import { answerOperator, OPERATORS_METHOD, type OperatorQuery } from '../operators/operators.js';
 import { createRelayOrderHandler } from '../relays/order-agent.js';
 import { createRelayedOrders, RELAY_ORDER_METHOD, RELAY_REFRESH_INTERVAL_MS } from '../relays/relayed-orders.js';
 import { createHolderPreference, computeHolderCapacity } from '../control/standing.js';
@@ -86,7 +86,7 @@
   readonly intake: Intake;
   readonly control: Control;
   /** Answers an operator, through the control holder if that is another entry. */
-  readonly answerOperator: (question: OperatorQuestion) => Promise<OperatorResult>;
+  readonly answerOperator: (question: OperatorQuery) => Promise<OperatorResult>;
   /** True if new clients should be routed to this entry. */
   readonly isReady: () => boolean;
   /** Gives up control at once and stops being ready for new clients. Connected clients are still served. */
@@ -182,10 +182,10 @@
   });
 
   /** Answers an operator at this entry; returns undefined if it is not the control holder. */
-  const answerAsHolder = (question: OperatorQuestion): OperatorResult | undefined =>
+  const answerAsHolder = (question: OperatorQuery): OperatorResult | undefined =>
     answerOperator(control, question, configuration.index()?.configuration.version ?? 0);
 
-  const askOperators = async (question: OperatorQuestion): Promise<OperatorResult> => {
+  const askOperators = async (question: OperatorQuery): Promise<OperatorResult> => {
     const ownAnswer = answerAsHolder(question);
     const holder = control.holder();
     if (ownAnswer) return ownAnswer;
@@ -215,7 +215,7 @@
       if (method === CONFIGURATION_METHOD) {
         return configuration.answerNeighbour(payload as NeighbourQuestion | number);
       }
-      if (method === OPERATORS_METHOD) return answerAsHolder(payload as OperatorQuestion) ?? null;
+      if (method === OPERATORS_METHOD) return answerAsHolder(payload as OperatorQuery) ?? null;
       return control.handleCall(method, payload);
     },
   });
--- a/packages/daemon/src/batch/operators/account-views.ts
+++ b/packages/daemon/src/batch/operators/account-views.ts
@@ -47,7 +47,7 @@
  * @returns A text that begins with `quota`, `share` or `room`: the account's quota is used up, jobs within their account's
  * share go first, or there is not enough free capacity. `quota` and `share` are followed by ':' and the account's figures.
  */
-export const waitsFor = (state: BatchState, step: StepRun, nowMs: number): string => {
+export const describeWaitCause = (state: BatchState, step: StepRun, nowMs: number): string => {
   const account = step.job.job.owner?.account;
   if (account === undefined) return 'room';
   const limits = limitsOf(state, account);
@@ -72,7 +72,7 @@
     backlogByAccount.set(account, backlog);
     backlog.jobs += 1;
     listWaitingSteps(job).forEach((step) => {
-      const [cause] = waitsFor(state, step, nowMs).split(':') as ['quota' | 'share' | 'room'];
+      const [cause] = describeWaitCause(state, step, nowMs).split(':') as ['quota' | 'share' | 'room'];
       backlog[cause] += step.waiting.length;
     });
   });
@@ -80,7 +80,7 @@
 };
 
 /** The data from which the list of accounts is built. */
-export type AccountsView = {
+export type AccountViewSource = {
   readonly state: BatchState;
   readonly admission: Pick<AdmissionControl, 'countsByAccount'>;
 };
@@ -92,8 +92,8 @@
  * @param nowMs - The current time by the monotonic clock.
  * @returns One row for each account.
  */
-export const accountRows = (
-  { state, admission }: AccountsView,
+export const listAccountRows = (
+  { state, admission }: AccountViewSource,
   nowMs: number,
 ): readonly object[] => {
   const waitingByAccount = computeBacklogs(state, nowMs);
--- a/packages/daemon/src/batch/operators/data-centre-views.ts
+++ b/packages/daemon/src/batch/operators/data-centre-views.ts
@@ -48,7 +48,7 @@
  * @param term - The control term of the holder.
  * @returns One row for each data centre.
  */
-export const dataCentreRows = (term: Term): readonly object[] => {
+export const listDataCentreRows = (term: Term): readonly object[] => {
   const hosts = Array.from(term.fleet.inventory().hosts.values());
   return listDataCentres(term).map((dataCentre) => {
     const { shortRuns, longRuns } = countRunsInDataCentre(term.state, dataCentre);
--- a/packages/daemon/src/batch/operators/domain-views.ts
+++ b/packages/daemon/src/batch/operators/domain-views.ts
@@ -24,7 +24,7 @@
 };
 
 /** The data from which the views are built. */
-export type DomainSight = {
+export type DomainViewSource = {
   readonly state: BatchState;
   readonly hosts: Iterable<ListedHost>;
   /** The current time by the monotonic clock. */
@@ -42,7 +42,7 @@
  * Builds a view of each domain that contains a host or an endpoint, sorted by domain id: data centres first, then by
  * name.
  */
-const buildDomainViews = ({ state, hosts }: DomainSight): readonly DomainView[] => {
+const buildDomainViews = ({ state, hosts }: DomainViewSource): readonly DomainView[] => {
   const views = new Map<DomainId, DomainView>();
   const findOrAddView = ({ domainId, kind }: Pick<DomainView, 'domainId' | 'kind'>): DomainView => {
     const known = views.get(domainId);
@@ -73,7 +73,7 @@
   endpoints.flatMap(({ runs }) => Array.from(runs.values()));
 
 /** Describes for how long and by how many endpoints a domain has been suspected; '' if it is not. */
-const describeSuspicion = ({ state, nowMs }: DomainSight, domainId: DomainId): string => {
+const describeSuspicion = ({ state, nowMs }: DomainViewSource, domainId: DomainId): string => {
   const suspected = state.suspectedDomains.get(domainId);
   if (!suspected) return '';
   const { unansweringEndpoints, endpointCount, sinceMs } = suspected;
@@ -86,7 +86,7 @@
  * @param source - The scheduler's state, and the hosts in the platform's list.
  * @returns A row for each: its hosts by pool, its runs, and whether it is suspected to be lost.
  */
-export const domainRows = (source: DomainSight): readonly object[] =>
+export const listDomainRows = (source: DomainViewSource): readonly object[] =>
   buildDomainViews(source)
     .slice(0, MAX_ROWS)
     .map(({ domainId, kind, hosts, endpoints }) => ({
@@ -137,7 +137,7 @@
  * that label.
  * @returns The explanation; undefined if no domain or more than one has the name.
  */
-export const explainDomain = (source: DomainSight, name: string): object | undefined => {
+export const explainDomain = (source: DomainViewSource, name: string): object | undefined => {
   const views = buildDomainViews(source);
   const byFullName = views.find(({ domainId }) => domainName(domainId) === name);
   const byRackLabel = views.filter(
@@ -155,7 +155,7 @@
 };
 
 /** A data centre, and how many of its endpoints get no new work because it or their rack is suspected to be lost. */
-export type SuspectCount = { readonly dataCentre: string; readonly suspected: number };
+export type SuspectedEndpointCount = { readonly dataCentre: string; readonly suspected: number };
 
 /**
  * Counts, for each data centre, the endpoints that are suspected to be lost.
@@ -163,7 +163,7 @@
  * @param state - The scheduler's state.
  * @returns The count for each data centre, including counts of 0.
  */
-export const countSuspects = (state: BatchState): readonly SuspectCount[] =>
+export const countSuspectedEndpoints = (state: BatchState): readonly SuspectedEndpointCount[] =>
   Array.from(state.domains.values())
     .filter(({ kind }) => kind === 'dataCentre')
     .map(({ domainId, members }) => ({
--- a/packages/daemon/src/batch/operators/operators-http.ts
+++ b/packages/daemon/src/batch/operators/operators-http.ts
@@ -8,7 +8,7 @@
 
 import type { Metrics } from '../../observe/metrics.js';
 import type { OperatorResult } from '../../operators/operator-result.js';
-import type { OperatorQuestion } from './operators.js';
+import type { OperatorQuery } from './operators.js';
 
 const STATUS_CODES: Record<OperatorResult['kind'], number> = {
   ok: 200,
@@ -21,12 +21,12 @@
 const METHOD_PATH = /^\/v1\/([a-z-]+)$/;
 const MAX_BODY_CHARACTERS = 64 * 1024;
 
-export type OperatorsHttpOptions = {
+export type OperatorHttpServerOptions = {
   /** The bearer token that operators must send; if undefined, only metrics are served. */
   readonly operatorKey: string | undefined;
   readonly metrics: Metrics;
   /** Answers a query, here or at the holder. */
-  readonly ask: (question: OperatorQuestion) => Promise<OperatorResult>;
+  readonly ask: (question: OperatorQuery) => Promise<OperatorResult>;
 };
 
 /** Hashes a text, so that texts of different lengths can be compared in constant time. */
@@ -60,11 +60,11 @@
  * @param options - The operator key, the metrics, and the function that answers queries.
  * @returns The server.
  */
-export const createOperatorsHttp = ({
+export const createOperatorHttpServer = ({
   operatorKey,
   metrics,
   ask,
-}: OperatorsHttpOptions): Server => {
+}: OperatorHttpServerOptions): Server => {
   const isAllowed = ({ headers }: IncomingMessage): boolean =>
     operatorKey !== undefined &&
     timingSafeEqual(digest(headers.authorization ?? ''), digest(`Bearer ${operatorKey}`));
--- a/packages/daemon/src/batch/operators/operators.ts
+++ b/packages/daemon/src/batch/operators/operators.ts
@@ -16,10 +16,10 @@
 import type { HostId, JobId } from '@valvelatch/core/shared/ids';
 
 import type { OperatorResult } from '../../operators/operator-result.js';
-import { accountRows, waitsFor } from './account-views.js';
-import { dataCentreRows, explainDataCentre } from './data-centre-views.js';
+import { listAccountRows, describeWaitCause } from './account-views.js';
+import { listDataCentreRows, explainDataCentre } from './data-centre-views.js';
 import { explainRefusal } from '../jobs/job-admission.js';
-import { domainRows, explainDomain, type DomainSight } from './domain-views.js';
+import { listDomainRows, explainDomain, type DomainViewSource } from './domain-views.js';
 import type { Control } from '../control/control.js';
 import type { Term } from '../control/term.js';
 
@@ -37,7 +37,7 @@
   return instanceId ? term.state.currentIncarnations.get(instanceId) : undefined;
 };
 
-const domainViewSource = ({ state, fleet }: Term): DomainSight => ({
+const domainViewSource = ({ state, fleet }: Term): DomainViewSource => ({
   state,
   hosts: fleet.inventory().hosts.values(),
   nowMs: performance.now(),
@@ -115,9 +115,9 @@
         })),
       )
       .slice(0, MAX_ROWS),
-  accounts: (term) => accountRows(term, performance.now()),
-  'data-centres': dataCentreRows,
-  domains: (term) => domainRows(domainViewSource(term)),
+  accounts: (term) => listAccountRows(term, performance.now()),
+  'data-centres': listDataCentreRows,
+  domains: (term) => listDomainRows(domainViewSource(term)),
   waves: (term) =>
     term.fleet.waves().map((wave) => {
       const { request, hosts } = wave;
@@ -137,7 +137,7 @@
  */
 const describeWait = (term: Term, step: StepRun): string => {
   const evacuated = evacuationsBlocking(term.state, step);
-  if (evacuated.length === 0) return waitsFor(term.state, step, performance.now());
+  if (evacuated.length === 0) return describeWaitCause(term.state, step, performance.now());
   return `room: data centre ${evacuated.join(', ')} is evacuated`;
 };
 
@@ -166,7 +166,7 @@
 /** Explain one object of each kind; undefined if there is no object with the name. */
 const explainers: Readonly<Record<string, (term: Term, name: string) => object | undefined>> = {
   account: (term, name) => {
-    const rows = accountRows(term, performance.now()) as readonly Record<string, unknown>[];
+    const rows = listAccountRows(term, performance.now()) as readonly Record<string, unknown>[];
     const row = rows.find(({ account }) => account === name);
     return (
       row && {
@@ -266,7 +266,7 @@
 export const OPERATORS_METHOD = 'operators';
 
 /** An operator's query: `get`, `explain` or `status`, and the kind and the name that it is about. */
-export type OperatorQuestion = { readonly method: string; readonly body: Body };
+export type OperatorQuery = { readonly method: string; readonly body: Body };
 
 /**
  * Answers an operator's query if this entry holds control.
@@ -278,7 +278,7 @@
  */
 export const answerOperator = (
   control: Pick<Control, 'term'>,
-  { method, body }: OperatorQuestion,
+  { method, body }: OperatorQuery,
   version: number,
 ): OperatorResult | undefined => {
   const term = control.term();
