--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -472,16 +472,16 @@
     if (isStopped) return;
     loops = startLoops(
       [
-        { name: 'tick', everyMs: TICK_MS, run: tick },
-        { name: 'evacuations', everyMs: TICK_MS, run: confirmEvacuations },
-        { name: 'endpoints', everyMs: ENDPOINT_FEED_MS, run: roster.refresh },
-        { name: 'jobs', everyMs: JOB_FEED_MS, run: jobRows.applyChanges },
-        { name: 'fleet', everyMs: fleet.intervalMs, run: fleet.run },
-        { name: 'waves', everyMs: fleet.intervalMs, run: fleet.syncWaves },
-        { name: 'sweep', everyMs: SWEEP_INTERVAL_MS, run: endedJobs.deleteExpiredRows },
-        { name: 'load', everyMs: LOAD_LOG_INTERVAL_MS, run: async () => reportLoad() },
-        { name: 'domains', everyMs: LOAD_LOG_INTERVAL_MS, run: async () => domainGauges.update() },
-        { name: 'learned', everyMs: DEMAND_HISTORY_SAVE_INTERVAL_MS, run: demandHistory.save },
+        { name: 'tick', pauseMs: TICK_MS, run: tick },
+        { name: 'evacuations', pauseMs: TICK_MS, run: confirmEvacuations },
+        { name: 'endpoints', pauseMs: ENDPOINT_FEED_MS, run: roster.refresh },
+        { name: 'jobs', pauseMs: JOB_FEED_MS, run: jobRows.applyChanges },
+        { name: 'fleet', pauseMs: fleet.intervalMs, run: fleet.run },
+        { name: 'waves', pauseMs: fleet.intervalMs, run: fleet.syncWaves },
+        { name: 'sweep', pauseMs: SWEEP_INTERVAL_MS, run: endedJobs.deleteExpiredRows },
+        { name: 'load', pauseMs: LOAD_LOG_INTERVAL_MS, run: async () => reportLoad() },
+        { name: 'domains', pauseMs: LOAD_LOG_INTERVAL_MS, run: async () => domainGauges.update() },
+        { name: 'learned', pauseMs: DEMAND_HISTORY_SAVE_INTERVAL_MS, run: demandHistory.save },
       ],
       (name, error) => {
         const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -256,18 +256,18 @@
 
   const loops: RunningLoops = startLoops(
     [
-      { name: 'operator', everyMs: FEED_PAUSE_MS, run: configuration.pollFeed },
+      { name: 'operator', pauseMs: FEED_PAUSE_MS, run: configuration.pollFeed },
       {
         name: 'configuration',
-        everyMs: NEIGHBOUR_POLL_INTERVAL_MS,
+        pauseMs: NEIGHBOUR_POLL_INTERVAL_MS,
         run: configuration.askNeighbours,
       },
-      { name: 'lease', everyMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
-      { name: 'relays', everyMs: RELAY_REFRESH_INTERVAL_MS, run: refreshRelays },
-      { name: 'refused', everyMs: REPORT_REFUSED_INTERVAL_MS, run: refusedJobs.report },
-      { name: 'peers', everyMs: PEERS_REFRESH_INTERVAL_MS, run: refreshPeers },
-      { name: 'beat', everyMs: HEARTBEAT_INTERVAL_MS, run: async () => openPeers.sendHeartbeats() },
-      { name: 'probe', everyMs: PROBE_INTERVAL_MS, run: async () => table.probe() },
+      { name: 'lease', pauseMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
+      { name: 'relays', pauseMs: RELAY_REFRESH_INTERVAL_MS, run: refreshRelays },
+      { name: 'refused', pauseMs: REPORT_REFUSED_INTERVAL_MS, run: refusedJobs.report },
+      { name: 'peers', pauseMs: PEERS_REFRESH_INTERVAL_MS, run: refreshPeers },
+      { name: 'beat', pauseMs: HEARTBEAT_INTERVAL_MS, run: async () => openPeers.sendHeartbeats() },
+      { name: 'probe', pauseMs: PROBE_INTERVAL_MS, run: async () => table.probe() },
     ],
     (name, error) => {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
--- a/packages/daemon/src/entry/entry-loops.ts
+++ b/packages/daemon/src/entry/entry-loops.ts
@@ -74,21 +74,21 @@
   return [
     {
       name: 'tasks',
-      everyMs: TASK_POLL_INTERVAL_MS,
+      pauseMs: TASK_POLL_INTERVAL_MS,
       run: () => requestPlane.pollTasks(otherAddresses()),
     },
     {
       name: 'pump',
-      everyMs: () =>
+      pauseMs: () =>
         requestPlane.inFlightCount() > 0 ? BUSY_PUMP_INTERVAL_MS : IDLE_PUMP_INTERVAL_MS,
       run: async () => requestPlane.gates().forEach((gate) => gate.processQueue()),
     },
-    { name: 'mesh', everyMs: MESH_INTERVAL_MS, run: async () => meshLink.tick() },
-    { name: 'configuration', everyMs: CONFIG_POLL_INTERVAL_MS, run: pollConfiguration },
-    { name: 'seat', everyMs: leaseMs / SEAT_CHECKS_PER_LEASE, run: seatKeeper.tick },
-    { name: 'doubt', everyMs: leaseMs / SEAT_SCANS_PER_LEASE, run: doubtWatch.readSeats },
-    { name: 'claims', everyMs: CLAIMS_INTERVAL_MS, run: flushClaims },
-    { name: 'agent', everyMs: AGENT_INTERVAL_MS, run: runAgent },
-    { name: 'control', everyMs: settings['control-turn-ms'], run: controlPlane.tick },
+    { name: 'mesh', pauseMs: MESH_INTERVAL_MS, run: async () => meshLink.tick() },
+    { name: 'configuration', pauseMs: CONFIG_POLL_INTERVAL_MS, run: pollConfiguration },
+    { name: 'seat', pauseMs: leaseMs / SEAT_CHECKS_PER_LEASE, run: seatKeeper.tick },
+    { name: 'doubt', pauseMs: leaseMs / SEAT_SCANS_PER_LEASE, run: doubtWatch.readSeats },
+    { name: 'claims', pauseMs: CLAIMS_INTERVAL_MS, run: flushClaims },
+    { name: 'agent', pauseMs: AGENT_INTERVAL_MS, run: runAgent },
+    { name: 'control', pauseMs: settings['control-turn-ms'], run: controlPlane.tick },
   ];
 };
--- a/packages/daemon/src/shared/loops.ts
+++ b/packages/daemon/src/shared/loops.ts
@@ -4,7 +4,7 @@
 export type Loop = {
   readonly name: string;
   /** The pause after each run, in milliseconds. */
-  readonly everyMs: number | (() => number);
+  readonly pauseMs: number | (() => number);
   readonly run: () => Promise<void>;
 };
 
@@ -39,10 +39,10 @@
       wakeUps.add(finish);
     });
 
-  const repeat = async ({ name, everyMs, run }: Loop): Promise<void> => {
+  const repeat = async ({ name, pauseMs, run }: Loop): Promise<void> => {
     while (!isStopped) {
       await run().catch((error: unknown) => onFault(name, error));
-      if (!isStopped) await pause(typeof everyMs === 'number' ? everyMs : everyMs());
+      if (!isStopped) await pause(typeof pauseMs === 'number' ? pauseMs : pauseMs());
     }
   };
 
