--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -4,40 +4,40 @@
 import { hideBin } from 'yargs/helpers';
 
 import { callEntry, type Answer } from './client.js';
-import { readFiles } from './files.js';
-import { exitCode, printAnswer, type OutputForm, type TableWriter } from './output.js';
-import { replayFile, replayLines } from './replay-command.js';
+import { readDeclarationFiles } from './files.js';
+import { EXIT_CODES, printAnswer, type OutputFormat, type LineFormatter } from './output.js';
+import { replayFile, formatReplayReport } from './replay-command.js';
 import {
-  applyLines,
-  differenceLines,
-  explanationLines,
-  listWriter,
-  statusLines,
+  formatApplyResult,
+  formatDifference,
+  formatExplanation,
+  createListFormatter,
+  formatStatus,
 } from './tables.js';
 
 /** The options that all commands share. */
 type CommonOptions = { readonly url: string; readonly key?: string; readonly output: string };
 
-const formatJsonLine: TableWriter = (value) => [JSON.stringify(value)];
+const formatJsonLine: LineFormatter = (value) => [JSON.stringify(value)];
 
 const run = async (
   commonOptions: CommonOptions,
   method: string,
   body: unknown,
-  toLines: TableWriter,
+  toLines: LineFormatter,
 ): Promise<void> => {
   const { key = '', url, output } = commonOptions;
   const answer: Answer = await callEntry({ urls: url.split(','), key }, method, body);
-  printAnswer(answer, output as OutputForm, toLines);
+  printAnswer(answer, output as OutputFormat, toLines);
 };
 
 /** Reads the given files; prints the error and exits when one cannot be read. */
 const readFilesOrExit = async (paths: readonly string[]) => {
   try {
-    return await readFiles(paths);
+    return await readDeclarationFiles(paths);
   } catch (error) {
     process.stderr.write(`valvelatch: ${(error as Error).message}\n`);
-    return process.exit(exitCode.invalid);
+    return process.exit(EXIT_CODES.invalid);
   }
 };
 
@@ -55,7 +55,7 @@
     `list ${kind}`,
     { selector: { type: 'string', default: '', describe: 'labels to match, for hosts' } } as const,
     (args) =>
-      run(args as never, 'get', { kind, selector: args.selector }, listWriter(kind) as TableWriter),
+      run(args as never, 'get', { kind, selector: args.selector }, createListFormatter(kind) as LineFormatter),
   );
 
 const poolCommands = (argv: Argv<CommonOptions>) =>
@@ -118,7 +118,7 @@
         ),
     )
     .command('list', 'list maintenance waves', {}, (args) =>
-      run(args as never, 'get', { kind: 'waves' }, listWriter('waves') as TableWriter),
+      run(args as never, 'get', { kind: 'waves' }, createListFormatter('waves') as LineFormatter),
     );
   addWaveChangeCommand(commands, 'hold');
   addWaveChangeCommand(commands, 'resume');
@@ -161,7 +161,7 @@
     async (args) => {
       const files = await readFilesOrExit(args.file);
       const { baseRevision, author, waitMs } = args;
-      await run(args as never, 'apply', { files, baseRevision, author, waitMs }, applyLines);
+      await run(args as never, 'apply', { files, baseRevision, author, waitMs }, formatApplyResult);
     },
   )
   .command(
@@ -172,7 +172,7 @@
       const files = await readFilesOrExit(args.file);
       const toLines = ({ revision, difference }: { revision: number; difference: never }) => [
         `against revision ${revision}`,
-        ...differenceLines(difference),
+        ...formatDifference(difference),
       ];
       await run(args as never, 'diff', { files }, toLines);
     },
@@ -203,7 +203,7 @@
         }),
     (args) => {
       const toLines =
-        args.kind === 'config' ? formatJsonLine : (listWriter(args.kind) as TableWriter);
+        args.kind === 'config' ? formatJsonLine : (createListFormatter(args.kind) as LineFormatter);
       return run(args, 'get', { kind: args.kind, selector: args.selector }, toLines);
     },
   )
@@ -232,7 +232,7 @@
         args as never,
         'explain',
         { kind: args.kind, name: args.name },
-        explanationLines as TableWriter,
+        formatExplanation as LineFormatter,
       ),
   )
   .command(
@@ -246,19 +246,19 @@
       const report = await replayFile(file).catch((error: Error) => Err(error.message));
       if (report.isErr()) {
         process.stderr.write(`valvelatch: ${report.error}\n`);
-        process.exitCode = exitCode.invalid;
+        process.exitCode = EXIT_CODES.invalid;
         return;
       }
-      process.exitCode = report.value.broken.length === 0 ? exitCode.ok : exitCode.fault;
+      process.exitCode = report.value.broken.length === 0 ? EXIT_CODES.ok : EXIT_CODES.fault;
       const lines =
         output === 'json'
           ? [JSON.stringify(report.value, null, 2)]
-          : replayLines(report.value, decisions);
+          : formatReplayReport(report.value, decisions);
       process.stdout.write(`${lines.join('\n')}\n`);
     },
   )
   .command('status', 'show the status of the entries', {}, (args) =>
-    run(args as never, 'status', {}, statusLines as TableWriter),
+    run(args as never, 'status', {}, formatStatus as LineFormatter),
   )
   .demandCommand(1, 'a command is required')
   .strict()
@@ -266,7 +266,7 @@
   .wrap(null)
   .fail((message, error) => {
     process.stderr.write(`valvelatch: ${message ?? error.message}\n`);
-    process.exit(message ? exitCode.usage : exitCode.fault);
+    process.exit(message ? EXIT_CODES.usage : EXIT_CODES.fault);
   });
 
 await cli.parseAsync();
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,10 +1,10 @@
 /** Prints answers, as tables for people or as JSON for scripts, and sets the exit code. */
 import type { Answer } from './client.js';
 
-export type OutputForm = 'table' | 'json';
+export type OutputFormat = 'table' | 'json';
 
 /** Exit codes of the command line; a stable interface for scripts. */
-export const exitCode = {
+export const EXIT_CODES = {
   ok: 0,
   fault: 1,
   usage: 2,
@@ -16,12 +16,12 @@
 } as const;
 
 const codeByKind: Readonly<Record<string, number>> = {
-  ok: exitCode.ok,
-  invalid: exitCode.invalid,
-  conflict: exitCode.conflict,
-  'not-found': exitCode.notFound,
-  unavailable: exitCode.unavailable,
-  unauthorized: exitCode.unauthorized,
+  ok: EXIT_CODES.ok,
+  invalid: EXIT_CODES.invalid,
+  conflict: EXIT_CODES.conflict,
+  'not-found': EXIT_CODES.notFound,
+  unavailable: EXIT_CODES.unavailable,
+  unauthorized: EXIT_CODES.unauthorized,
 };
 
 /**
@@ -30,7 +30,7 @@
  * @param answer - The entry's answer.
  * @returns The code.
  */
-export const exitCodeOf = (answer: Answer): number => codeByKind[answer.kind] ?? exitCode.fault;
+export const exitCodeOf = (answer: Answer): number => codeByKind[answer.kind] ?? EXIT_CODES.fault;
 
 type Row = Readonly<Record<string, unknown>>;
 
@@ -46,7 +46,7 @@
  * @param columns - The properties to show, in order.
  * @returns The lines.
  */
-export const tableLines = (rows: readonly Row[], columns: readonly string[]): readonly string[] => {
+export const formatTable = (rows: readonly Row[], columns: readonly string[]): readonly string[] => {
   const cells = [
     columns.map((column) => column.toUpperCase()),
     ...rows.map((row) => columns.map((column) => formatCell(row[column]))),
@@ -63,7 +63,7 @@
 };
 
 /** Formats the value of an answer as lines for people. */
-export type TableWriter = (value: never) => readonly string[];
+export type LineFormatter = (value: never) => readonly string[];
 
 const writeError = ({ kind, detail, faults = [] }: Answer): void => {
   process.stderr.write(`valvelatch: ${kind}: ${detail ?? ''}\n`);
@@ -79,7 +79,7 @@
  * @param form - The output format.
  * @param toLines - Formats the value for the table format.
  */
-export const printAnswer = (answer: Answer, form: OutputForm, toLines: TableWriter): void => {
+export const printAnswer = (answer: Answer, form: OutputFormat, toLines: LineFormatter): void => {
   process.exitCode = exitCodeOf(answer);
   if (form === 'json') {
     process.stdout.write(`${JSON.stringify(answer, null, 2)}\n`);
--- a/packages/cli/src/replay-command.ts
+++ b/packages/cli/src/replay-command.ts
@@ -13,12 +13,12 @@
 } from '@valvelatch/core';
 import { Err, Ok, type Result } from 'ts-results-es';
 
-import { readFiles } from './files.js';
+import { readDeclarationFiles } from './files.js';
 
 const readConfiguration = async (
   folders: readonly string[],
 ): Promise<Result<Configuration, string>> => {
-  const declarations = readDeclarations(await readFiles(folders));
+  const declarations = readDeclarations(await readDeclarationFiles(folders));
   if (declarations.isErr()) {
     const [fault] = declarations.error;
     return Err(`${fault?.file ?? ''}: ${fault?.path ?? ''}: ${fault?.reason ?? ''}`);
@@ -48,7 +48,7 @@
  * @param areDecisionsShown - Whether to include a line for each decision.
  * @returns The lines.
  */
-export const replayLines = (
+export const formatReplayReport = (
   { decisions, held, broken, lastedS }: ReplayReport,
   areDecisionsShown: boolean,
 ): readonly string[] => [
--- a/packages/cli/src/tables.ts
+++ b/packages/cli/src/tables.ts
@@ -1,5 +1,5 @@
 /** Formats the answers of each method as tables or lines for people. */
-import { tableLines } from './output.js';
+import { formatTable } from './output.js';
 
 type Row = Readonly<Record<string, unknown>>;
 type Difference = {
@@ -14,7 +14,7 @@
  * @param difference - The keys of the added, changed and removed declarations.
  * @returns The lines.
  */
-export const differenceLines = ({ added, changed, removed }: Difference): readonly string[] => [
+export const formatDifference = ({ added, changed, removed }: Difference): readonly string[] => [
   ...added.map((key) => `+ ${key}`),
   ...changed.map((key) => `~ ${key}`),
   ...removed.map((key) => `- ${key}`),
@@ -27,13 +27,13 @@
  *   confirm it.
  * @returns The lines.
  */
-export const applyLines = (value: {
+export const formatApplyResult = (value: {
   revision: number;
   difference: Difference;
   inForce?: readonly string[];
   unreachable?: readonly string[];
 }): readonly string[] => [
-  ...differenceLines(value.difference),
+  ...formatDifference(value.difference),
   `revision ${value.revision}`,
   ...(value.inForce ? [`in force on: ${value.inForce.join(', ')}`] : []),
   ...(value.unreachable?.length ? [`not confirmed by: ${value.unreachable.join(', ')}`] : []),
@@ -73,10 +73,10 @@
  * @param kind - The kind of list.
  * @returns The formatter.
  */
-export const listWriter =
+export const createListFormatter =
   (kind: keyof typeof columns) =>
   (rows: readonly Row[]): readonly string[] =>
-    tableLines(rows.map(flattenJob), columns[kind]);
+    formatTable(rows.map(flattenJob), columns[kind]);
 
 /**
  * Formats an explanation.
@@ -84,7 +84,7 @@
  * @param value - The decision on a request, or the reasons stored in rows.
  * @returns The lines.
  */
-export const explanationLines = (value: {
+export const formatExplanation = (value: {
   subject: string;
   revision: number;
   outcome?: string;
@@ -105,12 +105,12 @@
  * @param value - The revision and the entries.
  * @returns The lines.
  */
-export const statusLines = (value: {
+export const formatStatus = (value: {
   revision: number;
   evacuatedDataCentres?: number;
   entries: readonly Row[];
 }) => [
   `revision ${value.revision}`,
   ...(value.evacuatedDataCentres ? [`evacuated data centres ${value.evacuatedDataCentres}`] : []),
-  ...tableLines(value.entries, columns.entries),
+  ...formatTable(value.entries, columns.entries),
 ];
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -229,7 +229,7 @@
     groupCommit: createGroupCommit({
       table,
       windowMs: GROUP_COMMIT_WINDOW_MS,
-      mostPerGroup: MAX_GROUP_COMMIT_SIZE,
+      maxGroupSize: MAX_GROUP_COMMIT_SIZE,
     }),
     control,
     log,
--- a/packages/daemon/src/batch/entry/peers.ts
+++ b/packages/daemon/src/batch/entry/peers.ts
@@ -146,10 +146,10 @@
     silentAfterMs: LINK_SILENCE_TIMEOUT_MS,
     handlers: {
       onMessage: () => undefined,
-      onPeer: (member) => {
+      onPeerHello: (member) => {
         if (member.entryId !== self) members.set(member.entryId, member);
       },
-      onSilent: (peer) => log.info('peer-silent', { peer }),
+      onPeerSilent: (peer) => log.info('peer-silent', { peer }),
       answer,
       onFrame,
     },
@@ -208,10 +208,10 @@
         strength,
       })),
     has: (entryId) => members.has(entryId),
-    silentForMs: (entryId) => performance.now() - mesh.heardAtMs(entryId),
+    silentForMs: (entryId) => performance.now() - mesh.lastReceivedAtMs(entryId),
     sendHeartbeats: () => {
-      mesh.beat({ type: 'heartbeat', revision: 0, membersHash: 0, ready: [] });
-      mesh.sweep();
+      mesh.sendHeartbeat({ type: 'heartbeat', revision: 0, membersHash: 0, ready: [] });
+      mesh.closeSilentLinks();
     },
     close: mesh.close,
   };
--- a/packages/daemon/src/control/data-centre-agent.ts
+++ b/packages/daemon/src/control/data-centre-agent.ts
@@ -25,7 +25,7 @@
   type Versioned,
 } from '@valvelatch/core';
 import {
-  createPulsedReader,
+  createCachedRowsReader,
   type HostListClient,
   type TableClient,
   type TaskSpec,
@@ -92,7 +92,7 @@
   metrics,
   nowMs = () => performance.now(),
 }: DataCentreAgentOptions): DataCentreAgent => {
-  const rowReader = createPulsedReader(table, [rowPrefix.host, rowPrefix.placement]);
+  const rowReader = createCachedRowsReader(table, [rowPrefix.host, rowPrefix.placement]);
   let lastPlacements: readonly Versioned<PlacementRow>[] = [];
   let startDeadlineMs = -Infinity;
   let nextUsageMs = -Infinity;
--- a/packages/daemon/src/control/pool-control.ts
+++ b/packages/daemon/src/control/pool-control.ts
@@ -12,7 +12,7 @@
   type PoolName,
   type WithheldAction,
 } from '@valvelatch/core';
-import type { HostListClient, PulsedReader, TableClient } from '@valvelatch/platform';
+import type { HostListClient, CachedRowsReader, TableClient } from '@valvelatch/platform';
 
 import type { LeaseManager } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
@@ -25,7 +25,7 @@
   readonly lease: LeaseManager;
   readonly table: TableClient;
   /** Reads the rows that control depends on; all pools of an entry share it. */
-  readonly rowReader: PulsedReader;
+  readonly rowReader: CachedRowsReader;
   readonly hostList: HostListClient;
   readonly configuration: () => Configuration;
   readonly log: Log;
--- a/packages/daemon/src/entry/clients.ts
+++ b/packages/daemon/src/entry/clients.ts
@@ -5,7 +5,7 @@
   createTableClient,
   createWorkerClient,
   withBatchedReads,
-  withPulse,
+  withControlChangeMarker,
   type HostListClient,
   type ObjectClient,
   type TableClient,
@@ -33,7 +33,7 @@
 export const createClients = (settings: Settings): Clients => {
   const timeoutMs = settings['platform-timeout-ms'];
   const platform = { url: settings['platform-url'], timeoutMs };
-  const table = withPulse(withBatchedReads(createTableClient(platform)));
+  const table = withControlChangeMarker(withBatchedReads(createTableClient(platform)));
   const objects = createObjectClient(platform);
   const hostList = createHostListClient(platform);
   const workers = createWorkerClient({ url: settings['workers-url'], timeoutMs });
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -14,7 +14,7 @@
   type WithheldAction,
 } from '@valvelatch/core';
 
-import { createPulsedReader, type HostListClient } from '@valvelatch/platform';
+import { createCachedRowsReader, type HostListClient } from '@valvelatch/platform';
 
 import { createDataCentreAgent, type DataCentreAgent } from '../control/data-centre-agent.js';
 import {
@@ -113,7 +113,7 @@
   const { table, workers } = clients;
   const hostList = withListCache(clients.hostList);
   const controls = new Map<PoolName, PoolControl>();
-  const rowReader = createPulsedReader(table, controlPrefixes);
+  const rowReader = createCachedRowsReader(table, controlPrefixes);
 
   /**
    * Whether no entry has a request in flight at an endpoint. Each entry that may send to the endpoint holds a
--- a/packages/daemon/src/mesh-link/mesh-link.ts
+++ b/packages/daemon/src/mesh-link/mesh-link.ts
@@ -174,12 +174,12 @@
     handlers: {
       onMessage: (peer, message) =>
         (handlers[message.type] as (from: EntryId, one: MeshMessage) => void)(peer, message),
-      onPeer: (peer) => {
+      onPeerHello: (peer) => {
         applyStep(mergeGossip(membership, [peer], nowMs()));
         sendAllMembers(peer.entryId);
         mesh.send(peer.entryId, heartbeat());
       },
-      onSilent: (peer) => applyStep(suspectSilentPeer(membership, peer, nowMs())),
+      onPeerSilent: (peer) => applyStep(suspectSilentPeer(membership, peer, nowMs())),
       answer: async (method, payload) => {
         const handler = Object.hasOwn(askHandlers, method) ? askHandlers[method] : undefined;
         if (!handler) throw new Error(`no method '${method}'`);
@@ -210,7 +210,7 @@
 
   const tick = (): void => {
     if (!hasJoined) return;
-    mesh.sweep();
+    mesh.closeSilentLinks();
     applyStep(applyMembershipTimeouts(membership, nowMs()));
     removeUnlinkedPeers();
     dialMissingPeers();
--- a/packages/daemon/src/testing/processes.fixtures.ts
+++ b/packages/daemon/src/testing/processes.fixtures.ts
@@ -55,7 +55,7 @@
     // Resumes entries that a test has suspended with SIGSTOP before they are killed.
     entries.forEach(({ child }) => child.kill('SIGCONT'));
     [...entries, workers, platform].forEach(({ child }) => child.kill('SIGKILL'));
-    await Promise.all([...entries, workers, platform].map(({ ended }) => ended));
+    await Promise.all([...entries, workers, platform].map(({ exited }) => exited));
   };
   return { platform, workers, entries, addEntry, close };
 };
--- a/packages/mesh/src/mesh.test.ts
+++ b/packages/mesh/src/mesh.test.ts
@@ -36,14 +36,14 @@
       silentAfterMs: SILENT_AFTER_MS,
       handlers: {
         onMessage: () => undefined,
-        onPeer: () => undefined,
-        onSilent: (peer) => silent.push(peer),
+        onPeerHello: () => undefined,
+        onPeerSilent: (peer) => silent.push(peer),
         answer: async (_, payload) => payload,
       },
     });
     const heartbeatTimer = setInterval(() => {
-      mesh.beat({ type: 'heartbeat', revision: 0, membersHash: 0, ready: [] });
-      mesh.sweep();
+      mesh.sendHeartbeat({ type: 'heartbeat', revision: 0, membersHash: 0, ready: [] });
+      mesh.closeSilentLinks();
     }, HEARTBEAT_MS);
     closers.push(() => {
       clearInterval(heartbeatTimer);
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -35,9 +35,9 @@
   /** Called for each message other than `hello`, `ask` and `answer`. */
   readonly onMessage: (peer: EntryId, message: MeshMessage) => void;
   /** Called with the record of the peer when its `hello` message arrives. */
-  readonly onPeer: (member: Member) => void;
+  readonly onPeerHello: (member: Member) => void;
   /** Called when a peer's silent link was ended and no open link to that peer remains. */
-  readonly onSilent: (peer: EntryId) => void;
+  readonly onPeerSilent: (peer: EntryId) => void;
   /** Computes the answer to an ask; a rejection is sent back as a failed answer. */
   readonly answer: (method: string, payload: unknown) => Promise<unknown>;
   /** Called with the size of each frame that is sent or received. */
@@ -55,7 +55,7 @@
   /** A link on which nothing has arrived for this long is ended. */
   readonly silentAfterMs?: number;
   /** Largest frame that is accepted, in bytes. */
-  readonly mostFrameBytes?: number;
+  readonly maxFrameBytes?: number;
   /** Monotonic clock in milliseconds. */
   readonly nowMs?: () => number;
 };
@@ -70,7 +70,7 @@
   /** Sends a message once to each linked peer, except the given one. */
   readonly broadcast: (message: MeshMessage, except?: EntryId) => void;
   /** Sends a heartbeat on every link, so that neither side considers the link silent. */
-  readonly beat: (message: MeshMessage) => void;
+  readonly sendHeartbeat: (message: MeshMessage) => void;
   /** Number of links, including those whose peer is not known yet. */
   readonly linkCount: () => number;
   /** Opens a link to an address, unless a link dialled to that address already exists. */
@@ -81,9 +81,9 @@
    */
   readonly ask: (member: Member, method: string, payload: unknown, ms: number) => Promise<unknown>;
   /** When a frame last arrived from a peer on any current link; -Infinity without such a link. */
-  readonly heardAtMs: (peer: EntryId) => number;
+  readonly lastReceivedAtMs: (peer: EntryId) => number;
   /** Ends the links on which nothing has arrived for `silentAfterMs`. */
-  readonly sweep: () => void;
+  readonly closeSilentLinks: () => void;
   readonly close: () => Promise<void>;
 };
 
@@ -111,7 +111,7 @@
   self,
   handlers,
   silentAfterMs = 3000,
-  mostFrameBytes = 16 * 1024 * 1024,
+  maxFrameBytes = 16 * 1024 * 1024,
   nowMs = () => performance.now(),
 }: MeshOptions): Promise<Mesh> => {
   const links = new Set<Link>();
@@ -150,7 +150,7 @@
     if (!message) return;
     if (message.type === 'hello') {
       change(link, { peer: message.member.entryId });
-      handlers.onPeer(message.member);
+      handlers.onPeerHello(message.member);
     } else if (message.type === 'ask') {
       void answerRequest(link, message.askId, message.method, message.payload);
     } else if (message.type === 'answer') {
@@ -177,7 +177,7 @@
   const server = new WebSocketServer({
     host,
     port,
-    maxPayload: mostFrameBytes,
+    maxPayload: maxFrameBytes,
     verifyClient: ({ req }: { req: IncomingMessage }) => hasKey(req, key),
   });
   await once(server, 'listening');
@@ -189,7 +189,7 @@
     new WebSocket(url, {
       headers: { [KEY_HEADER]: key },
       handshakeTimeout: DIAL_TIMEOUT_MS,
-      maxPayload: mostFrameBytes,
+      maxPayload: maxFrameBytes,
     });
 
   const dial = (url: string): void => {
@@ -251,12 +251,12 @@
     }
   };
 
-  const sweep = (): void => {
+  const closeSilentLinks = (): void => {
     links.forEach((link) => {
       if (nowMs() - link.lastReceivedAtMs < silentAfterMs) return;
       link.socket.terminate();
       links.delete(link);
-      if (link.peer !== null && !findOpenLink(link.peer)) handlers.onSilent(link.peer);
+      if (link.peer !== null && !findOpenLink(link.peer)) handlers.onPeerSilent(link.peer);
     });
   };
 
@@ -283,18 +283,18 @@
         sendOn(link, message);
       });
     },
-    beat: (message) => links.forEach((link) => sendOn(link, message)),
+    sendHeartbeat: (message) => links.forEach((link) => sendOn(link, message)),
     linkCount: () => links.size,
     dial,
     ask,
-    heardAtMs: (peer) =>
+    lastReceivedAtMs: (peer) =>
       Math.max(
         -Infinity,
         ...Array.from(links)
           .filter((link) => link.peer === peer)
           .map(({ lastReceivedAtMs }) => lastReceivedAtMs),
       ),
-    sweep,
+    closeSilentLinks,
     close,
   };
 };
--- a/packages/platform/src/group-commit.ts
+++ b/packages/platform/src/group-commit.ts
@@ -23,7 +23,7 @@
   /** How long an idle group commit waits for further transactions before it sends the first. */
   readonly windowMs?: number;
   /** Largest number of submitted transactions in one table transaction. */
-  readonly mostPerGroup?: number;
+  readonly maxGroupSize?: number;
 };
 
 /** Submits transactions to the table in groups. */
@@ -81,7 +81,7 @@
 export const createGroupCommit = ({
   table,
   windowMs = 2,
-  mostPerGroup = 64,
+  maxGroupSize = 64,
 }: GroupCommitOptions): GroupCommit => {
   const queue: QueuedTransaction[] = [];
   let isDraining = false;
@@ -100,7 +100,7 @@
   };
 
   const commitNext = async (): Promise<void> => {
-    const group = dequeueGroup(queue, mostPerGroup);
+    const group = dequeueGroup(queue, maxGroupSize);
     const toSend = group.filter(({ shouldSend }) => shouldSend());
     group.filter((one) => !toSend.includes(one)).forEach(({ resolve }) => resolve(Err(WITHDRAWN)));
     if (toSend.length > 0) await commit(toSend);
--- a/packages/platform/src/http-json.ts
+++ b/packages/platform/src/http-json.ts
@@ -21,7 +21,7 @@
 };
 
 /** A response with a status below 500 and its parsed body, which is null when it was empty. */
-export type JsonAnswer = { readonly status: number; readonly body: unknown };
+export type JsonResponse = { readonly status: number; readonly body: unknown };
 
 /** A connection to one service of the platform. */
 export type HttpJson = {
@@ -29,7 +29,7 @@
    * Sends a request. A status of 500 or above, a timeout and any other failure after the request may
    * have been sent give the error kind `unknown`.
    */
-  readonly request: (request: JsonRequest) => Promise<Result<JsonAnswer, PlatformError>>;
+  readonly request: (request: JsonRequest) => Promise<Result<JsonResponse, PlatformError>>;
   readonly close: () => Promise<void>;
 };
 
@@ -54,7 +54,7 @@
     method,
     path,
     body,
-  }: JsonRequest): Promise<Result<JsonAnswer, PlatformError>> => {
+  }: JsonRequest): Promise<Result<JsonResponse, PlatformError>> => {
     try {
       const response = await pool.request({
         method,
@@ -83,7 +83,7 @@
  * @returns The body; the error of the request; or a `rejected` error for a status of 300 or above.
  */
 export const successBody = <Body>(
-  result: Result<JsonAnswer, PlatformError>,
+  result: Result<JsonResponse, PlatformError>,
 ): Result<Body, PlatformError> =>
   result.andThen(({ status, body }) =>
     status < 300
--- a/packages/platform/src/pulsed-table.ts
+++ b/packages/platform/src/pulsed-table.ts
@@ -19,7 +19,7 @@
  * @param table - The client to wrap.
  * @returns A client with the same interface.
  */
-export const withPulse = (table: TableClient): TableClient => ({
+export const withControlChangeMarker = (table: TableClient): TableClient => ({
   ...table,
   transact: (transaction) => {
     if (!writesControlRow(transaction)) return table.transact(transaction);
@@ -29,7 +29,7 @@
 });
 
 /** Reads the rows of several key prefixes, and reads them again only after the marker has changed. */
-export type PulsedReader = {
+export type CachedRowsReader = {
   /** Returns the rows of each prefix, in the order of the given prefixes. */
   readonly read: () => Promise<Result<readonly (readonly TableRow[])[], PlatformError>>;
 };
@@ -41,10 +41,10 @@
  * @param prefixes - The key prefixes to read, which are scanned one after the other in this order.
  * @returns The reader.
  */
-export const createPulsedReader = (
+export const createCachedRowsReader = (
   table: TableClient,
   prefixes: readonly string[],
-): PulsedReader => {
+): CachedRowsReader => {
   let cachedVersion = -1;
   let cached: Result<readonly (readonly TableRow[])[], PlatformError> | undefined;
 
--- a/packages/platform/src/table-client.ts
+++ b/packages/platform/src/table-client.ts
@@ -42,7 +42,7 @@
 
 export type TableClientOptions = HttpJsonOptions & {
   /** How long the outcome of a failed transaction is pursued before the error is returned. */
-  readonly settleMs?: number;
+  readonly resolveTimeoutMs?: number;
   readonly newChangeId?: () => ChangeId;
 };
 
@@ -63,7 +63,7 @@
  * @returns The client.
  */
 export const createTableClient = ({
-  settleMs = 4000,
+  resolveTimeoutMs = 4000,
   newChangeId = () => randomUUID() as string as ChangeId,
   ...httpOptions
 }: TableClientOptions): TableClient => {
@@ -96,7 +96,7 @@
     changeKey: string,
     firstError: PlatformError,
   ): Promise<Result<TransactionOutcome, PlatformError>> => {
-    const deadlineMs = performance.now() + settleMs;
+    const deadlineMs = performance.now() + resolveTimeoutMs;
     let isInDoubt = firstError.kind !== 'unreachable';
     let lastError = firstError;
     while (performance.now() < deadlineMs) {
--- a/packages/stand-ins/src/executor.ts
+++ b/packages/stand-ins/src/executor.ts
@@ -26,12 +26,12 @@
 /** A running executor. */
 export type StandInExecutor = {
   readonly address: string;
-  readonly stats: { inFlight: number; mostInFlight: number; served: number; overSlots: number };
+  readonly maxInFlight: { inFlight: number; mostInFlight: number; served: number; overSlots: number };
   /** How often each idempotency key was executed. */
   readonly executions: ReadonlyMap<string, number>;
   readonly setFault: (fault: ExecutorFault) => void;
   /** Refuses all further requests with the header `valvelatch-leaving`. */
-  readonly setLeaving: () => void;
+  readonly startDraining: () => void;
   /** Closes the executor and returns the number of requests that were in flight. */
   readonly close: () => Promise<number>;
 };
@@ -116,13 +116,13 @@
   host = '127.0.0.1',
   workMs = 5,
 }: ExecutorOptions): Promise<StandInExecutor> => {
-  const stats = { inFlight: 0, mostInFlight: 0, served: 0, overSlots: 0 };
+  const maxInFlight = { inFlight: 0, mostInFlight: 0, served: 0, overSlots: 0 };
   const executions = new Map<string, number>();
   let fault: ExecutorFault = 'none';
   let isLeaving = false;
 
   const respond = (request: IncomingMessage, response: ServerResponse, body: Buffer) => {
-    stats.served += 1;
+    maxInFlight.served += 1;
     response
       .writeHead(200, {
         'content-type': 'application/octet-stream',
@@ -138,15 +138,15 @@
       respondNotRun(response, { 'valvelatch-leaving': 'true' });
       return;
     }
-    if (stats.inFlight >= slots) {
-      stats.overSlots += 1;
+    if (maxInFlight.inFlight >= slots) {
+      maxInFlight.overSlots += 1;
       respondNotRun(response, {});
       return;
     }
-    stats.inFlight += 1;
-    stats.mostInFlight = Math.max(stats.mostInFlight, stats.inFlight);
+    maxInFlight.inFlight += 1;
+    maxInFlight.mostInFlight = Math.max(maxInFlight.mostInFlight, maxInFlight.inFlight);
     response.on('close', () => {
-      stats.inFlight -= 1;
+      maxInFlight.inFlight -= 1;
     });
     const body = await readBody(request);
     const key = request.headers['idempotency-key'];
@@ -166,16 +166,16 @@
 
   return {
     address: `http://${host}:${(server.address() as AddressInfo).port}`,
-    stats,
+    maxInFlight,
     executions,
     setFault: (newFault) => {
       fault = newFault;
     },
-    setLeaving: () => {
+    startDraining: () => {
       isLeaving = true;
     },
     close: async () => {
-      const cut = stats.inFlight;
+      const cut = maxInFlight.inFlight;
       server.closeAllConnections();
       await new Promise((resolve) => {
         server.close(resolve);
--- a/packages/stand-ins/src/processes.ts
+++ b/packages/stand-ins/src/processes.ts
@@ -21,9 +21,9 @@
   readonly name: string;
   readonly child: ChildProcess;
   /** Resolves with the exit code, or with the signal that ended it. */
-  readonly ended: Promise<number | string>;
+  readonly exited: Promise<number | string>;
   /** The last lines of its standard output and standard error. */
-  readonly recent: readonly string[];
+  readonly recentLines: readonly string[];
   /** The `name=value` fields of the line in which it reported that it listens. */
   readonly fields: Readonly<Record<string, string>>;
 };
@@ -61,15 +61,15 @@
     const child = spawn(process.execPath, [pathOf(program), ...args], {
       stdio: ['ignore', 'pipe', 'pipe'],
     });
-    const recent: string[] = [];
+    const recentLines: string[] = [];
     const recordLine = (line: string): void => {
-      recent.push(line);
-      if (recent.length > MAX_KEPT_LINES) recent.shift();
+      recentLines.push(line);
+      if (recentLines.length > MAX_KEPT_LINES) recentLines.shift();
     };
     const fail = (reason: string): void =>
-      reject(new Error(`${program} ${reason}\n${recent.slice(-MAX_SHOWN_LINES).join('\n')}`));
+      reject(new Error(`${program} ${reason}\n${recentLines.slice(-MAX_SHOWN_LINES).join('\n')}`));
     const timer = setTimeout(() => fail('did not start in time'), START_TIMEOUT_MS);
-    const ended = new Promise<number | string>((resolveEnded) => {
+    const exited = new Promise<number | string>((resolveEnded) => {
       child.once('exit', (code, signal) => {
         clearTimeout(timer);
         fail(`ended with ${code ?? signal}`);
@@ -82,7 +82,7 @@
       if (!line.includes(LISTENING)) return;
       clearTimeout(timer);
       const name = `${program} ${args[0] ?? ''}`;
-      resolve({ name, child, ended, recent, fields: fieldsOf(line) });
+      resolve({ name, child, exited, recentLines, fields: fieldsOf(line) });
     });
   });
 
@@ -94,7 +94,7 @@
  */
 export const stopProcess = async (running: RunningProcess): Promise<number | string> => {
   running.child.kill('SIGTERM');
-  return running.ended;
+  return running.exited;
 };
 
 /**
--- a/packages/stand-ins/src/users-platform/rows-service.ts
+++ b/packages/stand-ins/src/users-platform/rows-service.ts
@@ -11,13 +11,13 @@
 };
 
 /** The location of a row. */
-export type Place = { readonly table: string; readonly part: string; readonly key: string };
+export type RowLocation = { readonly table: string; readonly part: string; readonly key: string };
 
 type Transaction = {
   /** The transaction fails unless each of these rows has this version; 0 means that it is absent. */
-  readonly expectedRev?: readonly (Place & { readonly ver: number })[];
-  readonly puts?: readonly (Place & { readonly value: string })[];
-  readonly remove?: readonly Place[];
+  readonly expectedRev?: readonly (RowLocation & { readonly ver: number })[];
+  readonly puts?: readonly (RowLocation & { readonly value: string })[];
+  readonly remove?: readonly RowLocation[];
 };
 
 /** The current fault of the store. */
@@ -31,20 +31,20 @@
 
 export type RowsServiceOptions = {
   /** Called for each row that is written, before the writer gets a response. */
-  readonly onPut?: (place: Place) => void;
+  readonly onPut?: (place: RowLocation) => void;
 };
 
 export type RowsService = {
   /** Writes a row, outside of any check. */
   readonly put: (table: string, key: string, value: unknown) => void;
   /** Deletes a row if it exists. */
-  readonly drop: (table: string, key: string) => void;
+  readonly remove: (table: string, key: string) => void;
   /** Returns the decoded value of a row; undefined when the row does not exist. */
-  readonly valueOf: (table: string, part: string, key: string) => unknown;
-  readonly keysOf: (table: string) => readonly string[];
+  readonly readValue: (table: string, part: string, key: string) => unknown;
+  readonly listKeys: (table: string) => readonly string[];
   readonly setFault: (fault: RowsFault) => void;
   /** Discards the change history, so that feeds which have not read all of it must start again. */
-  readonly forgetHistory: () => void;
+  readonly discardHistory: () => void;
   /** Adds the routes and the faults of the store to a server. */
   readonly register: (server: FastifyInstance) => void;
 };
@@ -53,7 +53,7 @@
 /** Maximum size of the values in one response, which always holds at least one row. */
 const MAX_PAGE_BYTES = 1_000_000;
 
-const rowId = ({ table, part, key }: Place): string => JSON.stringify([table, part, key]);
+const rowId = ({ table, part, key }: RowLocation): string => JSON.stringify([table, part, key]);
 
 const encode = (value: unknown): string => Buffer.from(JSON.stringify(value)).toString('base64');
 
@@ -125,7 +125,7 @@
 
     server.post<{ Body: Transaction }>('/-/rows-tx', async ({ body }, reply) => {
       const { expectedRev = [] } = body;
-      const hasOtherVersion = (check: Place & { readonly ver: number }): boolean =>
+      const hasOtherVersion = (check: RowLocation & { readonly ver: number }): boolean =>
         (rows.get(rowId(check))?.ver ?? 0) !== check.ver;
       if (expectedRev.some(hasOtherVersion)) {
         const currentRows = expectedRev.flatMap((check) => rows.get(rowId(check)) ?? []);
@@ -173,22 +173,22 @@
     put: (table, key, value) => {
       commit({ puts: [{ table, part: '', key, value: encode(value) }] });
     },
-    drop: (table, key) => {
+    remove: (table, key) => {
       commit({ remove: [{ table, part: '', key }] });
     },
-    valueOf: (table, part, key) => {
+    readValue: (table, part, key) => {
       const row = rows.get(rowId({ table, part, key }));
       if (!row?.value) return undefined;
       return JSON.parse(Buffer.from(row.value, 'base64').toString('utf8')) as unknown;
     },
-    keysOf: (table) =>
+    listKeys: (table) =>
       Array.from(rows.values())
         .filter((row) => row.table === table)
         .map(({ key }) => key),
     setFault: (newFault) => {
       fault = newFault;
     },
-    forgetHistory: () => {
+    discardHistory: () => {
       history = [];
       truncatedUpTo = version;
     },
--- a/packages/stand-ins/src/users-platform/users-platform.ts
+++ b/packages/stand-ins/src/users-platform/users-platform.ts
@@ -13,7 +13,7 @@
 import fastify from 'fastify';
 
 import { startExecutor, type StandInExecutor } from './executor-service.js';
-import { createRowsService, type Place, type RowsService } from './rows-service.js';
+import { createRowsService, type RowLocation, type RowsService } from './rows-service.js';
 
 /** Each executor writes its row in the table `servers` at this interval. */
 const SERVER_ROW_INTERVAL_MS = 500;
@@ -36,7 +36,7 @@
 };
 
 /** The current fault of the machine list: it answers 503, or it never answers. */
-export type MachinesFault = 'none' | 'unavailable' | 'silent';
+export type MachineListFault = 'none' | 'unavailable' | 'silent';
 
 type WaveOrder = { readonly wave: number; readonly machines: readonly string[] };
 
@@ -51,22 +51,22 @@
 
 export type UsersPlatform = {
   readonly storeAddress: string;
-  readonly machinesAddress: string;
+  readonly machineListAddress: string;
   readonly rows: RowsService;
   readonly executors: () => readonly StandInExecutor[];
   /**
    * Violated invariants: a task that runs twice at once or starts again after its end was acknowledged,
    * an invalid task key, or a wave that is reported as completed too early.
    */
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   /** Jobs of which at least one task has started. */
-  readonly begun: ReadonlySet<string>;
+  readonly startedJobs: ReadonlySet<string>;
   /** Each start of a task, with its time by the monotonic clock of this process. */
-  readonly starts: readonly { readonly zone: string; readonly atMs: number }[];
+  readonly taskStarts: readonly { readonly zone: string; readonly atMs: number }[];
   /** Maintenance that has begun, as `wave/machine`. */
-  readonly maintained: ReadonlySet<string>;
+  readonly startedMaintenance: ReadonlySet<string>;
   /** Makes the machine list and the orders to machines fail, or restores them. */
-  readonly setMachinesFault: (fault: MachinesFault) => void;
+  readonly setMachineListFault: (fault: MachineListFault) => void;
   readonly close: () => Promise<void>;
 };
 
@@ -122,39 +122,39 @@
 }: UsersPlatformOptions = {}): Promise<UsersPlatform> => {
   const rows = createRowsService({ onPut: (place) => checkWaveCompletion(place) });
   const machines = new Map<string, Machine>();
-  const broken: string[] = [];
-  const maintained = new Set<string>();
+  const violations: string[] = [];
+  const startedMaintenance = new Set<string>();
   let startCount = 0;
   let lastIdNumber = 0;
 
   const executors = (): readonly StandInExecutor[] =>
     Array.from(machines.values()).flatMap(({ executor }) => executor ?? []);
-  const begun = new Set<string>();
-  let machinesFault: MachinesFault = 'none';
+  const startedJobs = new Set<string>();
+  let machinesFault: MachineListFault = 'none';
 
   /**
    * Checks that a wave is reported as completed only after each of its machines has gone into
    * maintenance. Machines never leave this platform, so that no machine may be missing.
    */
-  const checkWaveCompletion = ({ table, key }: Place): void => {
+  const checkWaveCompletion = ({ table, key }: RowLocation): void => {
     if (table !== 'status') return;
-    const { state } = rows.valueOf('status', '', key) as { state: string };
-    const { wave, machines: due } = rows.valueOf('op', '', key) as WaveOrder;
-    const missing = due.filter((name) => !maintained.has(`${wave}/${name}`));
+    const { state } = rows.readValue('status', '', key) as { state: string };
+    const { wave, machines: due } = rows.readValue('op', '', key) as WaveOrder;
+    const missing = due.filter((name) => !startedMaintenance.has(`${wave}/${name}`));
     if (state === 'completed' && missing.length > 0) {
-      broken.push(
+      violations.push(
         `wave ${wave} is reported as completed without maintenance of ${missing.join(', ')}`,
       );
     }
   };
 
-  const starts: { readonly zone: string; readonly atMs: number }[] = [];
-  const taskObserver = createTaskObserver(executors, broken, begun, needs);
+  const taskStarts: { readonly zone: string; readonly atMs: number }[] = [];
+  const taskObserver = createTaskObserver(executors, violations, startedJobs, needs);
   const observer: EndpointObserver = {
     ...taskObserver,
     onStart: (endpoint, task, run) => {
       const zone = machines.get(endpoint.hostId)?.zone ?? '';
-      starts.push({ zone, atMs: performance.now() });
+      taskStarts.push({ zone, atMs: performance.now() });
       taskObserver.onStart(endpoint, task, run);
     },
   };
@@ -208,7 +208,7 @@
     const { executor } = machine;
     Object.assign(machine, { executor: null, state });
     if (executor) {
-      rows.drop('servers', executor.model.instanceId);
+      rows.remove('servers', executor.model.instanceId);
       await executor.close();
     }
     setTimeout(() => {
@@ -240,9 +240,9 @@
     async ({ body }, reply) => {
       const machine = machines.get(body.machine);
       if (!machine) return reply.code(400).send();
-      if (maintained.has(`${body.wave}/${body.machine}`)) return {};
+      if (startedMaintenance.has(`${body.wave}/${body.machine}`)) return {};
       if (machine.state !== 'up') return reply.code(409).send({ reason: 'busy' });
-      maintained.add(`${body.wave}/${body.machine}`);
+      startedMaintenance.add(`${body.wave}/${body.machine}`);
       await restartLater(machine, 'upkeep', MAINTENANCE_MS);
       return {};
     },
@@ -293,14 +293,14 @@
 
   return {
     storeAddress: storeUrl.replace('http://', ''),
-    machinesAddress: listUrl.replace('http://', ''),
+    machineListAddress: listUrl.replace('http://', ''),
     rows,
     executors,
-    broken,
-    begun,
-    starts,
-    maintained,
-    setMachinesFault: (fault) => {
+    violations,
+    startedJobs,
+    taskStarts,
+    startedMaintenance,
+    setMachineListFault: (fault) => {
       machinesFault = fault;
     },
     close: async () => {
