--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -4,7 +4,7 @@
  */
 import type { EndpointId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { once } from '../../shared/once.js';
+import { lazy } from '../../shared/once.js';
 import { admittedEndpoints, ticketOf, requestAdvice } from './advice.js';
 import { failJobIfCrashing } from '../jobs/give-up.js';
 import { sortByRank, listRankedSteps } from './ranking.js';
@@ -318,7 +318,7 @@
   const pass: PoolPass = {
     state,
     endpoints,
-    mayHaveCrashed: once(() => mayHaveLostEndpoints(state, pool, endpoints)),
+    mayHaveCrashed: lazy(() => mayHaveLostEndpoints(state, pool, endpoints)),
     nowMs,
   };
   const mayBegin = (step: StepRun): boolean =>
--- a/packages/core/src/shared/once.ts
+++ b/packages/core/src/shared/once.ts
@@ -6,7 +6,7 @@
  * @param compute - Computes the value.
  * @returns A function that returns the same value at each call.
  */
-export const once = <Value>(compute: () => Value): (() => Value) => {
+export const lazy = <Value>(compute: () => Value): (() => Value) => {
   let cached: { readonly value: Value } | undefined;
   return () => {
     cached ??= { value: compute() };
--- a/packages/core/src/verdict/verdict.ts
+++ b/packages/core/src/verdict/verdict.ts
@@ -88,7 +88,7 @@
  * @param reason - The reason of the refusal.
  * @returns The status code.
  */
-export const statusOfRefusal = (reason: RefusalReason): number => statusByReason[reason];
+export const httpStatusOfRefusal = (reason: RefusalReason): number => statusByReason[reason];
 
 /** What an attempt at an endpoint shows about whether the request ran. */
 export type AttemptEvidence =
--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -11,7 +11,7 @@
 import { brand, type EntryId, type JobId } from '@valvelatch/core/shared/ids';
 import type { TableClient } from '@valvelatch/platform';
 
-import { createLeaseKeeper } from '../../leases/lease-keeper.js';
+import { createLeaseManager } from '../../leases/lease-keeper.js';
 import type { StartGate } from '../configuration/start-gate.js';
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
@@ -159,15 +159,15 @@
   peerSilentForMs = (entryId) => peers()?.silentForMs(entryId) ?? 0,
   nowMs = () => performance.now(),
 }: ControlOptions): Control => {
-  const keeper = createLeaseKeeper({
+  const keeper = createLeaseManager({
     table: table as unknown as TableClient,
     name: CONTROL_LEASE,
     self,
     durationMs: CONTROL_LEASE_MS,
     marginMs: CONTROL_LEASE_MARGIN_MS,
     renewAfterMs: RENEW_AFTER_MS,
-    mayTake: () => isWilling() && (mayTakeAtOnce() || mayTakeAfterYielding()),
-    mayRetake: () => isWilling(),
+    mayAcquire: () => isWilling() && (mayTakeAtOnce() || mayTakeAfterYielding()),
+    mayReacquire: () => isWilling(),
     freeAfterMs: () => (isHolderSuspect() ? EARLY_TAKEOVER_MS : undefined),
     nowMs,
   });
@@ -230,13 +230,13 @@
    * the platform; one that gave up its lease recorded for how long it had ordered no host.
    */
   const hostOrdersAfterMs = (): number => {
-    if (keeper.takenFrom() !== null) return 0;
+    if (keeper.previousHolder() !== null) return 0;
     const distanceMs = platform.bounds().holderTurnMs + HOLDER_TURN_MARGIN_MS;
-    return Math.max(0, distanceMs - keeper.idleBeforeMs() - keeper.watchedMs());
+    return Math.max(0, distanceMs - keeper.previousHolderIdleMs() - keeper.unchangedBeforeAcquisitionMs());
   };
 
   /** For how long earlier holders may still order endpoints, by their own clocks. */
-  const formerOrdersRemainingMs = (): number => Math.max(0, keeper.earlierUntilMs() - nowMs());
+  const formerOrdersRemainingMs = (): number => Math.max(0, keeper.earlierHoldersUntilMs() - nowMs());
 
   const mayOrderHosts = (): boolean =>
     table.isDirectRouteUp() &&
--- a/packages/daemon/src/batch/jobs/intake.ts
+++ b/packages/daemon/src/batch/jobs/intake.ts
@@ -17,7 +17,7 @@
   type DeclaredQueue,
 } from '@valvelatch/core/batch';
 import {
-  statusOfRefusal,
+  httpStatusOfRefusal,
   type RefusalReason,
   type Verdict,
 } from '@valvelatch/core/verdict/verdict';
@@ -103,7 +103,7 @@
   retryAfterS: number = RETRY_AFTER_S,
 ): IntakeAnswer => ({
   kind: 'refused',
-  status: statusOfRefusal(reason),
+  status: httpStatusOfRefusal(reason),
   verdict,
   reason,
   detail,
--- a/packages/daemon/src/data-path/callers-server.ts
+++ b/packages/daemon/src/data-path/callers-server.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from 'node:http';
 import {
   brand,
-  statusOfRefusal,
+  httpStatusOfRefusal,
   type CallerId,
   type Refusal,
   type RequestId,
@@ -72,7 +72,7 @@
 export const sendRefusal = (
   reply: FastifyReply,
   refusal: Refusal,
-  status = statusOfRefusal(refusal.reason),
+  status = httpStatusOfRefusal(refusal.reason),
 ): FastifyReply =>
   reply
     .code(status)
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -24,7 +24,7 @@
   type PoolControl,
 } from '../control/pool-control.js';
 import type { EndpointDirectory } from '../data-path/endpoint-directory.js';
-import { createLeaseKeeper } from '../leases/lease-keeper.js';
+import { createLeaseManager } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import type { SeatManager } from '../seats/seat-keeper.js';
@@ -170,7 +170,7 @@
     const existing = controls.get(pool);
     if (existing) return existing;
     const name = formatControlLeaseName(pool);
-    const lease = createLeaseKeeper({ table, name, self, durationMs: leaseMs });
+    const lease = createLeaseManager({ table, name, self, durationMs: leaseMs });
     const created = createPoolControl({
       pool,
       lease,
--- a/packages/daemon/src/entry/seat-plane.ts
+++ b/packages/daemon/src/entry/seat-plane.ts
@@ -12,7 +12,7 @@
   type UnflushedClaimsMonitor,
 } from '../data-path/doubt-watch.js';
 import { createOutageClaims, type OutageClaims } from '../data-path/outage-claims.js';
-import { createLeaseKeeper } from '../leases/lease-keeper.js';
+import { createLeaseManager } from '../leases/lease-keeper.js';
 import type { Log } from '../observe/log.js';
 import { createSeatManager, type SeatManager } from '../seats/seat-keeper.js';
 
@@ -57,13 +57,13 @@
     ownEntryId,
     seatCount: () =>
       findDeclaration(configuration(), 'DataCentre', dataCentre)?.spec.entrySeats ?? 0,
-    createLease: (seat, mayTake) =>
-      createLeaseKeeper({
+    createLease: (seat, mayAcquire) =>
+      createLeaseManager({
         table,
         name: `seat/${dataCentre}/${seat}`,
         self: ownEntryId,
         durationMs: leaseMs,
-        mayTake,
+        mayAcquire,
         // A renewed seat lease tells the other entries that this entry holds no claims which the table lacks.
         beforeWrite: () => outageClaims.flush(),
       }),
--- a/packages/daemon/src/leases/late-answers.test.ts
+++ b/packages/daemon/src/leases/late-answers.test.ts
@@ -6,7 +6,7 @@
 import { Err, Ok } from 'ts-results-es';
 import { describe, expect, it } from 'vitest';
 
-import { createLeaseKeeper } from './lease-keeper.js';
+import { createLeaseManager } from './lease-keeper.js';
 
 const KEY = 'lease/control';
 const DURATION_MS = 8000;
@@ -32,7 +32,7 @@
     },
   } as unknown as TableClient;
   const createKeeper = (name: string) =>
-    createLeaseKeeper({
+    createLeaseManager({
       table,
       name: 'control',
       self: brand<EntryId>(name),
@@ -87,6 +87,6 @@
     clock.nowMs += 500;
     await second.tick();
     expect(second.holds()).toBe(true);
-    expect([second.takenFrom(), second.idleBeforeMs()]).toEqual([null, 700]);
+    expect([second.previousHolder(), second.previousHolderIdleMs()]).toEqual([null, 700]);
   });
 });
--- a/packages/daemon/src/leases/lease-keeper.test.ts
+++ b/packages/daemon/src/leases/lease-keeper.test.ts
@@ -15,7 +15,7 @@
 import { Err, Ok } from 'ts-results-es';
 import { describe, expect, it } from 'vitest';
 
-import { createLeaseKeeper } from './lease-keeper.js';
+import { createLeaseManager } from './lease-keeper.js';
 
 const SELF = brand<EntryId>('holder');
 const DURATION_MS = 8000;
@@ -39,7 +39,7 @@
           : Ok({ ...outcome, rows: checks.map(({ key }) => rows.read(key)) });
       },
     } as unknown as TableClient;
-    const keeper = createLeaseKeeper({
+    const keeper = createLeaseManager({
       table,
       name: 'control',
       self: SELF,
--- a/packages/daemon/src/leases/lease-keeper.ts
+++ b/packages/daemon/src/leases/lease-keeper.ts
@@ -33,16 +33,16 @@
   /** How long this entry has seen the row unchanged, in milliseconds; 0 before it has read the row. */
   readonly unchangedForMs: () => number;
   /** The holder that the row named when this entry last acquired the lease; null if it named none. */
-  readonly takenFrom: () => EntryId | null;
+  readonly previousHolder: () => EntryId | null;
   /** How long this entry had seen the row unchanged when it last acquired the lease, in milliseconds. */
-  readonly watchedMs: () => number;
+  readonly unchangedBeforeAcquisitionMs: () => number;
   /**
    * Time until which earlier holders may still act because by their own clocks they hold the lease; in
    * milliseconds of this entry's clock, and in the past if there are none.
    */
-  readonly earlierUntilMs: () => number;
+  readonly earlierHoldersUntilMs: () => number;
   /** The idle time that the previous holder wrote when it released the lease, in milliseconds; 0 if it wrote none. */
-  readonly idleBeforeMs: () => number;
+  readonly previousHolderIdleMs: () => number;
   /**
    * Releases the lease and optionally writes for how long this entry has been idle, in milliseconds. Resolves to
    * false if the release could not be written; the lease is then still held, unless it was abandoned meanwhile.
@@ -68,12 +68,12 @@
   /** How long after a renewal the holder renews again; about a third of the duration by default. */
   readonly renewAfterMs?: number;
   /** Returns false for an entry that only watches the lease. Every entry may acquire it by default. */
-  readonly mayTake?: () => boolean;
+  readonly mayAcquire?: () => boolean;
   /**
    * Returns false if the last holder may not, by this right alone, acquire its own lapsed lease again; it then
-   * needs `mayTake`.
+   * needs `mayAcquire`.
    */
-  readonly mayRetake?: () => boolean;
+  readonly mayReacquire?: () => boolean;
   /**
    * How long the row of another holder must be unchanged until the lease is free, in milliseconds; undefined for
    * the whole duration and the margin.
@@ -100,15 +100,15 @@
  * @param options - The table, the lease's name and duration, and the entry that uses it.
  * @returns The manager, which does not hold the lease yet.
  */
-export const createLeaseKeeper = ({
+export const createLeaseManager = ({
   table,
   name,
   self,
   durationMs,
   marginMs = durationMs * MARGIN_FRACTION,
   renewAfterMs,
-  mayTake = () => true,
-  mayRetake = () => true,
+  mayAcquire = () => true,
+  mayReacquire = () => true,
   freeAfterMs = () => undefined,
   beforeWrite = async () => true,
   nowMs = () => performance.now(),
@@ -183,7 +183,7 @@
     // The last holder may acquire its own lapsed lease again if nobody else has taken it.
     const isOwn = value?.holder === self;
     const isHeld = isOwn && holdsLease(state, nowMs());
-    if (!isHeld && !(isOwn && mayRetake()) && !mayTake()) return;
+    if (!isHeld && !(isOwn && mayReacquire()) && !mayAcquire()) return;
     const step = nextLeaseAction(state, nowMs(), freeAfterMs());
     if (step.kind === 'write' && (await beforeWrite())) {
       if (step.row.renewals === 0) recordPreviousHolder(value, step.row.epoch);
@@ -268,10 +268,10 @@
     fence: () => ({ key: fenceKey, version: fenceVersion }),
     lastRow: () => state.lastRead.row,
     unchangedForMs: () => (state.lastRead.version < 0 ? 0 : nowMs() - state.unchangedSinceMs),
-    takenFrom: () => previousHolder,
-    watchedMs: () => watchedMs,
-    earlierUntilMs: () => state.earlierHoldersUntilMs,
-    idleBeforeMs: () => previousIdleMs,
+    previousHolder: () => previousHolder,
+    unchangedBeforeAcquisitionMs: () => watchedMs,
+    earlierHoldersUntilMs: () => state.earlierHoldersUntilMs,
+    previousHolderIdleMs: () => previousIdleMs,
     release,
     abandon,
   };
