--- a/packages/core/src/replay/agent-model.ts
+++ b/packages/core/src/replay/agent-model.ts
@@ -1,4 +1,4 @@
-/** The agent of a data centre in virtual time: the real reconciling against the models. */
+/** The agent of a data centre in virtual time: runs the production reconciler against the models. */
 import {
   findEmptyHosts,
   reconcile,
@@ -18,7 +18,10 @@
 import type { WorkersModel } from './workers-model.js';
 
 export type AgentModel = {
-  /** Reconciles; without the table it only renews what it knew of last. */
+  /**
+   * Reconciles the data centre's workers with the table. Without access to the table
+   * (`hasTable` is false), only renews the leases of tasks that the last read placements contain.
+   */
   readonly run: (hasTable: boolean, nowMs: number) => void;
 };
 
@@ -33,13 +36,13 @@
 /**
  * Builds the agent of a data centre.
  *
- * @param options - The table and the workers.
+ * @param options - The data centre, the table and the workers.
  * @returns The agent.
  */
 export const createAgentModel = ({ dataCentre, table, workers }: AgentModelOptions): AgentModel => {
   let lastPlacements: readonly Versioned<PlacementRow>[] = [];
 
-  /** The rows about hosts of the data centre. */
+  /** Lists the rows under a prefix that refer to hosts of this data centre. */
   const localRows = <Row extends { readonly hostId: HostId }>(
     prefix: string,
   ): readonly Versioned<Row>[] =>
@@ -66,7 +69,7 @@
     },
   };
 
-  const carryOut = (action: ReconcileAction, nowMs: number): void => {
+  const applyAction = (action: ReconcileAction, nowMs: number): void => {
     const handle = handlers[action.kind] as (one: ReconcileAction, atMs: number) => void;
     handle(action, nowMs);
   };
@@ -88,7 +91,7 @@
       const placements = localRows<PlacementRow>(rowPrefix.placement);
       lastPlacements = placements;
       findEmptyHosts(localRows<HostRow>(rowPrefix.host), placements, observed).forEach(reportEmpty);
-      reconcile(placements, observed).forEach((action) => carryOut(action, nowMs));
+      reconcile(placements, observed).forEach((action) => applyAction(action, nowMs));
     },
   };
 };
--- a/packages/core/src/replay/fleet-model.ts
+++ b/packages/core/src/replay/fleet-model.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet in virtual time: the real decisions against a model of the table and of the workers. It
- * serves replay of traces, property-based tests and the planners' benchmark.
+ * A fleet in virtual time: runs the production planner against models of the table and of the
+ * workers. Used by trace replay, property-based tests and the planner benchmark.
  */
 import type { Configuration } from '../configuration/configuration.js';
 import { listDeclarations } from '../configuration/configuration.js';
@@ -32,22 +32,22 @@
 import { createTableModel, rowsOf, type TableModel } from './table-model.js';
 import { createWorkersModel, type WorkersModel } from './workers-model.js';
 
-/** Options for a fleet. Times are in milliseconds of virtual time. */
+/** Options of a fleet. Times are in milliseconds of virtual time. */
 export type FleetModelOptions = {
   readonly configuration: Configuration;
   readonly startMs?: number;
   readonly rebootMs?: number;
   readonly stepMs?: number;
-  /** How far the platform's list of hosts lags. */
+  /** How stale the platform's list of hosts is. */
   readonly listLagMs?: number;
   readonly goneAfterMs?: number;
   readonly waveStrategy?: WaveStrategy;
 };
 
-/** A decision of a control turn that was committed. */
+/** A committed decision of a control turn. */
 export type Decision = { readonly atMs: number; readonly subject: string; readonly reason: string };
 
-/** A turn that was planned but not yet written, as by a holder that is paused. */
+/** A turn that was planned but not yet written; models a holder that is paused between the two. */
 export type PausedTurn = { readonly pool: PoolName; readonly actions: readonly ControlAction[] };
 
 export type FleetModel = {
@@ -57,13 +57,13 @@
   readonly step: () => void;
   readonly setPlatformAway: (isAway: boolean) => void;
   readonly setCut: (dataCentre: DataCentreId, isCut: boolean) => void;
-  /** Plans a turn without writing it. */
+  /** Plans a turn of a pool without writing it. */
   readonly planOnly: (pool: PoolName) => PausedTurn;
-  /** Writes a turn that was planned earlier; gives the number of changes that were committed. */
+  /** Writes a turn that was planned earlier and returns the number of committed actions. */
   readonly write: (turn: PausedTurn) => number;
-  /** Another holder takes the control of a pool: what the former one writes fails. */
+  /** Transfers control of a pool to a new holder; later writes of the former holder are rejected. */
   readonly takeControl: (pool: PoolName) => void;
-  /** Sets what a job uses from now on; without it nothing is reported of it. */
+  /** Sets the cores that a job uses from now on. Until then no usage is reported for it. */
   readonly setUse: (jobId: JobId, cores: number) => void;
   readonly pools: readonly PoolName[];
   readonly decisions: readonly Decision[];
@@ -85,7 +85,7 @@
  * Builds a fleet.
  *
  * @param options - The configuration and the times of the model.
- * @returns The fleet at time 0, with nothing placed yet.
+ * @returns The fleet at time 0, with no placements.
  */
 export const createFleetModel = ({
   configuration,
@@ -97,26 +97,26 @@
   waveStrategy = 'growing',
 }: FleetModelOptions): FleetModel => {
   const specs = new Map(listDeclaredHosts(configuration).map((spec) => [spec.hostId, spec]));
-  const places = new Map(Array.from(specs, ([id, { dataCentre }]) => [id, dataCentre]));
+  const dataCentreByHost = new Map(Array.from(specs, ([id, { dataCentre }]) => [id, dataCentre]));
   const table = createTableModel();
-  const workers = createWorkersModel(places, { startMs, rebootMs });
+  const workers = createWorkersModel(dataCentreByHost, { startMs, rebootMs });
   const cut = new Set<DataCentreId>();
   const hostList = createHostListModel({ workers, cut, lagMs: listLagMs, goneAfterMs });
   const agents = new Map(
-    Array.from(new Set(places.values()), (dataCentre) => [
+    Array.from(new Set(dataCentreByHost.values()), (dataCentre) => [
       dataCentre,
       createAgentModel({ dataCentre, table, workers }),
     ]),
   );
-  const uses = new Map<JobId, number>();
-  const failuresSeen = new Map<JobId, { readonly failures: number; readonly atMs: number }>();
+  const usedCoresByJob = new Map<JobId, number>();
+  const lastFailures = new Map<JobId, { readonly failures: number; readonly atMs: number }>();
   const hostAges = createRowVersionTracker<HostId>();
   const placementAges = createRowVersionTracker<JobId>();
   const decisions: Decision[] = [];
   let isPlatformAway = false;
   let nowMs = 0;
 
-  const controls = new Map<PoolName, Control>(
+  const controlByPool = new Map<PoolName, Control>(
     listDeclarations(configuration, 'Pool').map(({ name }) => {
       const pool = brand<PoolName>(name);
       return [
@@ -127,7 +127,7 @@
   );
 
   const takeControl = (pool: PoolName): void => {
-    const control = controls.get(pool);
+    const control = controlByPool.get(pool);
     if (!control) return;
     const known = table.read(control.fence.key);
     const epoch = ((known.value as { epoch: number } | null)?.epoch ?? 0) + 1;
@@ -136,32 +136,32 @@
     control.fence = { key: control.fence.key, version: outcome.version };
     control.nextEpoch = epoch * EPOCHS_PER_TERM;
   };
-  Array.from(controls.keys()).forEach(takeControl);
+  Array.from(controlByPool.keys()).forEach(takeControl);
 
-  const noteFailures = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): void =>
+  const recordFailures = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): void =>
     jobs.forEach(({ value }, jobId) => {
       const failures = countBackoffFailures(value);
-      if (failures > 0 && failuresSeen.get(jobId)?.failures !== failures) {
-        failuresSeen.set(jobId, { failures, atMs: nowMs + retryDelayMs(failures) });
+      if (failures > 0 && lastFailures.get(jobId)?.failures !== failures) {
+        lastFailures.set(jobId, { failures, atMs: nowMs + retryDelayMs(failures) });
       }
     });
 
-  const usedCores = (): ReadonlyMap<JobId, number> =>
+  const listUsedCores = (): ReadonlyMap<JobId, number> =>
     new Map(
       workers
         .tasks()
         .filter(({ phase }) => phase === 'running')
         .flatMap(({ jobId }) => {
-          const cores = uses.get(jobId);
+          const cores = usedCoresByJob.get(jobId);
           return cores === undefined ? [] : [[jobId, cores] as const];
         }),
     );
 
-  const snapshotOf = (control: Control): PoolSnapshot => {
+  const buildSnapshot = (control: Control): PoolSnapshot => {
     const hosts = rowsOf<HostId, HostRow>(table, rowPrefix.host);
     const jobs = rowsOf<JobId, JobRow>(table, rowPrefix.job);
     const placements = rowsOf<JobId, PlacementRow>(table, rowPrefix.placement);
-    noteFailures(jobs);
+    recordFailures(jobs);
     return {
       pool: control.pool,
       configuration,
@@ -176,14 +176,14 @@
       hostRowSinceMs: hostAges.update(hosts, nowMs),
       placementRowSinceMs: placementAges.update(placements, nowMs),
       waveStrategy,
-      usedCores: usedCores(),
-      retryAtMs: new Map(Array.from(failuresSeen, ([id, { atMs }]) => [id, atMs])),
+      usedCores: listUsedCores(),
+      retryAtMs: new Map(Array.from(lastFailures, ([id, { atMs }]) => [id, atMs])),
     };
   };
 
   const planOnly = (pool: PoolName): PausedTurn => {
-    const control = controls.get(pool) as Control;
-    const plan = planPoolTurn(snapshotOf(control), nowMs);
+    const control = controlByPool.get(pool) as Control;
+    const plan = planPoolTurn(buildSnapshot(control), nowMs);
     control.nextEpoch = plan.nextEpoch;
     control.withheld = plan.withheld;
     return { pool, actions: plan.actions };
@@ -211,7 +211,7 @@
     agents.forEach((agent, dataCentre) =>
       agent.run(!isPlatformAway && !cut.has(dataCentre), nowMs),
     );
-    if (!isPlatformAway) controls.forEach(({ pool }) => write(planOnly(pool)));
+    if (!isPlatformAway) controlByPool.forEach(({ pool }) => write(planOnly(pool)));
   };
 
   return {
@@ -230,11 +230,11 @@
     write,
     takeControl,
     setUse: (jobId, cores) => {
-      uses.set(jobId, cores);
+      usedCoresByJob.set(jobId, cores);
     },
-    pools: Array.from(controls.keys()),
+    pools: Array.from(controlByPool.keys()),
     decisions,
-    withheld: () => Array.from(controls.values()).flatMap(({ withheld }) => withheld),
+    withheld: () => Array.from(controlByPool.values()).flatMap(({ withheld }) => withheld),
     readyOf: (service) =>
       workers.tasks().filter((task) => task.service === service && task.phase === 'running').length,
     rows: <Row>(prefix: string) => table.scan(prefix).map(({ value }) => value as Row),
--- a/packages/core/src/replay/host-list-model.ts
+++ b/packages/core/src/replay/host-list-model.ts
@@ -1,4 +1,7 @@
-/** The platform's list of hosts in virtual time: it lags, and shows late that a host is not heard of. */
+/**
+ * The platform's list of hosts in virtual time. The list is stale by `lagMs`, and a silent host is
+ * listed as gone only after `goneAfterMs`.
+ */
 import type { ListedHostState } from '../control/world.js';
 import type { DataCentreId, HostId } from '../shared/ids.js';
 import type { ModelHost, WorkersModel } from './workers-model.js';
@@ -6,18 +9,20 @@
 type Listing = { readonly atMs: number; readonly sightings: ReadonlyMap<HostId, ListedHostState> };
 
 export type HostListModel = {
-  /** Lets the platform look at all hosts. */
+  /** Records the state of all hosts as the platform sees it at `nowMs`. */
   readonly look: (nowMs: number) => void;
-  /** What the list shows by now. */
+  /** Returns the oldest recorded listing that is still kept, which reflects the lag. */
   readonly sightings: () => ReadonlyMap<HostId, ListedHostState>;
 };
 
-/** Options for the list. Times are in milliseconds of virtual time. */
+/** Options of the list. Times are in milliseconds of virtual time. */
 export type HostListModelOptions = {
   readonly workers: Pick<WorkersModel, 'hosts'>;
-  /** Data centres from which the platform hears nothing. */
+  /** Data centres partitioned from the platform: it receives nothing from their hosts. */
   readonly cut: ReadonlySet<DataCentreId>;
+  /** How stale the list is. */
   readonly lagMs: number;
+  /** How long after its last sign of life a host is listed as gone. */
   readonly goneAfterMs: number;
 };
 
@@ -27,8 +32,8 @@
 /**
  * Builds the list.
  *
- * @param options - The hosts, the cuts and the times of the model.
- * @returns The list; it shows nothing before the first look.
+ * @param options - The hosts, the partitioned data centres and the times of the model.
+ * @returns The list; it is empty until the platform's first observation.
  */
 export const createHostListModel = ({
   workers,
@@ -36,11 +41,11 @@
   lagMs,
   goneAfterMs,
 }: HostListModelOptions): HostListModel => {
-  const heardMs = new Map<HostId, number>();
+  const lastHeardMs = new Map<HostId, number>();
   let listings: readonly Listing[] = [];
 
-  const sightingOf = (host: ModelHost, last: ListedHostState | undefined, nowMs: number) => {
-    const isGone = nowMs - (heardMs.get(host.hostId) ?? 0) > goneAfterMs;
+  const previousState = (host: ModelHost, last: ListedHostState | undefined, nowMs: number) => {
+    const isGone = nowMs - (lastHeardMs.get(host.hostId) ?? 0) > goneAfterMs;
     const state = isGone ? 'gone' : presentState(host);
     const sinceMs = last?.state === state ? last.sinceMs : nowMs;
     return { state, boots: host.boots, sinceMs } as const;
@@ -48,11 +53,11 @@
 
   return {
     look: (nowMs) => {
-      const known = listings[listings.length - 1]?.sightings;
+      const previous = listings[listings.length - 1]?.sightings;
       const sightings = new Map<HostId, ListedHostState>();
       workers.hosts.forEach((host, hostId) => {
-        if (host.state !== 'dead' && !cut.has(host.dataCentre)) heardMs.set(hostId, nowMs);
-        sightings.set(hostId, sightingOf(host, known?.get(hostId), nowMs));
+        if (host.state !== 'dead' && !cut.has(host.dataCentre)) lastHeardMs.set(hostId, nowMs);
+        sightings.set(hostId, previousState(host, previous?.get(hostId), nowMs));
       });
       const recent = listings.filter(({ atMs }) => nowMs - atMs <= lagMs);
       listings = [...recent, { atMs: nowMs, sightings }];
--- a/packages/core/src/replay/replay.ts
+++ b/packages/core/src/replay/replay.ts
@@ -1,4 +1,4 @@
-/** Replay of a trace against the real decisions, with its stated outcomes checked. */
+/** Replays a trace against the production planner and checks the expectations that the trace states. */
 import { listDeclarations, type Configuration } from '../configuration/configuration.js';
 import { listDeclaredHosts, selectHosts } from '../fleet/fleet.js';
 import { rowKey, rowPrefix, type HostRow, type JobRow, type WaveRow } from '../rows/rows.js';
@@ -19,13 +19,14 @@
 } from './fleet-model.js';
 import type { Expectation, TimedEvent, Trace } from './trace.js';
 
-/** What a replay has shown. */
+/** The result of a replay. */
 export type ReplayReport = {
   readonly decisions: readonly Decision[];
-  /** Outcomes that were stated and held. */
+  /** The number of expectations that were met. */
   readonly held: number;
-  /** Outcomes that did not hold, in words. */
+  /** A description of each expectation or invariant that was violated. */
   readonly broken: readonly string[];
+  /** The duration of the replay in virtual time, in seconds. */
   readonly lastedS: number;
 };
 
@@ -46,38 +47,38 @@
   }
 };
 
-const note = (run: Run, what: string, wanted: unknown, found: unknown): void => {
+const checkEqual = (run: Run, label: string, expected: unknown, actual: unknown): void => {
   const state = run;
-  if (wanted === found) state.held += 1;
+  if (expected === actual) state.held += 1;
   else
     state.broken.push(
-      `at ${run.fleet.nowMs() / MS_PER_S} s: ${what}: wanted ${String(wanted)}, found ${String(found)}`,
+      `at ${run.fleet.nowMs() / MS_PER_S} s: ${label}: wanted ${String(expected)}, found ${String(actual)}`,
     );
 };
 
 const readRow = <Row>({ fleet }: Run, key: string): Row | undefined =>
   (fleet.table.read(key).value ?? undefined) as Row | undefined;
 
-const checkExpectation = (run: Run, one: Expectation): void => {
-  Object.entries(one.ready ?? {}).forEach(([service, count]) =>
-    note(run, `ready of ${service}`, count, run.fleet.readyOf(service)),
+const checkExpectation = (run: Run, expectation: Expectation): void => {
+  Object.entries(expectation.ready ?? {}).forEach(([service, count]) =>
+    checkEqual(run, `ready of ${service}`, count, run.fleet.readyOf(service)),
   );
-  Object.entries(one.jobs ?? {}).forEach(([job, phase]) =>
-    note(run, `job ${job}`, phase, readRow<JobRow>(run, rowKey.job(job))?.phase),
+  Object.entries(expectation.jobs ?? {}).forEach(([job, phase]) =>
+    checkEqual(run, `job ${job}`, phase, readRow<JobRow>(run, rowKey.job(job))?.phase),
   );
-  Object.entries(one.waves ?? {}).forEach(([wave, phase]) =>
-    note(run, `wave ${wave}`, phase, readRow<WaveRow>(run, rowKey.wave(wave))?.phase),
+  Object.entries(expectation.waves ?? {}).forEach(([wave, phase]) =>
+    checkEqual(run, `wave ${wave}`, phase, readRow<WaveRow>(run, rowKey.wave(wave))?.phase),
   );
-  Object.entries(one.pools ?? {}).forEach(([host, pool]) =>
-    note(run, `pool of ${host}`, pool, readRow<HostRow>(run, rowKey.host(host))?.pool),
+  Object.entries(expectation.pools ?? {}).forEach(([host, pool]) =>
+    checkEqual(run, `pool of ${host}`, pool, readRow<HostRow>(run, rowKey.host(host))?.pool),
   );
-  Object.entries(one.phases ?? {}).forEach(([host, phase]) =>
-    note(run, `phase of ${host}`, phase, readRow<HostRow>(run, rowKey.host(host))?.phase),
+  Object.entries(expectation.phases ?? {}).forEach(([host, phase]) =>
+    checkEqual(run, `phase of ${host}`, phase, readRow<HostRow>(run, rowKey.host(host))?.phase),
   );
-  if (one.withheld !== undefined) {
-    const text = one.withheld;
-    const isTold = run.fleet.withheld().some(({ reason }) => reason.includes(text));
-    note(run, `withheld: ${text}`, true, isTold);
+  if (expectation.withheld !== undefined) {
+    const text = expectation.withheld;
+    const isReported = run.fleet.withheld().some(({ reason }) => reason.includes(text));
+    checkEqual(run, `withheld: ${text}`, true, isReported);
   }
 };
 
@@ -95,7 +96,7 @@
   fleet.table.transact([], [{ key: rowKey.wave(wave), value: row }]);
 };
 
-const eachHost = (
+const forEachHost = (
   { fleet }: Run,
   hosts: readonly string[],
   change: (hostId: HostId) => void,
@@ -110,7 +111,7 @@
   hosts: readonly string[],
   change: { readonly failsTasks?: boolean; readonly isLeaving?: boolean },
 ): void =>
-  eachHost(run, hosts, (id) => Object.assign(run.fleet.workers.hosts.get(id) ?? {}, change));
+  forEachHost(run, hosts, (id) => Object.assign(run.fleet.workers.hosts.get(id) ?? {}, change));
 
 type EventOf<Type extends TimedEvent['type']> = Extract<TimedEvent, { type: Type }>;
 
@@ -128,8 +129,8 @@
         : row,
     ),
   'job-uses': ({ fleet }, { job, cores }) => fleet.setUse(brand<JobId>(job), cores),
-  'host-kill': (run, { hosts }) => eachHost(run, hosts, run.fleet.workers.kill),
-  'host-revive': (run, { hosts }) => eachHost(run, hosts, run.fleet.workers.revive),
+  'host-kill': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.kill),
+  'host-revive': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.revive),
   'host-fails-tasks': (run, { hosts }) => setHosts(run, hosts, { failsTasks: true }),
   'host-leaving': (run, { hosts }) => setHosts(run, hosts, { isLeaving: true }),
   'rack-kill': (run, { rack }) =>
@@ -166,46 +167,48 @@
   'control-taken': ({ fleet }, { pool }) => fleet.takeControl(brand<PoolName>(pool)),
   'control-woken': (run, { pool }) => {
     const turn = run.paused.get(pool);
-    if (turn) note(run, `writes of the paused holder of ${pool}`, 0, run.fleet.write(turn));
+    if (turn) checkEqual(run, `writes of the paused holder of ${pool}`, 0, run.fleet.write(turn));
     run.paused.delete(pool);
   },
   expect: checkExpectation,
 };
 
-const checkAlways = (run: Run, mayBreakBudgets: boolean): void => {
+const checkInvariants = (run: Run, allowBudgetViolations: boolean): void => {
   const { cutTasks, doubleRuns } = run.fleet.workers.faults;
-  if (cutTasks > 0) note(run, 'tasks cut by a planned reboot', 0, cutTasks);
-  if (doubleRuns > 0) note(run, 'jobs that ran twice at one time', 0, doubleRuns);
-  if (mayBreakBudgets) return;
+  if (cutTasks > 0) checkEqual(run, 'tasks cut by a planned reboot', 0, cutTasks);
+  if (doubleRuns > 0) checkEqual(run, 'jobs that ran twice at one time', 0, doubleRuns);
+  if (allowBudgetViolations) return;
   listDeclarations(run.configuration, 'Service').forEach(({ name, spec }) => {
     const ready = run.fleet.readyOf(name);
     if (ready < spec.minReady)
-      note(run, `budget of ${name} (minReady ${spec.minReady})`, true, false);
+      checkEqual(run, `budget of ${name} (minReady ${spec.minReady})`, true, false);
   });
 };
 
-/** At the start nothing runs yet, so budgets are watched only from then on. */
-const SETTLED_AFTER_S = 10;
+/** Nothing runs at the start, so invariants and availability budgets are checked only after this time. */
+const INVARIANT_CHECKS_FROM_S = 10;
 
 /**
  * Replays a trace.
  *
  * @param trace - The trace.
- * @param configuration - What its declarations say.
- * @returns The decisions, and which of the stated outcomes held.
+ * @param configuration - The configuration that the trace's declarations define.
+ * @returns The decisions, the number of met expectations, and the violations. The replay stops
+ * advancing time at the first violation.
  */
 export const replayTrace = (trace: Trace, configuration: Configuration): ReplayReport => {
-  const { fleet: line, events } = trace;
+  const { fleet: fleetLine, events } = trace;
   const fleet = createFleetModel({
     configuration,
-    rebootMs: line.rebootS * MS_PER_S,
-    startMs: line.startS * MS_PER_S,
+    rebootMs: fleetLine.rebootS * MS_PER_S,
+    startMs: fleetLine.startS * MS_PER_S,
   });
   const run: Run = { fleet, configuration, paused: new Map(), broken: [], held: 0 };
   events.forEach((event) => {
     while (fleet.nowMs() < event.atS * MS_PER_S && run.broken.length === 0) {
       fleet.step();
-      if (fleet.nowMs() > SETTLED_AFTER_S * MS_PER_S) checkAlways(run, line.budgetsMayBreak);
+      if (fleet.nowMs() > INVARIANT_CHECKS_FROM_S * MS_PER_S)
+        checkInvariants(run, fleetLine.budgetsMayBreak);
     }
     (handlers[event.type] as (one: Run, what: TimedEvent) => void)(run, event);
   });
--- a/packages/core/src/replay/table-model.ts
+++ b/packages/core/src/replay/table-model.ts
@@ -1,8 +1,8 @@
-/** A transactional table in memory, with the rules of the platform's own. */
+/** An in-memory transactional table with the semantics of the platform's table. */
 import type { Versioned } from '../rows/rows.js';
 import type { RowCheck, RowWrite, TableRow } from '../rows/transaction.js';
 
-/** How a transaction ended. */
+/** The outcome of a transaction; `key` is the row whose version did not match. */
 export type TableOutcome =
   | { readonly kind: 'committed'; readonly version: number }
   | { readonly kind: 'conflict'; readonly key: string };
@@ -10,7 +10,10 @@
 export type TableModel = {
   readonly read: (key: string) => TableRow;
   readonly scan: (prefix: string) => readonly TableRow[];
-  /** All writes happen, or none; all rows of a transaction get the same version. */
+  /**
+   * Applies all writes or none, and gives all written rows the same version. Nothing is written if
+   * the version of any checked row differs. A null value deletes the row.
+   */
   readonly transact: (checks: readonly RowCheck[], writes: readonly RowWrite[]) => TableOutcome;
 };
 
@@ -53,8 +56,8 @@
  * Reads the rows of one kind.
  *
  * @param table - The table.
- * @param prefix - How the keys of the kind begin.
- * @returns The rows by what follows the prefix.
+ * @param prefix - The key prefix of the kind.
+ * @returns The rows, keyed by the part of the key after the prefix.
  */
 export const rowsOf = <Id extends string, Row>(
   table: TableModel,
--- a/packages/core/src/replay/trace.ts
+++ b/packages/core/src/replay/trace.ts
@@ -1,4 +1,4 @@
-/** Recorded traces: one JSON line an event, with the outcomes that are stated for them. */
+/** Recorded traces: one JSON line per event, including the expected outcomes. */
 import { Err, Ok, type Result } from 'ts-results-es';
 import { z } from 'zod';
 
@@ -10,7 +10,7 @@
   z.strictObject({ type: z.literal(type), ...at, ...shape });
 
 const expectation = event('expect', {
-  /** Executors that must be ready, by service. */
+  /** The exact number of ready executors, by service. */
   ready: z.record(z.string(), z.number().int()).optional(),
   jobs: z.record(z.string(), z.enum(['pending', 'refused', 'done', 'cancelled'])).optional(),
   waves: z
@@ -18,7 +18,7 @@
     .optional(),
   pools: z.record(z.string(), z.string()).optional(),
   phases: z.record(z.string(), z.string()).optional(),
-  /** A text that the reason for something withheld must contain. */
+  /** A text that the reason of at least one withheld action must contain. */
   withheld: z.string().optional(),
 });
 
@@ -26,11 +26,11 @@
 export const traceEventSchema = z.discriminatedUnion('type', [
   z.strictObject({
     type: z.literal('fleet'),
-    /** Folders with declarations, from the folder of the trace. */
+    /** Folders with declarations, relative to the folder of the trace. */
     declarations: z.array(name).min(1),
     rebootS: z.number().positive().default(60),
     startS: z.number().positive().default(1),
-    /** True for a trace whose losses are larger than the budgets provide for. */
+    /** True for a trace whose losses exceed what the availability budgets are sized for. */
     budgetsMayBreak: z.boolean().default(false),
   }),
   event('job-submit', { job: jobDeclarationSchema }),
@@ -48,7 +48,7 @@
   event('wave-start', { wave: name, selector: z.string() }),
   event('wave-change', { wave: name, to: z.enum(['held', 'running', 'cancelled']) }),
   event('host-move', { host: name, toPool: name }),
-  /** The holder of a pool's control plans a turn and is paused before it writes. */
+  /** The control holder of a pool plans a turn and is paused before it writes. */
   event('control-paused', { pool: name }),
   event('control-taken', { pool: name }),
   event('control-woken', { pool: name }),
@@ -60,10 +60,10 @@
 export type TimedEvent = Exclude<TraceEvent, { type: 'fleet' }>;
 export type Expectation = Extract<TraceEvent, { type: 'expect' }>;
 
-/** A trace that was read. */
+/** A parsed trace. */
 export type Trace = { readonly fleet: FleetLine; readonly events: readonly TimedEvent[] };
 
-/** A line that cannot be read. */
+/** A line that cannot be parsed, counted from 1, and the reason. */
 export type TraceFault = { readonly line: number; readonly reason: string };
 
 const parseLine = (text: string, line: number): Result<TraceEvent, TraceFault> => {
@@ -79,13 +79,13 @@
   return Err({ line, reason: `${issue?.path.join('.') ?? ''}: ${issue?.message ?? ''}` });
 };
 
-const isTimed = (one: TraceEvent): one is TimedEvent => one.type !== 'fleet';
+const isTimed = (traceEvent: TraceEvent): traceEvent is TimedEvent => traceEvent.type !== 'fleet';
 
 /**
- * Reads a trace.
+ * Parses a trace.
  *
- * @param text - The lines; empty ones are passed over.
- * @returns The trace with its events in order of time, or the first line that is wrong.
+ * @param text - The lines; empty lines are skipped.
+ * @returns The trace with its events sorted by time, or the first invalid line.
  */
 export const readTrace = (text: string): Result<Trace, TraceFault> => {
   const events: TraceEvent[] = [];
--- a/packages/core/src/replay/workers-model.ts
+++ b/packages/core/src/replay/workers-model.ts
@@ -1,10 +1,10 @@
-/** Workers in virtual time: hosts that run tasks under leases, reboot, fail and come back. */
+/** Workers in virtual time: hosts that run tasks under leases, reboot, fail and return to service. */
 import { change } from '../shared/change.js';
 import type { ObservedTask } from '../control/reconcile.js';
 import type { PlacementRow } from '../rows/rows.js';
 import type { DataCentreId, HostId, JobId } from '../shared/ids.js';
 
-/** A task on a host. */
+/** A task on a host. Its `service` is null if it belongs to a job that ends by itself. */
 export type ModelTask = {
   readonly jobId: JobId;
   readonly epoch: number;
@@ -13,11 +13,11 @@
   readonly leaseMs: number;
   phase: ObservedTask['phase'];
   leaseUntilMs: number;
-  /** When its phase changes by itself: it has started, or it has run. */
+  /** When its phase changes next: from starting to running, or from running to its end. */
   changesAtMs: number;
 };
 
-/** A host. */
+/** A host. `backAtMs` is when its reboot ends; it applies only while `state` is `rebooting`. */
 export type ModelHost = {
   readonly hostId: HostId;
   readonly dataCentre: DataCentreId;
@@ -28,17 +28,17 @@
   backAtMs: number;
 };
 
-/** Times of the model, in milliseconds. */
+/** How long the start of a task and the reboot of a host take, in milliseconds. */
 export type WorkerTimes = {
   readonly startMs: number;
   readonly rebootMs: number;
 };
 
-/** What has gone wrong, if anything has. */
+/** Counts of invariant violations; all are 0 in a correct run. */
 export type WorkerFaults = {
-  /** Tasks that were serving when their host was rebooted as planned. */
+  /** Unfinished tasks that a planned reboot of their host terminated. */
   cutTasks: number;
-  /** Moments at which two tasks of one job ran at the same time. */
+  /** Starts of a task while another task of the same job was live. */
   doubleRuns: number;
 };
 
@@ -53,21 +53,24 @@
   readonly reboot: (hostId: HostId, requestName: string, nowMs: number) => void;
   readonly kill: (hostId: HostId) => void;
   readonly revive: (hostId: HostId) => void;
-  /** Lets time pass: starts end, jobs end, leases lapse, hosts come back. */
+  /**
+   * Advances the model to `nowMs`: completes due starts and runs, ends tasks whose lease has
+   * expired, and returns hosts whose reboot is complete.
+   */
   readonly advance: (nowMs: number) => void;
   readonly faults: WorkerFaults;
 };
 
-const LONG = Number.MAX_SAFE_INTEGER;
+const NEVER_MS = Number.MAX_SAFE_INTEGER;
 
 const isLive = ({ phase }: ModelTask): boolean => phase !== 'done' && phase !== 'failed';
 
 /**
  * Builds the workers.
  *
- * @param places - Each host with its data centre.
- * @param times - The times of the model.
- * @returns The workers, all hosts up and without tasks.
+ * @param places - The data centre of each host.
+ * @param times - How long starts and reboots take.
+ * @returns The workers; all hosts are up and run no tasks.
  */
 export const createWorkersModel = (
   places: ReadonlyMap<HostId, DataCentreId>,
@@ -89,25 +92,26 @@
   );
   let tasks: ModelTask[] = [];
   const runTimes = new Map<string, number>();
-  const ended = new Set<string>();
+  const endedKeys = new Set<string>();
   const rebootRequests = new Set<string>();
   const faults: WorkerFaults = { cutTasks: 0, doubleRuns: 0 };
 
-  const keyOf = ({ jobId, epoch }: { jobId: JobId; epoch: number }): string => `${jobId}@${epoch}`;
-  const find = (wanted: ObservedTask): ModelTask | undefined =>
-    tasks.find((task) => keyOf(task) === keyOf(wanted));
+  const taskKey = ({ jobId, epoch }: { jobId: JobId; epoch: number }): string =>
+    `${jobId}@${epoch}`;
+  const findTask = (wanted: ObservedTask): ModelTask | undefined =>
+    tasks.find((task) => taskKey(task) === taskKey(wanted));
 
-  const end = (gone: readonly ModelTask[]): void => {
-    gone.forEach((task) => ended.add(keyOf(task)));
-    const keys = new Set(gone.map(keyOf));
-    tasks = tasks.filter((task) => !keys.has(keyOf(task)));
+  const removed = (gone: readonly ModelTask[]): void => {
+    gone.forEach((task) => endedKeys.add(taskKey(task)));
+    const keys = new Set(gone.map(taskKey));
+    tasks = tasks.filter((task) => !keys.has(taskKey(task)));
   };
 
   const start = (placement: PlacementRow, runTimeMs: number, nowMs: number): void => {
     const { jobId, epoch, hostId, service, leaseMs } = placement;
-    const key = keyOf(placement);
-    if (hosts.get(hostId)?.state !== 'up' || ended.has(key)) return;
-    if (tasks.some((task) => keyOf(task) === key)) return;
+    const key = taskKey(placement);
+    if (hosts.get(hostId)?.state !== 'up' || endedKeys.has(key)) return;
+    if (tasks.some((task) => taskKey(task) === key)) return;
     if (tasks.some((task) => task.jobId === jobId && isLive(task))) faults.doubleRuns += 1;
     runTimes.set(key, runTimeMs);
     tasks.push({
@@ -127,10 +131,10 @@
   const changePhase = (task: ModelTask, nowMs: number): void => {
     if (nowMs < task.changesAtMs || !isLive(task)) return;
     if (task.phase === 'starting') {
-      const runTimeMs = runTimes.get(keyOf(task)) ?? 0;
+      const runTimeMs = runTimes.get(taskKey(task)) ?? 0;
       change(task, {
         phase: 'running',
-        changesAtMs: task.service === null ? nowMs + runTimeMs : LONG,
+        changesAtMs: task.service === null ? nowMs + runTimeMs : NEVER_MS,
       });
       return;
     }
@@ -154,16 +158,16 @@
         })),
     start,
     drain: (wanted) => {
-      const task = find(wanted);
+      const task = findTask(wanted);
       if (task && isLive(task)) task.phase = 'leaving';
     },
     stop: (wanted) => {
-      const task = find(wanted);
-      if (task) end([task]);
-      ended.add(keyOf(wanted));
+      const task = findTask(wanted);
+      if (task) removed([task]);
+      endedKeys.add(taskKey(wanted));
     },
     renew: (wanted, nowMs) => {
-      const task = find(wanted);
+      const task = findTask(wanted);
       if (task) task.leaseUntilMs = nowMs + task.leaseMs;
     },
     reboot: (hostId, requestName, nowMs) => {
@@ -173,14 +177,14 @@
       faults.cutTasks += tasksOn(hostId).filter(
         ({ phase }) => phase !== 'done' && phase !== 'failed',
       ).length;
-      end(tasksOn(hostId));
+      removed(tasksOn(hostId));
       host.state = 'rebooting';
       host.backAtMs = nowMs + rebootMs;
     },
     kill: (hostId) => {
       const host = hosts.get(hostId);
       if (host) host.state = 'dead';
-      end(tasksOn(hostId));
+      removed(tasksOn(hostId));
     },
     revive: (hostId) => {
       const host = hosts.get(hostId);
@@ -190,7 +194,7 @@
     },
     advance: (nowMs) => {
       tasks.forEach((task) => changePhase(task, nowMs));
-      end(tasks.filter((task) => isLive(task) && nowMs > task.leaseUntilMs));
+      removed(tasks.filter((task) => isLive(task) && nowMs > task.leaseUntilMs));
       hosts.forEach((host) => {
         if (host.state !== 'rebooting' || nowMs < host.backAtMs) return;
         change(host, { state: 'up', boots: host.boots + 1 });
