--- a/packages/core/src/declarations/check-references.ts
+++ b/packages/core/src/declarations/check-references.ts
@@ -1,4 +1,4 @@
-/** Checks across declarations: each name that one uses must be declared by another. */
+/** Cross-declaration checks: every name that a declaration refers to must be declared. */
 import {
   declarationKey,
   type Declaration,
@@ -7,7 +7,7 @@
   type DeclarationOf,
 } from './schema.js';
 
-/** A fault that shows only when the declarations are seen together. */
+/** An error that can be found only by checking the declarations as a set. */
 export type ReferenceFault = {
   readonly key: DeclarationKey;
   readonly path: string;
@@ -15,45 +15,54 @@
 };
 
 type Problem = { readonly path: string; readonly reason: string };
-type Known = (kind: DeclarationKind, name: string) => boolean;
+type IsDeclared = (kind: DeclarationKind, name: string) => boolean;
 
-const missing = (known: Known, kind: DeclarationKind, path: string, name: string): Problem[] =>
-  known(kind, name) ? [] : [{ path, reason: `no ${kind} named '${name}' is declared` }];
+const checkDeclared = (
+  isDeclared: IsDeclared,
+  kind: DeclarationKind,
+  path: string,
+  name: string,
+): Problem[] =>
+  isDeclared(kind, name) ? [] : [{ path, reason: `no ${kind} named '${name}' is declared` }];
 
-const checkService = ({ spec }: DeclarationOf<'Service'>, known: Known): Problem[] => [
-  ...missing(known, 'Pool', 'spec.pool', spec.pool),
-  ...missing(known, 'Team', 'spec.team', spec.team),
+const checkService = ({ spec }: DeclarationOf<'Service'>, isDeclared: IsDeclared): Problem[] => [
+  ...checkDeclared(isDeclared, 'Pool', 'spec.pool', spec.pool),
+  ...checkDeclared(isDeclared, 'Team', 'spec.team', spec.team),
   ...(spec.minReady > spec.executors
     ? [{ path: 'spec.minReady', reason: `is above spec.executors (${spec.executors})` }]
     : []),
 ];
 
 const checkers: {
-  readonly [Kind in DeclarationKind]: (one: DeclarationOf<Kind>, known: Known) => Problem[];
+  readonly [Kind in DeclarationKind]: (
+    one: DeclarationOf<Kind>,
+    isDeclared: IsDeclared,
+  ) => Problem[];
 } = {
   DataCentre: () => [],
   Pool: () => [],
   Team: () => [],
-  HostGroup: ({ spec }, known) => [
-    ...missing(known, 'DataCentre', 'spec.dataCentre', spec.dataCentre),
-    ...missing(known, 'Pool', 'spec.pool', spec.pool),
+  HostGroup: ({ spec }, isDeclared) => [
+    ...checkDeclared(isDeclared, 'DataCentre', 'spec.dataCentre', spec.dataCentre),
+    ...checkDeclared(isDeclared, 'Pool', 'spec.pool', spec.pool),
   ],
   Service: checkService,
 };
 
 /**
- * Checks that every name which a declaration refers to is declared.
+ * Checks that every name that a declaration refers to is declared, and that no service requires
+ * more ready executors than it has.
  *
- * @param declarations - The whole set.
- * @returns The faults; none if the set holds together.
+ * @param declarations - The complete set of declarations.
+ * @returns The errors; empty if the set is consistent.
  */
 export const checkReferences = (
   declarations: readonly Declaration[],
 ): readonly ReferenceFault[] => {
   const keys = new Set(declarations.map(declarationKey));
-  const known: Known = (kind, name) => keys.has(`${kind}/${name}`);
+  const isDeclared: IsDeclared = (kind, name) => keys.has(`${kind}/${name}`);
   return declarations.flatMap((one) => {
-    const check = checkers[one.kind] as (value: Declaration, isKnown: Known) => Problem[];
-    return check(one, known).map((problem) => ({ key: declarationKey(one), ...problem }));
+    const check = checkers[one.kind] as (value: Declaration, isDeclared: IsDeclared) => Problem[];
+    return check(one, isDeclared).map((problem) => ({ key: declarationKey(one), ...problem }));
   });
 };
--- a/packages/core/src/declarations/read-declarations.ts
+++ b/packages/core/src/declarations/read-declarations.ts
@@ -1,4 +1,4 @@
-/** Reading declarations from YAML text: each fault is told with its file, place and reason. */
+/** Reads declarations from YAML text and reports each error with its file, location and reason. */
 import { Err, Ok, type Result } from 'ts-results-es';
 import { parseAllDocuments, type Document } from 'yaml';
 import type { z } from 'zod';
@@ -12,10 +12,10 @@
   type JobDeclaration,
 } from './schema.js';
 
-/** One fault in a declaration. */
+/** An error in a declaration. */
 export type DeclarationFault = {
   readonly file: string;
-  /** Where in the file, for example `document 2: spec.cores`. */
+  /** The location in the file, for example `document 2: spec.cores`. */
   readonly path: string;
   readonly reason: string;
 };
@@ -79,19 +79,20 @@
 
 const locateReferenceFaults = (declarations: readonly Located<Declaration>[]): DeclarationFault[] =>
   checkReferences(declarations.map(({ value }) => value)).map((fault) => {
-    const place = declarations.find(({ value }) => declarationKey(value) === fault.key);
+    const located = declarations.find(({ value }) => declarationKey(value) === fault.key);
     return {
-      file: place?.file ?? '',
-      path: `${place?.path ?? ''}: ${fault.path}`,
+      file: located?.file ?? '',
+      path: `${located?.path ?? ''}: ${fault.path}`,
       reason: fault.reason,
     };
   });
 
 /**
- * Reads a whole set of declarations. It is taken whole or refused whole.
+ * Reads a complete set of declarations. A single error rejects the whole set. References between
+ * declarations are checked only if there is no other error.
  *
  * @param files - The files, as text.
- * @returns The declarations, or every fault that was found.
+ * @returns The declarations, or every error that was found.
  */
 export const readDeclarations = (
   files: readonly DeclarationFile[],
@@ -104,10 +105,10 @@
 };
 
 /**
- * Reads job declarations.
+ * Reads job declarations. A single error rejects all of them.
  *
  * @param files - The files, as text.
- * @returns The jobs, or every fault that was found.
+ * @returns The jobs, or every error that was found.
  */
 export const readJobs = (
   files: readonly DeclarationFile[],
--- a/packages/core/src/declarations/schema.ts
+++ b/packages/core/src/declarations/schema.ts
@@ -1,4 +1,4 @@
-/** The kinds of declaration that operators keep in version control, and their checks by kind. */
+/** The kinds of declaration that operators keep in version control, with the schema of each kind. */
 import { z } from 'zod';
 
 import { parseSelector } from '../selectors/parse-selector.js';
@@ -8,9 +8,9 @@
 
 const name = z.string().regex(NAME, 'expected lower-case letters, digits and inner hyphens');
 const labels = z.record(z.string(), z.string().regex(LABEL_VALUE)).default({});
-const count = (most: number) => z.number().int().min(0).max(most);
+const count = (max: number) => z.number().int().min(0).max(max);
 
-/** A selector in the operators' grammar, checked when the declaration is read. */
+/** A selector in the operators' selector grammar; its syntax is checked when the declaration is read. */
 export const selectorText = z
   .string()
   .default('')
@@ -30,19 +30,19 @@
   accelerators: count(64).default(0),
 };
 
-/** How soon a job must start, and who gives way when a host is over-used. */
+/** The urgency of a job: determines its start order and which job is preempted on an overloaded host. */
 export const urgency = z.enum(['urgent', 'normal', 'batch']);
 
 const dataCentreSpec = z.strictObject({
   region: name,
-  /** How many entries of this data centre share its endpoints at one time. */
+  /** The maximum number of entries in this data centre that share its endpoints at the same time. */
   entrySeats: z.number().int().min(1).max(64),
 });
 
 const poolSpec = z.strictObject({
-  /** What maintenance of this pool prefers when both cannot be had. */
+  /** Whether maintenance of this pool favours a fast roll-out or few moves when they conflict. */
   prefer: z.enum(['roll-out', 'moves']).default('roll-out'),
-  /** The correlated loss that must be survivable while maintenance runs. */
+  /** The largest correlated failure that the pool must survive during maintenance. */
   reserveFor: z.enum(['none', 'host', 'rack', 'data-centre']).default('rack'),
   quotaCores: z.number().positive().optional(),
 });
@@ -64,7 +64,7 @@
   pool: name,
   team: name,
   executors: z.number().int().min(1).max(10_000),
-  /** The availability budget: how many executors must stay ready at any time. */
+  /** The availability budget: the minimum number of executors that must be ready at any time. */
   minReady: z.number().int().min(0),
   slots: z.number().int().min(1).max(1024),
   connections: z.number().int().min(1).max(65_535),
@@ -86,7 +86,7 @@
 const declaration = <Kind extends string, Spec extends z.ZodType>(kind: Kind, spec: Spec) =>
   z.strictObject({ kind: z.literal(kind), name, labels, spec });
 
-/** One declaration of any kind that configuration holds. */
+/** A declaration of any kind that is part of the configuration. */
 export const declarationSchema = z.discriminatedUnion('kind', [
   declaration('DataCentre', dataCentreSpec),
   declaration('Pool', poolSpec),
@@ -95,7 +95,7 @@
   declaration('Service', serviceSpec),
 ]);
 
-/** One job, submitted by a command and kept as a row, not as configuration. */
+/** A job. It is submitted by a command and stored as a row; it is not part of the configuration. */
 export const jobDeclarationSchema = declaration('Job', jobSpec);
 
 export type Declaration = z.infer<typeof declarationSchema>;
@@ -104,13 +104,13 @@
 export type JobDeclaration = z.infer<typeof jobDeclarationSchema>;
 export type Urgency = z.infer<typeof urgency>;
 
-/** The key of a declaration within a configuration. */
+/** The key of a declaration in a configuration. */
 export type DeclarationKey = `${DeclarationKind}/${string}`;
 
 /**
- * Gives the key of a declaration.
+ * Builds the key of a declaration.
  *
- * @param one - Its kind and name.
+ * @param one - The kind and name of the declaration.
  * @returns The key, for example `Service/routing`.
  */
 export const declarationKey = (one: { kind: DeclarationKind; name: string }): DeclarationKey =>
