--- a/packages/core/src/replay/host-list-model.ts
+++ b/packages/core/src/replay/host-list-model.ts
@@ -44,10 +44,14 @@
   const lastHeardMs = new Map<HostId, number>();
   let listings: readonly Listing[] = [];
 
-  const previousState = (host: ModelHost, last: ListedHostState | undefined, nowMs: number) => {
+  const computeListedState = (
+    host: ModelHost,
+    previousState: ListedHostState | undefined,
+    nowMs: number,
+  ) => {
     const isGone = nowMs - (lastHeardMs.get(host.hostId) ?? 0) > goneAfterMs;
     const state = isGone ? 'gone' : presentState(host);
-    const sinceMs = last?.state === state ? last.sinceMs : nowMs;
+    const sinceMs = previousState?.state === state ? previousState.sinceMs : nowMs;
     return { state, boots: host.boots, sinceMs } as const;
   };
 
@@ -57,7 +61,7 @@
       const sightings = new Map<HostId, ListedHostState>();
       workers.hosts.forEach((host, hostId) => {
         if (host.state !== 'dead' && !cut.has(host.dataCentre)) lastHeardMs.set(hostId, nowMs);
-        sightings.set(hostId, previousState(host, previous?.get(hostId), nowMs));
+        sightings.set(hostId, computeListedState(host, previous?.get(hostId), nowMs));
       });
       const recent = listings.filter(({ atMs }) => nowMs - atMs <= lagMs);
       listings = [...recent, { atMs: nowMs, sightings }];
--- a/packages/core/src/replay/workers-model.ts
+++ b/packages/core/src/replay/workers-model.ts
@@ -101,9 +101,9 @@
   const findTask = (wanted: ObservedTask): ModelTask | undefined =>
     tasks.find((task) => taskKey(task) === taskKey(wanted));
 
-  const removed = (gone: readonly ModelTask[]): void => {
-    gone.forEach((task) => endedKeys.add(taskKey(task)));
-    const keys = new Set(gone.map(taskKey));
+  const removeTasks = (removed: readonly ModelTask[]): void => {
+    removed.forEach((task) => endedKeys.add(taskKey(task)));
+    const keys = new Set(removed.map(taskKey));
     tasks = tasks.filter((task) => !keys.has(taskKey(task)));
   };
 
@@ -163,7 +163,7 @@
     },
     stop: (wanted) => {
       const task = findTask(wanted);
-      if (task) removed([task]);
+      if (task) removeTasks([task]);
       endedKeys.add(taskKey(wanted));
     },
     renew: (wanted, nowMs) => {
@@ -177,14 +177,14 @@
       faults.cutTasks += tasksOn(hostId).filter(
         ({ phase }) => phase !== 'done' && phase !== 'failed',
       ).length;
-      removed(tasksOn(hostId));
+      removeTasks(tasksOn(hostId));
       host.state = 'rebooting';
       host.backAtMs = nowMs + rebootMs;
     },
     kill: (hostId) => {
       const host = hosts.get(hostId);
       if (host) host.state = 'dead';
-      removed(tasksOn(hostId));
+      removeTasks(tasksOn(hostId));
     },
     revive: (hostId) => {
       const host = hosts.get(hostId);
@@ -194,7 +194,7 @@
     },
     advance: (nowMs) => {
       tasks.forEach((task) => changePhase(task, nowMs));
-      removed(tasks.filter((task) => isLive(task) && nowMs > task.leaseUntilMs));
+      removeTasks(tasks.filter((task) => isLive(task) && nowMs > task.leaseUntilMs));
       hosts.forEach((host) => {
         if (host.state !== 'rebooting' || nowMs < host.backAtMs) return;
         change(host, { state: 'up', boots: host.boots + 1 });
