--- a/packages/daemon/src/observe/bounded-output.test.ts
+++ b/packages/daemon/src/observe/bounded-output.test.ts
@@ -1,4 +1,4 @@
-/** What is left of the log where its reader does not keep up. */
+/** Which log lines are kept when the reader of the log is too slow. */
 import {
   createBatchState,
   endpointIdOf,
@@ -12,7 +12,7 @@
 import { createBoundedOutput, type WriteBytes } from './bounded-output.js';
 import { createLog } from './log.js';
 
-/** A reader that takes nothing for a while, as a full pipe does. */
+/** A reader that accepts nothing while `isFull` is set, as a full pipe does. */
 const createSlowReader = () => {
   const taken: string[] = [];
   const reader = { isFull: true };
@@ -34,7 +34,7 @@
   return { reader, writeBytes, linesOf };
 };
 
-describe('the bounded output', () => {
+describe('bounded output', () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -43,11 +43,11 @@
     vi.useRealTimers();
   });
 
-  describe('in a busy second with a reader that stands still', () => {
+  describe('in a busy second with a blocked reader', () => {
     const REFUSALS = 5000;
 
-    /** The wave is reported after the refusals of the second: what waits is full of them by then. */
-    const busySecond = async () => {
+    /** The wave is reported after the refusals, when the buffer is already full of them. */
+    const simulateBusySecond = async () => {
       const { reader, writeBytes, linesOf } = createSlowReader();
       const output = createBoundedOutput({ writeBytes });
       const log = createLog({ common: { entry: 'hall-b-2' }, sink: output.line });
@@ -63,15 +63,15 @@
       return linesOf;
     };
 
-    it('keeps the lines of decisions, whatever was refused meanwhile', async () => {
-      // With one bound of 512 KB for all lines neither of the two was left.
-      const linesOf = await busySecond();
+    it('keeps the lines of decisions despite a burst of refusals', async () => {
+      // With a common limit of 512 KB for all events, both lines were dropped.
+      const linesOf = await simulateBusySecond();
       expect(linesOf('wave-reported')).toHaveLength(1);
       expect(linesOf('host-list-lost')).toHaveLength(1);
     });
 
-    it('counts what it dropped by the name of the event', async () => {
-      const linesOf = await busySecond();
+    it('reports the number of dropped lines by event name', async () => {
+      const linesOf = await simulateBusySecond();
       const kept = linesOf('request-refused').length;
       expect(kept).toBeGreaterThan(400);
       expect(linesOf('log-lines-dropped')).toEqual([
@@ -80,12 +80,12 @@
     });
   });
 
-  describe('of many lines at once', () => {
+  describe('with many lines at once', () => {
     const LINES = 300;
-    const MOST_AT_ONCE_BYTES = 8192;
+    const MAX_WRITE_BYTES = 8192;
 
-    /** The writes of lines of some 250 bytes, and of one that is longer than a write. */
-    const writesOf = async (): Promise<readonly string[]> => {
+    /** Returns the writes for lines of some 250 bytes and for one line that exceeds the maximum write. */
+    const writeManyLines = async (): Promise<readonly string[]> => {
       const writes: string[] = [];
       const writeBytes: WriteBytes = (bytes, done) => {
         writes.push(bytes.toString());
@@ -95,36 +95,34 @@
       for (let index = 0; index < LINES; index += 1) {
         output.line(`event=run-ended index=${index} ${'ä'.repeat(110)}`, 'run-ended');
       }
-      output.line(`event=wave ${'x'.repeat(MOST_AT_ONCE_BYTES)}`, 'wave');
+      output.line(`event=wave ${'x'.repeat(MAX_WRITE_BYTES)}`, 'wave');
       await vi.advanceTimersByTimeAsync(1000);
       return writes;
     };
 
-    it('writes whole lines, no more than 8 KB of them at once', async () => {
-      const writes = await writesOf();
+    it('writes whole lines, at most 8 KB at once', async () => {
+      const writes = await writeManyLines();
       const short = writes.filter((text) => !text.includes('event=wave'));
       writes.forEach((text) => expect(text.endsWith('\n')).toBe(true));
-      short.forEach((text) =>
-        expect(Buffer.byteLength(text)).toBeLessThanOrEqual(MOST_AT_ONCE_BYTES),
-      );
+      short.forEach((text) => expect(Buffer.byteLength(text)).toBeLessThanOrEqual(MAX_WRITE_BYTES));
       expect(writes.length).toBeLessThanOrEqual(12);
     });
 
     it('writes each line once and in order', async () => {
-      const lines = (await writesOf()).join('').trimEnd().split('\n');
+      const lines = (await writeManyLines()).join('').trimEnd().split('\n');
       const indices = lines.slice(0, LINES).map((line) => Number(/index=(\d+)/.exec(line)?.[1]));
       expect(indices).toEqual(Array.from({ length: LINES }, (_, index) => index));
       expect(lines).toHaveLength(LINES + 1);
     });
   });
 
-  describe('with the ends of runs among other lines', () => {
-    const OTHERS = 5000;
-    /** Of a large fleet: 3,000 in a second, so 300 between two writings. */
-    const ENDS_A_WRITING = 300;
+  describe('with run-ended lines among other lines', () => {
+    const OTHER_LINES = 5000;
+    /** A large fleet ends 3,000 runs per second, that is 300 between two writes. */
+    const ENDS_PER_WRITE = 300;
 
-    /** As long as they come: a run under the fence 999, of an endpoint that was never heard. */
-    const fieldsOfEnd = (index: number) => {
+    /** The longest fields that occur: a run under fence 999 of an endpoint that never reported. */
+    const createRunEndFields = (index: number) => {
       const state = createBatchState(999);
       Object.assign(state, { soleHolderUntilMs: 0 });
       const endpoint = upsertEndpoint(
@@ -154,18 +152,18 @@
       return takeEffects(state).flatMap((one) => (one.kind === 'note' ? [one.fields] : []));
     };
 
-    const play = async (mayWrite: boolean) => {
+    const runLoad = async (mayWrite: boolean) => {
       const { reader, writeBytes, linesOf } = createSlowReader();
       Object.assign(reader, { isFull: !mayWrite });
       const output = createBoundedOutput({ writeBytes });
       const log = createLog({ common: { entry: 'edge-hall-mandvi-1' }, sink: output.line });
       for (let writing = 0; writing < 10; writing += 1) {
-        for (let index = 0; index < OTHERS / 10; index += 1) {
+        for (let index = 0; index < OTHER_LINES / 10; index += 1) {
           const detail = `no job named ${index.toString(16).padStart(16, '0')} was accepted`;
           log.info('request-refused', { method: 'GET', status: 410, verdict: 'notRun', detail });
         }
-        for (let index = 0; index < ENDS_A_WRITING; index += 1) {
-          fieldsOfEnd(index).forEach((fields) => log.info('run-ended', fields));
+        for (let index = 0; index < ENDS_PER_WRITE; index += 1) {
+          createRunEndFields(index).forEach((fields) => log.info('run-ended', fields));
         }
         await vi.advanceTimersByTimeAsync(110);
       }
@@ -174,21 +172,21 @@
       return linesOf;
     };
 
-    it('drops none of them in a second with 3,000 of them and 5,000 others', async () => {
-      const linesOf = await play(true);
-      expect(linesOf('run-ended')).toHaveLength(ENDS_A_WRITING * 10);
+    it('drops no run-ended line in a second with 3,000 of them and 5,000 others', async () => {
+      const linesOf = await runLoad(true);
+      expect(linesOf('run-ended')).toHaveLength(ENDS_PER_WRITE * 10);
       expect(linesOf('log-lines-dropped')).toEqual([]);
     });
 
-    it('drops none of 3,000 while the reader stands still for a second with 5,000 others', async () => {
-      const linesOf = await play(false);
-      expect(linesOf('run-ended')).toHaveLength(ENDS_A_WRITING * 10);
+    it('drops none of 3,000 run-ended lines while the reader is blocked for a second with 5,000 others', async () => {
+      const linesOf = await runLoad(false);
+      expect(linesOf('run-ended')).toHaveLength(ENDS_PER_WRITE * 10);
       expect(linesOf('log-lines-dropped')).toHaveLength(1);
       expect(linesOf('log-lines-dropped')[0]).toContain(' of=request-refused ');
     });
 
-    it('keeps a line of them under 260 characters', async () => {
-      const linesOf = await play(true);
+    it('keeps each run-ended line under 260 characters', async () => {
+      const linesOf = await runLoad(true);
       const longest = Math.max(...linesOf('run-ended').map(({ length }) => length));
       expect(longest).toBeLessThan(260);
     });
--- a/packages/daemon/src/observe/bounded-output.ts
+++ b/packages/daemon/src/observe/bounded-output.ts
@@ -1,36 +1,37 @@
 /**
- * Lines for the standard output, written together and never waited for. A reader that does not
- * keep up costs lines, not time: what does not fit is counted and told. Each kind of event has room
- * of its own, so that a flood of one (a refusal for each request of a busy second) takes none of the
- * lines that tell of a decision.
+ * Buffered, non-blocking output of lines to the standard output. A reader that is too slow causes
+ * dropped lines, not delay: lines that exceed the buffer are dropped, counted and reported. Each event
+ * name has its own buffer limit, so that a burst of one event (for example a refusal for each request
+ * of a busy second) doesn't displace the lines that report decisions.
  */
 import { write, writeSync } from 'node:fs';
 
 const STDOUT = 1;
-/** Lines wait this long for others. */
+/** How long lines are buffered so that they are written together. */
 const FLUSH_MS = 100;
 /**
- * Above so much text of one event that waits, new lines of it are dropped: some 500 lines of a
- * refused request. 50 kinds of events, all of them too many, keep 6.4 MB.
+ * The buffer limit of one event name, enough for some 500 lines of refused requests. If the buffer
+ * holds more, new lines of that event are dropped. 50 event names that are all at their limit hold
+ * 6.4 MB.
  */
-const MOST_WAITING_CHARACTERS = 128 * 1024;
+const MAX_BUFFERED_CHARACTERS = 128 * 1024;
 /**
- * Kinds with a line for each run have more: 4,000 lines, a second of a large fleet, come at once where
- * answers were held up.
+ * The buffer limit of events with a line for each run. When delayed responses arrive together, they
+ * cause 4,000 such lines at once, as many as a large fleet produces in a second.
  */
-const MORE_WAITING_CHARACTERS = 1024 * 1024;
-const KINDS_OF_RUNS: ReadonlySet<string> = new Set(['run-ended', 'task-started-again']);
+const MAX_BUFFERED_RUN_CHARACTERS = 1024 * 1024;
+const RUN_EVENTS: ReadonlySet<string> = new Set(['run-ended', 'task-started-again']);
 
-const roomOf = (event: string): number =>
-  KINDS_OF_RUNS.has(event) ? MORE_WAITING_CHARACTERS : MOST_WAITING_CHARACTERS;
+const bufferLimitOf = (event: string): number =>
+  RUN_EVENTS.has(event) ? MAX_BUFFERED_RUN_CHARACTERS : MAX_BUFFERED_CHARACTERS;
 
 /**
- * So many bytes are written at once, and whole lines only: collectors that take 8 KB at a time lose the
- * rest of a larger write without a word, and the line that it begins with.
+ * The maximum size of one write, which always consists of whole lines. Log collectors that read 8 KB
+ * at a time silently lose the remainder of a larger write, including the line that is cut at the limit.
  */
-const MOST_AT_ONCE_BYTES = 8192;
+const MAX_WRITE_BYTES = 8192;
 
-/** Writes some bytes; calls back with how many were written. */
+/** Writes bytes and calls back with the number of bytes that were written. */
 export type WriteBytes = (
   bytes: Buffer,
   done: (error: NodeJS.ErrnoException | null, written: number) => void,
@@ -44,24 +45,24 @@
 
 export type BoundedOutput = {
   /**
-   * Takes a line.
+   * Buffers a line, or drops it if the buffer of its event is full.
    *
-   * @param text - The line.
-   * @param event - The name of its event: lines of one name share their room.
+   * @param text - The line, without a line break.
+   * @param event - The name of its event; lines with the same name share a buffer limit.
    */
   readonly line: (text: string, event: string) => void;
-  /** Writes what waits, at the end of the process. */
+  /** Writes the buffered lines synchronously, at the end of the process. */
   readonly flush: () => void;
 };
 
-/** Puts lines together up to `MOST_AT_ONCE_BYTES`; a longer line goes alone. */
-const inPieces = (lines: readonly string[]): readonly Buffer[] => {
+/** Joins lines into writes of up to `MAX_WRITE_BYTES`; a longer line gets a write of its own. */
+const joinIntoWrites = (lines: readonly string[]): readonly Buffer[] => {
   const pieces: string[][] = [];
   let bytes = Infinity;
   lines.forEach((line) => {
     const more = Buffer.byteLength(line) + 1;
     bytes += more;
-    if (bytes > MOST_AT_ONCE_BYTES) {
+    if (bytes > MAX_WRITE_BYTES) {
       pieces.push([]);
       bytes = more;
     }
@@ -71,88 +72,88 @@
 };
 
 /**
- * Opens the output.
+ * Creates the output.
  *
- * @param options - Where bytes go; the standard output if left out.
+ * @param options - The function that writes bytes; it defaults to the standard output.
  * @returns The output.
  */
 export const createBoundedOutput = ({
   writeBytes = toStdout,
 }: BoundedOutputOptions = {}): BoundedOutput => {
   let lines: string[] = [];
-  /** Since when the first of them waits. */
-  let waitsSinceMs = 0;
-  const waiting = new Map<string, number>();
-  const dropped = new Map<string, number>();
+  /** When the first buffered line was added. */
+  let bufferedSinceMs = 0;
+  const bufferedCharacters = new Map<string, number>();
+  const droppedCounts = new Map<string, number>();
   let isWriting = false;
   let timer: NodeJS.Timeout | undefined;
 
-  const take = (): readonly string[] => {
+  const takeBufferedLines = (): readonly string[] => {
     const notes = Array.from(
-      dropped,
+      droppedCounts,
       ([event, count]) => `event=log-lines-dropped of=${event} count=${count}`,
     );
     const taken = [...lines, ...notes];
     lines = [];
-    waiting.clear();
-    dropped.clear();
+    bufferedCharacters.clear();
+    droppedCounts.clear();
     return taken;
   };
 
-  const finish = (): void => {
+  const finishWriting = (): void => {
     isWriting = false;
-    if (lines.length > 0) plan();
+    if (lines.length > 0) scheduleWrite();
   };
 
-  const writePieces = ([bytes, ...others]: readonly Buffer[]): void => {
+  const writeBuffers = ([bytes, ...others]: readonly Buffer[]): void => {
     if (!bytes) {
-      finish();
+      finishWriting();
       return;
     }
     writeBytes(bytes, (error, written) => {
       const isFull = error?.code === 'EAGAIN';
       if (error && !isFull) {
-        // Without a reader there is nobody to tell; the lines are given up.
-        finish();
+        // The reader is gone, so the error can't be reported either; the lines are discarded.
+        finishWriting();
         return;
       }
       if (written === bytes.length) {
-        writePieces(others);
+        writeBuffers(others);
         return;
       }
       const rest = isFull ? bytes : bytes.subarray(written);
-      setTimeout(() => writePieces([rest, ...others]), FLUSH_MS);
+      setTimeout(() => writeBuffers([rest, ...others]), FLUSH_MS);
     });
   };
 
-  const plan = (): void => {
+  const scheduleWrite = (): void => {
     if (timer || isWriting) return;
-    const leftMs = Math.max(0, waitsSinceMs + FLUSH_MS - performance.now());
+    const leftMs = Math.max(0, bufferedSinceMs + FLUSH_MS - performance.now());
     timer = setTimeout(() => {
       timer = undefined;
       isWriting = true;
-      writePieces(inPieces(take()));
+      writeBuffers(joinIntoWrites(takeBufferedLines()));
     }, leftMs);
   };
 
   return {
     line: (text, event) => {
-      const characters = waiting.get(event) ?? 0;
-      if (characters > roomOf(event)) {
-        dropped.set(event, (dropped.get(event) ?? 0) + 1);
+      const characters = bufferedCharacters.get(event) ?? 0;
+      if (characters > bufferLimitOf(event)) {
+        droppedCounts.set(event, (droppedCounts.get(event) ?? 0) + 1);
         return;
       }
-      if (lines.length === 0) waitsSinceMs = performance.now();
+      if (lines.length === 0) bufferedSinceMs = performance.now();
       lines.push(text);
-      waiting.set(event, characters + text.length);
-      plan();
+      bufferedCharacters.set(event, characters + text.length);
+      scheduleWrite();
     },
     flush: () => {
       if (lines.length === 0) return;
       try {
-        writeSync(STDOUT, `${take().join('\n')}\n`);
+        writeSync(STDOUT, `${takeBufferedLines().join('\n')}\n`);
       } catch {
-        // The reader is gone, and so is the process in a moment.
+        // The reader is gone and the process is about to exit.
       }
     },
   };
--- a/packages/daemon/src/observe/exported-tracing.ts
+++ b/packages/daemon/src/observe/exported-tracing.ts
@@ -1,4 +1,4 @@
-/** Tracing with the OpenTelemetry library, for entries that export spans. */
+/** Tracing with the OpenTelemetry library, for entries that export their spans. */
 import {
   context,
   propagation,
@@ -59,10 +59,10 @@
 /**
  * Sets up tracing with an exporter.
  *
- * @param exporter - Where spans go.
- * @param settings - The exporter's address.
- * @param log - Where the `log` exporter writes.
- * @returns The way to start spans.
+ * @param exporter - The exporter that spans are sent to.
+ * @param settings - The settings that hold the address of the `otlp` exporter.
+ * @param log - The log that the `log` exporter writes to.
+ * @returns The tracing.
  */
 export const createExportedTracing = (
   exporter: Exclude<Settings['trace-exporter'], 'none'>,
--- a/packages/daemon/src/observe/log.ts
+++ b/packages/daemon/src/observe/log.ts
@@ -6,53 +6,56 @@
 /** The fields of an event. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 
-/** Writes events. */
+/** Writes events at a level. */
 export type Log = Readonly<
   Record<'debug' | 'info' | 'warn' | 'error', (event: string, fields?: LogFields) => void>
 >;
 
 const NEEDS_QUOTES = /[\s"=]/;
 
-const valueText = (value: LogValue): string => {
+const formatValue = (value: LogValue): string => {
   const text = String(value);
   return text === '' || NEEDS_QUOTES.test(text) ? JSON.stringify(text) : text;
 };
 
-/** Fields as text, each after a space. Thousands of lines a second come here: no record is copied. */
-const fieldsText = (fields: LogFields): string => {
+/**
+ * Formats fields, each preceded by a space. It runs for thousands of lines per second, so it doesn't
+ * copy the fields into another object.
+ */
+const formatFields = (fields: LogFields): string => {
   let text = '';
   Object.keys(fields).forEach((key) => {
     const value = fields[key];
-    if (value !== undefined) text += ` ${key}=${valueText(value)}`;
+    if (value !== undefined) text += ` ${key}=${formatValue(value)}`;
   });
   return text;
 };
 
 export type LogOptions = {
   readonly level?: loglevel.LogLevelDesc;
-  /** Fields that each event carries. */
+  /** Fields that every event carries. */
   readonly common?: LogFields;
-  /** Where lines go, each with the name of its event; the console if left out. */
+  /** Receives each line with the name of its event. Defaults to the console. */
   readonly sink?: (line: string, event: string) => void;
 };
 
 /**
  * Opens a log on the standard output.
  *
- * @param options - The least level and the common fields.
+ * @param options - The minimum level, the common fields and the sink.
  * @returns The log.
  */
 export const createLog = ({ level = 'info', common = {}, sink }: LogOptions = {}): Log => {
   const logger = loglevel.getLogger(`valvelatch/${JSON.stringify(common)}`);
   if (sink) logger.methodFactory = () => sink;
   logger.setLevel(level, false);
-  const commonText = fieldsText(common);
+  const commonText = formatFields(common);
   const write =
     (name: keyof Log) =>
     (event: string, fields: LogFields = {}): void => {
       const time = new Date().toISOString();
-      const head = `time=${time} level=${name} event=${valueText(event)}`;
-      const line = `${head}${commonText}${fieldsText(fields)}`;
+      const head = `time=${time} level=${name} event=${formatValue(event)}`;
+      const line = `${head}${commonText}${formatFields(fields)}`;
       if (sink) logger[name](line, event);
       else logger[name](line);
     };
--- a/packages/daemon/src/observe/metrics.ts
+++ b/packages/daemon/src/observe/metrics.ts
@@ -1,17 +1,20 @@
-/** Counters and histograms, and their text form for a scraper. */
+/** Counters, gauges and histograms, and their text format for a scraper. */
 import * as hdr from 'hdr-histogram-js';
 
 /** The metrics of one process. */
 export type Metrics = {
+  /** Increments a counter; `more` is the increment, 1 by default. */
   readonly count: (name: string, more?: number) => void;
+  /** Sets a gauge. */
   readonly gauge: (name: string, value: number) => void;
-  /** Records a time in microseconds. */
+  /** Records a duration in microseconds; it is clamped to the range of the histogram. */
   readonly time: (name: string, microseconds: number) => void;
+  /** Returns all metrics in the text format. */
   readonly text: () => string;
 };
 
 const QUANTILES = [50, 90, 99, 99.9];
-const LARGEST_US = 600_000_000;
+const MAX_TRACKED_US = 600_000_000;
 
 const histogramLines = (name: string, histogram: hdr.Histogram): readonly string[] => [
   ...QUANTILES.map(
@@ -35,7 +38,7 @@
     const known = histograms.get(name);
     if (known) return known;
     const built = hdr.build({
-      highestTrackableValue: LARGEST_US,
+      highestTrackableValue: MAX_TRACKED_US,
       numberOfSignificantValueDigits: 2,
     });
     histograms.set(name, built);
@@ -55,7 +58,9 @@
     count: (name, more = 1) => counters.set(name, (counters.get(name) ?? 0) + more),
     gauge: (name, value) => gauges.set(name, value),
     time: (name, microseconds) => {
-      histogramOf(name).recordValue(Math.min(LARGEST_US, Math.max(1, Math.round(microseconds))));
+      histogramOf(name).recordValue(
+        Math.min(MAX_TRACKED_US, Math.max(1, Math.round(microseconds))),
+      );
     },
     text,
   };
--- a/packages/daemon/src/observe/trace-types.ts
+++ b/packages/daemon/src/observe/trace-types.ts
@@ -1,12 +1,12 @@
-/** What code that is traced, and what exports traces, have to agree on. */
+/** Types shared by traced code and by the trace exporters. */
 import type { Settings } from '../settings/settings.js';
 
-/** Headers that carry the context of a trace. */
+/** Headers that carry the trace context. */
 export type TraceHeaders = { traceparent?: string };
 
-/** One hop under way. */
+/** A hop in flight. */
 export type Hop = {
-  /** The headers to send on to the next hop. */
+  /** The headers to send to the next hop. */
   readonly headers: TraceHeaders;
   readonly end: (fields: { readonly outcome: string; readonly isError: boolean }) => void;
 };
--- a/packages/daemon/src/observe/tracing.ts
+++ b/packages/daemon/src/observe/tracing.ts
@@ -1,4 +1,4 @@
-/** Traces: one span for each hop, with the context taken from and passed on in `traceparent`. */
+/** Tracing: one span per hop. The trace context is received and propagated in `traceparent`. */
 import type { Log } from './log.js';
 import type { Tracing, TracingSettings } from './trace-types.js';
 
@@ -11,12 +11,12 @@
 };
 
 /**
- * Sets up tracing. The tracing library is loaded only where spans are exported: it holds several
- * megabytes.
+ * Sets up tracing. The tracing library is loaded only if spans are exported, because it takes several
+ * megabytes of memory.
  *
  * @param settings - The exporter and its address.
- * @param log - Where the `log` exporter writes.
- * @returns The way to start spans; without an exporter the context is only passed on.
+ * @param log - The log that the `log` exporter writes to.
+ * @returns The tracing; with the exporter `none` it only propagates the trace context.
  */
 export const createTracing = async (settings: TracingSettings, log: Log): Promise<Tracing> => {
   const exporter = settings['trace-exporter'];
