--- a/packages/daemon/src/operators/configuration-handlers.ts
+++ b/packages/daemon/src/operators/configuration-handlers.ts
@@ -1,4 +1,4 @@
-/** Applying and comparing declarations. */
+/** Handlers that apply declarations and compare them with the current configuration. */
 import { randomUUID } from 'node:crypto';
 
 import { brand, diffConfiguration, readDeclarations, type ChangeId } from '@valvelatch/core';
@@ -7,7 +7,7 @@
 import { otherMembers, type OperatorContext } from './operator-context.js';
 import { ok, unavailable, withBody, type Handler, type OperatorResult } from './operator-result.js';
 
-/** Files with declarations, as they travel. */
+/** Files with declarations, as they are sent in a request body. */
 export const files = z.array(z.strictObject({ file: z.string(), text: z.string() }));
 const applyBody = z.strictObject({
   files,
@@ -16,7 +16,11 @@
   waitMs: z.number().int().min(0).max(60_000).default(0),
 });
 
-const inForce = async (context: OperatorContext, revision: number, waitMs: number) => {
+/**
+ * Waits up to `waitMs` for the other entries to apply a revision, and lists the entries that have
+ * applied it and those that haven't confirmed it.
+ */
+const awaitRevision = async (context: OperatorContext, revision: number, waitMs: number) => {
   const answers = await Promise.all(
     otherMembers(context).map(async (member) => {
       try {
@@ -56,7 +60,8 @@
       value: outcome.error,
     };
   }
-  const reach = body.waitMs > 0 ? await inForce(context, outcome.value.revision, body.waitMs) : {};
+  const reach =
+    body.waitMs > 0 ? await awaitRevision(context, outcome.value.revision, body.waitMs) : {};
   return ok({ ...outcome.value, ...reach });
 };
 
@@ -74,7 +79,7 @@
 /**
  * Builds the handlers for configuration.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const configurationHandlers = (
--- a/packages/daemon/src/operators/doubt-handlers.ts
+++ b/packages/daemon/src/operators/doubt-handlers.ts
@@ -1,11 +1,14 @@
-/** Clearing doubt about claims that may be lost. */
+/** Handler that clears the doubt row, which lists data centres with unflushed claims. */
 import { rowKey } from '@valvelatch/core';
 import { z } from 'zod';
 
 import type { OperatorContext } from './operator-context.js';
 import { ok, unavailable, withBody, type Handler, type OperatorResult } from './operator-result.js';
 
-/** An operator vouches that no claim of a replaced data centre matters any more. */
+/**
+ * Deletes the doubt row. The operator thereby confirms that no unflushed claim of a replaced data
+ * centre matters any more.
+ */
 const clearDoubt = async ({ table }: OperatorContext): Promise<OperatorResult> => {
   const rows = await table.read([rowKey.doubt]);
   if (rows.isErr()) return unavailable(rows.error);
@@ -24,7 +27,7 @@
 /**
  * Builds the handler for doubt.
  *
- * @param context - What it depends on.
+ * @param context - The dependencies of the handler.
  * @returns The handler, by method.
  */
 export const doubtHandlers = (
--- a/packages/daemon/src/operators/explain-handlers.ts
+++ b/packages/daemon/src/operators/explain-handlers.ts
@@ -1,4 +1,4 @@
-/** Answers to "why?", and how the entries stand. */
+/** Handlers that explain decisions and report the status of the entries. */
 import {
   findDecision,
   rowKey,
@@ -20,7 +20,7 @@
   name: z.string(),
 });
 
-const askAllWithheld = async (
+const listWithheldActions = async (
   context: OperatorContext,
   subject: string,
 ): Promise<readonly WithheldAction[]> => {
@@ -33,8 +33,11 @@
   return [...own, ...(answers.flat() as WithheldAction[])];
 };
 
-/** What the entries remember of something whose row is gone; the last decision counts. */
-const recallEnded = async (
+/**
+ * Finds the latest decision about a subject whose row no longer exists, in the decision stores of all
+ * entries. Undefined if no reachable entry has one.
+ */
+const findEndedDecision = async (
   context: OperatorContext,
   subject: string,
 ): Promise<DecisionRecord | undefined> => {
@@ -47,29 +50,29 @@
   return known.filter(Boolean).sort((a, b) => b.atMs - a.atMs)[0];
 };
 
-type Reasoned = { readonly reason: string; readonly phaseReason?: string };
+type RowReasons = { readonly reason: string; readonly phaseReason?: string };
 
-const reasonsOf = (of: string, { reason, phaseReason = '' }: Reasoned) =>
+const reasonsOf = (of: string, { reason, phaseReason = '' }: RowReasons) =>
   [reason, phaseReason].filter((text) => text !== '').map((text) => ({ of, reason: text }));
 
 const explainRow = async (
   context: OperatorContext,
   key: string,
-  more: readonly string[],
+  relatedKeys: readonly string[],
 ): Promise<OperatorResult> => {
-  const rows = await context.table.read([key, ...more]);
+  const rows = await context.table.read([key, ...relatedKeys]);
   if (rows.isErr()) return unavailable(rows.error);
   const found = rows.value.filter(({ value }) => value !== null);
-  const withheldNow = await askAllWithheld(context, key);
+  const withheldNow = await listWithheldActions(context, key);
   if (found.length === 0 && withheldNow.length === 0) {
-    const ended = await recallEnded(context, key);
+    const ended = await findEndedDecision(context, key);
     return ended ? ok(ended) : { kind: 'not-found', detail: `nothing is known of ${key}` };
   }
   return ok({
     subject: key,
     revision: context.configSync.current().revision,
     reasons: [
-      ...found.flatMap(({ key: rowName, value }) => reasonsOf(rowName, value as Reasoned)),
+      ...found.flatMap(({ key: rowName, value }) => reasonsOf(rowName, value as RowReasons)),
       ...withheldNow.map(({ reason }) => ({ of: 'withheld now', reason })),
     ],
     rows: found.map(({ value }) => value as PlacementRow | HostRow | JobRow | WaveRow),
@@ -118,9 +121,9 @@
 };
 
 /**
- * Builds the handlers for questions.
+ * Builds the handlers for explanations and status.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const explainHandlers = (
--- a/packages/daemon/src/operators/host-handlers.ts
+++ b/packages/daemon/src/operators/host-handlers.ts
@@ -1,4 +1,4 @@
-/** Draining, moving and returning hosts. */
+/** Handlers that drain hosts, move them to another pool and return them to service. */
 import {
   brand,
   listDeclarations,
@@ -31,10 +31,10 @@
   context: OperatorContext,
   { hostId, toPool }: HostBody,
 ): Promise<OperatorResult> => {
-  const known = listDeclarations(context.configSync.current(), 'Pool').some(
+  const isDeclared = listDeclarations(context.configSync.current(), 'Pool').some(
     ({ name }) => name === toPool,
   );
-  if (toPool === undefined || !known) {
+  if (toPool === undefined || !isDeclared) {
     return { kind: 'invalid', detail: `no Pool named '${toPool ?? ''}' is declared` };
   }
   const purpose: DrainPurpose = { kind: 'transfer', toPool: brand<PoolName>(toPool) };
@@ -51,7 +51,7 @@
 /**
  * Builds the handlers for hosts.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const hostHandlers = (
--- a/packages/daemon/src/operators/job-handlers.ts
+++ b/packages/daemon/src/operators/job-handlers.ts
@@ -1,4 +1,4 @@
-/** Submitting and cancelling jobs. */
+/** Handlers that submit and cancel jobs. */
 import { readJobs, rowKey, type DeclarationFile, type JobRow } from '@valvelatch/core';
 import { z } from 'zod';
 
@@ -15,9 +15,9 @@
 
 const submitJobs = async (
   { table }: OperatorContext,
-  given: readonly DeclarationFile[],
+  declarationFiles: readonly DeclarationFile[],
 ): Promise<OperatorResult> => {
-  const read = readJobs(given);
+  const read = readJobs(declarationFiles);
   if (read.isErr()) {
     return { kind: 'invalid', detail: 'nothing was submitted', faults: read.error };
   }
@@ -48,7 +48,7 @@
 /**
  * Builds the handlers for jobs.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const jobHandlers = (
--- a/packages/daemon/src/operators/list-handlers.ts
+++ b/packages/daemon/src/operators/list-handlers.ts
@@ -1,4 +1,4 @@
-/** Lists of what is in force. */
+/** Handler that lists the current configuration and rows. */
 import {
   listDeclaredHosts,
   listDeclarations,
@@ -28,7 +28,7 @@
 
 type Lister = (context: OperatorContext, selector: string) => Promise<OperatorResult>;
 
-/** A host's declaration as operators see it, under the view's own names. */
+/** Converts a host's declaration to the operators' view, which names the initial pool `firstPool`. */
 const toHostView = ({ hostId, dataCentre, rack, initialPool, ...others }: HostSpec) => ({
   hostId,
   dataCentre,
@@ -89,7 +89,7 @@
 /**
  * Builds the handler for lists.
  *
- * @param context - What it depends on.
+ * @param context - The dependencies of the handler.
  * @returns The handler, by method.
  */
 export const listHandlers = (context: OperatorContext): Readonly<Record<'get', Handler>> => ({
--- a/packages/daemon/src/operators/operator-context.ts
+++ b/packages/daemon/src/operators/operator-context.ts
@@ -1,10 +1,10 @@
-/** What the operators' handlers depend on. */
+/** The dependencies of the operators' handlers. */
 import type { DecisionStore, Member, WithheldAction } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
 import type { ConfigSync } from '../config-sync/config-sync.js';
 
-/** How one entry stands, for a status. */
+/** The status of one entry. `seat` is null while the entry holds no seat. */
 export type EntryStatus = {
   readonly entryId: string;
   readonly dataCentre: string;
@@ -14,7 +14,7 @@
   readonly endpoints: Readonly<Record<string, number>>;
 };
 
-/** What the handlers depend on. */
+/** The dependencies of the handlers. `self` is the ID of this entry. */
 export type OperatorContext = {
   readonly table: TableClient;
   readonly configSync: ConfigSync;
@@ -22,7 +22,7 @@
   readonly withheld: () => readonly WithheldAction[];
   readonly ownStatus: () => EntryStatus;
   readonly members: () => readonly Member[];
-  /** Asks another entry; rejects where it cannot be reached. */
+  /** Sends a request to another entry; rejects if it doesn't respond within `ms` milliseconds. */
   readonly ask: (member: Member, method: string, payload: unknown, ms: number) => Promise<unknown>;
   readonly self: string;
 };
@@ -31,10 +31,10 @@
  * Lists the other entries.
  *
  * @param context - The context.
- * @returns All members but this entry.
+ * @returns All members except this entry.
  */
 export const otherMembers = ({ members, self }: OperatorContext): readonly Member[] =>
   members().filter(({ entryId }) => entryId !== self);
 
-/** How long another entry may take to answer, in milliseconds. */
+/** Timeout of a request to another entry, in milliseconds. */
 export const ASK_MS = 2000;
--- a/packages/daemon/src/operators/operator-handlers.ts
+++ b/packages/daemon/src/operators/operator-handlers.ts
@@ -1,4 +1,4 @@
-/** What operators can ask for, by the name that the command line sends. */
+/** All methods of the operators' API, by the name that the command line sends. */
 import { configurationHandlers } from './configuration-handlers.js';
 import { doubtHandlers } from './doubt-handlers.js';
 import { explainHandlers } from './explain-handlers.js';
@@ -11,7 +11,7 @@
 /**
  * Builds the handlers.
  *
- * @param context - The table, the configuration and the way to other entries.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const createOperatorHandlers = (context: OperatorContext) => ({
--- a/packages/daemon/src/operators/operator-result.ts
+++ b/packages/daemon/src/operators/operator-result.ts
@@ -1,8 +1,8 @@
-/** What operators get back, and the shared steps of their handlers. */
+/** The results of the operators' API, and helpers that its handlers share. */
 import type { PlatformError, TableClient } from '@valvelatch/platform';
 import type { z } from 'zod';
 
-/** What an operator gets back. */
+/** The result of an operator's request. */
 export type OperatorResult =
   | { readonly kind: 'ok'; readonly value: unknown }
   | { readonly kind: 'invalid'; readonly detail: string; readonly faults?: unknown }
@@ -10,11 +10,11 @@
   | { readonly kind: 'not-found'; readonly detail: string }
   | { readonly kind: 'unavailable'; readonly detail: string };
 
-/** Handles the body of one method. */
+/** Handles a request to one method; `body` is the unchecked request body. */
 export type Handler = (body: unknown) => Promise<OperatorResult>;
 
 /**
- * Wraps a value as a success.
+ * Wraps a value in a successful result.
  *
  * @param value - The value.
  * @returns The result.
@@ -22,9 +22,9 @@
 export const ok = (value: unknown): OperatorResult => ({ kind: 'ok', value });
 
 /**
- * Tells that the platform does not answer.
+ * Builds the result for a platform that does not answer.
  *
- * @param error - What its client said.
+ * @param error - The error of the platform's client.
  * @returns The result.
  */
 export const unavailable = ({ detail }: PlatformError): OperatorResult => ({
@@ -33,9 +33,9 @@
 });
 
 /**
- * Tells where a selector cannot be read.
+ * Builds the result for an invalid selector, with the position of the error.
  *
- * @param error - The fault in the selector.
+ * @param error - The error in the selector.
  * @returns The result.
  */
 export const selectorFault = (error: {
@@ -48,10 +48,10 @@
 });
 
 /**
- * Checks the body of a method before it is handled.
+ * Wraps a handler so that the request body is validated first.
  *
- * @param schema - What the body must look like.
- * @param handle - Handles the checked body.
+ * @param schema - The schema of the body.
+ * @param handle - Handles the validated body.
  * @returns The handler.
  */
 export const withBody =
@@ -71,7 +71,7 @@
  *
  * @param table - The table.
  * @param prefix - The prefix of their keys.
- * @returns The rows with their values typed.
+ * @returns The rows with typed values, or the platform's error.
  */
 export const scanRows = async <Row>(table: TableClient, prefix: string) =>
   (await table.scan(prefix)).map((rows) =>
@@ -79,12 +79,12 @@
   );
 
 /**
- * Changes one row, if it is still as it was read; a racing operator is told otherwise.
+ * Updates one row with optimistic concurrency control: a concurrent change results in a conflict.
  *
  * @param table - The table.
- * @param key - The row.
- * @param change - Gives the new row, or why it may not be changed.
- * @returns The new row, or what came in between.
+ * @param key - The key of the row.
+ * @param change - Returns the new row, or the reason why the row may not be changed.
+ * @returns The new row, or why the row was not changed.
  */
 export const changeRow = async <Row>(
   table: TableClient,
--- a/packages/daemon/src/operators/operators-server.ts
+++ b/packages/daemon/src/operators/operators-server.ts
@@ -1,4 +1,4 @@
-/** The port towards operators: closed without their key; answers in JSON. */
+/** The HTTP server for operators. Every request needs the operator key. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
 import fastify, { type FastifyInstance } from 'fastify';
@@ -11,14 +11,16 @@
   readonly operatorKey: string;
   readonly handlers: OperatorHandlers;
   readonly metrics: Metrics;
+  /** Called before the metrics are formatted, to update gauges. */
   readonly beforeMetrics: () => void;
+  /** Called when a handler throws; the request is answered with status 500. */
   readonly onFault: (method: string, detail: string) => void;
 };
 
 const UNAUTHORIZED = 401;
 const NOT_FOUND = 404;
-const FAULT = 500;
-const LARGEST_BODY_BYTES = 64 * 1024 * 1024;
+const INTERNAL_SERVER_ERROR = 500;
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
 const digest = (text: string): Buffer => createHash('sha256').update(text).digest();
 
@@ -31,9 +33,9 @@
 };
 
 /**
- * Builds the server; it is not listening yet.
+ * Builds the server without listening.
  *
- * @param options - The key, the handlers by name, and the metrics.
+ * @param options - The operator key, the handlers by method, the metrics and the callbacks.
  * @returns The server.
  */
 export const createOperatorsServer = ({
@@ -43,12 +45,12 @@
   beforeMetrics,
   onFault,
 }: OperatorsServerOptions): FastifyInstance => {
-  const app = fastify({ bodyLimit: LARGEST_BODY_BYTES });
-  const wanted = digest(`Bearer ${operatorKey}`);
+  const app = fastify({ bodyLimit: MAX_BODY_BYTES });
+  const expectedDigest = digest(`Bearer ${operatorKey}`);
 
   app.addHook('onRequest', async (request, reply) => {
-    const given = digest(request.headers.authorization ?? '');
-    if (timingSafeEqual(given, wanted)) return undefined;
+    const givenDigest = digest(request.headers.authorization ?? '');
+    if (timingSafeEqual(givenDigest, expectedDigest)) return undefined;
     return reply
       .code(UNAUTHORIZED)
       .send({ kind: 'unauthorized', detail: 'the operator key is missing or wrong' });
@@ -70,7 +72,7 @@
     } catch (error) {
       const detail = error instanceof Error ? error.message : String(error);
       onFault(method, detail);
-      return reply.code(FAULT).send({ kind: 'fault', detail });
+      return reply.code(INTERNAL_SERVER_ERROR).send({ kind: 'fault', detail });
     }
   });
   return app;
--- a/packages/daemon/src/operators/wave-handlers.ts
+++ b/packages/daemon/src/operators/wave-handlers.ts
@@ -1,4 +1,4 @@
-/** Starting, holding, resuming and cancelling waves. */
+/** Handlers that start, hold, resume and cancel maintenance waves. */
 import {
   brand,
   selectHosts,
@@ -87,7 +87,7 @@
 /**
  * Builds the handlers for waves.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const waveHandlers = (
