--- a/packages/daemon/src/settings/operations-page.test.ts
+++ b/packages/daemon/src/settings/operations-page.test.ts
@@ -5,15 +5,15 @@
 import { settingsRows } from './settings-rows.js';
 
 const page = readFileSync(new URL('../../../../docs/OPERATIONS.md', import.meta.url), 'utf8');
-const cells = (line: string): string =>
+const normalizeCells = (line: string): string =>
   line
     .split('|')
     .map((cell) => cell.trim())
     .join('|');
 
-describe('the operators’ page', () => {
-  it('lists every setting as the code has it', () => {
-    const listed = page.split('\n').map(cells);
-    settingsRows().forEach((row) => expect(listed).toContain(cells(row)));
+describe('operations page', () => {
+  it('lists every setting with its description, accepted values and default as defined in the code', () => {
+    const listed = page.split('\n').map(normalizeCells);
+    settingsRows().forEach((row) => expect(listed).toContain(normalizeCells(row)));
   });
 });
--- a/packages/daemon/src/settings/settings-rows.ts
+++ b/packages/daemon/src/settings/settings-rows.ts
@@ -1,7 +1,9 @@
-/** The settings as rows of a table in the operators' page. */
+/** Formats the settings as rows of the table in the operations page. */
 import { environmentName, settingsTable } from './settings.js';
 
-const byDefault = (schema: (typeof settingsTable)['seeds']['schema'] | { safeParse: unknown }) => {
+const formatDefault = (
+  schema: (typeof settingsTable)['seeds']['schema'] | { safeParse: unknown },
+) => {
   const parsed = (schema as (typeof settingsTable)['seeds']['schema']).safeParse(undefined);
   if (!parsed.success) return 'none, must be set';
   const text = String(parsed.data);
@@ -9,12 +11,12 @@
 };
 
 /**
- * Writes the settings as rows in Markdown.
+ * Formats the settings as rows of a Markdown table.
  *
- * @returns One row a setting.
+ * @returns One row per setting.
  */
 export const settingsRows = (): readonly string[] =>
   Object.entries(settingsTable).map(
     ([flag, { describe, accepts, schema }]) =>
-      `| \`--${flag}\`: ${describe} | \`${environmentName(flag)}\` | ${accepts} | ${byDefault(schema)} |`,
+      `| \`--${flag}\`: ${describe} | \`${environmentName(flag)}\` | ${accepts} | ${formatDefault(schema)} |`,
   );
--- a/packages/daemon/src/settings/settings.test.ts
+++ b/packages/daemon/src/settings/settings.test.ts
@@ -2,7 +2,7 @@
 
 import { checkSettings, environmentName, readSettings, settingsTable } from './settings.js';
 
-const good = {
+const validSettings = {
   'entry-id': 'one',
   'data-centre': 'east',
   'platform-url': 'http://127.0.0.1:1',
@@ -12,8 +12,8 @@
 };
 
 describe('settings', () => {
-  it('fills in the defaults', () => {
-    const settings = checkSettings(good).unwrap();
+  it('apply the defaults', () => {
+    const settings = checkSettings(validSettings).unwrap();
     expect(settings['callers-port']).toBe(0);
     expect(settings['trace-exporter']).toBe('none');
     expect(settings.seeds).toEqual([]);
@@ -28,18 +28,18 @@
     ['operator-key', 'short'],
     ['log-level', 'loud'],
     ['listen-host', 'example'],
-  ] as const)('names flag, value and what is accepted for --%s %s', (flag, value) => {
-    const fault = checkSettings({ ...good, [flag]: value }).unwrapErr();
+  ] as const)('report flag, value and accepted values for the invalid --%s %s', (flag, value) => {
+    const fault = checkSettings({ ...validSettings, [flag]: value }).unwrapErr();
     expect(fault).toBe(
       `--${flag} (${environmentName(flag)}): got '${value}', expected ${settingsTable[flag].accepts}`,
     );
   });
 
-  it('come from flags first, then from the environment, whatever else is in it', async () => {
+  it('prefer flags to environment variables and ignore other variables', async () => {
     const argv = ['node', 'valvelatchd', '--callers-port=7001', '--log-level=warn'];
     const environment = {
       ...Object.fromEntries(
-        Object.entries(good).map(([flag, value]) => [environmentName(flag), value]),
+        Object.entries(validSettings).map(([flag, value]) => [environmentName(flag), value]),
       ),
       VALVELATCH_LOG_LEVEL: 'debug',
       VALVELATCH_URL: 'http://127.0.0.1:7002',
@@ -52,8 +52,8 @@
     });
   });
 
-  it('says so when a setting without a default is missing', () => {
-    expect(checkSettings({ ...good, 'mesh-key': undefined }).unwrapErr()).toContain(
+  it('report a missing setting that has no default', () => {
+    expect(checkSettings({ ...validSettings, 'mesh-key': undefined }).unwrapErr()).toContain(
       '--mesh-key (VALVELATCH_MESH_KEY): got nothing',
     );
   });
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of the daemon: each is a flag and an environment variable, checked at the start. */
+/** The settings of the daemon. Each is a flag and an environment variable, and is validated at startup. */
 import { Err, Ok, type Result } from 'ts-results-es';
 import { hideBin } from 'yargs/helpers';
 import yargs from 'yargs';
@@ -6,7 +6,7 @@
 
 const NAME = /^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$/;
 
-/** One setting: what it means for people, and what it accepts. */
+/** A setting: its description, the accepted values in words, and the schema that checks them. */
 type Setting = {
   readonly describe: string;
   readonly accepts: string;
@@ -19,20 +19,24 @@
   schema: Schema,
 ): Setting & { readonly schema: Schema } => ({ describe, accepts, schema });
 
-const wholeNumber = (least: number, most: number) => z.coerce.number().int().min(least).max(most);
+const wholeNumber = (min: number, max: number) => z.coerce.number().int().min(min).max(max);
 const httpUrl = z.url({ protocol: /^https?$/ });
 const socketUrl = z.url({ protocol: /^wss?$/ });
-const KEY_LENGTH = 16;
+const MIN_KEY_LENGTH = 16;
 const MEBIBYTE = 1024 * 1024;
 
 const port = (describe: string) =>
   setting(describe, 'a port number; 0 takes a free one', wholeNumber(0, 65_535).default(0));
 
-const milliseconds = (describe: string, byDefault: number, most: number) =>
-  setting(describe, `milliseconds, from 1 to ${most}`, wholeNumber(1, most).default(byDefault));
+const milliseconds = (describe: string, defaultMs: number, maxMs: number) =>
+  setting(describe, `milliseconds, from 1 to ${maxMs}`, wholeNumber(1, maxMs).default(defaultMs));
 
 const key = (describe: string) =>
-  setting(describe, `a secret of at least ${KEY_LENGTH} characters`, z.string().min(KEY_LENGTH));
+  setting(
+    describe,
+    `a secret of at least ${MIN_KEY_LENGTH} characters`,
+    z.string().min(MIN_KEY_LENGTH),
+  );
 
 /** The table of all settings, by flag. */
 export const settingsTable = {
@@ -110,7 +114,7 @@
 
 type SettingsTable = typeof settingsTable;
 
-/** The checked settings, by flag. */
+/** The validated settings, by flag. */
 export type Settings = {
   readonly [Flag in keyof SettingsTable]: z.infer<SettingsTable[Flag]['schema']>;
 };
@@ -119,33 +123,35 @@
 const ENVIRONMENT_PREFIX = 'VALVELATCH';
 
 /**
- * Gives the environment variable of a flag.
+ * Returns the name of the environment variable of a flag.
  *
- * @param flag - The flag, without hyphens in front.
- * @returns The variable, for example `VALVELATCH_ENTRY_ID`.
+ * @param flag - The flag, without leading hyphens.
+ * @returns The name, for example `VALVELATCH_ENTRY_ID`.
  */
 export const environmentName = (flag: string): string =>
   `${ENVIRONMENT_PREFIX}_${flag.toUpperCase().replaceAll('-', '_')}`;
 
-const faultOf = (flag: keyof SettingsTable, given: unknown): string => {
+const formatError = (flag: keyof SettingsTable, given: unknown): string => {
   const value = given === undefined ? 'nothing' : `'${String(given)}'`;
   return `--${flag} (${environmentName(flag)}): got ${value}, expected ${settingsTable[flag].accepts}`;
 };
 
 /**
- * Checks raw settings.
+ * Validates raw settings.
  *
- * @param raw - The values by flag, as text.
- * @returns The settings, or one line that names the flag, the value and what is accepted.
+ * @param raw - The values by flag, as text; undefined for a flag that is not set.
+ * @returns The settings, or one line that names the first invalid flag, its value and the accepted values.
  */
 export const checkSettings = (raw: Readonly<Record<string, unknown>>): Result<Settings, string> => {
   const checked: Record<string, unknown> = {};
-  const faulty = flags.find((flag) => {
+  const invalidFlag = flags.find((flag) => {
     const parsed = settingsTable[flag].schema.safeParse(raw[flag]);
     if (parsed.success) checked[flag] = parsed.data;
     return !parsed.success;
   });
-  return faulty === undefined ? Ok(checked as Settings) : Err(faultOf(faulty, raw[faulty]));
+  return invalidFlag === undefined
+    ? Ok(checked as Settings)
+    : Err(formatError(invalidFlag, raw[invalidFlag]));
 };
 
 const fromEnvironment = (environment: NodeJS.ProcessEnv): Record<string, string> =>
@@ -159,15 +165,15 @@
 /**
  * Reads the settings of the process from its flags and its environment.
  *
- * @param argv - The arguments of the process, as Node gives them; they go before the environment.
- * @param environment - The environment; variables that belong to no flag are passed over.
- * @returns The settings, or one line about the first that is wrong.
+ * @param argv - The arguments of the process, as in `process.argv`; they override the environment.
+ * @param environment - The environment; variables that belong to no flag are ignored.
+ * @returns The settings, or one line that describes the first error.
  */
 export const readSettings = async (
   argv: readonly string[],
   environment: NodeJS.ProcessEnv = process.env,
 ): Promise<Result<Settings, string>> => {
-  let fault: string | undefined;
+  let errorMessage: string | undefined;
   const parser = yargs(hideBin([...argv]))
     .scriptName('valvelatchd')
     .usage('$0: an entry of valvelatch. Each flag is an environment variable too.')
@@ -187,10 +193,10 @@
     .wrap(null)
     .exitProcess(true)
     .fail((message, error) => {
-      fault = message ?? error?.message ?? 'settings cannot be read';
+      errorMessage = message ?? error?.message ?? 'settings cannot be read';
     });
   const given = await parser.parseAsync();
-  return fault === undefined
+  return errorMessage === undefined
     ? checkSettings({ ...fromEnvironment(environment), ...given })
-    : Err(fault);
+    : Err(errorMessage);
 };
