--- a/packages/daemon/src/leaving.test.ts
+++ b/packages/daemon/src/leaving.test.ts
@@ -12,7 +12,7 @@
 
 type Placement = { jobId: string; hostId: string; phase: string; service: string | null };
 
-describe('leaving', () => {
+describe('hosts that leave service', () => {
   let deployment: Deployment;
   let workers: StandInWorkers;
   let isLoaded = false;
@@ -49,7 +49,7 @@
     await deployment.close();
   });
 
-  it('ends new work at a host within seconds after the list says that it leaves', async () => {
+  it('get no new requests within seconds after the host list shows them as leaving', async () => {
     const [one] = await placements();
     const { hostId } = one as Placement;
     await workers.setHost(hostId, { leaving: true });
@@ -61,7 +61,7 @@
     expect(sums.failed).toEqual([]);
   });
 
-  it('moves executors off a host that an operator drains, and cuts nothing', async () => {
+  it('lose their executors without aborted requests when an operator drains them', async () => {
     const [at] = deployment.entries as [TestEntry];
     const { hostId, jobId } = (await placements())[0] as Placement;
     const drained = await deployment.callOperatorApi(at, 'host-drain', { hostId });
@@ -79,7 +79,7 @@
     expect(workers.report().cutRequests).toBe(0);
   });
 
-  it('runs a wave over all hosts under load and cuts nothing', async () => {
+  it('complete a maintenance wave under load without aborted requests', async () => {
     const [at] = deployment.entries as [TestEntry];
     await deployment.callOperatorApi(at, 'wave-start', {
       name: 'all',
@@ -98,7 +98,7 @@
     expect(workers.report()).toMatchObject({ cutRequests: 0, overSlots: 0, doubleStarts: 0 });
   });
 
-  it('moves a host to another pool only once it is empty', async () => {
+  it('move to another pool only once they are empty', async () => {
     const [at] = deployment.entries as [TestEntry];
     const { hostId } = (await placements())[0] as Placement;
     await deployment.callOperatorApi(at, 'host-move', { hostId, toPool: 'spare' });
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,13 +1,13 @@
-/** The daemon: reads its settings, runs one entry, and stops as planned on a signal. */
+/** The daemon process: reads its settings, runs one entry, and shuts it down gracefully on SIGTERM or SIGINT. */
 import { startEntry } from './entry/entry.js';
 import { readSettings } from './settings/settings.js';
 
-const WRONG_SETTING = 2;
+const EXIT_INVALID_SETTINGS = 2;
 
 const settings = await readSettings(process.argv);
 if (settings.isErr()) {
   process.stderr.write(`valvelatchd: ${settings.error}\n`);
-  process.exit(WRONG_SETTING);
+  process.exit(EXIT_INVALID_SETTINGS);
 }
 try {
   const entry = await startEntry(settings.value);
