--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,4 +1,4 @@
-/** Airbnb's rules for TypeScript; layout is left to the formatter, set to Airbnb's style. */
+/** Airbnb's rules for TypeScript. Prettier, configured for Airbnb's style, handles the formatting. */
 import { configs, plugins } from 'eslint-config-airbnb-extended';
 import prettier from 'eslint-config-prettier';
 
@@ -31,12 +31,12 @@
   },
   {
     rules: {
-      // Steps of a control turn, of a settlement and of a set-up depend on each other.
+      // The steps of a control turn, of settling a claim and of a set-up depend on each other.
       'no-await-in-loop': 'off',
-      // `void` marks a promise that is left to itself on purpose.
+      // `void` marks a promise that is deliberately not awaited.
       'no-void': ['error', { allowAsStatement: true }],
       'no-continue': 'off',
-      // The parts of an entry refer to each other inside functions that run later.
+      // The parts of an entry refer to each other in functions that are called only later.
       'no-use-before-define': 'off',
       '@typescript-eslint/no-use-before-define': 'off',
       'import-x/prefer-default-export': 'off',
@@ -48,7 +48,7 @@
     languageOptions: { globals: nodeGlobals },
   },
   {
-    // A tool of the build, not part of what is shipped.
+    // A build tool that is not part of the shipped packages.
     files: ['bin/bundle.js'],
     rules: { 'import-x/no-extraneous-dependencies': 'off' },
   },
--- a/vitest.bundle.ts
+++ b/vitest.bundle.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the program of the users' platform once before all tests: two files that built it at the
- * same time could start a process from a file that was half written.
+ * Builds the bundle for the users' platform once before all tests. If two test files built it
+ * concurrently, one could start a process from a partially written bundle.
  */
 import { execFileSync } from 'node:child_process';
 import path from 'node:path';
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -8,8 +8,8 @@
     testTimeout: 60_000,
     hookTimeout: 60_000,
     retry: 0,
-    // Tests with real processes need processors of their own: with one file a core, a set-up missed
-    // its time-out of 1 s beside other work.
+    // Tests that start processes need spare CPU cores: with one test file per core, a set-up exceeded
+    // its timeout of 1 s while other work was running.
     maxWorkers: 4,
   },
 });
--- a/vitest.known-red.ts
+++ b/vitest.known-red.ts
@@ -1,4 +1,4 @@
-/** Passes over the tests that `KNOWN-RED.txt` lists, and prints each of them. */
+/** Skips the tests that `KNOWN-RED.txt` lists and prints each of them. */
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
 
