--- a/packages/bench/src/accounts/accounts.ts
+++ b/packages/bench/src/accounts/accounts.ts
@@ -1,4 +1,4 @@
-/** What client accounts cost an entry and a holder at 2,000 accounts with 20,000 keys. */
+/** Measures what 2,000 client accounts with 20,000 keys cost an entry and a control holder. */
 import { createHash } from 'node:crypto';
 
 import {
@@ -29,7 +29,7 @@
 const digestOf = (key: string): KeyDigest =>
   brand<KeyDigest>(createHash('sha256').update(key).digest('base64'));
 
-const declared = (): readonly ClientAccount[] =>
+const declareAccounts = (): readonly ClientAccount[] =>
   Array.from({ length: ACCOUNTS }, (_, account) => ({
     name: brand(`account-${account}`),
     keyDigests: Array.from({ length: KEYS_PER_ACCOUNT }, (__, key) =>
@@ -45,15 +45,15 @@
   return process.memoryUsage().heapUsed;
 };
 
-/** The time of one of many, in microseconds. */
-const timeOf = (count: number, act: (index: number) => void): number => {
+/** Measures the mean time of one call, in microseconds. */
+const measureMeanUs = (count: number, act: (index: number) => void): number => {
   const beganAtMs = performance.now();
   for (let index = 0; index < count; index += 1) act(index);
   return rounded(((performance.now() - beganAtMs) / count) * US_PER_MS);
 };
 
 /**
- * Measures the check of a key, the place of a job in the queue, the check of a quota and the memory.
+ * Measures the time to check a key, to add a job to its queue and to check a quota, and the memory.
  *
  * @returns One row.
  */
@@ -63,12 +63,12 @@
     version: 1,
     queues: [],
     pools: [],
-    accounts: declared(),
+    accounts: declareAccounts(),
   };
   const index = indexQueues(configuration);
   const memoryMb = rounded((heapBytes() - before) / BYTES_PER_MB);
 
-  const keyCheckUs = timeOf(ROUNDS, (round) => {
+  const keyCheckUs = measureMeanUs(ROUNDS, (round) => {
     index.accounts.byKey.get(digestOf(keyOf(round % ACCOUNTS, round % KEYS_PER_ACCOUNT)));
   });
 
@@ -76,7 +76,7 @@
   setAccounts(state, index.accounts.byName);
   const steps: StepRun[] = [];
   const { accounts } = configuration;
-  const admitUs = timeOf(JOBS, (number) => {
+  const admitUs = measureMeanUs(JOBS, (number) => {
     const { name, maximum } = accounts[number % ACCOUNTS] as ClientAccount;
     const job = addJob(state, {
       job: {
@@ -97,7 +97,7 @@
     });
     steps.push(job.occurrences.get(0)?.steps[0] as StepRun);
   });
-  const quotaUs = timeOf(ROUNDS, (round) => {
+  const quotaUs = measureMeanUs(ROUNDS, (round) => {
     isWithinQuota(state, steps[round % JOBS] as StepRun);
   });
   return [
--- a/packages/bench/src/backlog/backlog.ts
+++ b/packages/bench/src/backlog/backlog.ts
@@ -1,4 +1,7 @@
-/** What processor time one pass over a full pool costs a holder, and how long it takes to judge a job, by the steps that wait there. */
+/**
+ * Measures the CPU time that a scheduling pass over a full pool takes the control holder, and the time
+ * that the admission decision for a job takes, by the number of waiting steps.
+ */
 import {
   applyReport,
   createAdmissionControl,
@@ -21,19 +24,22 @@
 const ENDPOINTS = 60;
 const CORES = 64_000;
 const ACCOUNTS = 20;
-/** Steps that wait: none beyond what fills the pool, and backlogs of a heavy account. */
+/**
+ * The numbers of jobs beyond those that fill the pool, from a nearly empty backlog to the backlogs of a
+ * heavy account.
+ */
 const BACKLOGS = [100, 500, 5000, 20_000];
 const PASSES = 300;
-/** Passes before the first measured one, for the compiler. */
+/** Passes before the first measured pass, so that the JIT compiler has optimised the code. */
 const WARM_UP_PASSES = 100;
-/** A pass comes after each report of an endpoint. */
-const PASS_EVERY_MS = 5;
+/** The time between two passes; a pass follows each report of an endpoint. */
+const PASS_INTERVAL_MS = 5;
 const TASKS = 8;
-const JUDGED = 2000;
+const ADMISSION_DECISIONS = 2000;
 const MAXIMUM = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
 const US_PER_MS = 1000;
 
-const newState = (): BatchState => {
+const createState = (): BatchState => {
   const state = createBatchState(2);
   const names = Array.from({ length: ACCOUNTS }, (_, index) => brand<never>(`account-${index}`));
   setAccounts(state, new Map(names.map((name) => [name, { weight: 4, maximum: MAXIMUM }])));
@@ -64,7 +70,7 @@
   return state;
 };
 
-const jobOf = (number: number, nowMs: number): JobSubmission => {
+const createJob = (number: number, nowMs: number): JobSubmission => {
   const step = { ...DEFAULT_STEP, taskCount: TASKS, cpuMillis: 6200, estimateMs: 800 };
   return {
     job: {
@@ -85,16 +91,19 @@
 
 const submit = (state: BatchState, number: number): void => {
   const nowMs = number / 10;
-  addJob(state, { ...jobOf(number, nowMs), nowMs, wallClockMs: nowMs });
+  addJob(state, { ...createJob(number, nowMs), nowMs, wallClockMs: nowMs });
 };
 
-/** The time to judge one of many jobs that come 2 ms apart, in milliseconds; the load is measured in some. */
-const judgeTimes = (state: BatchState, fromMs: number): readonly number[] => {
+/**
+ * Measures the admission decisions for many jobs that arrive 2 ms apart, and returns the sorted times
+ * in milliseconds. Some of the decisions also measure the load.
+ */
+const measureAdmissionTimes = (state: BatchState, fromMs: number): readonly number[] => {
   change(state, { takenOverAtMs: -Infinity });
   const admission = createAdmissionControl({ state });
-  return Array.from({ length: JUDGED }, (_, index) => {
+  return Array.from({ length: ADMISSION_DECISIONS }, (_, index) => {
     const nowMs = fromMs + 2 * index;
-    const submitted = jobOf(1_000_000 + index, nowMs);
+    const submitted = createJob(1_000_000 + index, nowMs);
     const beganAtMs = performance.now();
     admission.evaluate(submitted, nowMs);
     return performance.now() - beganAtMs;
@@ -102,13 +111,13 @@
 };
 
 const benchBacklog = (backlog: number): BenchRow => {
-  const state = newState();
-  // Eighty jobs fill the pool; what comes after them waits.
-  const filling = Math.ceil((ENDPOINTS * Math.floor(CORES / 6200)) / TASKS);
-  for (let number = 1; number <= filling + backlog; number += 1) submit(state, number);
-  let nowMs = (filling + backlog) / 10;
+  const state = createState();
+  // 75 jobs fill the pool: 60 endpoints run 10 tasks each. The steps of later jobs wait.
+  const fillingJobs = Math.ceil((ENDPOINTS * Math.floor(CORES / 6200)) / TASKS);
+  for (let number = 1; number <= fillingJobs + backlog; number += 1) submit(state, number);
+  let nowMs = (fillingJobs + backlog) / 10;
   const pass = (): number => {
-    nowMs += PASS_EVERY_MS;
+    nowMs += PASS_INTERVAL_MS;
     const before = process.cpuUsage();
     schedulePool(state, POOL, nowMs);
     const { user, system } = process.cpuUsage(before);
@@ -119,20 +128,20 @@
   pass();
   Array.from({ length: WARM_UP_PASSES }, pass);
   const times = Array.from({ length: PASSES }, pass).sort((left, right) => left - right);
-  const judged = judgeTimes(state, nowMs);
+  const judged = measureAdmissionTimes(state, nowMs);
   return {
     waitingSteps: state.pools.get(POOL)?.openSteps.size ?? 0,
     meanMs: rounded(times.reduce((sum, one) => sum + one, 0) / PASSES),
     medianMs: rounded(times[PASSES / 2] ?? 0),
     p99Ms: rounded(times[Math.floor(PASSES * 0.99)] ?? 0),
-    judgeMedianMs: rounded(judged[JUDGED / 2] ?? 0),
-    judgeP99Ms: rounded(judged[Math.floor(JUDGED * 0.99)] ?? 0),
+    judgeMedianMs: rounded(judged[ADMISSION_DECISIONS / 2] ?? 0),
+    judgeP99Ms: rounded(judged[Math.floor(ADMISSION_DECISIONS * 0.99)] ?? 0),
   };
 };
 
 /**
- * Measures passes over a full pool.
+ * Measures passes over a full pool and admission decisions.
  *
- * @returns One row a backlog.
+ * @returns One row per backlog.
  */
 export const benchBacklogs = (): readonly BenchRow[] => BACKLOGS.map(benchBacklog);
--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/big-world.ts
@@ -1,4 +1,4 @@
-/** A pool's snapshot at the size of two years, for measuring turns. */
+/** Builds configurations and pool snapshots of large fleets to measure control turns. */
 import {
   brand,
   listDeclaredHosts,
@@ -19,7 +19,7 @@
   type Versioned,
 } from '@valvelatch/core';
 
-/** Sizes of a fleet. */
+/** The size of a fleet. */
 export type FleetSize = {
   readonly hosts: number;
   readonly pools: number;
@@ -27,7 +27,7 @@
   readonly teams: number;
 };
 
-/** The size of two years. */
+/** The fleet size that is expected in two years. */
 export const twoYears: FleetSize = { hosts: 21_000, pools: 23, dataCentres: 20, teams: 95 };
 
 const HOSTS_PER_RACK = 4;
@@ -71,10 +71,10 @@
 });
 
 /**
- * Declares a fleet.
+ * Builds the configuration of a fleet.
  *
- * @param size - How large it is.
- * @returns Its configuration.
+ * @param size - The size of the fleet.
+ * @returns The configuration.
  */
 export const bigConfiguration = (size: FleetSize): Configuration =>
   applySnapshot(emptyConfiguration, {
@@ -129,11 +129,11 @@
 };
 
 /**
- * Builds the snapshot of one pool in which all is placed and running.
+ * Builds the snapshot of a pool whose executors are all placed and running.
  *
  * @param configuration - The configuration of the fleet.
  * @param pool - The pool.
- * @param jobs - Jobs that are still to be placed.
+ * @param jobs - The jobs that are still pending.
  * @returns The snapshot, with the rows of the pool's own hosts.
  */
 export const bigWorld = (
@@ -178,11 +178,11 @@
 };
 
 /**
- * Builds pending jobs of one pool.
+ * Builds pending jobs of a pool.
  *
  * @param pool - The pool.
- * @param count - How many.
- * @returns Their rows.
+ * @param count - The number of jobs.
+ * @returns The rows of the jobs.
  */
 export const pendingJobs = (pool: PoolName, count: number): ReadonlyMap<JobId, Versioned<JobRow>> =>
   new Map(
--- a/packages/bench/src/control/control.ts
+++ b/packages/bench/src/control/control.ts
@@ -1,4 +1,4 @@
-/** The slopes of control: what a host, a member, a change and a turn cost. */
+/** Measures what each host, member, configuration change and control turn costs. */
 import {
   brand,
   planPoolTurn,
@@ -25,23 +25,25 @@
 const QUIET_STEPS = 80;
 const BUSY_STEPS = 160;
 
-const slope = (name: string, value: number, unit: string): BenchRow => ({
+const createCostRow = (name: string, value: number, unit: string): BenchRow => ({
   bench: 'control',
   slope: name,
   value: rounded(value),
   unit,
 });
 
-const collect = (): void => {
+const collectGarbage = (): void => {
   const { gc } = globalThis as { gc?: () => void };
   gc?.();
 };
 
-const heapOf = <Value>(build: () => Value): { readonly bytes: number; readonly value: Value } => {
-  collect();
+const measureHeap = <Value>(
+  build: () => Value,
+): { readonly bytes: number; readonly value: Value } => {
+  collectGarbage();
   const before = process.memoryUsage().heapUsed;
   const value = build();
-  collect();
+  collectGarbage();
   return { bytes: process.memoryUsage().heapUsed - before, value };
 };
 
@@ -58,14 +60,14 @@
 const pool = brand<PoolName>('pool-0');
 
 const measureHosts = (): readonly BenchRow[] => {
-  const small = heapOf(() => bigConfiguration(twoYears));
-  const world = heapOf(() => bigWorld(small.value, pool));
+  const small = measureHeap(() => bigConfiguration(twoYears));
+  const world = measureHeap(() => bigWorld(small.value, pool));
   const hosts = world.value.hosts.size;
   return [
-    slope('bytes-per-declared-host', small.bytes / twoYears.hosts, 'bytes'),
-    slope('bytes-per-host-of-held-pool', world.bytes / hosts, 'bytes'),
-    slope('hosts-of-one-pool', hosts, 'hosts'),
-    slope(
+    createCostRow('bytes-per-declared-host', small.bytes / twoYears.hosts, 'bytes'),
+    createCostRow('bytes-per-host-of-held-pool', world.bytes / hosts, 'bytes'),
+    createCostRow('hosts-of-one-pool', hosts, 'hosts'),
+    createCostRow(
       'snapshot-bytes',
       encodeFrame({ type: 'snapshot', snapshot: toSnapshot(small.value) }).length,
       'bytes',
@@ -73,7 +75,7 @@
   ];
 };
 
-const deltaOf = (configuration: Configuration, revision: number): ConfigurationDelta => {
+const createDelta = (configuration: Configuration, revision: number): ConfigurationDelta => {
   const one = configuration.declarations.get(`Service/service-0-${revision % 5}`);
   return {
     revision,
@@ -87,7 +89,7 @@
 const measureChanges = (): readonly BenchRow[] => {
   const configuration = bigConfiguration(twoYears);
   const deltas = Array.from({ length: MEASURED_CHANGES }, (_, index) =>
-    deltaOf(configuration, index + 2),
+    createDelta(configuration, index + 2),
   );
   const bytes = encodeFrame({ type: 'deltas', deltas: [deltas[0] as ConfigurationDelta] }).length;
   let state = configuration;
@@ -99,13 +101,13 @@
   const cpuUs = (tookMs * 1000) / MEASURED_CHANGES;
   const perS = CHANGES_PER_DAY / SECONDS_PER_DAY;
   return [
-    slope('bytes-per-change', bytes, 'bytes on a link'),
-    slope('cpu-us-per-change', cpuUs, 'us'),
-    slope('cpu-percent-of-changes', (perS * cpuUs) / 10_000, '% of a core at 81,000 a day'),
+    createCostRow('bytes-per-change', bytes, 'bytes on a link'),
+    createCostRow('cpu-us-per-change', cpuUs, 'us'),
+    createCostRow('cpu-percent-of-changes', (perS * cpuUs) / 10_000, '% of a core at 81,000 a day'),
   ];
 };
 
-const waveOver = (hosts: readonly HostId[]): ReadonlyMap<WaveId, Versioned<WaveRow>> => {
+const createWaveRows = (hosts: readonly HostId[]): ReadonlyMap<WaveId, Versioned<WaveRow>> => {
   const waveId = brand<WaveId>('wave');
   const row: WaveRow = { waveId, selector: '', phase: 'running', reason: '', hosts };
   return new Map([[waveId, { value: row, version: 1 }]]);
@@ -116,17 +118,17 @@
   const idle = bigWorld(configuration, pool);
   const one = bigWorld(configuration, pool, pendingJobs(pool, 1));
   const many = bigWorld(configuration, pool, pendingJobs(pool, 200));
-  const wave = { ...idle, waves: waveOver(Array.from(idle.hosts.keys())) };
+  const wave = { ...idle, waves: createWaveRows(Array.from(idle.hosts.keys())) };
   const turn = (world: typeof idle) => () => {
     planPoolTurn(world, 0);
   };
   const idleMs = medianCpuMs(turn(idle));
   return [
-    slope('cpu-ms-per-idle-turn', idleMs, 'ms, one pool'),
-    slope('cpu-ms-per-turn-with-one-urgent-job', medianCpuMs(turn(one)), 'ms, one pool'),
-    slope('cpu-ms-per-turn-with-200-jobs', medianCpuMs(turn(many)), 'ms, one pool'),
-    slope('cpu-ms-per-turn-with-a-wave', medianCpuMs(turn(wave)), 'ms, one pool'),
-    slope('cpu-ms-per-turn-of-all-pools', idleMs * twoYears.pools, 'ms, 21,000 hosts'),
+    createCostRow('cpu-ms-per-idle-turn', idleMs, 'ms, one pool'),
+    createCostRow('cpu-ms-per-turn-with-one-urgent-job', medianCpuMs(turn(one)), 'ms, one pool'),
+    createCostRow('cpu-ms-per-turn-with-200-jobs', medianCpuMs(turn(many)), 'ms, one pool'),
+    createCostRow('cpu-ms-per-turn-with-a-wave', medianCpuMs(turn(wave)), 'ms, one pool'),
+    createCostRow('cpu-ms-per-turn-of-all-pools', idleMs * twoYears.pools, 'ms, 21,000 hosts'),
   ];
 };
 
@@ -152,16 +154,20 @@
     run(BUSY_STEPS)();
   });
   return [
-    slope(`member-bytes-per-s-quiet-${members}`, quiet, 'bytes/s sent by a member'),
-    slope(`member-bytes-per-s-one-replaced-in-40-s-${members}`, busy, 'bytes/s sent by a member'),
-    slope(`most-links-${members}`, model.mostLinks(), 'links'),
+    createCostRow(`member-bytes-per-s-quiet-${members}`, quiet, 'bytes/s sent by a member'),
+    createCostRow(
+      `member-bytes-per-s-one-replaced-in-40-s-${members}`,
+      busy,
+      'bytes/s sent by a member',
+    ),
+    createCostRow(`most-links-${members}`, model.mostLinks(), 'links'),
   ];
 };
 
 /**
- * Measures all slopes. Run with `--expose-gc` for the memory figures.
+ * Measures all unit costs. The memory figures need the Node.js flag `--expose-gc`.
  *
- * @returns One row a slope.
+ * @returns One row per unit cost.
  */
 export const benchControl = (): readonly BenchRow[] => [
   ...measureHosts(),
--- a/packages/bench/src/control/membership-model.test.ts
+++ b/packages/bench/src/control/membership-model.test.ts
@@ -4,9 +4,9 @@
 
 import { createMembershipModel } from './membership-model.js';
 
-const AGREED_WITHIN_MS = 10_000;
+const MAX_AGREEMENT_MS = 10_000;
 
-const stepsUntilAgreed = (model: ReturnType<typeof createMembershipModel>): number => {
+const measureAgreementMs = (model: ReturnType<typeof createMembershipModel>): number => {
   const startedMs = model.nowMs();
   while (!model.isAgreed() && model.nowMs() - startedMs < 60_000) model.step();
   return model.nowMs() - startedMs;
@@ -18,26 +18,26 @@
     [6, 10],
     [20, 30],
   ])('of %i data centres with %i entries each', (dataCentres, membersEach) => {
-    it('learns within seconds who joined, left and died', () => {
+    it('agrees within 10 s on members that joined, left and died', () => {
       const model = createMembershipModel(dataCentres, membersEach);
       model.add(1);
-      expect(stepsUntilAgreed(model)).toBeLessThanOrEqual(AGREED_WITHIN_MS);
+      expect(measureAgreementMs(model)).toBeLessThanOrEqual(MAX_AGREEMENT_MS);
       model.leave(model.ids()[1] as never);
-      expect(stepsUntilAgreed(model)).toBeLessThanOrEqual(AGREED_WITHIN_MS);
+      expect(measureAgreementMs(model)).toBeLessThanOrEqual(MAX_AGREEMENT_MS);
       model.kill(model.ids()[2] as never);
       model.kill(model.ids()[4] as never);
-      expect(stepsUntilAgreed(model)).toBeLessThanOrEqual(AGREED_WITHIN_MS);
+      expect(measureAgreementMs(model)).toBeLessThanOrEqual(MAX_AGREEMENT_MS);
     });
 
-    it('keeps the links of an entry few', () => {
+    it('keeps at most 24 links per entry', () => {
       const model = createMembershipModel(dataCentres, membersEach);
       model.step();
       expect(model.mostLinks()).toBeLessThanOrEqual(24);
     });
   });
 
-  describe('replaced all the time', () => {
-    test.prop([fc.integer()], { seed: 41, numRuns: 15 })('agrees in the end', (seed) => {
+  describe('with members that are continually replaced', () => {
+    test.prop([fc.integer()], { seed: 41, numRuns: 15 })('agrees once the changes stop', (seed) => {
       const rng = createRng(seed);
       const model = createMembershipModel(4, 4);
       for (let change = 0; change < 12; change += 1) {
@@ -48,7 +48,7 @@
         const steps = Math.floor(rng() * 20);
         for (let step = 0; step < steps; step += 1) model.step();
       }
-      expect(stepsUntilAgreed(model)).toBeLessThan(20_000);
+      expect(measureAgreementMs(model)).toBeLessThan(20_000);
     });
   });
 });
--- a/packages/bench/src/control/membership-model.ts
+++ b/packages/bench/src/control/membership-model.ts
@@ -1,4 +1,4 @@
-/** Many members in one process: each has its own state, and messages take one step of time. */
+/** Simulates many members in one process. Each has its own state; messages are delivered one step later. */
 import {
   brand,
   createMembership,
@@ -18,7 +18,7 @@
 import { change } from '@valvelatch/core/shared/change';
 import { encodeFrame } from '@valvelatch/mesh';
 
-/** What one member has sent so far. */
+/** The messages and bytes that a member has sent so far. */
 export type Traffic = { messages: number; bytes: number };
 
 type Node = {
@@ -28,28 +28,29 @@
   inbox: { readonly from: EntryId; readonly members: readonly Member[] }[];
   readonly heardMs: Map<EntryId, number>;
   readonly traffic: Traffic;
-  /** What follows from the membership, as long as that has not changed. */
+  /** Values derived from the membership `from`; they are computed again when the membership has changed. */
   derived: { readonly from: Membership; readonly links: readonly EntryId[]; readonly hash: number };
 };
 
-/** The members under way. */
+/** A running simulation of members. */
 export type MembershipModel = {
-  /** Lets one step of time pass for all. */
+  /** Advances the time of all members by one step. */
   readonly step: () => void;
   readonly nowMs: () => number;
   readonly add: (dataCentre: number) => EntryId;
   readonly kill: (id: EntryId) => void;
   readonly leave: (id: EntryId) => void;
   readonly ids: () => readonly EntryId[];
-  /** True if each live member takes exactly the live members for alive. */
+  /** True if every live member considers exactly the live members alive. */
   readonly isAgreed: () => boolean;
+  /** The number of links of the member with the most links. */
   readonly mostLinks: () => number;
   readonly traffic: () => readonly Traffic[];
 };
 
 const STEP_MS = 250;
-const SILENT_MS = 3000;
-/** A heartbeat goes over each link once a second. */
+const SILENCE_TIMEOUT_MS = 3000;
+/** Heartbeats are sent on each link once per second. */
 const STEPS_PER_HEARTBEAT = 4;
 const HEARTBEAT_BYTES = encodeFrame({
   type: 'heartbeat',
@@ -61,9 +62,9 @@
 /**
  * Builds a model.
  *
- * @param dataCentres - How many data centres there are.
- * @param membersEach - How many members each has at the start.
- * @returns The model, in which all know all.
+ * @param dataCentres - The number of data centres.
+ * @param membersEach - The initial number of members per data centre.
+ * @returns The model; every member knows all members.
  */
 export const createMembershipModel = (
   dataCentres: number,
@@ -94,7 +95,7 @@
     hash: membershipHash(membership),
   });
 
-  const derivedOf = (node: Node): Node['derived'] => {
+  const refreshDerived = (node: Node): Node['derived'] => {
     const { membership } = node;
     if (node.derived.from !== membership) change(node, { derived: derive(membership) });
     return node.derived;
@@ -113,12 +114,12 @@
     };
   };
 
-  /** Links hold in both directions. */
-  const neighbours = (): Map<EntryId, Set<EntryId>> => {
+  /** Returns the peers of each member; a link that one side selects connects both sides. */
+  const computePeers = (): Map<EntryId, Set<EntryId>> => {
     const all = new Map<EntryId, Set<EntryId>>(Array.from(nodes.keys(), (id) => [id, new Set()]));
     nodes.forEach((node) => {
       if (!node.isUp) return;
-      derivedOf(node).links.forEach((peer) => {
+      refreshDerived(node).links.forEach((peer) => {
         if (!nodes.get(peer)?.isUp) return;
         all.get(node.id)?.add(peer);
         all.get(peer)?.add(node.id);
@@ -131,7 +132,7 @@
     toMember(index % dataCentres),
   );
   initial.forEach((member) => nodes.set(member.entryId, toNode(member, initial)));
-  let links = neighbours();
+  let links = computePeers();
 
   const sendTo = (node: Node, peers: Iterable<EntryId>, members: readonly Member[]): void => {
     const bytes = encodeFrame({ type: 'gossip', members }).length;
@@ -150,27 +151,28 @@
       members,
     );
 
-  const take = (node: Node, step: MembershipUpdate, from?: EntryId): void => {
+  const applyUpdate = (node: Node, step: MembershipUpdate, from?: EntryId): void => {
     change(node, { membership: step.state });
     if (step.changedMembers.length > 0) send(node, step.changedMembers, from);
   };
 
-  const watchLinks = (node: Node): void => {
-    derivedOf(node).links.forEach((peer) => {
+  const checkLinks = (node: Node): void => {
+    refreshDerived(node).links.forEach((peer) => {
       const heardMs = node.heardMs.get(peer) ?? nowMs;
       node.heardMs.set(peer, nodes.get(peer)?.isUp ? nowMs : heardMs);
-      if (nowMs - heardMs >= SILENT_MS) take(node, suspectSilentPeer(node.membership, peer, nowMs));
+      if (nowMs - heardMs >= SILENCE_TIMEOUT_MS)
+        applyUpdate(node, suspectSilentPeer(node.membership, peer, nowMs));
     });
   };
 
-  const heartbeat = (node: Node): void => {
+  const sendHeartbeats = (node: Node): void => {
     const { traffic } = node;
     const peers = Array.from(links.get(node.id) ?? []);
     traffic.messages += peers.length;
     traffic.bytes += peers.length * HEARTBEAT_BYTES;
     const differing = peers.filter((peer) => {
       const other = nodes.get(peer);
-      return other !== undefined && derivedOf(other).hash !== derivedOf(node).hash;
+      return other !== undefined && refreshDerived(other).hash !== refreshDerived(node).hash;
     });
     const known = Array.from(node.membership.members.values(), (one) => one.member);
     if (differing.length > 0) sendTo(node, differing, known);
@@ -179,7 +181,7 @@
   const step = (): void => {
     nowMs += STEP_MS;
     steps += 1;
-    links = neighbours();
+    links = computePeers();
     const up = Array.from(nodes.values()).filter(({ isUp }) => isUp);
     const inboxes = up.map((node) => {
       const { inbox } = node;
@@ -188,13 +190,13 @@
     });
     inboxes.forEach(({ node, inbox }) =>
       inbox.forEach(({ from, members }) =>
-        take(node, mergeGossip(node.membership, members, nowMs), from),
+        applyUpdate(node, mergeGossip(node.membership, members, nowMs), from),
       ),
     );
     up.forEach((node) => {
-      watchLinks(node);
-      take(node, applyMembershipTimeouts(node.membership, nowMs));
-      if (steps % STEPS_PER_HEARTBEAT === 0) heartbeat(node);
+      checkLinks(node);
+      applyUpdate(node, applyMembershipTimeouts(node.membership, nowMs));
+      if (steps % STEPS_PER_HEARTBEAT === 0) sendHeartbeats(node);
     });
   };
 
@@ -208,7 +210,7 @@
       const [seed] = upNodes();
       const known = seed ? Array.from(seed.membership.members.values(), (one) => one.member) : [];
       nodes.set(member.entryId, toNode(member, known));
-      if (seed) take(seed, mergeGossip(seed.membership, [member], nowMs));
+      if (seed) applyUpdate(seed, mergeGossip(seed.membership, [member], nowMs));
       return member.entryId;
     },
     kill: (id) => {
@@ -218,7 +220,7 @@
     leave: (id) => {
       const node = nodes.get(id);
       if (!node) return;
-      take(node, leaveMembership(node.membership, nowMs));
+      applyUpdate(node, leaveMembership(node.membership, nowMs));
       node.isUp = false;
     },
     ids: () => upNodes().map(({ id }) => id),
--- a/packages/bench/src/data-path/bare-forward.ts
+++ b/packages/bench/src/data-path/bare-forward.ts
@@ -1,4 +1,4 @@
-/** The baseline of the data path: a bare forward with the same libraries, and nothing else. */
+/** The baseline of the data-path benchmark: a minimal forwarder with the same libraries as an entry. */
 import fastify from 'fastify';
 import { Pool } from 'undici';
 
--- a/packages/bench/src/data-path/data-path.ts
+++ b/packages/bench/src/data-path/data-path.ts
@@ -1,4 +1,7 @@
-/** The cost of a hop through an entry, against a bare forward and the direct way, in turns. */
+/**
+ * Measures the cost of a hop through an entry, compared with a minimal forwarder and with direct
+ * requests. The three paths are measured alternately.
+ */
 import { runCli, startProcess, stopProcess, type RunningProcess } from '@valvelatch/stand-ins';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -24,7 +27,7 @@
   readonly name: string;
   readonly url: string;
   readonly prefix: string;
-  /** Processor time of the hop so far, in microseconds. */
+  /** The CPU time that the hop has used so far, in microseconds. */
   readonly cpuUs: () => Promise<number>;
   readonly residentBytes?: () => Promise<number>;
 };
@@ -91,7 +94,7 @@
   };
 };
 
-const entryMetric = async (entry: RunningProcess, name: string): Promise<number> => {
+const readEntryMetric = async (entry: RunningProcess, name: string): Promise<number> => {
   const answer = await request(`${entry.fields.operatorsUrl as string}/metrics`, {
     headers: { authorization: `Bearer ${OPERATOR_KEY}` },
   });
@@ -99,13 +102,13 @@
   return Number(new RegExp(`valvelatch_${name} (\\d+)`).exec(text)?.[1] ?? 0);
 };
 
-const forwardCpuUs = async (forward: RunningProcess): Promise<number> => {
+const readForwarderCpuUs = async (forward: RunningProcess): Promise<number> => {
   const answer = await request(`${forward.fields.url as string}/usage`);
   const { user, system } = (await answer.body.json()) as NodeJS.CpuUsage;
   return user + system;
 };
 
-const applyAll = async (entry: RunningProcess): Promise<void> => {
+const applyDeclarations = async (entry: RunningProcess): Promise<void> => {
   const folder = await mkdtemp(join(tmpdir(), 'valvelatch-bench-'));
   const file = join(folder, 'all.yaml');
   await writeFile(file, declarations);
@@ -127,10 +130,10 @@
       setTimeout(resolve, 100);
     });
   }
-  throw new Error('the entry did not come to serve');
+  throw new Error('the entry did not answer a request with status 200 within 200 attempts');
 };
 
-const executorAddress = async (workers: RunningProcess): Promise<string> => {
+const findExecutorAddress = async (workers: RunningProcess): Promise<string> => {
   const answer = await request(`${workers.fields.url as string}/tasks`);
   const { tasks } = (await answer.body.json()) as { tasks: readonly { address: string }[] };
   return tasks[0]?.address ?? '';
@@ -158,10 +161,10 @@
     `--operator-key=${OPERATOR_KEY}`,
     '--mesh-key=bench-mesh-key-0000',
   ]);
-  await applyAll(entry);
+  await applyDeclarations(entry);
   const entryUrl = entry.fields.callersUrl as string;
   await waitForAnswer(entryUrl);
-  const address = await executorAddress(workers);
+  const address = await findExecutorAddress(workers);
   const forward = await start('bareForward', [address]);
   return [
     { name: 'direct', url: address, prefix: '', cpuUs: async () => 0 },
@@ -169,23 +172,23 @@
       name: 'forward',
       url: forward.fields.url as string,
       prefix: '',
-      cpuUs: () => forwardCpuUs(forward),
+      cpuUs: () => readForwarderCpuUs(forward),
     },
     {
       name: 'valvelatch',
       url: entryUrl,
       prefix: '/services/routing',
-      cpuUs: () => entryMetric(entry, 'process_cpu_us'),
-      residentBytes: () => entryMetric(entry, 'process_resident_bytes'),
+      cpuUs: () => readEntryMetric(entry, 'process_cpu_us'),
+      residentBytes: () => readEntryMetric(entry, 'process_resident_bytes'),
     },
   ];
 };
 
 /**
- * Measures the three ways in turns.
+ * Measures the three paths alternately.
  *
- * @param options - Requests a round, rounds, and requests at one time.
- * @returns One row for each way, with the median of its rounds.
+ * @param options - The requests per round, the rounds, and the concurrency.
+ * @returns One row per path, with the medians of its rounds.
  */
 export const benchDataPath = async (
   options: DataPathOptions = {},
@@ -194,7 +197,7 @@
   try {
     const paths = await startAll(running);
     const rounds = new Map<string, Round[]>(paths.map(({ name }) => [name, []]));
-    // The first round warms up and is not counted.
+    // The first round is a warm-up and is not counted.
     for (let round = 0; round <= (options.rounds ?? 5); round += 1) {
       for (let index = 0; index < paths.length; index += 1) {
         const path = paths[index] as Path;
@@ -218,11 +221,11 @@
 const BYTES_PER_MB = 1024 * 1024;
 
 /**
- * Sends many requests through one entry and looks at its memory on the way.
+ * Sends many requests through one entry and measures its memory along the way.
  *
- * @param requests - How many requests.
- * @param steps - How often the memory is read.
- * @returns One row a step, with the resident memory in megabytes.
+ * @param requests - The total number of requests.
+ * @param steps - How many times the memory is measured.
+ * @returns One row per step, with the resident memory in megabytes.
  */
 export const benchMemory = async (requests: number, steps = 10): Promise<readonly BenchRow[]> => {
   const running: RunningProcess[] = [];
--- a/packages/bench/src/idle/idle.ts
+++ b/packages/bench/src/idle/idle.ts
@@ -1,11 +1,11 @@
-/** What an entry costs while nobody sends requests: control, mesh and polls alone. */
+/** Measures the resource use of idle entries, which consists of control turns, mesh traffic and polling. */
 import { runCli, startExample, type RunningProcess } from '@valvelatch/stand-ins';
 import { request } from 'undici';
 
 import { median, rounded, type BenchRow } from '../report.js';
 
-const SETTLE_MS = 8000;
-const MEASURED_MS = 20_000;
+const WARM_UP_MS = 8000;
+const MEASUREMENT_MS = 20_000;
 const BYTES_PER_MB = 1024 * 1024;
 
 type Reading = { readonly cpuUs: number; readonly residentBytes: number };
@@ -15,17 +15,17 @@
     setTimeout(resolve, ms);
   });
 
-const metricIn = (text: string, name: string): number =>
+const parseMetric = (text: string, name: string): number =>
   Number(new RegExp(`valvelatch_${name} (\\d+)`).exec(text)?.[1] ?? 0);
 
-const read = async ({ fields }: RunningProcess, key: string): Promise<Reading> => {
+const readMetrics = async ({ fields }: RunningProcess, key: string): Promise<Reading> => {
   const answer = await request(`${fields.operatorsUrl}/metrics`, {
     headers: { authorization: `Bearer ${key}` },
   });
   const text = await answer.body.text();
   return {
-    cpuUs: metricIn(text, 'process_cpu_us'),
-    residentBytes: metricIn(text, 'process_resident_bytes'),
+    cpuUs: parseMetric(text, 'process_cpu_us'),
+    residentBytes: parseMetric(text, 'process_resident_bytes'),
   };
 };
 
@@ -39,9 +39,10 @@
   (await (await request(`${platformUrl}/stand-in/counts`)).body.json()) as Counts;
 
 /**
- * Runs an example without requests and measures its entries.
+ * Runs an example without requests and measures the CPU time and memory of its entries, and the load
+ * that they put on the platform's table.
  *
- * @param example - The folder under `examples/`.
+ * @param example - The name of the folder under `examples/`.
  * @returns One row.
  */
 export const benchIdle = async (example: string): Promise<readonly BenchRow[]> => {
@@ -53,16 +54,16 @@
       VALVELATCH_KEY: operatorKey,
     });
     if (applied.code !== 0) throw new Error(applied.stderr);
-    await pause(SETTLE_MS);
-    const readAll = () => Promise.all(entries.map((entry) => read(entry, operatorKey)));
+    await pause(WARM_UP_MS);
+    const readAll = () => Promise.all(entries.map((entry) => readMetrics(entry, operatorKey)));
     const [before, countsBefore] = [await readAll(), await platformCounts(platformUrl)];
-    await pause(MEASURED_MS);
+    await pause(MEASUREMENT_MS);
     const [after, countsAfter] = [await readAll(), await platformCounts(platformUrl)];
     const percents = after.map(
-      ({ cpuUs }, index) => ((cpuUs - (before[index]?.cpuUs ?? 0)) / (MEASURED_MS * 1000)) * 100,
+      ({ cpuUs }, index) => ((cpuUs - (before[index]?.cpuUs ?? 0)) / (MEASUREMENT_MS * 1000)) * 100,
     );
     const perS = (field: keyof Counts): number =>
-      rounded((countsAfter[field] - countsBefore[field]) / (MEASURED_MS / 1000));
+      rounded((countsAfter[field] - countsBefore[field]) / (MEASUREMENT_MS / 1000));
     return [
       {
         bench: 'idle',
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,3 +1,3 @@
-/** The benchmarks, for those who want their rows. */
+/** Benchmarks that other packages run to get the rows of their results. */
 export * from './data-path/data-path.js';
 export * from './report.js';
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,4 @@
-/** The benchmarks: `bench data-path`, `bench overload`, `bench waves`, `bench control`. */
+/** The command line of the benchmarks, with a subcommand for each, for example `bench data-path`. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
@@ -16,14 +16,14 @@
   .scriptName('bench')
   .command(
     'data-path',
-    'the cost of a hop, against a bare forward',
+    'the cost of a hop, compared with a minimal forwarder',
     {
-      requests: { type: 'number', default: 20_000, describe: 'requests a round' },
+      requests: { type: 'number', default: 20_000, describe: 'requests per round' },
       rounds: { type: 'number', default: 5 },
     } as const,
     async ({ requests, rounds }) => printRows(await benchDataPath({ requests, rounds })),
   )
-  .command('overload', 'goodput and isolation beyond capacity', {}, async () =>
+  .command('overload', 'goodput and isolation under overload', {}, async () =>
     printRows(await benchOverload()),
   )
   .command(
@@ -34,21 +34,27 @@
     },
     async ({ example }) => printRows(await benchWaves(example)),
   )
-  .command('control', 'what a host, a member, a change and a turn cost', {}, () =>
-    printRows(benchControl()),
+  .command(
+    'control',
+    'the cost of a host, a member, a configuration change and a control turn',
+    {},
+    () => printRows(benchControl()),
   )
-  .command('accounts', 'what keys, quotas and shares of client accounts cost', {}, () =>
+  .command('accounts', 'the cost of keys, quotas and shares of client accounts', {}, () =>
     printRows(benchAccounts()),
   )
-  .command('backlog', 'what a pass over a full pool costs, by the steps that wait', {}, () =>
-    printRows(benchBacklogs()),
+  .command(
+    'backlog',
+    'the cost of a scheduling pass over a full pool, by the number of waiting steps',
+    {},
+    () => printRows(benchBacklogs()),
   )
-  .command('placement', 'what it costs to choose an endpoint at 21,000 hosts', {}, () =>
+  .command('placement', 'the cost of choosing an endpoint in a fleet of 21,000 hosts', {}, () =>
     printRows(benchPlacement()),
   )
   .command(
     'idle',
-    'what an entry costs while nobody sends requests',
+    'the resource use of an idle entry',
     {
       example: { choices: ['kutch-hills', 'be-central'] as const, default: 'kutch-hills' as const },
     },
@@ -56,7 +62,7 @@
   )
   .command(
     'memory',
-    'the memory of an entry over many requests',
+    'the memory use of an entry over many requests',
     { requests: { type: 'number', default: 1_000_000 } } as const,
     async ({ requests }) => printRows(await benchMemory(requests)),
   )
--- a/packages/bench/src/overload/executors.ts
+++ b/packages/bench/src/overload/executors.ts
@@ -1,13 +1,14 @@
-/** Executors in virtual time: a bounded number of slots and an unbounded queue behind them. */
+/** Executors in virtual time, each with a bounded number of slots and an unbounded queue. */
 import type { Rng } from '@valvelatch/core';
 
 import type { VirtualTime } from './virtual-time.js';
 
-/** An executor that finishes whatever it has accepted, also where nobody waits any more. */
+/** An executor that completes every accepted request, even after the caller's deadline has passed. */
 export type VirtualExecutor = {
   readonly accept: (onDone: () => void) => void;
+  /** The number of requests that are running or queued. */
   readonly load: () => number;
-  /** The most requests that were ever being worked on and queued at one time. */
+  /** The highest number of requests that were running or queued at the same time. */
   readonly mostAtOnce: () => number;
 };
 
@@ -19,9 +20,9 @@
 };
 
 /**
- * Builds an executor whose work times are exponentially distributed.
+ * Builds an executor with exponentially distributed service times.
  *
- * @param options - The clock, the random numbers, its slots and mean time of work.
+ * @param options - The clock, the random number generator, the slots and the mean service time.
  * @returns The executor.
  */
 export const createVirtualExecutor = ({
@@ -31,14 +32,14 @@
   meanWorkMs,
 }: VirtualExecutorOptions): VirtualExecutor => {
   const queue: (() => void)[] = [];
-  let busy = 0;
-  let most = 0;
+  let busySlots = 0;
+  let maxLoad = 0;
 
   const start = (onDone: () => void): void => {
-    busy += 1;
+    busySlots += 1;
     const workMs = -Math.log(1 - rng()) * meanWorkMs;
     time.at(time.nowMs() + workMs, () => {
-      busy -= 1;
+      busySlots -= 1;
       onDone();
       const next = queue.shift();
       if (next) start(next);
@@ -47,11 +48,11 @@
 
   return {
     accept: (onDone) => {
-      if (busy < slots) start(onDone);
+      if (busySlots < slots) start(onDone);
       else queue.push(onDone);
-      most = Math.max(most, busy + queue.length);
+      maxLoad = Math.max(maxLoad, busySlots + queue.length);
     },
-    load: () => busy + queue.length,
-    mostAtOnce: () => most,
+    load: () => busySlots + queue.length,
+    mostAtOnce: () => maxLoad,
   };
 };
--- a/packages/bench/src/overload/overload.ts
+++ b/packages/bench/src/overload/overload.ts
@@ -1,4 +1,4 @@
-/** Goodput and isolation beyond capacity, in virtual time. */
+/** Measures goodput and isolation between callers under overload, in virtual time. */
 import { createRng } from '@valvelatch/core';
 import * as hdr from 'hdr-histogram-js';
 
@@ -12,10 +12,13 @@
 const MEAN_WORK_MS = 20;
 const DEADLINE_MS = 500;
 const RUN_MS = 20_000;
-/** The heavy caller sends all load that the light ones do not. */
+/** The heavy caller sends the part of the load that the light callers don't send. */
 const LIGHT_CALLERS = ['light-1', 'light-2', 'light-3'];
 const HEAVY_CALLER = 'heavy';
-/** Each light caller wants this share of the capacity, well below its isolated quarter. */
+/**
+ * The share of the capacity that each light caller requests. It is well below the quarter that each of
+ * the four callers is guaranteed.
+ */
 const LIGHT_SHARE = 0.05;
 const CAPACITY_PER_MS = (EXECUTORS * SLOTS) / MEAN_WORK_MS;
 const LOAD_FACTORS = [0.8, 1, 2, 5];
@@ -83,9 +86,9 @@
 };
 
 /**
- * Runs each policy at each load.
+ * Runs each policy at each load factor.
  *
- * @returns One row a run; capacity is 1.
+ * @returns One row per run; a load factor of 1 is the capacity.
  */
 export const benchOverload = async (): Promise<readonly BenchRow[]> => {
   const rows: BenchRow[] = [];
--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that are compared: the gate of an entry, no limits, and static shares. */
+/** The compared policies: the admission of an entry, no limits, and static shares. */
 import {
   brand,
   createEndpoint,
@@ -17,7 +17,7 @@
 import type { VirtualExecutor } from './executors.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** A request under way. */
+/** A request in flight. */
 export type VirtualRequest = {
   readonly caller: string;
   readonly deadlineMs: number;
@@ -25,10 +25,10 @@
   readonly onRefused: () => void;
 };
 
-/** A way to deal with requests. */
+/** Decides where each request runs and whether it is refused. */
 export type Policy = { readonly submit: (request: VirtualRequest) => void };
 
-/** What a policy works with. */
+/** The dependencies of a policy. */
 export type PolicyOptions = {
   readonly time: VirtualTime;
   readonly rng: Rng;
@@ -38,8 +38,8 @@
 };
 
 const ENTRIES = 2;
-const PUMP_MS = 20;
-const LONGEST_MS = 120_000;
+const QUEUE_INTERVAL_MS = 20;
+const MAX_RUN_MS = 120_000;
 
 const createEntry = ({ time, rng, executors, slots }: PolicyOptions, seat: number): Policy => {
   const gate = createServiceAdmission({
@@ -59,7 +59,8 @@
     });
   });
   gate.setEndpoints(endpoints);
-  for (let atMs = PUMP_MS; atMs < LONGEST_MS; atMs += PUMP_MS) time.at(atMs, gate.processQueue);
+  for (let atMs = QUEUE_INTERVAL_MS; atMs < MAX_RUN_MS; atMs += QUEUE_INTERVAL_MS)
+    time.at(atMs, gate.processQueue);
 
   const submit = async ({ caller, deadlineMs, onAnswer, onRefused }: VirtualRequest) => {
     const callerId = brand<CallerId>(caller);
@@ -112,7 +113,7 @@
   };
 };
 
-/** The policies by the name that is printed. */
+/** The policies by their printed name. */
 export const policies: Readonly<Record<string, (options: PolicyOptions) => Policy>> = {
   valvelatch,
   'no-limits': noLimits,
--- a/packages/bench/src/overload/virtual-time.ts
+++ b/packages/bench/src/overload/virtual-time.ts
@@ -1,20 +1,21 @@
-/** Virtual time for benchmarks of pure decisions: events in order, no waiting. */
+/** Virtual time for benchmarks of decisions: runs events in order of time without waiting. */
 
 type Event = { readonly atMs: number; readonly order: number; readonly run: () => void };
 
-/** A clock that moves from event to event. */
+/** A clock that advances from event to event. */
 export type VirtualTime = {
   readonly nowMs: () => number;
+  /** Schedules an event. Events with the same time run in the order in which they were scheduled. */
   readonly at: (atMs: number, run: () => void) => void;
-  /** Runs all events up to a time; promises settle between events. */
+  /** Runs all events up to a time. Between events, pending promise callbacks run. */
   readonly runUntil: (untilMs: number) => Promise<void>;
 };
 
 const isBefore = (a: Event, b: Event): boolean =>
   a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order);
 
-/** Steps of settled promises that may follow from one event. */
-const SETTLING_STEPS = 6;
+/** How many microtask turns run after each event, so that its chains of promises complete. */
+const MICROTASK_TURNS = 6;
 
 /**
  * Builds a clock at time 0.
@@ -75,7 +76,7 @@
         const event = pop() as Event;
         nowMs = event.atMs;
         event.run();
-        for (let step = 0; step < SETTLING_STEPS; step += 1) await Promise.resolve();
+        for (let step = 0; step < MICROTASK_TURNS; step += 1) await Promise.resolve();
       }
       nowMs = untilMs;
     },
--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -1,4 +1,4 @@
-/** What it costs to choose an endpoint for a task at 21,000 hosts in 1,000 racks. */
+/** Measures the time to choose an endpoint for a task in a fleet of 21,000 hosts in 1,000 racks. */
 import {
   createBatchState,
   DEFAULT_STEP,
@@ -21,7 +21,7 @@
 const HOSTS_PER_RACK = 21;
 const DATA_CENTRES = 20;
 const CORES_MILLIS = 64_000;
-/** A short step has 8 tasks, a long-running one some 24. */
+/** The tasks of a short step; a long-running step has `LONG_RUNNING_TASKS`. */
 const SHORT_TASKS = 8;
 const LONG_RUNNING_TASKS = 24;
 const ROUNDS = 200;
@@ -29,8 +29,8 @@
 
 const poolName = (index: number): PoolName => brand<PoolName>(`pool-${index}`);
 
-/** Racks take turns over the data centres and have hosts of all pools. */
-const fleetOf = (pools: number): BatchState => {
+/** Builds a fleet whose racks are spread over the data centres in turn; hosts are assigned to pools in turn. */
+const createFleet = (pools: number): BatchState => {
   const state = createBatchState(2);
   Array.from({ length: HOSTS }).forEach((_, index) => {
     const rack = Math.floor(index / HOSTS_PER_RACK);
@@ -54,7 +54,7 @@
   return state;
 };
 
-const stepOf = (state: BatchState, number: number, spec: Partial<StepSpec>): StepRun => {
+const createStep = (state: BatchState, number: number, spec: Partial<StepSpec>): StepRun => {
   const job = addJob(state, {
     job: {
       jobId: brand(number.toString(16).padStart(16, '0')),
@@ -74,9 +74,9 @@
   return job.occurrences.get(0)?.steps[0] as StepRun;
 };
 
-/** The time of one choice in the mean over a step's tasks, in microseconds. */
+/** Measures the mean time per task to place all tasks of a step, in microseconds. */
 const chooseUs = (state: BatchState, number: number, spec: Partial<StepSpec>): number => {
-  const step = stepOf(state, number, spec);
+  const step = createStep(state, number, spec);
   const endpoints = schedulableEndpoints(state, poolName(0), 1);
   const beganAtMs = performance.now();
   const table = scoresFor(state, endpoints, step);
@@ -91,7 +91,7 @@
 };
 
 const measure = (pools: number): BenchRow => {
-  const state = fleetOf(pools);
+  const state = createFleet(pools);
   const times = Array.from({ length: ROUNDS }, (_, round) => ({
     short: chooseUs(state, 2 * round, { taskCount: SHORT_TASKS }),
     longRunning: chooseUs(state, 2 * round + 1, { taskCount: LONG_RUNNING_TASKS, isLasting: true }),
@@ -106,8 +106,8 @@
 };
 
 /**
- * Measures the choice of an endpoint, with the fleet in 23 pools and in one.
+ * Measures the choice of an endpoint with the fleet in 23 pools and in one pool.
  *
- * @returns A row for each.
+ * @returns One row per number of pools.
  */
 export const benchPlacement = (): readonly BenchRow[] => [measure(23), measure(1)];
--- a/packages/bench/src/report.ts
+++ b/packages/bench/src/report.ts
@@ -1,18 +1,18 @@
-/** What the benchmarks print: one JSON object a line for scripts, a table for people. */
+/** The output of the benchmarks: JSON lines for scripts and a table for people. */
 
-/** One figure or one row of figures. */
+/** A row of results, by column. */
 export type BenchRow = Readonly<Record<string, string | number>>;
 
 /**
- * Rounds a figure to three significant digits, as no run here is more exact than that.
+ * Rounds a value to three significant digits, because no benchmark is more precise than that.
  *
- * @param value - The figure.
- * @returns The rounded figure.
+ * @param value - The value.
+ * @returns The rounded value.
  */
 export const rounded = (value: number): number => Number(value.toPrecision(3));
 
 /**
- * Prints rows: JSON lines on the standard output, a table on the standard error.
+ * Prints rows as JSON lines to the standard output and as a table to the standard error.
  *
  * @param rows - The rows.
  */
@@ -30,10 +30,10 @@
 };
 
 /**
- * Gives the middle of several figures.
+ * Computes the median; of an even number of values, the higher of the two in the middle.
  *
- * @param values - The figures.
- * @returns The median.
+ * @param values - The values.
+ * @returns The median; 0 if there are no values.
  */
 export const median = (values: readonly number[]): number => {
   const sorted = [...values].sort((a, b) => a - b);
--- a/packages/bench/src/waves/waves.ts
+++ b/packages/bench/src/waves/waves.ts
@@ -1,4 +1,4 @@
-/** Roll-out time, moves and buffer cost of the planner and its baselines, in virtual time. */
+/** Measures roll-out time, moves and buffer cost of the planner and its baselines, in virtual time. */
 import {
   createFleetModel,
   listDeclarations,
@@ -18,16 +18,16 @@
 
 import { rounded, type BenchRow } from '../report.js';
 
-/** What is lost in the middle of the wave, for good. */
+/** What fails permanently during the wave. */
 export type Losses = 'none' | 'host' | 'rack' | 'data-centre';
 
 const REBOOT_MS = 300_000;
 const START_MS = 2000;
 const STEP_MS = 1000;
 const SETTLE_STEPS = 20;
-const MOST_STEPS = 15_000;
+const MAX_STEPS = 15_000;
 const WAVE = 'bench';
-/** The loss strikes once this share of the hosts has been maintained. */
+/** The failure occurs once this share of the hosts has been maintained. */
 const LOSS_AT_SHARE = 0.25;
 
 const planners: Readonly<Record<string, WaveStrategy>> = {
@@ -40,10 +40,11 @@
 const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
 
 /**
- * The shortest roll-out that any plan could have: a canary must be through first, then each pool
- * can be without no more hosts at a time than leave room for its executors.
+ * Computes a lower bound of the roll-out time of any plan, in seconds: a canary host is maintained
+ * first, then each pool can spare only as many hosts at a time as leave enough capacity for its
+ * executors.
  */
-const boundS = (configuration: Configuration): number => {
+const computeMinRollOutS = (configuration: Configuration): number => {
   const hosts = listDeclaredHosts(configuration);
   const rounds = listDeclarations(configuration, 'Pool').map(({ name }) => {
     const inPool = hosts.filter(({ initialPool }) => initialPool === name);
@@ -70,22 +71,26 @@
   fleet.table.transact([], [{ key: rowKey.wave(WAVE), value: row }]);
 };
 
-const victims: Record<Losses, (specs: readonly HostSpec[], used: HostSpec) => readonly HostSpec[]> =
-  {
-    none: () => [],
-    host: (_, used) => [used],
-    rack: (specs, used) => specs.filter(({ rack }) => rack === used.rack),
-    'data-centre': (specs, used) =>
-      specs.filter(({ dataCentre }) => dataCentre === used.dataCentre),
-  };
+const failedHosts: Record<
+  Losses,
+  (specs: readonly HostSpec[], used: HostSpec) => readonly HostSpec[]
+> = {
+  none: () => [],
+  host: (_, used) => [used],
+  rack: (specs, used) => specs.filter(({ rack }) => rack === used.rack),
+  'data-centre': (specs, used) => specs.filter(({ dataCentre }) => dataCentre === used.dataCentre),
+};
 
-const usedHost = (fleet: FleetModel, specs: readonly HostSpec[]): HostSpec => {
+const findUsedHost = (fleet: FleetModel, specs: readonly HostSpec[]): HostSpec => {
   const [task] = fleet.workers.tasks().filter(({ service }) => service !== null);
   return specs.find(({ hostId }) => hostId === task?.hostId) ?? (specs[0] as HostSpec);
 };
 
-/** Cores of hosts that are being maintained, and cores that are used twice during a move. */
-const heldBackCores = (fleet: FleetModel, specs: ReadonlyMap<HostId, HostSpec>): number =>
+/**
+ * Sums the cores of live hosts that are not assigned: hosts under maintenance, and hosts that are being
+ * drained while replacements of their executors already use other cores.
+ */
+const sumHeldBackCores = (fleet: FleetModel, specs: ReadonlyMap<HostId, HostSpec>): number =>
   sum(
     fleet
       .rows<HostRow>(rowPrefix.host)
@@ -129,15 +134,15 @@
   const wave = (): WaveRow => fleet.table.read(rowKey.wave(WAVE)).value as WaveRow;
   const maintained = (): number =>
     fleet.rows<HostRow>(rowPrefix.host).filter(({ maintainedBy }) => maintainedBy !== null).length;
-  for (let step = 0; step < MOST_STEPS && wave().phase === 'running'; step += 1) {
+  for (let step = 0; step < MAX_STEPS && wave().phase === 'running'; step += 1) {
     fleet.step();
     if (!isLost && maintained() >= list.length * LOSS_AT_SHARE) {
       isLost = true;
-      victims[losses](list, usedHost(fleet, list)).forEach(({ hostId }) =>
+      failedHosts[losses](list, findUsedHost(fleet, list)).forEach(({ hostId }) =>
         fleet.workers.kill(hostId),
       );
     }
-    const held = heldBackCores(fleet, specs);
+    const held = sumHeldBackCores(fleet, specs);
     heldBackCoreS += (held * STEP_MS) / 1000;
     peakCores = Math.max(peakCores, held);
     budgetViolations += services.filter(
@@ -159,21 +164,21 @@
 };
 
 /**
- * Runs the planner and its baselines on an example, with each kind of loss.
+ * Runs the planner and its baselines on an example with each kind of failure.
  *
- * @param example - The folder under `examples/`.
- * @returns One row a run.
+ * @param example - The name of the folder under `examples/`.
+ * @returns One row per run.
  */
 export const benchWaves = async (example: string): Promise<readonly BenchRow[]> => {
   const configuration = await readExample(example);
   const hosts = listDeclaredHosts(configuration);
   const totalCores = sum(hosts.map(({ cores }) => cores));
-  const bound = boundS(configuration);
+  const bound = computeMinRollOutS(configuration);
   return allLosses.flatMap((losses) => {
     const outcomes = Object.entries(planners).map(
       ([planner, strategy]) => [planner, runOne(configuration, strategy, losses)] as const,
     );
-    // All planners are charged over the same time, so that a short wave is not held against it.
+    // The buffer cost of all planners refers to the same period, so that a short wave is not penalised.
     const horizonS = Math.max(...outcomes.map(([, { rollOutS }]) => rollOutS));
     return outcomes.map(([planner, outcome]) => ({
       bench: 'waves',
