--- a/bin/quickstart.js
+++ b/bin/quickstart.js
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Runs a whole small deployment on the loopback address and checks what must hold: applies an
- * example, serves requests, places jobs, runs a wave of maintenance under load, asks why.
+ * Runs a small but complete deployment on the loopback address and checks its behaviour: applies an
+ * example, serves requests, places jobs, runs a maintenance wave under load and explains decisions.
  */
 import { randomUUID } from 'node:crypto';
 
@@ -15,7 +15,7 @@
 const WAIT_STEP_MS = 100;
 const SENDERS_PER_ENTRY = 6;
 
-const waves = { 'kutch-hills': 'rack=bhuj-r1', 'be-central': 'rack=gent-r1' };
+const waveSelectors = { 'kutch-hills': 'rack=bhuj-r1', 'be-central': 'rack=gent-r1' };
 
 const { example } = await yargs(hideBin(process.argv))
   .option('example', { choices: ['kutch-hills', 'be-central'], default: 'kutch-hills' })
@@ -26,14 +26,14 @@
 const failures = [];
 const report = [];
 
-const say = (text) => process.stdout.write(`${text}\n`);
+const print = (text) => process.stdout.write(`${text}\n`);
 const pause = (ms) =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
-const check = (what, holds, detail = '') => {
-  report.push(`${holds ? 'held  ' : 'BROKEN'} ${what}${detail === '' ? '' : `: ${detail}`}`);
-  if (!holds) failures.push(`${what}: ${detail}`);
+const check = (label, holds, detail = '') => {
+  report.push(`${holds ? 'held  ' : 'BROKEN'} ${label}${detail === '' ? '' : `: ${detail}`}`);
+  if (!holds) failures.push(`${label}: ${detail}`);
 };
 
 const waitFor = async (what, ms, test) => {
@@ -58,10 +58,13 @@
   return { cli, json };
 };
 
-/** Sends requests until it is told to stop, and checks that each answer is the sender's own. */
+/**
+ * Sends requests and checks that each answer belongs to its request. Returns a function that stops the
+ * load and returns the totals.
+ */
 const startLoad = (entries, services) => {
   const agent = new Agent({ connections: SENDERS_PER_ENTRY, pipelining: 1 });
-  const sums = { answered: 0, wrong: 0, notRun: 0, mayHaveRun: 0, ran: 0, once: 0, times: [] };
+  const totals = { answered: 0, wrong: 0, notRun: 0, mayHaveRun: 0, ran: 0, once: 0, times: [] };
   const reasons = {};
   let isRunning = true;
   const sendOne = async (url, index) => {
@@ -75,15 +78,15 @@
       body,
     });
     const text = await answer.body.text();
-    sums.times.push(performance.now() - startedMs);
+    totals.times.push(performance.now() - startedMs);
     if (answer.statusCode === 200) {
-      sums.answered += 1;
-      if (isOnce) sums.once += 1;
-      if (text !== body) sums.wrong += 1;
+      totals.answered += 1;
+      if (isOnce) totals.once += 1;
+      if (text !== body) totals.wrong += 1;
       return;
     }
     const verdict = String(answer.headers['valvelatch-verdict']);
-    sums[verdict] = (sums[verdict] ?? 0) + 1;
+    totals[verdict] = (totals[verdict] ?? 0) + 1;
     const reason = `${answer.headers['valvelatch-reason']}/${verdict}`;
     reasons[reason] = (reasons[reason] ?? 0) + 1;
   };
@@ -100,8 +103,8 @@
     isRunning = false;
     await Promise.all(senders);
     await agent.close();
-    sums.times.sort((a, b) => a - b);
-    return { ...sums, reasons, p99Ms: sums.times[Math.floor(sums.times.length * 0.99)] ?? 0 };
+    totals.times.sort((a, b) => a - b);
+    return { ...totals, reasons, p99Ms: totals.times[Math.floor(totals.times.length * 0.99)] ?? 0 };
   };
 };
 
@@ -110,7 +113,7 @@
   const placed = placements.find(({ phase }) => phase === 'running');
   const job = await cli('explain', 'job', placed.jobId);
   check('a placed job is explained by labels and selectors', /selector '\S+' met/.test(job.stdout));
-  say(job.stdout.trim());
+  print(job.stdout.trim());
   const refused = await request(`${entry.fields.callersUrl}/services/no-such-service/x`);
   const refusal = await refused.body.json();
   const why = await cli('explain', 'request', refusal.requestId);
@@ -118,12 +121,12 @@
     'a refused request is explained',
     refusal.verdict === 'notRun' && why.code === 0 && /no service named/.test(why.stdout),
   );
-  say(why.stdout.trim());
+  print(why.stdout.trim());
 };
 
 const runAll = async () => {
   const startedMs = performance.now();
-  say(`starting ${example} on the loopback address`);
+  print(`starting ${example} on the loopback address`);
   deployment = await startExample(example);
   const { configuration, entries, workersUrls } = deployment;
   const { cli, json } = cliFor(deployment);
@@ -162,7 +165,7 @@
   const submitted = await json('job', 'submit', '-f', deployment.jobsFolder);
   check('jobs are accepted', submitted.kind === 'ok', submitted.detail ?? '');
 
-  const wave = await json('wave', 'start', 'winter-1', '--selector', waves[example]);
+  const wave = await json('wave', 'start', 'winter-1', '--selector', waveSelectors[example]);
   check('the wave is accepted', wave.kind === 'ok', wave.detail ?? '');
   const waveMs = await waitFor('the wave', 35_000, async () => {
     const { value } = await json('get', 'waves');
@@ -225,13 +228,13 @@
 } catch (error) {
   failures.push(error.message);
   deployment?.processes.forEach(({ name, recent }) =>
-    say(`--- ${name}\n${recent.slice(-12).join('\n')}`),
+    print(`--- ${name}\n${recent.slice(-12).join('\n')}`),
   );
 } finally {
   await deployment?.stop();
 }
-say('');
-report.forEach(say);
+print('');
+report.forEach(print);
 if (failures.length > 0) {
   failures.forEach((one) => process.stderr.write(`quickstart: ${one}\n`));
   process.exit(1);
