--- a/bin/bundle.js
+++ b/bin/bundle.js
@@ -1,4 +1,7 @@
-/** Bundles the program for the users' platform into one file, because loading many modules delays its start. */
+/**
+ * Bundles the program for the users' platform into one file, because loading many modules delays
+ * its start.
+ */
 import { existsSync } from 'node:fs';
 import path from 'node:path';
 
@@ -6,7 +9,10 @@
 
 const ROOT = path.resolve(import.meta.dirname, '..');
 
-/** Resolves the packages of this workspace to their sources, so that the bundle needs no prior build. */
+/**
+ * Resolves the packages of this workspace to their sources, so that the bundle needs no prior
+ * build.
+ */
 const fromSources = {
   name: 'from-sources',
   setup: (builder) => {
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,4 +1,6 @@
-/** Airbnb's rules for TypeScript. Prettier, configured for Airbnb's style, handles the formatting. */
+/**
+ * Airbnb's rules for TypeScript. Prettier, configured for Airbnb's style, handles the formatting.
+ */
 import { configs, plugins } from 'eslint-config-airbnb-extended';
 import prettier from 'eslint-config-prettier';
 
--- a/packages/bench/src/control/membership-model.ts
+++ b/packages/bench/src/control/membership-model.ts
@@ -1,4 +1,7 @@
-/** Simulates many members in one process. Each has its own state; messages are delivered one step later. */
+/**
+ * Simulates many members in one process. Each has its own state; messages are delivered one step
+ * later.
+ */
 import {
   brand,
   createMembership,
@@ -28,7 +31,10 @@
   inbox: { readonly from: EntryId; readonly members: readonly Member[] }[];
   readonly heardMs: Map<EntryId, number>;
   readonly traffic: Traffic;
-  /** Values derived from the membership `from`; they are computed again when the membership has changed. */
+  /**
+   * Values derived from the membership `from`; they are computed again when the membership has
+   * changed.
+   */
   derived: { readonly from: Membership; readonly links: readonly EntryId[]; readonly hash: number };
 };
 
--- a/packages/bench/src/data-path/bare-forward.ts
+++ b/packages/bench/src/data-path/bare-forward.ts
@@ -1,4 +1,6 @@
-/** The baseline of the data-path benchmark: a minimal forwarder with the same libraries as an entry. */
+/**
+ * The baseline of the data-path benchmark: a minimal forwarder with the same libraries as an entry.
+ */
 import fastify from 'fastify';
 import { Pool } from 'undici';
 
--- a/packages/bench/src/idle/idle.ts
+++ b/packages/bench/src/idle/idle.ts
@@ -1,4 +1,7 @@
-/** Measures the resource use of idle entries, which consists of control turns, mesh traffic and polling. */
+/**
+ * Measures the resource use of idle entries, which consists of control turns, mesh traffic and
+ * polling.
+ */
 import { runCli, startExample, type RunningProcess } from '@valvelatch/stand-ins';
 import { request } from 'undici';
 
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,6 @@
-/** The command line of the benchmarks, with a subcommand for each, for example `bench data-path`. */
+/**
+ * The command line of the benchmarks, with a subcommand for each, for example `bench data-path`.
+ */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
--- a/packages/bench/src/overload/executors.ts
+++ b/packages/bench/src/overload/executors.ts
@@ -3,7 +3,9 @@
 
 import type { VirtualTime } from './virtual-time.js';
 
-/** An executor that completes every accepted request, even after the caller's deadline has passed. */
+/**
+ * An executor that completes every accepted request, even after the caller's deadline has passed.
+ */
 export type VirtualExecutor = {
   readonly accept: (onDone: () => void) => void;
   /** The number of requests that are running or queued. */
--- a/packages/bench/src/overload/virtual-time.ts
+++ b/packages/bench/src/overload/virtual-time.ts
@@ -5,7 +5,9 @@
 /** A clock that advances from event to event. */
 export type VirtualTime = {
   readonly nowMs: () => number;
-  /** Schedules an event. Events with the same time run in the order in which they were scheduled. */
+  /**
+   * Schedules an event. Events with the same time run in the order in which they were scheduled.
+   */
   readonly at: (atMs: number, run: () => void) => void;
   /** Runs all events up to a time. Between events, pending promise callbacks run. */
   readonly runUntil: (untilMs: number) => Promise<void>;
--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -29,7 +29,10 @@
 
 const poolName = (index: number): PoolName => brand<PoolName>(`pool-${index}`);
 
-/** Builds a fleet whose racks are spread over the data centres in turn; hosts are assigned to pools in turn. */
+/**
+ * Builds a fleet whose racks are spread over the data centres in turn; hosts are assigned to pools
+ * in turn.
+ */
 const createFleet = (pools: number): BatchState => {
   const state = createBatchState(2);
   Array.from({ length: HOSTS }).forEach((_, index) => {
--- a/packages/bench/src/waves/waves.ts
+++ b/packages/bench/src/waves/waves.ts
@@ -1,4 +1,6 @@
-/** Measures roll-out time, moves and buffer cost of the planner and its baselines, in virtual time. */
+/**
+ * Measures roll-out time, moves and buffer cost of the planner and its baselines, in virtual time.
+ */
 import {
   createFleetModel,
   listDeclarations,
--- a/packages/core/src/declarations/schema.ts
+++ b/packages/core/src/declarations/schema.ts
@@ -1,4 +1,6 @@
-/** The kinds of declaration that operators keep in version control, with the schema of each kind. */
+/**
+ * The kinds of declaration that operators keep in version control, with the schema of each kind.
+ */
 import { z } from 'zod';
 
 import { parseSelector } from '../selectors/parse-selector.js';
@@ -10,7 +12,10 @@
 const labels = z.record(z.string(), z.string().regex(LABEL_VALUE)).default({});
 const count = (max: number) => z.number().int().min(0).max(max);
 
-/** A selector in the operators' selector grammar; its syntax is checked when the declaration is read. */
+/**
+ * A selector in the operators' selector grammar; its syntax is checked when the declaration is
+ * read.
+ */
 export const selectorText = z
   .string()
   .default('')
@@ -30,12 +35,17 @@
   accelerators: count(64).default(0),
 };
 
-/** The urgency of a job: determines its start order and which job is preempted on an overloaded host. */
+/**
+ * The urgency of a job: determines its start order and which job is preempted on an overloaded
+ * host.
+ */
 export const urgency = z.enum(['urgent', 'normal', 'batch']);
 
 const dataCentreSpec = z.strictObject({
   region: name,
-  /** The maximum number of entries in this data centre that share its endpoints at the same time. */
+  /**
+   * The maximum number of entries in this data centre that share its endpoints at the same time.
+   */
   entrySeats: z.number().int().min(1).max(64),
 });
 
--- a/packages/core/src/replay/agent-model.ts
+++ b/packages/core/src/replay/agent-model.ts
@@ -1,4 +1,6 @@
-/** The agent of a data centre in virtual time: runs the production reconciler against the models. */
+/**
+ * The agent of a data centre in virtual time: runs the production reconciler against the models.
+ */
 import {
   findEmptyHosts,
   reconcile,
--- a/packages/core/src/replay/fleet-model.ts
+++ b/packages/core/src/replay/fleet-model.ts
@@ -61,7 +61,9 @@
   readonly planOnly: (pool: PoolName) => PausedTurn;
   /** Writes a turn that was planned earlier and returns the number of committed actions. */
   readonly write: (turn: PausedTurn) => number;
-  /** Transfers control of a pool to a new holder; later writes of the former holder are rejected. */
+  /**
+   * Transfers control of a pool to a new holder; later writes of the former holder are rejected.
+   */
   readonly takeControl: (pool: PoolName) => void;
   /** Sets the cores that a job uses from now on. Until then no usage is reported for it. */
   readonly setUse: (jobId: JobId, cores: number) => void;
--- a/packages/core/src/replay/replay.ts
+++ b/packages/core/src/replay/replay.ts
@@ -1,4 +1,6 @@
-/** Replays a trace against the production planner and checks the expectations that the trace states. */
+/**
+ * Replays a trace against the production planner and checks the expectations that the trace states.
+ */
 import { listDeclarations, type Configuration } from '../configuration/configuration.js';
 import { listDeclaredHosts, selectHosts } from '../fleet/fleet.js';
 import { rowKey, rowPrefix, type HostRow, type JobRow, type WaveRow } from '../rows/rows.js';
@@ -185,7 +187,10 @@
   });
 };
 
-/** Nothing runs at the start, so invariants and availability budgets are checked only after this time. */
+/**
+ * Nothing runs at the start, so invariants and availability budgets are checked only after this
+ * time.
+ */
 const INVARIANT_CHECKS_FROM_S = 10;
 
 /**
--- a/packages/core/src/replay/workers-model.ts
+++ b/packages/core/src/replay/workers-model.ts
@@ -1,4 +1,6 @@
-/** Workers in virtual time: hosts that run tasks under leases, reboot, fail and return to service. */
+/**
+ * Workers in virtual time: hosts that run tasks under leases, reboot, fail and return to service.
+ */
 import { change } from '../shared/change.js';
 import type { ObservedTask } from '../control/reconcile.js';
 import type { PlacementRow } from '../rows/rows.js';
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,4 +1,7 @@
-/** The daemon process: reads its settings, runs one entry, and shuts it down gracefully on SIGTERM or SIGINT. */
+/**
+ * The daemon process: reads its settings, runs one entry, and shuts it down gracefully on SIGTERM
+ * or SIGINT.
+ */
 import { startEntry } from './entry/entry.js';
 import { readSettings } from './settings/settings.js';
 
--- a/packages/daemon/src/observe/bounded-output.test.ts
+++ b/packages/daemon/src/observe/bounded-output.test.ts
@@ -84,7 +84,10 @@
     const LINES = 300;
     const MAX_WRITE_BYTES = 8192;
 
-    /** Returns the writes for lines of some 250 bytes and for one line that exceeds the maximum write. */
+    /**
+     * Returns the writes for lines of some 250 bytes and for one line that exceeds the maximum
+     * write.
+     */
     const writeManyLines = async (): Promise<readonly string[]> => {
       const writes: string[] = [];
       const writeBytes: WriteBytes = (bytes, done) => {
--- a/packages/daemon/src/operators/list-handlers.ts
+++ b/packages/daemon/src/operators/list-handlers.ts
@@ -28,7 +28,9 @@
 
 type Lister = (context: OperatorContext, selector: string) => Promise<OperatorResult>;
 
-/** Converts a host's declaration to the operators' view, which names the initial pool `firstPool`. */
+/**
+ * Converts a host's declaration to the operators' view, which names the initial pool `firstPool`.
+ */
 const toHostView = ({ hostId, dataCentre, rack, initialPool, ...others }: HostSpec) => ({
   hostId,
   dataCentre,
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,4 +1,7 @@
-/** The settings of the daemon. Each is a flag and an environment variable, and is validated at startup. */
+/**
+ * The settings of the daemon. Each is a flag and an environment variable, and is validated at
+ * startup.
+ */
 import { Err, Ok, type Result } from 'ts-results-es';
 import { hideBin } from 'yargs/helpers';
 import yargs from 'yargs';
@@ -140,7 +143,8 @@
  * Validates raw settings.
  *
  * @param raw - The values by flag, as text; undefined for a flag that is not set.
- * @returns The settings, or one line that names the first invalid flag, its value and the accepted values.
+ * @returns The settings, or one line that names the first invalid flag, its value and the accepted
+ * values.
  */
 export const checkSettings = (raw: Readonly<Record<string, unknown>>): Result<Settings, string> => {
   const checked: Record<string, unknown> = {};
