--- a/packages/bench/src/accounts/accounts.ts
+++ b/packages/bench/src/accounts/accounts.ts
@@ -15,7 +15,7 @@
 } from '@valvelatch/core/batch';
 import { brand } from '@valvelatch/core/shared/ids';
 
-import { rounded, type BenchRow } from '../report.js';
+import { roundToPrecision, type BenchRow } from '../report.js';
 
 const ACCOUNTS = 2000;
 const KEYS_PER_ACCOUNT = 10;
@@ -49,7 +49,7 @@
 const measureMeanUs = (count: number, act: (index: number) => void): number => {
   const beganAtMs = performance.now();
   for (let index = 0; index < count; index += 1) act(index);
-  return rounded(((performance.now() - beganAtMs) / count) * US_PER_MS);
+  return roundToPrecision(((performance.now() - beganAtMs) / count) * US_PER_MS);
 };
 
 /**
@@ -66,7 +66,7 @@
     accounts: declareAccounts(),
   };
   const index = indexQueues(configuration);
-  const memoryMb = rounded((heapBytes() - before) / BYTES_PER_MB);
+  const memoryMb = roundToPrecision((heapBytes() - before) / BYTES_PER_MB);
 
   const keyCheckUs = measureMeanUs(ROUNDS, (round) => {
     index.accounts.byKey.get(digestOf(keyOf(round % ACCOUNTS, round % KEYS_PER_ACCOUNT)));
--- a/packages/bench/src/backlog/backlog.ts
+++ b/packages/bench/src/backlog/backlog.ts
@@ -18,7 +18,7 @@
 import { change } from '@valvelatch/core/shared/change';
 import { brand, type EndpointId, type PoolName } from '@valvelatch/core/shared/ids';
 
-import { rounded, type BenchRow } from '../report.js';
+import { roundToPrecision, type BenchRow } from '../report.js';
 
 const POOL = brand<PoolName>('p');
 const ENDPOINTS = 60;
@@ -131,11 +131,11 @@
   const judged = measureAdmissionTimes(state, nowMs);
   return {
     waitingSteps: state.pools.get(POOL)?.openSteps.size ?? 0,
-    meanMs: rounded(times.reduce((sum, one) => sum + one, 0) / PASSES),
-    medianMs: rounded(times[PASSES / 2] ?? 0),
-    p99Ms: rounded(times[Math.floor(PASSES * 0.99)] ?? 0),
-    judgeMedianMs: rounded(judged[ADMISSION_DECISIONS / 2] ?? 0),
-    judgeP99Ms: rounded(judged[Math.floor(ADMISSION_DECISIONS * 0.99)] ?? 0),
+    meanMs: roundToPrecision(times.reduce((sum, one) => sum + one, 0) / PASSES),
+    medianMs: roundToPrecision(times[PASSES / 2] ?? 0),
+    p99Ms: roundToPrecision(times[Math.floor(PASSES * 0.99)] ?? 0),
+    judgeMedianMs: roundToPrecision(judged[ADMISSION_DECISIONS / 2] ?? 0),
+    judgeP99Ms: roundToPrecision(judged[Math.floor(ADMISSION_DECISIONS * 0.99)] ?? 0),
   };
 };
 
--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/big-world.ts
@@ -28,7 +28,12 @@
 };
 
 /** The fleet size that is expected in two years. */
-export const twoYears: FleetSize = { hosts: 21_000, pools: 23, dataCentres: 20, teams: 95 };
+export const expectedFleetSize: FleetSize = {
+  hosts: 21_000,
+  pools: 23,
+  dataCentres: 20,
+  teams: 95,
+};
 
 const HOSTS_PER_RACK = 4;
 const SERVICES_PER_POOL = 5;
@@ -76,7 +81,7 @@
  * @param size - The size of the fleet.
  * @returns The configuration.
  */
-export const bigConfiguration = (size: FleetSize): Configuration =>
+export const createFleetConfiguration = (size: FleetSize): Configuration =>
   applySnapshot(emptyConfiguration, {
     revision: 1,
     declarations: [
@@ -136,7 +141,7 @@
  * @param jobs - The jobs that are still pending.
  * @returns The snapshot, with the rows of the pool's own hosts.
  */
-export const bigWorld = (
+export const createPoolSnapshot = (
   configuration: Configuration,
   pool: PoolName,
   jobs: ReadonlyMap<JobId, Versioned<JobRow>> = new Map(),
@@ -184,7 +189,10 @@
  * @param count - The number of jobs.
  * @returns The rows of the jobs.
  */
-export const pendingJobs = (pool: PoolName, count: number): ReadonlyMap<JobId, Versioned<JobRow>> =>
+export const createPendingJobs = (
+  pool: PoolName,
+  count: number,
+): ReadonlyMap<JobId, Versioned<JobRow>> =>
   new Map(
     range(count).map((index) => {
       const name = `job-${index}`;
--- a/packages/bench/src/control/control.ts
+++ b/packages/bench/src/control/control.ts
@@ -14,8 +14,13 @@
 } from '@valvelatch/core';
 import { encodeFrame } from '@valvelatch/mesh';
 
-import { median, rounded, type BenchRow } from '../report.js';
-import { bigConfiguration, bigWorld, pendingJobs, twoYears } from './big-world.js';
+import { computeMedian, roundToPrecision, type BenchRow } from '../report.js';
+import {
+  createFleetConfiguration,
+  createPoolSnapshot,
+  createPendingJobs,
+  expectedFleetSize,
+} from './big-world.js';
 import { createMembershipModel } from './membership-model.js';
 
 const CHANGES_PER_DAY = 81_000;
@@ -28,7 +33,7 @@
 const createCostRow = (name: string, value: number, unit: string): BenchRow => ({
   bench: 'control',
   slope: name,
-  value: rounded(value),
+  value: roundToPrecision(value),
   unit,
 });
 
@@ -55,16 +60,16 @@
 };
 
 const medianCpuMs = (run: () => void): number =>
-  median(Array.from({ length: TURNS }, () => cpuMs(run)));
+  computeMedian(Array.from({ length: TURNS }, () => cpuMs(run)));
 
 const pool = brand<PoolName>('pool-0');
 
 const measureHosts = (): readonly BenchRow[] => {
-  const small = measureHeap(() => bigConfiguration(twoYears));
-  const world = measureHeap(() => bigWorld(small.value, pool));
+  const small = measureHeap(() => createFleetConfiguration(expectedFleetSize));
+  const world = measureHeap(() => createPoolSnapshot(small.value, pool));
   const hosts = world.value.hosts.size;
   return [
-    createCostRow('bytes-per-declared-host', small.bytes / twoYears.hosts, 'bytes'),
+    createCostRow('bytes-per-declared-host', small.bytes / expectedFleetSize.hosts, 'bytes'),
     createCostRow('bytes-per-host-of-held-pool', world.bytes / hosts, 'bytes'),
     createCostRow('hosts-of-one-pool', hosts, 'hosts'),
     createCostRow(
@@ -87,7 +92,7 @@
 };
 
 const measureChanges = (): readonly BenchRow[] => {
-  const configuration = bigConfiguration(twoYears);
+  const configuration = createFleetConfiguration(expectedFleetSize);
   const deltas = Array.from({ length: MEASURED_CHANGES }, (_, index) =>
     createDelta(configuration, index + 2),
   );
@@ -114,10 +119,10 @@
 };
 
 const measureTurns = (): readonly BenchRow[] => {
-  const configuration = bigConfiguration(twoYears);
-  const idle = bigWorld(configuration, pool);
-  const one = bigWorld(configuration, pool, pendingJobs(pool, 1));
-  const many = bigWorld(configuration, pool, pendingJobs(pool, 200));
+  const configuration = createFleetConfiguration(expectedFleetSize);
+  const idle = createPoolSnapshot(configuration, pool);
+  const one = createPoolSnapshot(configuration, pool, createPendingJobs(pool, 1));
+  const many = createPoolSnapshot(configuration, pool, createPendingJobs(pool, 200));
   const wave = { ...idle, waves: createWaveRows(Array.from(idle.hosts.keys())) };
   const turn = (world: typeof idle) => () => {
     planPoolTurn(world, 0);
@@ -128,7 +133,11 @@
     createCostRow('cpu-ms-per-turn-with-one-urgent-job', medianCpuMs(turn(one)), 'ms, one pool'),
     createCostRow('cpu-ms-per-turn-with-200-jobs', medianCpuMs(turn(many)), 'ms, one pool'),
     createCostRow('cpu-ms-per-turn-with-a-wave', medianCpuMs(turn(wave)), 'ms, one pool'),
-    createCostRow('cpu-ms-per-turn-of-all-pools', idleMs * twoYears.pools, 'ms, 21,000 hosts'),
+    createCostRow(
+      'cpu-ms-per-turn-of-all-pools',
+      idleMs * expectedFleetSize.pools,
+      'ms, 21,000 hosts',
+    ),
   ];
 };
 
@@ -160,7 +169,7 @@
       busy,
       'bytes/s sent by a member',
     ),
-    createCostRow(`most-links-${members}`, model.mostLinks(), 'links'),
+    createCostRow(`most-links-${members}`, model.maxLinks(), 'links'),
   ];
 };
 
--- a/packages/bench/src/control/membership-model.test.ts
+++ b/packages/bench/src/control/membership-model.test.ts
@@ -8,7 +8,7 @@
 
 const measureAgreementMs = (model: ReturnType<typeof createMembershipModel>): number => {
   const startedMs = model.nowMs();
-  while (!model.isAgreed() && model.nowMs() - startedMs < 60_000) model.step();
+  while (!model.hasConverged() && model.nowMs() - startedMs < 60_000) model.step();
   return model.nowMs() - startedMs;
 };
 
@@ -32,7 +32,7 @@
     it('keeps at most 24 links per entry', () => {
       const model = createMembershipModel(dataCentres, membersEach);
       model.step();
-      expect(model.mostLinks()).toBeLessThanOrEqual(24);
+      expect(model.maxLinks()).toBeLessThanOrEqual(24);
     });
   });
 
--- a/packages/bench/src/control/membership-model.ts
+++ b/packages/bench/src/control/membership-model.ts
@@ -48,9 +48,9 @@
   readonly leave: (id: EntryId) => void;
   readonly ids: () => readonly EntryId[];
   /** True if every live member considers exactly the live members alive. */
-  readonly isAgreed: () => boolean;
+  readonly hasConverged: () => boolean;
   /** The number of links of the member with the most links. */
-  readonly mostLinks: () => number;
+  readonly maxLinks: () => number;
   readonly traffic: () => readonly Traffic[];
 };
 
@@ -230,7 +230,7 @@
       node.isUp = false;
     },
     ids: () => upNodes().map(({ id }) => id),
-    isAgreed: () => {
+    hasConverged: () => {
       const wanted = upNodes()
         .map(({ id }) => id)
         .sort()
@@ -242,7 +242,7 @@
             .join() === wanted,
       );
     },
-    mostLinks: () => Math.max(...Array.from(links.values(), (peers) => peers.size)),
+    maxLinks: () => Math.max(...Array.from(links.values(), (peers) => peers.size)),
     traffic: () => Array.from(nodes.values(), ({ traffic }) => traffic),
   };
 };
--- a/packages/bench/src/data-path/data-path.ts
+++ b/packages/bench/src/data-path/data-path.ts
@@ -9,7 +9,7 @@
 import * as hdr from 'hdr-histogram-js';
 import { Pool, request } from 'undici';
 
-import { median, rounded, type BenchRow } from '../report.js';
+import { computeMedian, roundToPrecision, type BenchRow } from '../report.js';
 
 export type DataPathOptions = {
   readonly requests?: number;
@@ -208,10 +208,10 @@
     return Array.from(rounds, ([path, all]) => ({
       bench: 'data-path',
       path,
-      requestsPerS: rounded(median(all.map(({ perS }) => perS))),
-      p50Us: rounded(median(all.map(({ p50Us }) => p50Us))),
-      p99Us: rounded(median(all.map(({ p99Us }) => p99Us))),
-      cpuUsPerRequest: rounded(median(all.map(({ cpuUs }) => cpuUs))),
+      requestsPerS: roundToPrecision(computeMedian(all.map(({ perS }) => perS))),
+      p50Us: roundToPrecision(computeMedian(all.map(({ p50Us }) => p50Us))),
+      p99Us: roundToPrecision(computeMedian(all.map(({ p99Us }) => p99Us))),
+      cpuUsPerRequest: roundToPrecision(computeMedian(all.map(({ cpuUs }) => cpuUs))),
     }));
   } finally {
     await Promise.all(running.map(stopProcess));
@@ -234,7 +234,7 @@
     const rows: BenchRow[] = [];
     for (let step = 1; path?.residentBytes && step <= steps; step += 1) {
       await measure(path, { requests: Math.floor(requests / steps) });
-      const residentMB = rounded((await path.residentBytes()) / BYTES_PER_MB);
+      const residentMB = roundToPrecision((await path.residentBytes()) / BYTES_PER_MB);
       rows.push({ bench: 'memory', requests: Math.floor((requests * step) / steps), residentMB });
     }
     return rows;
--- a/packages/bench/src/idle/idle.ts
+++ b/packages/bench/src/idle/idle.ts
@@ -5,7 +5,7 @@
 import { runCli, startExample, type RunningProcess } from '@valvelatch/stand-ins';
 import { request } from 'undici';
 
-import { median, rounded, type BenchRow } from '../report.js';
+import { computeMedian, roundToPrecision, type BenchRow } from '../report.js';
 
 const WARM_UP_MS = 8000;
 const MEASUREMENT_MS = 20_000;
@@ -66,15 +66,17 @@
       ({ cpuUs }, index) => ((cpuUs - (before[index]?.cpuUs ?? 0)) / (MEASUREMENT_MS * 1000)) * 100,
     );
     const perS = (field: keyof Counts): number =>
-      rounded((countsAfter[field] - countsBefore[field]) / (MEASUREMENT_MS / 1000));
+      roundToPrecision((countsAfter[field] - countsBefore[field]) / (MEASUREMENT_MS / 1000));
     return [
       {
         bench: 'idle',
         example,
         entries: entries.length,
-        cpuPercentMedian: rounded(median(percents)),
-        cpuPercentMost: rounded(Math.max(...percents)),
-        residentMB: rounded(median(after.map(({ residentBytes }) => residentBytes)) / BYTES_PER_MB),
+        cpuPercentMedian: roundToPrecision(computeMedian(percents)),
+        cpuPercentMost: roundToPrecision(Math.max(...percents)),
+        residentMB: roundToPrecision(
+          computeMedian(after.map(({ residentBytes }) => residentBytes)) / BYTES_PER_MB,
+        ),
         tableReadsPerS: perS('reads'),
         tableTransactionsPerS: perS('transactions'),
       },
--- a/packages/bench/src/overload/executors.ts
+++ b/packages/bench/src/overload/executors.ts
@@ -11,7 +11,7 @@
   /** The number of requests that are running or queued. */
   readonly load: () => number;
   /** The highest number of requests that were running or queued at the same time. */
-  readonly mostAtOnce: () => number;
+  readonly maxLoad: () => number;
 };
 
 export type VirtualExecutorOptions = {
@@ -40,7 +40,7 @@
   const start = (onDone: () => void): void => {
     busySlots += 1;
     const workMs = -Math.log(1 - rng()) * meanWorkMs;
-    time.at(time.nowMs() + workMs, () => {
+    time.schedule(time.nowMs() + workMs, () => {
       busySlots -= 1;
       onDone();
       const next = queue.shift();
@@ -55,6 +55,6 @@
       maxLoad = Math.max(maxLoad, busySlots + queue.length);
     },
     load: () => busySlots + queue.length,
-    mostAtOnce: () => maxLoad,
+    maxLoad: () => maxLoad,
   };
 };
--- a/packages/bench/src/overload/overload.ts
+++ b/packages/bench/src/overload/overload.ts
@@ -2,7 +2,7 @@
 import { createRng } from '@valvelatch/core';
 import * as hdr from 'hdr-histogram-js';
 
-import { rounded, type BenchRow } from '../report.js';
+import { roundToPrecision, type BenchRow } from '../report.js';
 import { createVirtualExecutor } from './executors.js';
 import { policies } from './policies.js';
 import { createVirtualTime } from './virtual-time.js';
@@ -49,7 +49,7 @@
     policy.submit({
       caller,
       deadlineMs,
-      onAnswer: () => {
+      onResponse: () => {
         const isGood = time.nowMs() <= deadlineMs;
         if (isGood) counts.good += 1;
         else counts.late += 1;
@@ -63,9 +63,9 @@
   const startSending = (caller: string, perMs: number): void => {
     const next = (): void => {
       send(caller);
-      time.at(time.nowMs() - Math.log(1 - rng()) / perMs, next);
+      time.schedule(time.nowMs() - Math.log(1 - rng()) / perMs, next);
     };
-    time.at(-Math.log(1 - rng()) / perMs, next);
+    time.schedule(-Math.log(1 - rng()) / perMs, next);
   };
   const lightPerMs = CAPACITY_PER_MS * LIGHT_SHARE;
   LIGHT_CALLERS.forEach((caller) => startSending(caller, lightPerMs));
@@ -76,12 +76,12 @@
     bench: 'overload',
     policy: policyName,
     loadFactor,
-    goodputFraction: rounded((heavy.good + light.good) / (CAPACITY_PER_MS * RUN_MS)),
-    lightGoodFraction: rounded(light.good / light.sent),
-    lightCallerP99Ms: rounded(lightTimes.getValueAtPercentile(99)),
+    goodputFraction: roundToPrecision((heavy.good + light.good) / (CAPACITY_PER_MS * RUN_MS)),
+    lightGoodFraction: roundToPrecision(light.good / light.sent),
+    lightCallerP99Ms: roundToPrecision(lightTimes.getValueAtPercentile(99)),
     notRun: heavy.refused + light.refused,
     mayHaveRun: heavy.late + light.late,
-    mostAtOneExecutor: Math.max(...executors.map((executor) => executor.mostAtOnce())),
+    mostAtOneExecutor: Math.max(...executors.map((executor) => executor.maxLoad())),
   };
 };
 
--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -21,7 +21,7 @@
 export type VirtualRequest = {
   readonly caller: string;
   readonly deadlineMs: number;
-  readonly onAnswer: () => void;
+  readonly onResponse: () => void;
   readonly onRefused: () => void;
 };
 
@@ -60,9 +60,9 @@
   });
   gate.setEndpoints(endpoints);
   for (let atMs = QUEUE_INTERVAL_MS; atMs < MAX_RUN_MS; atMs += QUEUE_INTERVAL_MS)
-    time.at(atMs, gate.processQueue);
+    time.schedule(atMs, gate.processQueue);
 
-  const submit = async ({ caller, deadlineMs, onAnswer, onRefused }: VirtualRequest) => {
+  const submit = async ({ caller, deadlineMs, onResponse, onRefused }: VirtualRequest) => {
     const callerId = brand<CallerId>(caller);
     const slot = await gate.acquire({ callerId, deadlineMs, excludedEndpoints: [] });
     if (slot.kind === 'none') {
@@ -74,7 +74,7 @@
     executors[endpoints.indexOf(endpoint)]?.accept(() => {
       recordOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
       gate.release(endpoint, callerId);
-      onAnswer();
+      onResponse();
     });
   };
   return {
@@ -90,14 +90,14 @@
 };
 
 const noLimits = ({ rng, executors }: PolicyOptions): Policy => ({
-  submit: ({ onAnswer }) => pickRandom(executors, rng)?.accept(onAnswer),
+  submit: ({ onResponse }) => pickRandom(executors, rng)?.accept(onResponse),
 });
 
 const staticShares = ({ executors, slots, callers }: PolicyOptions): Policy => {
   const share = Math.floor((executors.length * slots) / callers.length);
   const inFlight = new Map<string, number>();
   return {
-    submit: ({ caller, onAnswer, onRefused }) => {
+    submit: ({ caller, onResponse, onRefused }) => {
       const own = inFlight.get(caller) ?? 0;
       const free = executors.find((executor) => executor.load() < slots);
       if (own >= share || !free) {
@@ -107,7 +107,7 @@
       inFlight.set(caller, own + 1);
       free.accept(() => {
         inFlight.set(caller, (inFlight.get(caller) ?? 1) - 1);
-        onAnswer();
+        onResponse();
       });
     },
   };
--- a/packages/bench/src/overload/virtual-time.ts
+++ b/packages/bench/src/overload/virtual-time.ts
@@ -8,7 +8,7 @@
   /**
    * Schedules an event. Events with the same time run in the order in which they were scheduled.
    */
-  readonly at: (atMs: number, run: () => void) => void;
+  readonly schedule: (atMs: number, run: () => void) => void;
   /** Runs all events up to a time. Between events, pending promise callbacks run. */
   readonly runUntil: (untilMs: number) => Promise<void>;
 };
@@ -68,7 +68,7 @@
 
   return {
     nowMs: () => nowMs,
-    at: (atMs, run) => {
+    schedule: (atMs, run) => {
       order += 1;
       heap.push({ atMs, order, run });
       siftUp(heap.length - 1);
--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -15,7 +15,7 @@
 import { change } from '@valvelatch/core/shared/change';
 import { brand, type PoolName } from '@valvelatch/core/shared/ids';
 
-import { median, rounded, type BenchRow } from '../report.js';
+import { computeMedian, roundToPrecision, type BenchRow } from '../report.js';
 
 const HOSTS = 21_000;
 const HOSTS_PER_RACK = 21;
@@ -103,8 +103,8 @@
     hosts: HOSTS,
     racks: HOSTS / HOSTS_PER_RACK,
     pools,
-    shortUs: rounded(median(times.map(({ short }) => short))),
-    longRunningUs: rounded(median(times.map(({ longRunning }) => longRunning))),
+    shortUs: roundToPrecision(computeMedian(times.map(({ short }) => short))),
+    longRunningUs: roundToPrecision(computeMedian(times.map(({ longRunning }) => longRunning))),
   };
 };
 
--- a/packages/bench/src/report.ts
+++ b/packages/bench/src/report.ts
@@ -9,7 +9,7 @@
  * @param value - The value.
  * @returns The rounded value.
  */
-export const rounded = (value: number): number => Number(value.toPrecision(3));
+export const roundToPrecision = (value: number): number => Number(value.toPrecision(3));
 
 /**
  * Prints rows as JSON lines to the standard output and as a table to the standard error.
@@ -35,7 +35,7 @@
  * @param values - The values.
  * @returns The median; 0 if there are no values.
  */
-export const median = (values: readonly number[]): number => {
+export const computeMedian = (values: readonly number[]): number => {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 };
