--- a/packages/bench/src/waves/waves.ts
+++ b/packages/bench/src/waves/waves.ts
@@ -18,10 +18,10 @@
 
 import { readExample } from '@valvelatch/stand-ins';
 
-import { rounded, type BenchRow } from '../report.js';
+import { roundToPrecision, type BenchRow } from '../report.js';
 
 /** What fails permanently during the wave. */
-export type Losses = 'none' | 'host' | 'rack' | 'data-centre';
+export type FailureKind = 'none' | 'host' | 'rack' | 'data-centre';
 
 const REBOOT_MS = 300_000;
 const START_MS = 2000;
@@ -37,7 +37,7 @@
   'one-host': 'one-host',
   rack: 'rack',
 };
-const allLosses: readonly Losses[] = ['none', 'host', 'rack', 'data-centre'];
+const allLosses: readonly FailureKind[] = ['none', 'host', 'rack', 'data-centre'];
 
 const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
 
@@ -74,7 +74,7 @@
 };
 
 const failedHosts: Record<
-  Losses,
+  FailureKind,
   (specs: readonly HostSpec[], used: HostSpec) => readonly HostSpec[]
 > = {
   none: () => [],
@@ -95,7 +95,7 @@
 const sumHeldBackCores = (fleet: FleetModel, specs: ReadonlyMap<HostId, HostSpec>): number =>
   sum(
     fleet
-      .rows<HostRow>(rowPrefix.host)
+      .listRows<HostRow>(rowPrefix.host)
       .filter(({ phase }) => phase !== 'assigned')
       .filter(({ hostId }) => fleet.workers.hosts.get(hostId)?.state !== 'dead')
       .map(({ hostId }) => specs.get(hostId)?.cores ?? 0),
@@ -111,10 +111,14 @@
   readonly phase: string;
 };
 
-const runOne = (configuration: Configuration, strategy: WaveStrategy, losses: Losses): Outcome => {
+const runOne = (
+  configuration: Configuration,
+  strategy: WaveStrategy,
+  losses: FailureKind,
+): Outcome => {
   const fleet = createFleetModel({
     configuration,
-    startMs: START_MS,
+    taskStartMs: START_MS,
     rebootMs: REBOOT_MS,
     stepMs: STEP_MS,
     waveStrategy: strategy,
@@ -135,20 +139,21 @@
   let isLost = false;
   const wave = (): WaveRow => fleet.table.read(rowKey.wave(WAVE)).value as WaveRow;
   const maintained = (): number =>
-    fleet.rows<HostRow>(rowPrefix.host).filter(({ maintainedBy }) => maintainedBy !== null).length;
+    fleet.listRows<HostRow>(rowPrefix.host).filter(({ maintainedBy }) => maintainedBy !== null)
+      .length;
   for (let step = 0; step < MAX_STEPS && wave().phase === 'running'; step += 1) {
     fleet.step();
     if (!isLost && maintained() >= list.length * LOSS_AT_SHARE) {
       isLost = true;
       failedHosts[losses](list, findUsedHost(fleet, list)).forEach(({ hostId }) =>
-        fleet.workers.kill(hostId),
+        fleet.workers.crashHost(hostId),
       );
     }
     const held = sumHeldBackCores(fleet, specs);
     heldBackCoreS += (held * STEP_MS) / 1000;
     peakCores = Math.max(peakCores, held);
     budgetViolations += services.filter(
-      ({ name, spec }) => fleet.readyOf(name) < spec.minReady,
+      ({ name, spec }) => fleet.countReadyExecutors(name) < spec.minReady,
     ).length;
   }
   const placed = fleet.decisions
@@ -160,7 +165,7 @@
     heldBackCoreS,
     peakCores,
     budgetViolations,
-    cutRequests: fleet.workers.faults.cutTasks,
+    cutRequests: fleet.workers.violations.interruptedTasks,
     phase: wave().phase,
   };
 };
@@ -191,8 +196,8 @@
       rollOutS: outcome.rollOutS,
       boundS: bound,
       moves: outcome.moves,
-      bufferCoreFraction: rounded(outcome.heldBackCoreS / (totalCores * horizonS)),
-      peakCoreFraction: rounded(outcome.peakCores / totalCores),
+      bufferCoreFraction: roundToPrecision(outcome.heldBackCoreS / (totalCores * horizonS)),
+      peakCoreFraction: roundToPrecision(outcome.peakCores / totalCores),
       budgetViolations: outcome.budgetViolations,
       cutRequests: outcome.cutRequests,
       end: outcome.phase,
--- a/packages/cli/src/replay-command.ts
+++ b/packages/cli/src/replay-command.ts
@@ -4,8 +4,8 @@
 
 import {
   emptyConfiguration,
-  readDeclarations,
-  readTrace,
+  parseDeclarations,
+  parseTrace,
   replayTrace,
   applySnapshot,
   type Configuration,
@@ -18,7 +18,7 @@
 const readConfiguration = async (
   folders: readonly string[],
 ): Promise<Result<Configuration, string>> => {
-  const declarations = readDeclarations(await readDeclarationFiles(folders));
+  const declarations = parseDeclarations(await readDeclarationFiles(folders));
   if (declarations.isErr()) {
     const [fault] = declarations.error;
     return Err(`${fault?.file ?? ''}: ${fault?.path ?? ''}: ${fault?.reason ?? ''}`);
@@ -34,7 +34,7 @@
  * @throws When a file cannot be read.
  */
 export const replayFile = async (file: string): Promise<Result<ReplayReport, string>> => {
-  const trace = readTrace(await readFile(file, 'utf8'));
+  const trace = parseTrace(await readFile(file, 'utf8'));
   if (trace.isErr()) return Err(`${file}: line ${trace.error.line}: ${trace.error.reason}`);
   const folders = trace.value.fleet.declarations.map((folder) => join(dirname(file), folder));
   const configuration = await readConfiguration(folders);
--- a/packages/core/src/control/control.fixtures.ts
+++ b/packages/core/src/control/control.fixtures.ts
@@ -4,7 +4,7 @@
   applySnapshot,
   type Configuration,
 } from '../configuration/configuration.js';
-import { readDeclarations, readJobs } from '../declarations/read-declarations.js';
+import { parseDeclarations, parseJobs } from '../declarations/read-declarations.js';
 import type { JobDeclaration } from '../declarations/schema.js';
 import type { FleetModel } from '../replay/fleet-model.js';
 import { rowKey, rowPrefix, type HostRow, type JobRow, type WaveRow } from '../rows/rows.js';
@@ -63,11 +63,11 @@
 export const createConfiguration = (text: string): Configuration =>
   applySnapshot(emptyConfiguration, {
     revision: 1,
-    declarations: readDeclarations([{ file: 'test.yaml', text }]).unwrap(),
+    declarations: parseDeclarations([{ file: 'test.yaml', text }]).unwrap(),
   });
 
 export const createJob = (name: string, spec: string): JobDeclaration =>
-  readJobs([
+  parseJobs([
     { file: 'job.yaml', text: `kind: Job\nname: ${name}\nspec: { ${spec} }\n` },
   ]).unwrap()[0] as JobDeclaration;
 
@@ -123,7 +123,7 @@
 };
 
 export const listHostRows = (fleet: FleetModel): readonly HostRow[] =>
-  fleet.rows<HostRow>(rowPrefix.host);
+  fleet.listRows<HostRow>(rowPrefix.host);
 
 export const readWavePhase = (fleet: FleetModel, name: string): string =>
   (fleet.table.read(rowKey.wave(name)).value as WaveRow).phase;
--- a/packages/core/src/control/pool-turn.test.ts
+++ b/packages/core/src/control/pool-turn.test.ts
@@ -1,7 +1,7 @@
 import { fc, test } from '@fast-check/vitest';
 import { describe, expect, it } from 'vitest';
 
-import { createFleetModel, type FleetModel, type PausedTurn } from '../replay/fleet-model.js';
+import { createFleetModel, type FleetModel, type PlannedTurn } from '../replay/fleet-model.js';
 import { rowKey, rowPrefix, type JobRow, type PlacementRow } from '../rows/rows.js';
 import { brand, type DataCentreId, type HostId, type JobId, type PoolName } from '../shared/ids.js';
 import { createRng, pickRandom } from '../shared/rng.js';
@@ -29,13 +29,13 @@
 const jobRow = (fleet: FleetModel, name: string): JobRow =>
   fleet.table.read(rowKey.job(name)).value as JobRow;
 const placements = (fleet: FleetModel): readonly PlacementRow[] =>
-  fleet.rows<PlacementRow>(rowPrefix.placement);
+  fleet.listRows<PlacementRow>(rowPrefix.placement);
 
 describe('control turns of pools', () => {
   describe('executors', () => {
     it('are all placed, spread over data centres and racks', () => {
       const fleet = createFleet();
-      expect(fleet.readyOf('routing')).toBe(4);
+      expect(fleet.countReadyExecutors('routing')).toBe(4);
       const racks = placements(fleet)
         .filter(({ service }) => service === 'routing')
         .map(({ hostId }) => hostId.slice(0, 2));
@@ -53,7 +53,7 @@
       }));
       for (let step = 0; step < 60; step += 1) {
         fleet.step();
-        expect(fleet.readyOf('routing')).toBeGreaterThanOrEqual(4);
+        expect(fleet.countReadyExecutors('routing')).toBeGreaterThanOrEqual(4);
       }
       expect(placements(fleet).filter((one) => one.hostId === hostId)).toEqual([]);
     });
@@ -61,13 +61,13 @@
     it('are replaced when their host is lost, and the excess one is stopped when the host comes back', () => {
       const fleet = createFleet();
       const { hostId } = placements(fleet)[0] as PlacementRow;
-      fleet.workers.kill(hostId);
+      fleet.workers.crashHost(hostId);
       runFor(fleet, 15_000);
-      expect(fleet.readyOf('routing')).toBe(4);
-      fleet.workers.revive(hostId);
+      expect(fleet.countReadyExecutors('routing')).toBe(4);
+      fleet.workers.restartHost(hostId);
       runFor(fleet, 60_000);
-      expect(fleet.readyOf('routing')).toBe(4);
-      expect(fleet.workers.faults.doubleRuns).toBe(0);
+      expect(fleet.countReadyExecutors('routing')).toBe(4);
+      expect(fleet.workers.violations.duplicateRuns).toBe(0);
     });
   });
 
@@ -106,7 +106,7 @@
         ),
       );
       runFor(fleet, 2000);
-      expect(fleet.withheld().map(({ reason }) => reason)).toContain(
+      expect(fleet.listWithheldActions().map(({ reason }) => reason)).toContain(
         'team=crew uses 42 of its 48 cores, d wants 14',
       );
     });
@@ -134,7 +134,7 @@
       const size = 'pool: spare, team: crew, cores: 4, memoryMb: 1, runTimeS: 500, leaseS: 6';
       ['normal', 'batch', 'urgent'].forEach((urgency) => {
         submitJob(fleet, createJob(urgency, `${size}, urgency: ${urgency}, selector: 'host=w2-1'`));
-        fleet.setUse(brand<JobId>(urgency), 6);
+        fleet.setUsedCores(brand<JobId>(urgency), 6);
       });
       runFor(fleet, 3000);
       const phases = ['normal', 'batch', 'urgent'].map(
@@ -145,9 +145,9 @@
       expect(reasons).toContain(
         'host w2-1 is over-used, its tasks use 18.0 of 16 cores; batch (urgency batch) gives way',
       );
-      expect(fleet.withheld().some(({ reason }) => /fewer than 4 cores free/.test(reason))).toBe(
-        true,
-      );
+      expect(
+        fleet.listWithheldActions().some(({ reason }) => /fewer than 4 cores free/.test(reason)),
+      ).toBe(true);
     });
 
     it('count with their measured use: with more cores than declared, or with fewer', () => {
@@ -166,12 +166,12 @@
       );
       runFor(fleet, 3000);
       const { hostId } = fleet.table.read(rowKey.placement('a')).value as PlacementRow;
-      fleet.setCut(brand<DataCentreId>('west'), true);
+      fleet.setPartitioned(brand<DataCentreId>('west'), true);
       runFor(fleet, 15_000);
       expect((fleet.table.read(rowKey.placement('a')).value as PlacementRow).hostId).toBe(hostId);
-      fleet.setCut(brand<DataCentreId>('west'), false);
+      fleet.setPartitioned(brand<DataCentreId>('west'), false);
       runFor(fleet, 10_000);
-      expect(fleet.workers.faults.doubleRuns).toBe(0);
+      expect(fleet.workers.violations.duplicateRuns).toBe(0);
     });
   });
 
@@ -193,12 +193,12 @@
         const runKey = placed && `${placed.hostId}/${placed.epoch}`;
         if (placed && runKey && placed.phase === 'running' && !lost.has(runKey)) {
           lost.add(runKey);
-          fleet.workers.kill(placed.hostId);
+          fleet.workers.crashHost(placed.hostId);
           toRevive.push([fleet.nowMs() + 30_000, placed.hostId]);
         }
         toRevive
           .filter(([atMs]) => atMs <= fleet.nowMs())
-          .forEach(([, hostId]) => fleet.workers.revive(hostId));
+          .forEach(([, hostId]) => fleet.workers.restartHost(hostId));
       }
       return { hosts: lost.size, row: jobRow(fleet, 'a') };
     };
@@ -221,14 +221,14 @@
       while (readWavePhase(fleet, 'all') !== 'done' && steps < 2000) {
         fleet.step();
         steps += 1;
-        expect(fleet.readyOf('routing')).toBeGreaterThanOrEqual(4);
-        expect(fleet.readyOf('convoy')).toBeGreaterThanOrEqual(3);
+        expect(fleet.countReadyExecutors('routing')).toBeGreaterThanOrEqual(4);
+        expect(fleet.countReadyExecutors('convoy')).toBeGreaterThanOrEqual(3);
       }
       expect(readWavePhase(fleet, 'all')).toBe('done');
       expect(Array.from(fleet.workers.hosts.values(), ({ boots }) => boots)).toEqual(
         allHosts(fleet).map(() => 2),
       );
-      expect(fleet.workers.faults).toEqual({ cutTasks: 0, doubleRuns: 0 });
+      expect(fleet.workers.violations).toEqual({ interruptedTasks: 0, duplicateRuns: 0 });
     });
 
     it('keep the placement reason of an executor that is parked and restarted on its host', () => {
@@ -293,21 +293,21 @@
 
   describe('under random interleavings of faults, operations and paused turns', () => {
     type Operation = (fleet: FleetModel, draw: () => number) => void;
-    const paused: PausedTurn[] = [];
+    const paused: PlannedTurn[] = [];
     const pickHost = (fleet: FleetModel, draw: () => number) =>
       pickRandom(allHosts(fleet), draw) as HostId;
     const pickPool = (draw: () => number) => brand<PoolName>(draw() < 0.5 ? 'main' : 'spare');
     const operations: readonly Operation[] = [
       (fleet, draw) => startHostTransfer(fleet, pickHost(fleet, draw), pickPool(draw)),
-      (fleet, draw) => fleet.workers.kill(pickHost(fleet, draw)),
-      (fleet) => allHosts(fleet).forEach(fleet.workers.revive),
+      (fleet, draw) => fleet.workers.crashHost(pickHost(fleet, draw)),
+      (fleet) => allHosts(fleet).forEach(fleet.workers.restartHost),
       (fleet, draw) => {
-        paused.push(fleet.planOnly(pickPool(draw)));
+        paused.push(fleet.planTurn(pickPool(draw)));
       },
-      (fleet) => paused.splice(0).forEach(fleet.write),
-      (fleet, draw) => fleet.takeControl(pickPool(draw)),
-      (fleet, draw) => fleet.setPlatformAway(draw() < 0.5),
-      (fleet, draw) => fleet.setCut(brand<DataCentreId>('west'), draw() < 0.5),
+      (fleet) => paused.splice(0).forEach(fleet.writeTurn),
+      (fleet, draw) => fleet.transferControl(pickPool(draw)),
+      (fleet, draw) => fleet.setPlatformUnavailable(draw() < 0.5),
+      (fleet, draw) => fleet.setPartitioned(brand<DataCentreId>('west'), draw() < 0.5),
       (fleet, draw) => {
         const name = `j${Math.floor(draw() * 1e6)}`;
         const pool = pickPool(draw);
@@ -324,11 +324,11 @@
 
     /** Checks in plain code, because expect() after each of very many steps would be slow. */
     const faultsOf = (fleet: FleetModel): readonly string[] => {
-      const { cutTasks, doubleRuns } = fleet.workers.faults;
+      const { interruptedTasks, duplicateRuns } = fleet.workers.violations;
       const pools = new Map(listHostRows(fleet).map(({ hostId, pool }) => [hostId, pool]));
       return [
-        ...(cutTasks > 0 ? ['a task was cut by a planned reboot'] : []),
-        ...(doubleRuns > 0 ? ['a job ran twice'] : []),
+        ...(interruptedTasks > 0 ? ['a task was cut by a planned reboot'] : []),
+        ...(duplicateRuns > 0 ? ['a job ran twice'] : []),
         ...(pools.size === 12 ? [] : ['a host has no row']),
         ...placements(fleet)
           .filter(({ hostId, pool }) => pools.get(hostId) !== pool)
@@ -357,15 +357,15 @@
             checkAll(fleet);
           }
         }
-        fleet.setPlatformAway(false);
-        fleet.setCut(brand<DataCentreId>('west'), false);
-        allHosts(fleet).forEach(fleet.workers.revive);
+        fleet.setPlatformUnavailable(false);
+        fleet.setPartitioned(brand<DataCentreId>('west'), false);
+        allHosts(fleet).forEach(fleet.workers.restartHost);
         runFor(fleet, 120_000);
         checkAll(fleet);
         // Moves of hosts to the spare pool may leave too few resources for all executors, so only the
         // upper bounds are checked.
-        expect(fleet.readyOf('routing')).toBeLessThanOrEqual(4);
-        expect(fleet.readyOf('convoy')).toBeLessThanOrEqual(3);
+        expect(fleet.countReadyExecutors('routing')).toBeLessThanOrEqual(4);
+        expect(fleet.countReadyExecutors('convoy')).toBeLessThanOrEqual(3);
       },
     );
   });
--- a/packages/core/src/control/waves.test.ts
+++ b/packages/core/src/control/waves.test.ts
@@ -43,7 +43,7 @@
       const fleet = createFleet();
       const hosts = hostsOf(fleet, 'w2');
       const [unseen] = hosts as [HostId];
-      fleet.workers.kill(unseen);
+      fleet.workers.crashHost(unseen);
       runFor(fleet, 8000);
       startWave(fleet, 'all', hosts);
       runFor(fleet, MINUTE_MS);
@@ -54,9 +54,11 @@
       const { fleet, hosts, unseen } = runWaveWithUnseenHost();
       expect(readWavePhase(fleet, 'all')).toBe('running');
       expect(maintainedHosts(fleet)).toHaveLength(hosts.length - 1);
-      const entry = fleet.withheld().find(({ subject }) => subject === rowKey.host(unseen));
+      const entry = fleet
+        .listWithheldActions()
+        .find(({ subject }) => subject === rowKey.host(unseen));
       expect(entry?.reason).toMatch(/wave all: the platform has not seen it for \d+ s/);
-      fleet.workers.revive(unseen);
+      fleet.workers.restartHost(unseen);
       runFor(fleet, MINUTE_MS);
       expect(readWavePhase(fleet, 'all')).toBe('done');
       expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
@@ -84,10 +86,10 @@
         maintainedHosts(fleet).length + rebooting().length === hosts.length;
       for (let steps = 0; steps < 400 && !areRemainingHostsRebooting(); steps += 1) fleet.step();
       const [unseen] = rebooting() as [HostId];
-      fleet.workers.kill(unseen);
+      fleet.workers.crashHost(unseen);
       runFor(fleet, MINUTE_MS);
       expect(readWavePhase(fleet, 'all')).toBe('running');
-      fleet.workers.revive(unseen);
+      fleet.workers.restartHost(unseen);
       runFor(fleet, MINUTE_MS);
       expect(readWavePhase(fleet, 'all')).toBe('done');
       expect(maintainedHosts(fleet)).toHaveLength(hosts.length);
--- a/packages/core/src/declarations/check-references.ts
+++ b/packages/core/src/declarations/check-references.ts
@@ -8,7 +8,7 @@
 } from './schema.js';
 
 /** An error that can be found only by checking the declarations as a set. */
-export type ReferenceFault = {
+export type DeclarationReferenceError = {
   readonly key: DeclarationKey;
   readonly path: string;
   readonly reason: string;
@@ -58,7 +58,7 @@
  */
 export const checkReferences = (
   declarations: readonly Declaration[],
-): readonly ReferenceFault[] => {
+): readonly DeclarationReferenceError[] => {
   const keys = new Set(declarations.map(declarationKey));
   const isDeclared: IsDeclared = (kind, name) => keys.has(`${kind}/${name}`);
   return declarations.flatMap((one) => {
--- a/packages/core/src/declarations/read-declarations.ts
+++ b/packages/core/src/declarations/read-declarations.ts
@@ -13,7 +13,7 @@
 } from './schema.js';
 
 /** An error in a declaration. */
-export type DeclarationFault = {
+export type DeclarationError = {
   readonly file: string;
   /** The location in the file, for example `document 2: spec.cores`. */
   readonly path: string;
@@ -29,7 +29,7 @@
 
 const readDocuments = (
   { file, text }: DeclarationFile,
-  faults: DeclarationFault[],
+  faults: DeclarationError[],
 ): readonly Located<unknown>[] => {
   const documents = parseAllDocuments(text, { maxAliasCount: 0 } as object);
   return Array.from(documents as Iterable<Document.Parsed>).flatMap((document, index) => {
@@ -46,7 +46,7 @@
 const toFaults = (
   error: z.ZodError,
   { file, path }: Located<unknown>,
-): readonly DeclarationFault[] =>
+): readonly DeclarationError[] =>
   error.issues.map((issue) => ({
     file,
     path: issue.path.length > 0 ? `${path}: ${issue.path.join('.')}` : path,
@@ -56,7 +56,7 @@
 const parseEach = <Value>(
   schema: z.ZodType<Value>,
   files: readonly DeclarationFile[],
-  faults: DeclarationFault[],
+  faults: DeclarationError[],
 ): readonly Located<Value>[] =>
   files
     .flatMap((file) => readDocuments(file, faults))
@@ -67,7 +67,7 @@
       return [];
     });
 
-const findDuplicates = (declarations: readonly Located<Declaration>[]): DeclarationFault[] => {
+const findDuplicates = (declarations: readonly Located<Declaration>[]): DeclarationError[] => {
   const seen = new Set<string>();
   return declarations.flatMap(({ value, file, path }) => {
     const key = declarationKey(value);
@@ -77,7 +77,7 @@
   });
 };
 
-const locateReferenceFaults = (declarations: readonly Located<Declaration>[]): DeclarationFault[] =>
+const locateReferenceFaults = (declarations: readonly Located<Declaration>[]): DeclarationError[] =>
   checkReferences(declarations.map(({ value }) => value)).map((fault) => {
     const located = declarations.find(({ value }) => declarationKey(value) === fault.key);
     return {
@@ -94,10 +94,10 @@
  * @param files - The files, as text.
  * @returns The declarations, or every error that was found.
  */
-export const readDeclarations = (
+export const parseDeclarations = (
   files: readonly DeclarationFile[],
-): Result<readonly Declaration[], readonly DeclarationFault[]> => {
-  const faults: DeclarationFault[] = [];
+): Result<readonly Declaration[], readonly DeclarationError[]> => {
+  const faults: DeclarationError[] = [];
   const declarations = parseEach(declarationSchema, files, faults);
   faults.push(...findDuplicates(declarations));
   if (faults.length === 0) faults.push(...locateReferenceFaults(declarations));
@@ -110,10 +110,10 @@
  * @param files - The files, as text.
  * @returns The jobs, or every error that was found.
  */
-export const readJobs = (
+export const parseJobs = (
   files: readonly DeclarationFile[],
-): Result<readonly JobDeclaration[], readonly DeclarationFault[]> => {
-  const faults: DeclarationFault[] = [];
+): Result<readonly JobDeclaration[], readonly DeclarationError[]> => {
+  const faults: DeclarationError[] = [];
   const jobs = parseEach(jobDeclarationSchema, files, faults);
   return faults.length > 0 ? Err(faults) : Ok(jobs.map(({ value }) => value));
 };
--- a/packages/core/src/declarations/schema.ts
+++ b/packages/core/src/declarations/schema.ts
@@ -16,7 +16,7 @@
  * A selector in the operators' selector grammar; its syntax is checked when the declaration is
  * read.
  */
-export const selectorText = z
+export const selectorSchema = z
   .string()
   .default('')
   .superRefine((text, context) => {
@@ -39,7 +39,7 @@
  * The urgency of a job: determines its start order and which job is preempted on an overloaded
  * host.
  */
-export const urgency = z.enum(['urgent', 'normal', 'batch']);
+export const urgencySchema = z.enum(['urgent', 'normal', 'batch']);
 
 const dataCentreSpec = z.strictObject({
   region: name,
@@ -78,7 +78,7 @@
   minReady: z.number().int().min(0),
   slots: z.number().int().min(1).max(1024),
   connections: z.number().int().min(1).max(65_535),
-  selector: selectorText,
+  selector: selectorSchema,
   requestTimeoutMs: z.number().int().min(1).max(600_000).default(5000),
   ...resources,
 });
@@ -86,8 +86,8 @@
 const jobSpec = z.strictObject({
   pool: name,
   team: name,
-  urgency: urgency.default('normal'),
-  selector: selectorText,
+  urgency: urgencySchema.default('normal'),
+  selector: selectorSchema,
   runTimeS: z.number().positive().default(60),
   leaseS: z.number().positive().max(86_400).default(30),
   ...resources,
@@ -112,7 +112,7 @@
 export type DeclarationKind = Declaration['kind'];
 export type DeclarationOf<Kind extends DeclarationKind> = Extract<Declaration, { kind: Kind }>;
 export type JobDeclaration = z.infer<typeof jobDeclarationSchema>;
-export type Urgency = z.infer<typeof urgency>;
+export type Urgency = z.infer<typeof urgencySchema>;
 
 /** The key of a declaration in a configuration. */
 export type DeclarationKey = `${DeclarationKind}/${string}`;
--- a/packages/core/src/replay/agent-model.ts
+++ b/packages/core/src/replay/agent-model.ts
@@ -16,7 +16,7 @@
   type Versioned,
 } from '../rows/rows.js';
 import type { DataCentreId, HostId, JobId } from '../shared/ids.js';
-import { rowsOf, type TableModel } from './table-model.js';
+import { readRows, type TableModel } from './table-model.js';
 import type { WorkersModel } from './workers-model.js';
 
 export type AgentModel = {
@@ -24,7 +24,7 @@
    * Reconciles the data centre's workers with the table. Without access to the table
    * (`hasTable` is false), only renews the leases of tasks that the last read placements contain.
    */
-  readonly run: (hasTable: boolean, nowMs: number) => void;
+  readonly reconcile: (hasTable: boolean, nowMs: number) => void;
 };
 
 export type AgentModelOptions = {
@@ -48,7 +48,7 @@
   const localRows = <Row extends { readonly hostId: HostId }>(
     prefix: string,
   ): readonly Versioned<Row>[] =>
-    Array.from(rowsOf<string, Row>(table, prefix).values()).filter(
+    Array.from(readRows<string, Row>(table, prefix).values()).filter(
       ({ value }) => workers.hosts.get(value.hostId)?.dataCentre === dataCentre,
     );
 
@@ -84,8 +84,8 @@
   };
 
   return {
-    run: (hasTable, nowMs) => {
-      const observed = workers.observed(dataCentre);
+    reconcile: (hasTable, nowMs) => {
+      const observed = workers.listObservedTasks(dataCentre);
       if (!hasTable) {
         listTasksToRenew(lastPlacements, observed).forEach((task) => workers.renew(task, nowMs));
         return;
--- a/packages/core/src/replay/fleet-model.ts
+++ b/packages/core/src/replay/fleet-model.ts
@@ -29,18 +29,18 @@
 } from '../shared/ids.js';
 import { createAgentModel } from './agent-model.js';
 import { createHostListModel } from './host-list-model.js';
-import { createTableModel, rowsOf, type TableModel } from './table-model.js';
+import { createTableModel, readRows, type TableModel } from './table-model.js';
 import { createWorkersModel, type WorkersModel } from './workers-model.js';
 
 /** Options of a fleet. Times are in milliseconds of virtual time. */
 export type FleetModelOptions = {
   readonly configuration: Configuration;
-  readonly startMs?: number;
+  readonly taskStartMs?: number;
   readonly rebootMs?: number;
   readonly stepMs?: number;
   /** How stale the platform's list of hosts is. */
   readonly listLagMs?: number;
-  readonly goneAfterMs?: number;
+  readonly silenceTimeoutMs?: number;
   readonly waveStrategy?: WaveStrategy;
 };
 
@@ -48,30 +48,30 @@
 export type Decision = { readonly atMs: number; readonly subject: string; readonly reason: string };
 
 /** A turn that was planned but not yet written; models a holder that is paused between the two. */
-export type PausedTurn = { readonly pool: PoolName; readonly actions: readonly ControlAction[] };
+export type PlannedTurn = { readonly pool: PoolName; readonly actions: readonly ControlAction[] };
 
 export type FleetModel = {
   readonly table: TableModel;
   readonly workers: WorkersModel;
   readonly nowMs: () => number;
   readonly step: () => void;
-  readonly setPlatformAway: (isAway: boolean) => void;
-  readonly setCut: (dataCentre: DataCentreId, isCut: boolean) => void;
+  readonly setPlatformUnavailable: (isAway: boolean) => void;
+  readonly setPartitioned: (dataCentre: DataCentreId, isCut: boolean) => void;
   /** Plans a turn of a pool without writing it. */
-  readonly planOnly: (pool: PoolName) => PausedTurn;
+  readonly planTurn: (pool: PoolName) => PlannedTurn;
   /** Writes a turn that was planned earlier and returns the number of committed actions. */
-  readonly write: (turn: PausedTurn) => number;
+  readonly writeTurn: (turn: PlannedTurn) => number;
   /**
    * Transfers control of a pool to a new holder; later writes of the former holder are rejected.
    */
-  readonly takeControl: (pool: PoolName) => void;
+  readonly transferControl: (pool: PoolName) => void;
   /** Sets the cores that a job uses from now on. Until then no usage is reported for it. */
-  readonly setUse: (jobId: JobId, cores: number) => void;
+  readonly setUsedCores: (jobId: JobId, cores: number) => void;
   readonly pools: readonly PoolName[];
   readonly decisions: readonly Decision[];
-  readonly withheld: () => readonly WithheldAction[];
-  readonly readyOf: (service: string) => number;
-  readonly rows: <Row>(prefix: string) => readonly Row[];
+  readonly listWithheldActions: () => readonly WithheldAction[];
+  readonly countReadyExecutors: (service: string) => number;
+  readonly listRows: <Row>(prefix: string) => readonly Row[];
 };
 
 type Control = {
@@ -91,19 +91,24 @@
  */
 export const createFleetModel = ({
   configuration,
-  startMs = 1000,
+  taskStartMs = 1000,
   rebootMs = 60_000,
   stepMs = 500,
   listLagMs = 1000,
-  goneAfterMs = 5000,
+  silenceTimeoutMs = 5000,
   waveStrategy = 'growing',
 }: FleetModelOptions): FleetModel => {
   const specs = new Map(listDeclaredHosts(configuration).map((spec) => [spec.hostId, spec]));
   const dataCentreByHost = new Map(Array.from(specs, ([id, { dataCentre }]) => [id, dataCentre]));
   const table = createTableModel();
-  const workers = createWorkersModel(dataCentreByHost, { startMs, rebootMs });
-  const cut = new Set<DataCentreId>();
-  const hostList = createHostListModel({ workers, cut, lagMs: listLagMs, goneAfterMs });
+  const workers = createWorkersModel(dataCentreByHost, { taskStartMs, rebootMs });
+  const partitionedDataCentres = new Set<DataCentreId>();
+  const hostList = createHostListModel({
+    workers,
+    partitionedDataCentres,
+    lagMs: listLagMs,
+    silenceTimeoutMs,
+  });
   const agents = new Map(
     Array.from(new Set(dataCentreByHost.values()), (dataCentre) => [
       dataCentre,
@@ -128,7 +133,7 @@
     }),
   );
 
-  const takeControl = (pool: PoolName): void => {
+  const transferControl = (pool: PoolName): void => {
     const control = controlByPool.get(pool);
     if (!control) return;
     const known = table.read(control.fence.key);
@@ -138,7 +143,7 @@
     control.fence = { key: control.fence.key, version: outcome.version };
     control.nextEpoch = epoch * EPOCHS_PER_TERM;
   };
-  Array.from(controlByPool.keys()).forEach(takeControl);
+  Array.from(controlByPool.keys()).forEach(transferControl);
 
   const recordFailures = (jobs: ReadonlyMap<JobId, Versioned<JobRow>>): void =>
     jobs.forEach(({ value }, jobId) => {
@@ -160,9 +165,9 @@
     );
 
   const buildSnapshot = (control: Control): PoolSnapshot => {
-    const hosts = rowsOf<HostId, HostRow>(table, rowPrefix.host);
-    const jobs = rowsOf<JobId, JobRow>(table, rowPrefix.job);
-    const placements = rowsOf<JobId, PlacementRow>(table, rowPrefix.placement);
+    const hosts = readRows<HostId, HostRow>(table, rowPrefix.host);
+    const jobs = readRows<JobId, JobRow>(table, rowPrefix.job);
+    const placements = readRows<JobId, PlacementRow>(table, rowPrefix.placement);
     recordFailures(jobs);
     return {
       pool: control.pool,
@@ -173,8 +178,8 @@
       hosts,
       placements,
       jobs,
-      waves: rowsOf<WaveId, WaveRow>(table, rowPrefix.wave),
-      listedHosts: hostList.sightings(),
+      waves: readRows<WaveId, WaveRow>(table, rowPrefix.wave),
+      listedHosts: hostList.listedHosts(),
       hostRowSinceMs: hostAges.update(hosts, nowMs),
       placementRowSinceMs: placementAges.update(placements, nowMs),
       waveStrategy,
@@ -183,7 +188,7 @@
     };
   };
 
-  const planOnly = (pool: PoolName): PausedTurn => {
+  const planTurn = (pool: PoolName): PlannedTurn => {
     const control = controlByPool.get(pool) as Control;
     const plan = planPoolTurn(buildSnapshot(control), nowMs);
     control.nextEpoch = plan.nextEpoch;
@@ -191,12 +196,12 @@
     return { pool, actions: plan.actions };
   };
 
-  const write = ({ actions }: PausedTurn): number =>
+  const writeTurn = ({ actions }: PlannedTurn): number =>
     actions.reduce((committed, action) => {
       if (action.kind === 'reboot') {
         const host = workers.hosts.get(action.hostId);
-        if (host && !cut.has(host.dataCentre)) {
-          workers.reboot(action.hostId, action.requestName, nowMs);
+        if (host && !partitionedDataCentres.has(host.dataCentre)) {
+          workers.rebootHost(action.hostId, action.requestName, nowMs);
         }
         return committed;
       }
@@ -209,11 +214,11 @@
   const step = (): void => {
     nowMs += stepMs;
     workers.advance(nowMs);
-    hostList.look(nowMs);
+    hostList.recordListing(nowMs);
     agents.forEach((agent, dataCentre) =>
-      agent.run(!isPlatformAway && !cut.has(dataCentre), nowMs),
+      agent.reconcile(!isPlatformAway && !partitionedDataCentres.has(dataCentre), nowMs),
     );
-    if (!isPlatformAway) controlByPool.forEach(({ pool }) => write(planOnly(pool)));
+    if (!isPlatformAway) controlByPool.forEach(({ pool }) => writeTurn(planTurn(pool)));
   };
 
   return {
@@ -221,24 +226,25 @@
     workers,
     nowMs: () => nowMs,
     step,
-    setPlatformAway: (isAway) => {
+    setPlatformUnavailable: (isAway) => {
       isPlatformAway = isAway;
     },
-    setCut: (dataCentre, isCut) => {
-      if (isCut) cut.add(dataCentre);
-      else cut.delete(dataCentre);
+    setPartitioned: (dataCentre, isCut) => {
+      if (isCut) partitionedDataCentres.add(dataCentre);
+      else partitionedDataCentres.delete(dataCentre);
     },
-    planOnly,
-    write,
-    takeControl,
-    setUse: (jobId, cores) => {
+    planTurn,
+    writeTurn,
+    transferControl,
+    setUsedCores: (jobId, cores) => {
       usedCoresByJob.set(jobId, cores);
     },
     pools: Array.from(controlByPool.keys()),
     decisions,
-    withheld: () => Array.from(controlByPool.values()).flatMap(({ withheld }) => withheld),
-    readyOf: (service) =>
+    listWithheldActions: () =>
+      Array.from(controlByPool.values()).flatMap(({ withheld }) => withheld),
+    countReadyExecutors: (service) =>
       workers.tasks().filter((task) => task.service === service && task.phase === 'running').length,
-    rows: <Row>(prefix: string) => table.scan(prefix).map(({ value }) => value as Row),
+    listRows: <Row>(prefix: string) => table.scan(prefix).map(({ value }) => value as Row),
   };
 };
--- a/packages/core/src/replay/replay.ts
+++ b/packages/core/src/replay/replay.ts
@@ -17,7 +17,7 @@
   createFleetModel,
   type Decision,
   type FleetModel,
-  type PausedTurn,
+  type PlannedTurn,
 } from './fleet-model.js';
 import type { Expectation, TimedEvent, Trace } from './trace.js';
 
@@ -35,7 +35,7 @@
 type Run = {
   readonly fleet: FleetModel;
   readonly configuration: Configuration;
-  readonly paused: Map<string, PausedTurn>;
+  readonly paused: Map<string, PlannedTurn>;
   readonly broken: string[];
   held: number;
 };
@@ -63,7 +63,7 @@
 
 const checkExpectation = (run: Run, expectation: Expectation): void => {
   Object.entries(expectation.ready ?? {}).forEach(([service, count]) =>
-    checkEqual(run, `ready of ${service}`, count, run.fleet.readyOf(service)),
+    checkEqual(run, `ready of ${service}`, count, run.fleet.countReadyExecutors(service)),
   );
   Object.entries(expectation.jobs ?? {}).forEach(([job, phase]) =>
     checkEqual(run, `job ${job}`, phase, readRow<JobRow>(run, rowKey.job(job))?.phase),
@@ -79,14 +79,14 @@
   );
   if (expectation.withheld !== undefined) {
     const text = expectation.withheld;
-    const isReported = run.fleet.withheld().some(({ reason }) => reason.includes(text));
+    const isReported = run.fleet.listWithheldActions().some(({ reason }) => reason.includes(text));
     checkEqual(run, `withheld: ${text}`, true, isReported);
   }
 };
 
 const startWave = ({ fleet, configuration }: Run, wave: string, selectorText: string): void => {
   const selector = parseSelector(selectorText).unwrap();
-  const hosts = selectHosts(configuration, fleet.rows<HostRow>(rowPrefix.host), selector);
+  const hosts = selectHosts(configuration, fleet.listRows<HostRow>(rowPrefix.host), selector);
   const waveId = brand<WaveId>(wave);
   const row: WaveRow = {
     waveId,
@@ -130,21 +130,21 @@
         ? { ...row, phase: 'cancelled', reason: 'an operator cancelled it' }
         : row,
     ),
-  'job-uses': ({ fleet }, { job, cores }) => fleet.setUse(brand<JobId>(job), cores),
-  'host-kill': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.kill),
-  'host-revive': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.revive),
+  'job-uses': ({ fleet }, { job, cores }) => fleet.setUsedCores(brand<JobId>(job), cores),
+  'host-kill': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.crashHost),
+  'host-revive': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.restartHost),
   'host-fails-tasks': (run, { hosts }) => setHosts(run, hosts, { failsTasks: true }),
   'host-leaving': (run, { hosts }) => setHosts(run, hosts, { isLeaving: true }),
   'rack-kill': (run, { rack }) =>
     listDeclaredHosts(run.configuration)
       .filter((spec) => spec.rack === rack)
-      .forEach(({ hostId }) => run.fleet.workers.kill(hostId)),
+      .forEach(({ hostId }) => run.fleet.workers.crashHost(hostId)),
   'data-centre-cut': ({ fleet }, { dataCentre }) =>
-    fleet.setCut(brand<DataCentreId>(dataCentre), true),
+    fleet.setPartitioned(brand<DataCentreId>(dataCentre), true),
   'data-centre-heal': ({ fleet }, { dataCentre }) =>
-    fleet.setCut(brand<DataCentreId>(dataCentre), false),
-  'platform-away': ({ fleet }) => fleet.setPlatformAway(true),
-  'platform-back': ({ fleet }) => fleet.setPlatformAway(false),
+    fleet.setPartitioned(brand<DataCentreId>(dataCentre), false),
+  'platform-away': ({ fleet }) => fleet.setPlatformUnavailable(true),
+  'platform-back': ({ fleet }) => fleet.setPlatformUnavailable(false),
   'wave-start': (run, { wave, selector }) => startWave(run, wave, selector),
   'wave-change': ({ fleet }, { wave, to }) =>
     changeRow<WaveRow>(fleet, rowKey.wave(wave), (row) => ({
@@ -164,24 +164,25 @@
         : row,
     ),
   'control-paused': ({ fleet, paused }, { pool }) => {
-    paused.set(pool, fleet.planOnly(brand<PoolName>(pool)));
+    paused.set(pool, fleet.planTurn(brand<PoolName>(pool)));
   },
-  'control-taken': ({ fleet }, { pool }) => fleet.takeControl(brand<PoolName>(pool)),
+  'control-taken': ({ fleet }, { pool }) => fleet.transferControl(brand<PoolName>(pool)),
   'control-woken': (run, { pool }) => {
     const turn = run.paused.get(pool);
-    if (turn) checkEqual(run, `writes of the paused holder of ${pool}`, 0, run.fleet.write(turn));
+    if (turn)
+      checkEqual(run, `writes of the paused holder of ${pool}`, 0, run.fleet.writeTurn(turn));
     run.paused.delete(pool);
   },
   expect: checkExpectation,
 };
 
 const checkInvariants = (run: Run, allowBudgetViolations: boolean): void => {
-  const { cutTasks, doubleRuns } = run.fleet.workers.faults;
-  if (cutTasks > 0) checkEqual(run, 'tasks cut by a planned reboot', 0, cutTasks);
-  if (doubleRuns > 0) checkEqual(run, 'jobs that ran twice at one time', 0, doubleRuns);
+  const { interruptedTasks, duplicateRuns } = run.fleet.workers.violations;
+  if (interruptedTasks > 0) checkEqual(run, 'tasks cut by a planned reboot', 0, interruptedTasks);
+  if (duplicateRuns > 0) checkEqual(run, 'jobs that ran twice at one time', 0, duplicateRuns);
   if (allowBudgetViolations) return;
   listDeclarations(run.configuration, 'Service').forEach(({ name, spec }) => {
-    const ready = run.fleet.readyOf(name);
+    const ready = run.fleet.countReadyExecutors(name);
     if (ready < spec.minReady)
       checkEqual(run, `budget of ${name} (minReady ${spec.minReady})`, true, false);
   });
@@ -206,7 +207,7 @@
   const fleet = createFleetModel({
     configuration,
     rebootMs: fleetLine.rebootS * MS_PER_S,
-    startMs: fleetLine.startS * MS_PER_S,
+    taskStartMs: fleetLine.startS * MS_PER_S,
   });
   const run: Run = { fleet, configuration, paused: new Map(), broken: [], held: 0 };
   events.forEach((event) => {
--- a/packages/core/src/replay/table-model.ts
+++ b/packages/core/src/replay/table-model.ts
@@ -59,7 +59,7 @@
  * @param prefix - The key prefix of the kind.
  * @returns The rows, keyed by the part of the key after the prefix.
  */
-export const rowsOf = <Id extends string, Row>(
+export const readRows = <Id extends string, Row>(
   table: TableModel,
   prefix: string,
 ): ReadonlyMap<Id, Versioned<Row>> =>
--- a/packages/core/src/replay/trace.ts
+++ b/packages/core/src/replay/trace.ts
@@ -56,17 +56,17 @@
 ]);
 
 export type TraceEvent = z.infer<typeof traceEventSchema>;
-export type FleetLine = Extract<TraceEvent, { type: 'fleet' }>;
+export type FleetEvent = Extract<TraceEvent, { type: 'fleet' }>;
 export type TimedEvent = Exclude<TraceEvent, { type: 'fleet' }>;
 export type Expectation = Extract<TraceEvent, { type: 'expect' }>;
 
 /** A parsed trace. */
-export type Trace = { readonly fleet: FleetLine; readonly events: readonly TimedEvent[] };
+export type Trace = { readonly fleet: FleetEvent; readonly events: readonly TimedEvent[] };
 
 /** A line that cannot be parsed, counted from 1, and the reason. */
-export type TraceFault = { readonly line: number; readonly reason: string };
+export type TraceError = { readonly line: number; readonly reason: string };
 
-const parseLine = (text: string, line: number): Result<TraceEvent, TraceFault> => {
+const parseLine = (text: string, line: number): Result<TraceEvent, TraceError> => {
   let value: unknown;
   try {
     value = JSON.parse(text);
@@ -87,7 +87,7 @@
  * @param text - The lines; empty lines are skipped.
  * @returns The trace with its events sorted by time, or the first invalid line.
  */
-export const readTrace = (text: string): Result<Trace, TraceFault> => {
+export const parseTrace = (text: string): Result<Trace, TraceError> => {
   const events: TraceEvent[] = [];
   const lines = text.split('\n');
   for (let index = 0; index < lines.length; index += 1) {
--- a/packages/core/src/replay/workers-model.ts
+++ b/packages/core/src/replay/workers-model.ts
@@ -16,10 +16,10 @@
   phase: ObservedTask['phase'];
   leaseUntilMs: number;
   /** When its phase changes next: from starting to running, or from running to its end. */
-  changesAtMs: number;
+  nextPhaseAtMs: number;
 };
 
-/** A host. `backAtMs` is when its reboot ends; it applies only while `state` is `rebooting`. */
+/** A host. `rebootEndsAtMs` is when its reboot ends; it applies only while `state` is `rebooting`. */
 export type ModelHost = {
   readonly hostId: HostId;
   readonly dataCentre: DataCentreId;
@@ -27,40 +27,40 @@
   isLeaving: boolean;
   failsTasks: boolean;
   boots: number;
-  backAtMs: number;
+  rebootEndsAtMs: number;
 };
 
 /** How long the start of a task and the reboot of a host take, in milliseconds. */
 export type WorkerTimes = {
-  readonly startMs: number;
+  readonly taskStartMs: number;
   readonly rebootMs: number;
 };
 
 /** Counts of invariant violations; all are 0 in a correct run. */
-export type WorkerFaults = {
+export type InvariantViolations = {
   /** Unfinished tasks that a planned reboot of their host terminated. */
-  cutTasks: number;
+  interruptedTasks: number;
   /** Starts of a task while another task of the same job was live. */
-  doubleRuns: number;
+  duplicateRuns: number;
 };
 
 export type WorkersModel = {
   readonly hosts: ReadonlyMap<HostId, ModelHost>;
   readonly tasks: () => readonly ModelTask[];
-  readonly observed: (dataCentre: DataCentreId) => readonly ObservedTask[];
+  readonly listObservedTasks: (dataCentre: DataCentreId) => readonly ObservedTask[];
   readonly start: (placement: PlacementRow, runTimeMs: number, nowMs: number) => void;
   readonly drain: (task: ObservedTask) => void;
   readonly stop: (task: ObservedTask) => void;
   readonly renew: (task: ObservedTask, nowMs: number) => void;
-  readonly reboot: (hostId: HostId, requestName: string, nowMs: number) => void;
-  readonly kill: (hostId: HostId) => void;
-  readonly revive: (hostId: HostId) => void;
+  readonly rebootHost: (hostId: HostId, requestName: string, nowMs: number) => void;
+  readonly crashHost: (hostId: HostId) => void;
+  readonly restartHost: (hostId: HostId) => void;
   /**
    * Advances the model to `nowMs`: completes due starts and runs, ends tasks whose lease has
    * expired, and returns hosts whose reboot is complete.
    */
   readonly advance: (nowMs: number) => void;
-  readonly faults: WorkerFaults;
+  readonly violations: InvariantViolations;
 };
 
 const NEVER_MS = Number.MAX_SAFE_INTEGER;
@@ -76,7 +76,7 @@
  */
 export const createWorkersModel = (
   places: ReadonlyMap<HostId, DataCentreId>,
-  { startMs, rebootMs }: WorkerTimes,
+  { taskStartMs, rebootMs }: WorkerTimes,
 ): WorkersModel => {
   const hosts = new Map<HostId, ModelHost>(
     Array.from(places, ([hostId, dataCentre]) => [
@@ -88,7 +88,7 @@
         isLeaving: false,
         failsTasks: false,
         boots: 1,
-        backAtMs: 0,
+        rebootEndsAtMs: 0,
       },
     ]),
   );
@@ -96,7 +96,7 @@
   const runTimes = new Map<string, number>();
   const endedKeys = new Set<string>();
   const rebootRequests = new Set<string>();
-  const faults: WorkerFaults = { cutTasks: 0, doubleRuns: 0 };
+  const violations: InvariantViolations = { interruptedTasks: 0, duplicateRuns: 0 };
 
   const taskKey = ({ jobId, epoch }: { jobId: JobId; epoch: number }): string =>
     `${jobId}@${epoch}`;
@@ -114,7 +114,7 @@
     const key = taskKey(placement);
     if (hosts.get(hostId)?.state !== 'up' || endedKeys.has(key)) return;
     if (tasks.some((task) => taskKey(task) === key)) return;
-    if (tasks.some((task) => task.jobId === jobId && isLive(task))) faults.doubleRuns += 1;
+    if (tasks.some((task) => task.jobId === jobId && isLive(task))) violations.duplicateRuns += 1;
     runTimes.set(key, runTimeMs);
     tasks.push({
       jobId,
@@ -124,19 +124,19 @@
       leaseMs,
       phase: 'starting',
       leaseUntilMs: nowMs + leaseMs,
-      changesAtMs: nowMs + startMs,
+      nextPhaseAtMs: nowMs + taskStartMs,
     });
   };
 
   const tasksOn = (hostId: HostId) => tasks.filter((task) => task.hostId === hostId);
 
   const changePhase = (task: ModelTask, nowMs: number): void => {
-    if (nowMs < task.changesAtMs || !isLive(task)) return;
+    if (nowMs < task.nextPhaseAtMs || !isLive(task)) return;
     if (task.phase === 'starting') {
       const runTimeMs = runTimes.get(taskKey(task)) ?? 0;
       change(task, {
         phase: 'running',
-        changesAtMs: task.service === null ? nowMs + runTimeMs : NEVER_MS,
+        nextPhaseAtMs: task.service === null ? nowMs + runTimeMs : NEVER_MS,
       });
       return;
     }
@@ -147,7 +147,7 @@
   return {
     hosts,
     tasks: () => tasks,
-    observed: (dataCentre) =>
+    listObservedTasks: (dataCentre) =>
       tasks
         .filter(({ hostId }) => hosts.get(hostId)?.dataCentre === dataCentre)
         .map(({ jobId, epoch, hostId, phase, service }) => ({
@@ -172,23 +172,23 @@
       const task = findTask(wanted);
       if (task) task.leaseUntilMs = nowMs + task.leaseMs;
     },
-    reboot: (hostId, requestName, nowMs) => {
+    rebootHost: (hostId, requestName, nowMs) => {
       const host = hosts.get(hostId);
       if (!host || host.state !== 'up' || rebootRequests.has(requestName)) return;
       rebootRequests.add(requestName);
-      faults.cutTasks += tasksOn(hostId).filter(
+      violations.interruptedTasks += tasksOn(hostId).filter(
         ({ phase }) => phase !== 'done' && phase !== 'failed',
       ).length;
       removeTasks(tasksOn(hostId));
       host.state = 'rebooting';
-      host.backAtMs = nowMs + rebootMs;
+      host.rebootEndsAtMs = nowMs + rebootMs;
     },
-    kill: (hostId) => {
+    crashHost: (hostId) => {
       const host = hosts.get(hostId);
       if (host) host.state = 'dead';
       removeTasks(tasksOn(hostId));
     },
-    revive: (hostId) => {
+    restartHost: (hostId) => {
       const host = hosts.get(hostId);
       if (!host || host.state !== 'dead') return;
       host.state = 'up';
@@ -198,10 +198,10 @@
       tasks.forEach((task) => changePhase(task, nowMs));
       removeTasks(tasks.filter((task) => isLive(task) && nowMs > task.leaseUntilMs));
       hosts.forEach((host) => {
-        if (host.state !== 'rebooting' || nowMs < host.backAtMs) return;
+        if (host.state !== 'rebooting' || nowMs < host.rebootEndsAtMs) return;
         change(host, { state: 'up', boots: host.boots + 1 });
       });
     },
-    faults,
+    violations,
   };
 };
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -70,7 +70,7 @@
   const self = brand<EntryId>(settings['entry-id']);
   const dataCentre = brand<DataCentreId>(settings['data-centre']);
   const host = settings['listen-host'];
-  const log = createLog({ level: settings['log-level'], common: { entry: self } });
+  const log = createLog({ level: settings['log-level'], commonFields: { entry: self } });
   const metrics = createMetrics();
   const tracing = await createTracing(settings, log);
   const decisions = createDecisionStore();
@@ -226,15 +226,15 @@
       table,
       configSync,
       decisions,
-      withheld: controlPlane.withheldActions,
+      listWithheldActions: controlPlane.withheldActions,
       ownStatus,
       members: meshLink.members,
-      ask: meshLink.ask,
-      self,
+      request: meshLink.ask,
+      entryId: self,
     }),
     metrics,
     beforeMetrics: updateGauges,
-    onFault: (method, detail) => log.error('operator-fault', { method, detail }),
+    onHandlerError: (method, detail) => log.error('operator-fault', { method, detail }),
   });
 
   addresses = {
--- a/packages/daemon/src/observe/bounded-output.test.ts
+++ b/packages/daemon/src/observe/bounded-output.test.ts
@@ -50,7 +50,7 @@
     const simulateBusySecond = async () => {
       const { reader, writeBytes, linesOf } = createSlowReader();
       const output = createBoundedOutput({ writeBytes });
-      const log = createLog({ common: { entry: 'hall-b-2' }, sink: output.line });
+      const log = createLog({ commonFields: { entry: 'hall-b-2' }, sink: output.writeLine });
       for (let index = 0; index < REFUSALS; index += 1) {
         const detail = `no job named ${index.toString(16).padStart(16, '0')} was accepted`;
         log.info('request-refused', { method: 'GET', status: 410, verdict: 'notRun', detail });
@@ -96,9 +96,9 @@
       };
       const output = createBoundedOutput({ writeBytes });
       for (let index = 0; index < LINES; index += 1) {
-        output.line(`event=run-ended index=${index} ${'ä'.repeat(110)}`, 'run-ended');
+        output.writeLine(`event=run-ended index=${index} ${'ä'.repeat(110)}`, 'run-ended');
       }
-      output.line(`event=wave ${'x'.repeat(MAX_WRITE_BYTES)}`, 'wave');
+      output.writeLine(`event=wave ${'x'.repeat(MAX_WRITE_BYTES)}`, 'wave');
       await vi.advanceTimersByTimeAsync(1000);
       return writes;
     };
@@ -159,7 +159,10 @@
       const { reader, writeBytes, linesOf } = createSlowReader();
       Object.assign(reader, { isFull: !mayWrite });
       const output = createBoundedOutput({ writeBytes });
-      const log = createLog({ common: { entry: 'edge-hall-mandvi-1' }, sink: output.line });
+      const log = createLog({
+        commonFields: { entry: 'edge-hall-mandvi-1' },
+        sink: output.writeLine,
+      });
       for (let writing = 0; writing < 10; writing += 1) {
         for (let index = 0; index < OTHER_LINES / 10; index += 1) {
           const detail = `no job named ${index.toString(16).padStart(16, '0')} was accepted`;
--- a/packages/daemon/src/observe/bounded-output.ts
+++ b/packages/daemon/src/observe/bounded-output.ts
@@ -50,7 +50,7 @@
    * @param text - The line, without a line break.
    * @param event - The name of its event; lines with the same name share a buffer limit.
    */
-  readonly line: (text: string, event: string) => void;
+  readonly writeLine: (text: string, event: string) => void;
   /** Writes the buffered lines synchronously, at the end of the process. */
   readonly flush: () => void;
 };
@@ -137,7 +137,7 @@
   };
 
   return {
-    line: (text, event) => {
+    writeLine: (text, event) => {
       const characters = bufferedCharacters.get(event) ?? 0;
       if (characters > bufferLimitOf(event)) {
         droppedCounts.set(event, (droppedCounts.get(event) ?? 0) + 1);
--- a/packages/daemon/src/observe/log.test.ts
+++ b/packages/daemon/src/observe/log.test.ts
@@ -5,7 +5,7 @@
 
 const formatLine = (event: string, fields: LogFields): string => {
   const lines: string[] = [];
-  const log = createLog({ common: { entry: 'hall-a-1' }, sink: (line) => lines.push(line) });
+  const log = createLog({ commonFields: { entry: 'hall-a-1' }, sink: (line) => lines.push(line) });
   log.warn(event, fields);
   return (lines[0] ?? '').replace(/^time=\S+ /, 'time=T ');
 };
--- a/packages/daemon/src/observe/log.ts
+++ b/packages/daemon/src/observe/log.ts
@@ -34,7 +34,7 @@
 export type LogOptions = {
   readonly level?: loglevel.LogLevelDesc;
   /** Fields that every event carries. */
-  readonly common?: LogFields;
+  readonly commonFields?: LogFields;
   /** Receives each line with the name of its event. Defaults to the console. */
   readonly sink?: (line: string, event: string) => void;
 };
@@ -45,11 +45,11 @@
  * @param options - The minimum level, the common fields and the sink.
  * @returns The log.
  */
-export const createLog = ({ level = 'info', common = {}, sink }: LogOptions = {}): Log => {
-  const logger = loglevel.getLogger(`valvelatch/${JSON.stringify(common)}`);
+export const createLog = ({ level = 'info', commonFields = {}, sink }: LogOptions = {}): Log => {
+  const logger = loglevel.getLogger(`valvelatch/${JSON.stringify(commonFields)}`);
   if (sink) logger.methodFactory = () => sink;
   logger.setLevel(level, false);
-  const commonText = formatFields(common);
+  const commonText = formatFields(commonFields);
   const write =
     (name: keyof Log) =>
     (event: string, fields: LogFields = {}): void => {
--- a/packages/daemon/src/operators/configuration-handlers.ts
+++ b/packages/daemon/src/operators/configuration-handlers.ts
@@ -1,11 +1,17 @@
 /** Handlers that apply declarations and compare them with the current configuration. */
 import { randomUUID } from 'node:crypto';
 
-import { brand, diffConfiguration, readDeclarations, type ChangeId } from '@valvelatch/core';
+import { brand, diffConfiguration, parseDeclarations, type ChangeId } from '@valvelatch/core';
 import { z } from 'zod';
 
 import { otherMembers, type OperatorContext } from './operator-context.js';
-import { ok, unavailable, withBody, type Handler, type OperatorResult } from './operator-result.js';
+import {
+  ok,
+  platformUnavailable,
+  withBody,
+  type Handler,
+  type OperatorResult,
+} from './operator-result.js';
 
 /** Files with declarations, as they are sent in a request body. */
 export const files = z.array(z.strictObject({ file: z.string(), text: z.string() }));
@@ -24,7 +30,7 @@
   const answers = await Promise.all(
     otherMembers(context).map(async (member) => {
       try {
-        await context.ask(member, 'await-revision', { revision, waitMs }, waitMs);
+        await context.request(member, 'await-revision', { revision, waitMs }, waitMs);
         return { entryId: member.entryId, isInForce: true };
       } catch {
         return { entryId: member.entryId, isInForce: false };
@@ -32,7 +38,7 @@
     }),
   );
   return {
-    inForce: [context.self, ...answers.filter((one) => one.isInForce).map((one) => one.entryId)],
+    inForce: [context.entryId, ...answers.filter((one) => one.isInForce).map((one) => one.entryId)],
     unreachable: answers.filter((one) => !one.isInForce).map((one) => one.entryId),
   };
 };
@@ -42,7 +48,7 @@
   body: z.infer<typeof applyBody>,
 ): Promise<OperatorResult> => {
   const { configSync } = context;
-  const read = readDeclarations(body.files);
+  const read = parseDeclarations(body.files);
   if (read.isErr()) {
     return { kind: 'invalid', detail: 'nothing was applied', faults: read.error };
   }
@@ -53,7 +59,7 @@
     changeId: brand<ChangeId>(randomUUID()),
   });
   if (outcome.isErr()) {
-    if (outcome.error.kind === 'platform') return unavailable(outcome.error.error);
+    if (outcome.error.kind === 'platform') return platformUnavailable(outcome.error.error);
     return {
       kind: 'conflict',
       detail: `another operator's change came first, at revision ${outcome.error.revision}`,
@@ -69,7 +75,7 @@
   { configSync }: OperatorContext,
   body: z.infer<typeof applyBody>,
 ): Promise<OperatorResult> => {
-  const read = readDeclarations(body.files);
+  const read = parseDeclarations(body.files);
   if (read.isErr()) return { kind: 'invalid', detail: 'not comparable', faults: read.error };
   await configSync.poll();
   const current = configSync.current();
--- a/packages/daemon/src/operators/doubt-handlers.ts
+++ b/packages/daemon/src/operators/doubt-handlers.ts
@@ -3,7 +3,13 @@
 import { z } from 'zod';
 
 import type { OperatorContext } from './operator-context.js';
-import { ok, unavailable, withBody, type Handler, type OperatorResult } from './operator-result.js';
+import {
+  ok,
+  platformUnavailable,
+  withBody,
+  type Handler,
+  type OperatorResult,
+} from './operator-result.js';
 
 /**
  * Deletes the doubt row. The operator thereby confirms that no unflushed claim of a replaced data
@@ -11,14 +17,14 @@
  */
 const clearDoubt = async ({ table }: OperatorContext): Promise<OperatorResult> => {
   const rows = await table.read([rowKey.doubt]);
-  if (rows.isErr()) return unavailable(rows.error);
+  if (rows.isErr()) return platformUnavailable(rows.error);
   const [row] = rows.value;
   if (!row || row.value === null) return { kind: 'not-found', detail: 'there is no doubt' };
   const outcome = await table.transact({
     checks: [{ key: rowKey.doubt, version: row.version }],
     writes: [{ key: rowKey.doubt, value: null }],
   });
-  if (outcome.isErr()) return unavailable(outcome.error);
+  if (outcome.isErr()) return platformUnavailable(outcome.error);
   return outcome.value.kind === 'committed'
     ? ok(row.value)
     : { kind: 'conflict', detail: 'the doubt has changed; look at it again' };
--- a/packages/daemon/src/operators/explain-handlers.ts
+++ b/packages/daemon/src/operators/explain-handlers.ts
@@ -12,8 +12,18 @@
 } from '@valvelatch/core';
 import { z } from 'zod';
 
-import { ASK_MS, otherMembers, type OperatorContext } from './operator-context.js';
-import { ok, unavailable, withBody, type Handler, type OperatorResult } from './operator-result.js';
+import {
+  ENTRY_REQUEST_TIMEOUT_MS,
+  otherMembers,
+  type OperatorContext,
+} from './operator-context.js';
+import {
+  ok,
+  platformUnavailable,
+  withBody,
+  type Handler,
+  type OperatorResult,
+} from './operator-result.js';
 
 const explainBody = z.strictObject({
   kind: z.enum(['job', 'host', 'request', 'wave']),
@@ -26,10 +36,12 @@
 ): Promise<readonly WithheldAction[]> => {
   const answers = await Promise.all(
     otherMembers(context).map((member) =>
-      context.ask(member, 'withheld', { subject }, ASK_MS).catch(() => [] as WithheldAction[]),
+      context
+        .request(member, 'withheld', { subject }, ENTRY_REQUEST_TIMEOUT_MS)
+        .catch(() => [] as WithheldAction[]),
     ),
   );
-  const own = context.withheld().filter((one) => one.subject === subject);
+  const own = context.listWithheldActions().filter((one) => one.subject === subject);
   return [...own, ...(answers.flat() as WithheldAction[])];
 };
 
@@ -43,7 +55,9 @@
 ): Promise<DecisionRecord | undefined> => {
   const answers = await Promise.all(
     otherMembers(context).map((member) =>
-      context.ask(member, 'recall', { subject }, ASK_MS).catch(() => undefined),
+      context
+        .request(member, 'recall', { subject }, ENTRY_REQUEST_TIMEOUT_MS)
+        .catch(() => undefined),
     ),
   );
   const known = [findDecision(context.decisions, subject), ...answers] as DecisionRecord[];
@@ -61,7 +75,7 @@
   relatedKeys: readonly string[],
 ): Promise<OperatorResult> => {
   const rows = await context.table.read([key, ...relatedKeys]);
-  if (rows.isErr()) return unavailable(rows.error);
+  if (rows.isErr()) return platformUnavailable(rows.error);
   const found = rows.value.filter(({ value }) => value !== null);
   const withheldNow = await listWithheldActions(context, key);
   if (found.length === 0 && withheldNow.length === 0) {
@@ -83,14 +97,14 @@
   const subject = `request/${name}`;
   const [entryId] = name.split('.');
   const member = context.members().find((one) => one.entryId === entryId);
-  const isOwn = entryId === context.self;
+  const isOwn = entryId === context.entryId;
   if (!isOwn && !member) {
     return { kind: 'not-found', detail: `entry ${entryId ?? ''} that decided is not there` };
   }
   const record = isOwn
     ? findDecision(context.decisions, subject)
     : ((await context
-        .ask(member as Member, 'recall', { subject }, ASK_MS)
+        .request(member as Member, 'recall', { subject }, ENTRY_REQUEST_TIMEOUT_MS)
         .catch(() => undefined)) as DecisionRecord | undefined);
   return record ? ok(record) : { kind: 'not-found', detail: `nothing is remembered of ${subject}` };
 };
@@ -109,7 +123,7 @@
     otherMembers(context).map(async (member) => {
       const { entryId, dataCentre } = member;
       const answer = await context
-        .ask(member, 'status', {}, ASK_MS)
+        .request(member, 'status', {}, ENTRY_REQUEST_TIMEOUT_MS)
         .catch(() => ({ entryId, dataCentre, isUnreachable: true }));
       return answer;
     }),
--- a/packages/daemon/src/operators/host-handlers.ts
+++ b/packages/daemon/src/operators/host-handlers.ts
@@ -10,7 +10,7 @@
 import { z } from 'zod';
 
 import type { OperatorContext } from './operator-context.js';
-import { changeRow, withBody, type Handler, type OperatorResult } from './operator-result.js';
+import { updateRow, withBody, type Handler, type OperatorResult } from './operator-result.js';
 
 const hostBody = z.strictObject({ hostId: z.string(), toPool: z.string().optional() });
 type HostBody = z.infer<typeof hostBody>;
@@ -21,7 +21,7 @@
   drain: DrainPurpose,
   reason: string,
 ): Promise<OperatorResult> =>
-  changeRow<HostRow>(table, rowKey.host(hostId), (row) =>
+  updateRow<HostRow>(table, rowKey.host(hostId), (row) =>
     row.phase === 'assigned' || row.phase === 'quarantined'
       ? { ...row, phase: 'draining', drain, reason }
       : `host ${hostId} is ${row.phase} already: ${row.reason}`,
@@ -42,7 +42,7 @@
 };
 
 const returnHost = ({ table }: OperatorContext, { hostId }: HostBody): Promise<OperatorResult> =>
-  changeRow<HostRow>(table, rowKey.host(hostId), (row) =>
+  updateRow<HostRow>(table, rowKey.host(hostId), (row) =>
     row.phase === 'quarantined' || row.drain?.kind === 'operator' || row.drain?.kind === 'transfer'
       ? { ...row, phase: 'assigned', drain: null, reason: 'an operator returned it to use' }
       : `host ${hostId} is ${row.phase}: ${row.reason}`,
--- a/packages/daemon/src/operators/job-handlers.ts
+++ b/packages/daemon/src/operators/job-handlers.ts
@@ -1,13 +1,13 @@
 /** Handlers that submit and cancel jobs. */
-import { readJobs, rowKey, type DeclarationFile, type JobRow } from '@valvelatch/core';
+import { parseJobs, rowKey, type DeclarationFile, type JobRow } from '@valvelatch/core';
 import { z } from 'zod';
 
 import { files } from './configuration-handlers.js';
 import type { OperatorContext } from './operator-context.js';
 import {
-  changeRow,
+  updateRow,
   ok,
-  unavailable,
+  platformUnavailable,
   withBody,
   type Handler,
   type OperatorResult,
@@ -17,7 +17,7 @@
   { table }: OperatorContext,
   declarationFiles: readonly DeclarationFile[],
 ): Promise<OperatorResult> => {
-  const read = readJobs(declarationFiles);
+  const read = parseJobs(declarationFiles);
   if (read.isErr()) {
     return { kind: 'invalid', detail: 'nothing was submitted', faults: read.error };
   }
@@ -29,7 +29,7 @@
     checks: rows.map(({ key }) => ({ key, version: 0 })),
     writes: rows,
   });
-  if (outcome.isErr()) return unavailable(outcome.error);
+  if (outcome.isErr()) return platformUnavailable(outcome.error);
   return outcome.value.kind === 'committed'
     ? ok({ submitted: read.value.map(({ name }) => name) })
     : {
@@ -39,7 +39,7 @@
 };
 
 const cancelJob = ({ table }: OperatorContext, name: string): Promise<OperatorResult> =>
-  changeRow<JobRow>(table, rowKey.job(name), (row) =>
+  updateRow<JobRow>(table, rowKey.job(name), (row) =>
     row.phase === 'pending'
       ? { ...row, phase: 'cancelled', reason: 'an operator cancelled it' }
       : `job ${name} is ${row.phase} already`,
--- a/packages/daemon/src/operators/list-handlers.ts
+++ b/packages/daemon/src/operators/list-handlers.ts
@@ -14,8 +14,8 @@
 import {
   ok,
   scanRows,
-  selectorFault,
-  unavailable,
+  selectorError,
+  platformUnavailable,
   withBody,
   type Handler,
   type OperatorResult,
@@ -41,9 +41,9 @@
 
 const listHosts: Lister = async ({ table, configSync }, selectorText) => {
   const selector = parseSelector(selectorText);
-  if (selector.isErr()) return selectorFault(selector.error);
+  if (selector.isErr()) return selectorError(selector.error);
   const rows = await scanRows<HostRow>(table, rowPrefix.host);
-  if (rows.isErr()) return unavailable(rows.error);
+  if (rows.isErr()) return platformUnavailable(rows.error);
   const views = new Map(
     listDeclaredHosts(configSync.current()).map((spec) => [spec.hostId, toHostView(spec)]),
   );
@@ -56,7 +56,7 @@
 
 const listPools: Lister = async ({ table, configSync }) => {
   const rows = await scanRows<HostRow>(table, rowPrefix.host);
-  if (rows.isErr()) return unavailable(rows.error);
+  if (rows.isErr()) return platformUnavailable(rows.error);
   return ok(
     listDeclarations(configSync.current(), 'Pool').map(({ name, spec }) => ({
       pool: name,
@@ -72,7 +72,9 @@
   (prefix: string): Lister =>
   async ({ table }) => {
     const rows = await scanRows(table, prefix);
-    return rows.isErr() ? unavailable(rows.error) : ok(rows.value.map(({ value }) => value));
+    return rows.isErr()
+      ? platformUnavailable(rows.error)
+      : ok(rows.value.map(({ value }) => value));
   };
 
 const listers: Record<z.infer<typeof getBody>['kind'], Lister> = {
--- a/packages/daemon/src/operators/operator-context.ts
+++ b/packages/daemon/src/operators/operator-context.ts
@@ -14,17 +14,22 @@
   readonly endpoints: Readonly<Record<string, number>>;
 };
 
-/** The dependencies of the handlers. `self` is the ID of this entry. */
+/** The dependencies of the handlers. `entryId` is the ID of this entry. */
 export type OperatorContext = {
   readonly table: TableClient;
   readonly configSync: ConfigSync;
   readonly decisions: DecisionStore;
-  readonly withheld: () => readonly WithheldAction[];
+  readonly listWithheldActions: () => readonly WithheldAction[];
   readonly ownStatus: () => EntryStatus;
   readonly members: () => readonly Member[];
   /** Sends a request to another entry; rejects if it doesn't respond within `ms` milliseconds. */
-  readonly ask: (member: Member, method: string, payload: unknown, ms: number) => Promise<unknown>;
-  readonly self: string;
+  readonly request: (
+    member: Member,
+    method: string,
+    payload: unknown,
+    ms: number,
+  ) => Promise<unknown>;
+  readonly entryId: string;
 };
 
 /**
@@ -33,8 +38,8 @@
  * @param context - The context.
  * @returns All members except this entry.
  */
-export const otherMembers = ({ members, self }: OperatorContext): readonly Member[] =>
+export const otherMembers = ({ members, entryId: self }: OperatorContext): readonly Member[] =>
   members().filter(({ entryId }) => entryId !== self);
 
 /** Timeout of a request to another entry, in milliseconds. */
-export const ASK_MS = 2000;
+export const ENTRY_REQUEST_TIMEOUT_MS = 2000;
--- a/packages/daemon/src/operators/operator-result.ts
+++ b/packages/daemon/src/operators/operator-result.ts
@@ -27,7 +27,7 @@
  * @param error - The error of the platform's client.
  * @returns The result.
  */
-export const unavailable = ({ detail }: PlatformError): OperatorResult => ({
+export const platformUnavailable = ({ detail }: PlatformError): OperatorResult => ({
   kind: 'unavailable',
   detail: `the platform does not answer: ${detail}`,
 });
@@ -38,7 +38,7 @@
  * @param error - The error in the selector.
  * @returns The result.
  */
-export const selectorFault = (error: {
+export const selectorError = (error: {
   readonly position: number;
   readonly message: string;
   readonly text: string;
@@ -86,13 +86,13 @@
  * @param change - Returns the new row, or the reason why the row may not be changed.
  * @returns The new row, or why the row was not changed.
  */
-export const changeRow = async <Row>(
+export const updateRow = async <Row>(
   table: TableClient,
   key: string,
   change: (row: Row) => Row | string,
 ): Promise<OperatorResult> => {
   const rows = await table.read([key]);
-  if (rows.isErr()) return unavailable(rows.error);
+  if (rows.isErr()) return platformUnavailable(rows.error);
   const [row] = rows.value;
   if (!row || row.value === null) return { kind: 'not-found', detail: `there is no ${key}` };
   const next = change(row.value as Row);
@@ -101,7 +101,7 @@
     checks: [{ key, version: row.version }],
     writes: [{ key, value: next }],
   });
-  if (outcome.isErr()) return unavailable(outcome.error);
+  if (outcome.isErr()) return platformUnavailable(outcome.error);
   return outcome.value.kind === 'committed'
     ? ok(next)
     : { kind: 'conflict', detail: `${key} was changed by another at the same moment` };
--- a/packages/daemon/src/operators/operators-server.ts
+++ b/packages/daemon/src/operators/operators-server.ts
@@ -14,7 +14,7 @@
   /** Called before the metrics are formatted, to update gauges. */
   readonly beforeMetrics: () => void;
   /** Called when a handler throws; the request is answered with status 500. */
-  readonly onFault: (method: string, detail: string) => void;
+  readonly onHandlerError: (method: string, detail: string) => void;
 };
 
 const UNAUTHORIZED = 401;
@@ -43,7 +43,7 @@
   handlers,
   metrics,
   beforeMetrics,
-  onFault,
+  onHandlerError,
 }: OperatorsServerOptions): FastifyInstance => {
   const app = fastify({ bodyLimit: MAX_BODY_BYTES });
   const expectedDigest = digest(`Bearer ${operatorKey}`);
@@ -71,7 +71,7 @@
       return await reply.code(statusOf[result.kind]).send(result);
     } catch (error) {
       const detail = error instanceof Error ? error.message : String(error);
-      onFault(method, detail);
+      onHandlerError(method, detail);
       return reply.code(INTERNAL_SERVER_ERROR).send({ kind: 'fault', detail });
     }
   });
--- a/packages/daemon/src/operators/wave-handlers.ts
+++ b/packages/daemon/src/operators/wave-handlers.ts
@@ -14,11 +14,11 @@
 
 import type { OperatorContext } from './operator-context.js';
 import {
-  changeRow,
+  updateRow,
   ok,
   scanRows,
-  selectorFault,
-  unavailable,
+  selectorError,
+  platformUnavailable,
   withBody,
   type Handler,
   type OperatorResult,
@@ -38,9 +38,9 @@
   { name, selector: text }: z.infer<typeof waveStartBody>,
 ): Promise<OperatorResult> => {
   const selector = parseSelector(text);
-  if (selector.isErr()) return selectorFault(selector.error);
+  if (selector.isErr()) return selectorError(selector.error);
   const hostRows = await scanRows<HostRow>(table, rowPrefix.host);
-  if (hostRows.isErr()) return unavailable(hostRows.error);
+  if (hostRows.isErr()) return platformUnavailable(hostRows.error);
   const rows = hostRows.value.map(({ value }) => value);
   const configuration = configSync.current();
   const hosts = selectHosts(configuration, rows, selector.value);
@@ -62,7 +62,7 @@
     checks: [{ key, version: 0 }],
     writes: [{ key, value: row }],
   });
-  if (outcome.isErr()) return unavailable(outcome.error);
+  if (outcome.isErr()) return platformUnavailable(outcome.error);
   return outcome.value.kind === 'committed'
     ? ok(row)
     : { kind: 'conflict', detail: `a wave named ${name} exists already` };
@@ -78,7 +78,7 @@
   { table }: OperatorContext,
   { name, change }: z.infer<typeof waveChangeBody>,
 ): Promise<OperatorResult> =>
-  changeRow<WaveRow>(table, rowKey.wave(name), (row) =>
+  updateRow<WaveRow>(table, rowKey.wave(name), (row) =>
     row.phase === 'done' || row.phase === 'cancelled'
       ? `wave ${name} is ${row.phase} already`
       : { ...row, phase: phaseAfter[change], reason: `an operator: ${change}` },
--- a/packages/daemon/src/settings/operations-page.test.ts
+++ b/packages/daemon/src/settings/operations-page.test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, it } from 'vitest';
 
-import { settingsRows } from './settings-rows.js';
+import { formatSettingsRows } from './settings-rows.js';
 
 const page = readFileSync(new URL('../../../../docs/OPERATIONS.md', import.meta.url), 'utf8');
 const normalizeCells = (line: string): string =>
@@ -14,6 +14,6 @@
 describe('operations page', () => {
   it('lists every setting with its description, accepted values and default as defined in the code', () => {
     const listed = page.split('\n').map(normalizeCells);
-    settingsRows().forEach((row) => expect(listed).toContain(normalizeCells(row)));
+    formatSettingsRows().forEach((row) => expect(listed).toContain(normalizeCells(row)));
   });
 });
--- a/packages/daemon/src/settings/settings-rows.ts
+++ b/packages/daemon/src/settings/settings-rows.ts
@@ -15,7 +15,7 @@
  *
  * @returns One row per setting.
  */
-export const settingsRows = (): readonly string[] =>
+export const formatSettingsRows = (): readonly string[] =>
   Object.entries(settingsTable).map(
     ([flag, { describe, accepts, schema }]) =>
       `| \`--${flag}\`: ${describe} | \`${environmentName(flag)}\` | ${accepts} | ${formatDefault(schema)} |`,
--- a/packages/daemon/src/settings/settings.test.ts
+++ b/packages/daemon/src/settings/settings.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { checkSettings, environmentName, readSettings, settingsTable } from './settings.js';
+import { validateSettings, environmentName, readSettings, settingsTable } from './settings.js';
 
 const validSettings = {
   'entry-id': 'one',
@@ -13,7 +13,7 @@
 
 describe('settings', () => {
   it('apply the defaults', () => {
-    const settings = checkSettings(validSettings).unwrap();
+    const settings = validateSettings(validSettings).unwrap();
     expect(settings['callers-port']).toBe(0);
     expect(settings['trace-exporter']).toBe('none');
     expect(settings.seeds).toEqual([]);
@@ -29,7 +29,7 @@
     ['log-level', 'loud'],
     ['listen-host', 'example'],
   ] as const)('report flag, value and accepted values for the invalid --%s %s', (flag, value) => {
-    const fault = checkSettings({ ...validSettings, [flag]: value }).unwrapErr();
+    const fault = validateSettings({ ...validSettings, [flag]: value }).unwrapErr();
     expect(fault).toBe(
       `--${flag} (${environmentName(flag)}): got '${value}', expected ${settingsTable[flag].accepts}`,
     );
@@ -53,7 +53,7 @@
   });
 
   it('report a missing setting that has no default', () => {
-    expect(checkSettings({ ...validSettings, 'mesh-key': undefined }).unwrapErr()).toContain(
+    expect(validateSettings({ ...validSettings, 'mesh-key': undefined }).unwrapErr()).toContain(
       '--mesh-key (VALVELATCH_MESH_KEY): got nothing',
     );
   });
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -146,7 +146,9 @@
  * @returns The settings, or one line that names the first invalid flag, its value and the accepted
  * values.
  */
-export const checkSettings = (raw: Readonly<Record<string, unknown>>): Result<Settings, string> => {
+export const validateSettings = (
+  raw: Readonly<Record<string, unknown>>,
+): Result<Settings, string> => {
   const checked: Record<string, unknown> = {};
   const invalidFlag = flags.find((flag) => {
     const parsed = settingsTable[flag].schema.safeParse(raw[flag]);
@@ -201,6 +203,6 @@
     });
   const given = await parser.parseAsync();
   return errorMessage === undefined
-    ? checkSettings({ ...fromEnvironment(environment), ...given })
+    ? validateSettings({ ...fromEnvironment(environment), ...given })
     : Err(errorMessage);
 };
--- a/packages/daemon/src/testing/deployment.fixtures.ts
+++ b/packages/daemon/src/testing/deployment.fixtures.ts
@@ -10,7 +10,7 @@
 import { request, type Dispatcher } from 'undici';
 
 import { startEntry, type Entry } from '../entry/entry.js';
-import { checkSettings } from '../settings/settings.js';
+import { validateSettings } from '../settings/settings.js';
 
 export const OPERATOR_KEY = 'operator-key-for-tests';
 const MESH_KEY = 'mesh-key-for-all-tests';
@@ -149,7 +149,7 @@
 
   const addEntry = async (dataCentre: string, entryId: string): Promise<TestEntry> => {
     const platformRelay = await startRelay(Number(new URL(platform.url).port));
-    const settings = checkSettings({
+    const settings = validateSettings({
       'entry-id': entryId,
       'data-centre': dataCentre,
       'platform-url': `http://127.0.0.1:${platformRelay.port}`,
--- a/packages/stand-ins/src/example-deployment.ts
+++ b/packages/stand-ins/src/example-deployment.ts
@@ -6,7 +6,7 @@
   listDeclaredHosts,
   listDeclarations,
   emptyConfiguration,
-  readDeclarations,
+  parseDeclarations,
   applySnapshot,
   type Configuration,
 } from '@valvelatch/core';
@@ -43,7 +43,7 @@
   const files = await Promise.all(
     names.map(async (file) => ({ file, text: await readFile(new URL(file, folder), 'utf8') })),
   );
-  const declarations = readDeclarations(files).unwrap();
+  const declarations = parseDeclarations(files).unwrap();
   return applySnapshot(emptyConfiguration, { revision: 1, declarations });
 };
 
