--- a/packages/cli/src/files.ts
+++ b/packages/cli/src/files.ts
@@ -22,7 +22,9 @@
  * @returns The path and text of each file; those of a folder are sorted by path.
  * @throws When a file or folder cannot be read.
  */
-export const readDeclarationFiles = async (paths: readonly string[]): Promise<readonly DeclarationFile[]> => {
+export const readDeclarationFiles = async (
+  paths: readonly string[],
+): Promise<readonly DeclarationFile[]> => {
   const files = (await Promise.all(paths.map(listFiles))).flat();
   return Promise.all(files.map(async (file) => ({ file, text: await readFile(file, 'utf8') })));
 };
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -55,7 +55,12 @@
     `list ${kind}`,
     { selector: { type: 'string', default: '', describe: 'labels to match, for hosts' } } as const,
     (args) =>
-      run(args as never, 'get', { kind, selector: args.selector }, createListFormatter(kind) as LineFormatter),
+      run(
+        args as never,
+        'get',
+        { kind, selector: args.selector },
+        createListFormatter(kind) as LineFormatter,
+      ),
   );
 
 const poolCommands = (argv: Argv<CommonOptions>) =>
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -46,7 +46,10 @@
  * @param columns - The properties to show, in order.
  * @returns The lines.
  */
-export const formatTable = (rows: readonly Row[], columns: readonly string[]): readonly string[] => {
+export const formatTable = (
+  rows: readonly Row[],
+  columns: readonly string[],
+): readonly string[] => {
   const cells = [
     columns.map((column) => column.toUpperCase()),
     ...rows.map((row) => columns.map((column) => formatCell(row[column]))),
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/followed-runs.test.ts
@@ -21,7 +21,12 @@
 import { applyStartOutcome, applyStopResponse } from './order-answers.js';
 import type { RunEndKind } from './reports.js';
 import { endpointsOf } from '../placement/schedule.js';
-import { removeEffects, type BatchEffect, type BatchState, type GoneCause } from '../model/state.js';
+import {
+  removeEffects,
+  type BatchEffect,
+  type BatchState,
+  type GoneCause,
+} from '../model/state.js';
 import { handleStalledAndLapsedRuns } from './watch-runs.js';
 
 const FIRST_INCARNATION = endpointIdOf('i-0000000001', 1_700_000_000_000);
--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -107,7 +107,7 @@
   });
 });
 
-describe('restoreLearnedRow', () => {
+describe('restoreDemandHistoryRow', () => {
   it('lets the next holder start from the saved peaks and run times, converted by the wall clock', () => {
     const first = createBatchState(1);
     simulateDemand(first.peaks, rotation, 38_000);
--- a/packages/daemon/src/batch/batch-faults.test.ts
+++ b/packages/daemon/src/batch/batch-faults.test.ts
@@ -4,7 +4,13 @@
 import type { JobId } from '@valvelatch/core/shared/ids';
 
 import { type SimFleet } from './testing/sim-fleet.fixtures.js';
-import { advanceTime, createRandom, FAKED_TIMERS, phaseOf, createStartedFleet } from './testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  createRandom,
+  FAKED_TIMERS,
+  phaseOf,
+  createStartedFleet,
+} from './testing/virtual-time.fixtures.js';
 
 /** Bytes a millisecond of each entry's link: the load of these plays is a third of it. */
 const LINK_THAT_NEEDS_RELAYS = 40;
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-keeper.ts
@@ -228,8 +228,11 @@
     const { configuration, faults = [], waves, readStats } = news.value;
     metrics.count('operator_feed_bytes', readStats.bytes);
     metrics.time('operator_feed_arriving', readStats.transferMs * 1000);
-    if (configuration)
-      applyConfiguration(configuration, { from: 'table', silentMs: feedSilentMs(), ...readStats });
+    if (configuration) {
+      const { scope, replacedRows: replaced, bytes, transferMs: arrivingMs } = readStats;
+      const readFields = { scope, replaced, bytes, arrivingMs };
+      applyConfiguration(configuration, { from: 'table', silentMs: feedSilentMs(), ...readFields });
+    }
     faults.forEach((detail) => log.warn('configuration-fault', { detail }));
     lastFeedAnswerAtMs = nowMs();
     confirmedAtMs = lastFeedAnswerAtMs;
@@ -362,6 +365,7 @@
       };
     },
     confirmEvacuations,
-    isTableUnavailableToNeighbours: () => nowMs() - neighboursWithoutTableAtMs < NEIGHBOUR_ANSWERS_VALID_MS,
+    isTableUnavailableToNeighbours: () =>
+      nowMs() - neighboursWithoutTableAtMs < NEIGHBOUR_ANSWERS_VALID_MS,
   };
 };
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
@@ -30,14 +30,20 @@
   isDeleted: false,
 });
 
-const changesAt = (revision: number, changes: EvacuationFeedUpdate['changes'] = []): EvacuationFeedUpdate => ({
+const changesAt = (
+  revision: number,
+  changes: EvacuationFeedUpdate['changes'] = [],
+): EvacuationFeedUpdate => ({
   changes,
   revision,
   isFullRead: false,
   isCurrent: true,
 });
 
-const fullReadAt = (revision: number, changes: EvacuationFeedUpdate['changes'] = []): EvacuationFeedUpdate => ({
+const fullReadAt = (
+  revision: number,
+  changes: EvacuationFeedUpdate['changes'] = [],
+): EvacuationFeedUpdate => ({
   changes,
   revision,
   isFullRead: true,
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-keeper.ts
@@ -132,7 +132,8 @@
       updateView(mergeEvacuationViews(view, toView(message)), 'neighbour');
       if (message.confirmedAgoMs !== null) recordConfirmation(askedAtMs - message.confirmedAgoMs);
     },
-    applyQuestion: (message) => updateView(mergeEvacuationViews(view, toView(message)), 'neighbour'),
+    applyQuestion: (message) =>
+      updateView(mergeEvacuationViews(view, toView(message)), 'neighbour'),
     toMessage: () => ({
       revision: view.revision,
       evacuated: Array.from(view.evacuated),
--- a/packages/daemon/src/batch/configuration/start-gate.ts
+++ b/packages/daemon/src/batch/configuration/start-gate.ts
@@ -7,7 +7,10 @@
 
 export type StartGateOptions = {
   readonly evacuations: EvacuationTracker;
-  readonly configuration: Pick<ConfigurationSync, 'confirmEvacuations' | 'isTableUnavailableToNeighbours'>;
+  readonly configuration: Pick<
+    ConfigurationSync,
+    'confirmEvacuations' | 'isTableUnavailableToNeighbours'
+  >;
   /** True if the table does not answer this entry, neither directly nor through its neighbours. */
   readonly isTableUnavailable: () => boolean;
 };
--- a/packages/daemon/src/batch/control/batch-control.test.ts
+++ b/packages/daemon/src/batch/control/batch-control.test.ts
@@ -3,7 +3,13 @@
 import type { HostId, JobId } from '@valvelatch/core/shared/ids';
 
 import { type SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, phaseOf, listRunKeys, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  phaseOf,
+  listRunKeys,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 describe('control of batch work', () => {
   beforeEach(() => {
--- a/packages/daemon/src/batch/control/control.test.ts
+++ b/packages/daemon/src/batch/control/control.test.ts
@@ -17,8 +17,8 @@
 
 const table = {
   read: async () => Ok([{ key: 'lease/control', value: lease, version: 4 }]),
-  isServed: () => true,
-  silentForMs: () => 0,
+  isDirectRouteUp: () => true,
+  unansweredForMs: () => 0,
 } as unknown as RelayedTable;
 
 describe('submissions to a holder at another entry', () => {
@@ -35,7 +35,7 @@
       self: brand('self'),
       platform: {} as BatchPlatform,
       table,
-      peers: () => ({ knows: () => true, keepLink: () => undefined, ...peers }) as unknown as Peers,
+      peers: () => ({ has: () => true, ensureLink: () => undefined, ...peers }) as unknown as Peers,
       configuration: () => indexQueues({ version: 1, queues: [], pools: [], accounts: [] }),
       log,
       metrics: createMetrics(),
--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -26,7 +26,12 @@
 import type { BatchPlatform } from '../ports.js';
 import type { RefusedJob } from '../jobs/refused-jobs.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
-import { createYieldTimer, EQUAL_PREFERENCE, HANDOVER_CHECK_INTERVAL_MS, type HolderPreference } from './standing.js';
+import {
+  createYieldTimer,
+  EQUAL_PREFERENCE,
+  HANDOVER_CHECK_INTERVAL_MS,
+  type HolderPreference,
+} from './standing.js';
 import { createTerm, type Term } from './term.js';
 import type { KnownWave } from '../hosts/wave-keeper.js';
 
@@ -187,13 +192,16 @@
    * An entry without its own route to the table does not take control: feeds are read over that route only, so
    * it could keep the lease through neighbours but learn of no new work.
    */
-  const isWilling = (): boolean => !isResigned && configuration() !== undefined && table.isDirectRouteUp();
+  const isWilling = (): boolean =>
+    !isResigned && configuration() !== undefined && table.isDirectRouteUp();
 
   /** True if another entry holds the lease and is silent or has resigned: it may be taken after `EARLY_TAKEOVER_MS`. */
   const isHolderSuspect = (): boolean => {
     const holder = keeper.lastRow()?.holder ?? null;
     if (holder === null || holder === self) return false;
-    return peerSilentForMs(holder) > HOLDER_SILENCE_LIMIT_MS || resignations.hasResigned(keeper.epoch());
+    return (
+      peerSilentForMs(holder) > HOLDER_SILENCE_LIMIT_MS || resignations.hasResigned(keeper.epoch())
+    );
   };
 
   /**
@@ -203,7 +211,9 @@
    */
   const mayTakeAtOnce = (): boolean => {
     const holder = keeper.lastRow()?.holder ?? null;
-    return holderPreference.isPreferred() && (holder === null || holder === self || isHolderSuspect());
+    return (
+      holderPreference.isPreferred() && (holder === null || holder === self || isHolderSuspect())
+    );
   };
 
   /** True if the lease has been free for long enough that every entry with priority could have taken it. */
@@ -232,11 +242,15 @@
   const hostOrdersAfterMs = (): number => {
     if (keeper.previousHolder() !== null) return 0;
     const distanceMs = platform.bounds().holderTurnMs + HOLDER_TURN_MARGIN_MS;
-    return Math.max(0, distanceMs - keeper.previousHolderIdleMs() - keeper.unchangedBeforeAcquisitionMs());
+    return Math.max(
+      0,
+      distanceMs - keeper.previousHolderIdleMs() - keeper.unchangedBeforeAcquisitionMs(),
+    );
   };
 
   /** For how long earlier holders may still order endpoints, by their own clocks. */
-  const formerOrdersRemainingMs = (): number => Math.max(0, keeper.earlierHoldersUntilMs() - nowMs());
+  const formerOrdersRemainingMs = (): number =>
+    Math.max(0, keeper.earlierHoldersUntilMs() - nowMs());
 
   const mayOrderHosts = (): boolean =>
     table.isDirectRouteUp() &&
@@ -285,7 +299,10 @@
   /** The reason why control should go to another entry now; undefined if it should not. */
   const findHandoverReason = async (): Promise<string | undefined> => {
     if (isTableServingOthersOnly()) return 'the table serves other entries and not this one';
-    if (holderPreference.isPreferred() || nowMs() - checkedForStrongerAtMs < HANDOVER_CHECK_INTERVAL_MS)
+    if (
+      holderPreference.isPreferred() ||
+      nowMs() - checkedForStrongerAtMs < HANDOVER_CHECK_INTERVAL_MS
+    )
       return undefined;
     checkedForStrongerAtMs = nowMs();
     const stronger = await holderPreference.findHigherCapacityEntry();
@@ -294,7 +311,8 @@
 
   const handOver = async (): Promise<void> => {
     const reason = term && (await findHandoverReason());
-    if (reason !== undefined && (await keeper.release(term?.fleet.sinceLastOrderMs()))) await endTerm(reason);
+    if (reason !== undefined && (await keeper.release(term?.fleet.sinceLastOrderMs())))
+      await endTerm(reason);
   };
 
   /**
@@ -307,7 +325,10 @@
   /** True if the last renewal is so old that another entry may take the lease, and the table does not answer. */
   const cannotRenew = (): boolean => {
     const renewedAtMs = keeper.heldUntilMs() - CONTROL_LEASE_MS;
-    const unansweredMs = Math.max(table.unansweredForMs(), nowMs() - table.directRouteLostSinceMs());
+    const unansweredMs = Math.max(
+      table.unansweredForMs(),
+      nowMs() - table.directRouteLostSinceMs(),
+    );
     return nowMs() - renewedAtMs >= SOLE_HOLDER_MS && unansweredMs >= TABLE_SILENCE_LIMIT_MS;
   };
 
@@ -423,7 +444,9 @@
     addWaves: (waves) => {
       waves
         .filter(({ waveNumber }) => !knownWaves.has(waveNumber))
-        .forEach((request) => knownWaves.set(request.waveNumber, { request, firstSeenAtMs: nowMs() }));
+        .forEach((request) =>
+          knownWaves.set(request.waveNumber, { request, firstSeenAtMs: nowMs() }),
+        );
       term?.fleet.addWaves(Array.from(knownWaves.values()));
     },
     handleCall: (method, payload) => handlers[method]?.(payload),
@@ -453,7 +476,8 @@
       else void holderClient.ask(CONTROL_METHOD.taken, { row, version });
     },
     holderSilentMs: () => {
-      if (lastHolder === null || lastHolder === self || holderClient.isTableUnavailableToHolder()) return Infinity;
+      if (lastHolder === null || lastHolder === self || holderClient.isTableUnavailableToHolder())
+        return Infinity;
       return peerSilentForMs(lastHolder);
     },
     accept: async (row) => (await (term ? acceptHere(row) : holderClient.accept(row))) ?? undefined,
--- a/packages/daemon/src/batch/control/evacuation.test.ts
+++ b/packages/daemon/src/batch/control/evacuation.test.ts
@@ -1,6 +1,6 @@
 /**
  * Evacuations in virtual time. Whatever fails meanwhile, no task starts in an evacuated data centre once the bound
- * (`EVACUATE_MS`) has passed. The simulated fleet checks that at each start. The tests guard against a holder that does
+ * (`EVACUATION_BOUND_MS`) has passed. The simulated fleet checks that at each start. The tests guard against a holder that does
  * not know of the evacuation, or whose evacuation view has lost it.
  */
 import type { JobId } from '@valvelatch/core/shared/ids';
@@ -205,7 +205,9 @@
         return performance.now() - recoveredAtMs;
       };
       const withoutMs = await firstRunMs(await createStartedFleet({ hostsPerPool: 4 }));
-      expect(await firstRunMs(await createStartedFleet(BOUNDED))).toBeLessThanOrEqual(withoutMs + 20);
+      expect(await firstRunMs(await createStartedFleet(BOUNDED))).toBeLessThanOrEqual(
+        withoutMs + 20,
+      );
     });
   });
 
@@ -298,7 +300,8 @@
         freezeHolder: () => injectEntryFault(fleet.findHolder(), { isFrozen: true }, forMs),
         freezeAny: () =>
           injectEntryFault(fleet.entries[pick % fleet.entries.length], { isFrozen: true }, forMs),
-        cutHolderFromTable: () => injectEntryFault(fleet.findHolder(), { isCutFromTable: true }, forMs),
+        cutHolderFromTable: () =>
+          injectEntryFault(fleet.findHolder(), { isCutFromTable: true }, forMs),
         cutHolderFromOperator: () =>
           injectEntryFault(fleet.findHolder(), { isCutFromOperator: true }, forMs),
         isolateHolder: () =>
--- a/packages/daemon/src/batch/control/holders.test.ts
+++ b/packages/daemon/src/batch/control/holders.test.ts
@@ -282,7 +282,11 @@
               () => Object.assign(first, { isSilent: false }),
               cut.silentAfterMs + cut.silentForMs,
             );
-            setTimeout(() => fleet.entries.forEach(({ unreachableEndpoints }) => unreachableEndpoints.clear()), cut.farMs);
+            setTimeout(
+              () =>
+                fleet.entries.forEach(({ unreachableEndpoints }) => unreachableEndpoints.clear()),
+              cut.farMs,
+            );
             setTimeout(() => {
               const crashedEndpoint = Array.from(fleet.endpoints.keys())[cut.crashes];
               if (crashedEndpoint) fleet.crash(crashedEndpoint);
--- a/packages/daemon/src/batch/control/replaced-holder.test.ts
+++ b/packages/daemon/src/batch/control/replaced-holder.test.ts
@@ -143,7 +143,9 @@
       while (!fleet.findHolder()) await advanceTime(100);
       const second = requireHolder(fleet);
       await advanceTime(600);
-      others.filter((one) => one !== second).forEach(({ unreachableEndpoints }) => unreachableEndpoints.clear());
+      others
+        .filter((one) => one !== second)
+        .forEach(({ unreachableEndpoints }) => unreachableEndpoints.clear());
       cutOff(fleet, second, far);
       await advanceWithMoreWork(fleet, 4000);
       fleet.crash(far.instanceId);
--- a/packages/daemon/src/batch/control/standing.ts
+++ b/packages/daemon/src/batch/control/standing.ts
@@ -63,7 +63,11 @@
  * @param options - The capacity of this entry and of the others.
  * @returns The preference.
  */
-export const createHolderPreference = ({ capacity, othersCapacity, ask }: HolderPreferenceOptions): HolderPreference => {
+export const createHolderPreference = ({
+  capacity,
+  othersCapacity,
+  ask,
+}: HolderPreferenceOptions): HolderPreference => {
   const listStrongerEntries = (): readonly EntryId[] =>
     Array.from(othersCapacity() ?? [])
       .filter(([, others]) => capacity < others * PREFERRED_CAPACITY_SHARE)
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -294,7 +294,13 @@
     nowMs,
   });
 
-  const demandHistory = createDemandHistoryStore({ table: platform.table, state, log, nowMs, wallClockMs });
+  const demandHistory = createDemandHistoryStore({
+    table: platform.table,
+    state,
+    log,
+    nowMs,
+    wallClockMs,
+  });
 
   const advisor = createAdvisor({
     state,
--- a/packages/daemon/src/batch/endpoints/answer-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/answer-orders.test.ts
@@ -171,8 +171,15 @@
   });
 
   /** Creates a simulation in which all endpoints have responded once and nothing runs. */
-  const createReadyWorld = async (options: Partial<HolderSimulationOptions> = {}): Promise<HolderSimulation> => {
-    const world = createHolderSimulation({ taskCapacities: [1, 1], runMs: [300], steps: [{}], ...options });
+  const createReadyWorld = async (
+    options: Partial<HolderSimulationOptions> = {},
+  ): Promise<HolderSimulation> => {
+    const world = createHolderSimulation({
+      taskCapacities: [1, 1],
+      runMs: [300],
+      steps: [{}],
+      ...options,
+    });
     await advanceTime(20);
     return world;
   };
@@ -283,7 +290,10 @@
      * Stops a run on a cordoned endpoint. Counts how often the holder considers it active there again after it
      * learned of its end.
      */
-    const countReappearances = async (stop: OrderOutcome, ...lists: readonly OrderOutcome[]): Promise<number> => {
+    const countReappearances = async (
+      stop: OrderOutcome,
+      ...lists: readonly OrderOutcome[]
+    ): Promise<number> => {
       const world = await createReadyWorld({ taskCapacities: [1], runMs: [5000] });
       world.submit();
       await advanceTime(680);
@@ -308,7 +318,11 @@
     it('does not restore a run that the response to the older list request names, if it arrives last', async () => {
       const stop: OrderOutcome = { requestMs: 1, answerMs: 200 };
       expect(
-        await countReappearances(stop, { requestMs: 1, answerMs: 240 }, { requestMs: 130, answerMs: 1 }),
+        await countReappearances(
+          stop,
+          { requestMs: 1, answerMs: 240 },
+          { requestMs: 130, answerMs: 1 },
+        ),
       ).toBe(0);
     });
 
@@ -316,7 +330,11 @@
       // The later request was carried out before the run had ended, and the older one after that.
       const stop: OrderOutcome = { requestMs: 1, answerMs: 200 };
       expect(
-        await countReappearances(stop, { requestMs: 230, answerMs: 1 }, { requestMs: 1, answerMs: 220 }),
+        await countReappearances(
+          stop,
+          { requestMs: 230, answerMs: 1 },
+          { requestMs: 1, answerMs: 220 },
+        ),
       ).toBe(0);
     });
   });
@@ -403,7 +421,10 @@
       world.submit();
       await advanceTime(500);
       const { model } = getFirstEndpoint(world);
-      world.plan('list', ...Array.from({ length: 12 }, (): OrderOutcome => ({ requestMs: 1, answerMs: null })));
+      world.plan(
+        'list',
+        ...Array.from({ length: 12 }, (): OrderOutcome => ({ requestMs: 1, answerMs: null })),
+      );
       const later = { fence: 3, acknowledged: 0, keepUntilMs: 9000, waitMs: 400 };
       await Promise.all([model.list(later), advanceTime(300)]);
       await model.list({ ...later, acknowledged: 1, waitMs: 0 });
--- a/packages/daemon/src/batch/endpoints/endpoint-clock.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-clock.ts
@@ -45,6 +45,7 @@
       if (!lastReading) return undefined;
       return Math.floor(lastReading.clockMs + (nowMs() - lastReading.atMs) * MIN_CLOCK_RATE + ms);
     },
-    isReadingTooOld: () => lastReading !== undefined && nowMs() - lastReading.atMs > MAX_READING_AGE_MS,
+    isReadingTooOld: () =>
+      lastReading !== undefined && nowMs() - lastReading.atMs > MAX_READING_AGE_MS,
   };
 };
--- a/packages/daemon/src/batch/endpoints/endpoint-crashes.test.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-crashes.test.ts
@@ -22,7 +22,13 @@
 
 import { answerOperator } from '../operators/operators.js';
 import type { SimEntry, SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 /** Longer than a host is down after a crash, so that there always is an endpoint for the next start. */
 const SIMULATION_MS = 30_000;
--- a/packages/daemon/src/batch/endpoints/endpoint-leases.test.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-leases.test.ts
@@ -16,7 +16,12 @@
   type FaultPeriod,
 } from '../testing/leased-endpoint.fixtures.js';
 import { createSimFleet, type SimEntry, type SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, listRunKeys } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  listRunKeys,
+} from '../testing/virtual-time.fixtures.js';
 
 const SIMULATION_MS = 32_000;
 const DEFAULT_RUNS = 60;
@@ -56,7 +61,10 @@
     const fault: fc.Arbitrary<FaultPeriod> = fc.record({
       kind: fc.constantFrom('freeze', 'cut', 'cut', 'refuse', 'table' as const),
       atMs: fc.nat(20_000),
-      durationMs: fc.oneof(fc.integer({ min: 20, max: 1500 }), fc.integer({ min: 1500, max: 10_000 })),
+      durationMs: fc.oneof(
+        fc.integer({ min: 20, max: 1500 }),
+        fc.integer({ min: 1500, max: 10_000 }),
+      ),
     });
     const options: fc.Arbitrary<LeasedEndpointOptions> = fc.record({
       outcomes: fc.array(fate, { minLength: 1, maxLength: 40 }),
@@ -325,7 +333,9 @@
       const { jobId, instanceId } = await startTask(fleet);
       await advanceTime(1000);
       const first = requireHolder(fleet);
-      listOtherEntries(fleet, first).forEach(({ unreachableEndpoints }) => unreachableEndpoints.add(instanceId));
+      listOtherEntries(fleet, first).forEach(({ unreachableEndpoints }) =>
+        unreachableEndpoints.add(instanceId),
+      );
       Array.from(fleet.endpoints.keys())
         .filter((other) => other !== instanceId)
         .forEach((other) => first.unreachableEndpoints.add(other));
@@ -379,7 +389,9 @@
         const { instanceId } = await startTask(fleet);
         const first = requireHolder(fleet);
         // The second holder gets no response of the endpoint; the third, which replaces it, does.
-        listOtherEntries(fleet, first).forEach(({ unreachableEndpoints }) => unreachableEndpoints.add(instanceId));
+        listOtherEntries(fleet, first).forEach(({ unreachableEndpoints }) =>
+          unreachableEndpoints.add(instanceId),
+        );
         void first.control.resign();
         const second = await waitForNextHolder(fleet, first);
         await advanceTime(afterMs);
@@ -400,7 +412,8 @@
       const { jobId, instanceId } = await startTask(fleet);
       await advanceTime(1000);
       const only = requireHolder(fleet);
-      const givenUp = () => fleet.loggedEvents.filter(({ event }) => event === 'endpoint-lease-ended');
+      const givenUp = () =>
+        fleet.loggedEvents.filter(({ event }) => event === 'endpoint-lease-ended');
       only.unreachableEndpoints.add(instanceId);
       only.isCutFromTable = true;
       await advanceTime(10_000);
--- a/packages/daemon/src/batch/endpoints/endpoint-link.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-link.ts
@@ -285,7 +285,9 @@
   const sendListRequest = async (maxWaitMs: number): Promise<boolean> => {
     const requestedAtMs = nowMs();
     const keepUntilMs = isResponsive() && !isDomainSuspected() ? keepUntil() : undefined;
-    const acknowledged = acknowledgement.computeNumberToSend(computeListPauseMs(context.sharedDelayEstimator.meanMs()));
+    const acknowledged = acknowledgement.computeNumberToSend(
+      computeListPauseMs(context.sharedDelayEstimator.meanMs()),
+    );
     const order = {
       fence: state.fence,
       acknowledged,
--- a/packages/daemon/src/batch/endpoints/endpoint-roster.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-roster.ts
@@ -132,7 +132,10 @@
     });
   };
 
-  const removeGoneEndpoint = (endpointId: EndpointId, { cause, atMs, toldBy }: GoneEvidence): void => {
+  const removeGoneEndpoint = (
+    endpointId: EndpointId,
+    { cause, atMs, toldBy }: GoneEvidence,
+  ): void => {
     const endpoint = state.endpoints.get(endpointId);
     if (!endpoint) return;
     log.info('endpoint-gone', {
@@ -159,7 +162,8 @@
 
   const context: LinkContext = {
     ...linkContext,
-    onReplaced: (endpointId) => removeGoneEndpoint(endpointId, { cause: 'replaced', atMs: nowMs() }),
+    onReplaced: (endpointId) =>
+      removeGoneEndpoint(endpointId, { cause: 'replaced', atMs: nowMs() }),
     onRestarted: (endpointId) =>
       removeGoneEndpoint(endpointId, { cause: 'restarted', atMs: nowMs(), toldBy: 'answer' }),
   };
@@ -175,7 +179,11 @@
         instanceIdOf(endpointId),
       )?.endpointId;
       if (isNew && previousIncarnation) {
-        removeGoneEndpoint(previousIncarnation, { cause: 'restarted', atMs: nowMs(), toldBy: 'endpoint-list' });
+        removeGoneEndpoint(previousIncarnation, {
+          cause: 'restarted',
+          atMs: nowMs(),
+          toldBy: 'endpoint-list',
+        });
       }
       const endpoint = upsertEndpoint(state, description, nowMs());
       if (!isNew) return;
--- a/packages/daemon/src/batch/endpoints/full-link.test.ts
+++ b/packages/daemon/src/batch/endpoints/full-link.test.ts
@@ -8,7 +8,12 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import { createSimLink } from '../testing/sim-platform.fixtures.js';
-import { advanceTime, FAKED_TIMERS, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const JOBS = 60;
 const LOAD_MS = 12_000;
--- a/packages/daemon/src/batch/endpoints/lives-in-any-order.test.ts
+++ b/packages/daemon/src/batch/endpoints/lives-in-any-order.test.ts
@@ -81,7 +81,9 @@
           fleet.entries.forEach(({ unreachableEndpoints }) => unreachableEndpoints.add(instanceId));
           setTimeout(() => fleet.crash(instanceId, 50), forMs / 2);
           const reconnect = (): void =>
-            fleet.entries.forEach(({ unreachableEndpoints }) => unreachableEndpoints.delete(instanceId));
+            fleet.entries.forEach(({ unreachableEndpoints }) =>
+              unreachableEndpoints.delete(instanceId),
+            );
           setTimeout(reconnect, forMs);
         },
         killHolder: () => {
--- a/packages/daemon/src/batch/endpoints/lost-answers.test.ts
+++ b/packages/daemon/src/batch/endpoints/lost-answers.test.ts
@@ -2,7 +2,12 @@
 import type { JobId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { advanceTime, FAKED_TIMERS, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const OBJECTIVE_MS = 3200;
 const JOBS = 60;
--- a/packages/daemon/src/batch/endpoints/lost-racks.test.ts
+++ b/packages/daemon/src/batch/endpoints/lost-racks.test.ts
@@ -3,7 +3,12 @@
 import type { InstanceId, JobId } from '@valvelatch/core/shared/ids';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const DISCONNECTED_MS = 6000;
 const POLL_MS = 10;
@@ -38,7 +43,9 @@
     );
 
   const disconnect = (fleet: SimFleet, lost: ReadonlySet<InstanceId>): void =>
-    fleet.entries.forEach(({ unreachableEndpoints }) => lost.forEach((one) => unreachableEndpoints.add(one)));
+    fleet.entries.forEach(({ unreachableEndpoints }) =>
+      lost.forEach((one) => unreachableEndpoints.add(one)),
+    );
 
   const reconnect = (fleet: SimFleet): void =>
     fleet.entries.forEach(({ unreachableEndpoints }) => unreachableEndpoints.clear());
--- a/packages/daemon/src/batch/endpoints/placement-policies.test.ts
+++ b/packages/daemon/src/batch/endpoints/placement-policies.test.ts
@@ -19,7 +19,12 @@
   /** Computes the mean number of jobs with a task in a rack, over all racks and several samples. */
   const countAffectedJobs = async (placementPolicy: PlacementPolicy): Promise<number> => {
     const domains = { hostsPerRack: 4, dataCentres: 4 };
-    const fleet = await createStartedFleet({ hostsPerPool: 32, domains, accounts: [], placementPolicy });
+    const fleet = await createStartedFleet({
+      hostsPerPool: 32,
+      domains,
+      accounts: [],
+      placementPolicy,
+    });
     const submission = setInterval(() => {
       const steps = [{ taskCount: 8, cpuMillis: 1400 }];
       fleet.submit({ pool: 'alpha', steps, runMs: 1000 });
--- a/packages/daemon/src/batch/endpoints/run-ends.test.ts
+++ b/packages/daemon/src/batch/endpoints/run-ends.test.ts
@@ -4,7 +4,13 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 type Fields = Readonly<Record<string, string | number | undefined>>;
 
--- a/packages/daemon/src/batch/endpoints/spread-steps.test.ts
+++ b/packages/daemon/src/batch/endpoints/spread-steps.test.ts
@@ -3,7 +3,12 @@
 import type { JobId } from '@valvelatch/core/shared/ids';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, listRunKeys, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  listRunKeys,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const RACKS = 6;
 const DATA_CENTRES = 3;
--- a/packages/daemon/src/batch/endpoints/start-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.test.ts
@@ -44,7 +44,11 @@
 const sendStartAt = async (
   nowMs: number,
   heardAtMs: number,
-  { mayStartIn: isStartAllowedIn = () => true, isUnanswered = false, onSent = () => undefined }: SendOptions = {},
+  {
+    mayStartIn: isStartAllowedIn = () => true,
+    isUnanswered = false,
+    onSent = () => undefined,
+  }: SendOptions = {},
 ): Promise<readonly StartOrder[]> => {
   const state = createBatchState(2);
   state.soleHolderUntilMs = SOLE_HOLDER_UNTIL_MS;
--- a/packages/daemon/src/batch/endpoints/start-orders.ts
+++ b/packages/daemon/src/batch/endpoints/start-orders.ts
@@ -83,7 +83,8 @@
    * holder.
    */
   const mayStart = (): boolean => {
-    if (!context.isCertainlyHolder() || !context.isStartAllowedIn(dataCentre) || isClosed()) return false;
+    if (!context.isCertainlyHolder() || !context.isStartAllowedIn(dataCentre) || isClosed())
+      return false;
     const heardAtMs = state.endpoints.get(endpointId)?.reportedAtMs ?? -Infinity;
     return isSoleHolder(state, nowMs()) || nowMs() - heardAtMs < MAX_RESPONSE_GAP_MS;
   };
--- a/packages/daemon/src/batch/entry/access.test.ts
+++ b/packages/daemon/src/batch/entry/access.test.ts
@@ -51,10 +51,10 @@
   readonly index?: QueueIndex | undefined;
   /** The configuration that neighbours give when they are asked; none if undefined. */
   readonly refreshed?: QueueIndex;
-  readonly currency?: Partial<ConfigurationFreshness>;
+  readonly freshness?: Partial<ConfigurationFreshness>;
 };
 
-const createTestAccess = ({ index, refreshed, currency = {} }: Options) => {
+const createTestAccess = ({ index, refreshed, freshness = {} }: Options) => {
   let inForce = index;
   let refreshes = 0;
   const lines: string[] = [];
@@ -64,7 +64,7 @@
   const access = createAccess({
     configuration: {
       index: () => inForce,
-      freshness: () => ({ version: 1, ageMs: 20, mayBeOutdated: false, ...currency }),
+      freshness: () => ({ version: 1, ageMs: 20, mayBeOutdated: false, ...freshness }),
       refreshFromNeighbours: async () => {
         refreshes += 1;
         inForce = refreshed ?? inForce;
@@ -88,7 +88,11 @@
   it('is allowed for the account that has the key', async () => {
     const { admit, refreshes } = createTestAccess({ index: BEFORE });
     const admitted = await admit('south-key');
-    expect(admitted).toMatchObject({ kind: 'admitted', caller: 'south', subpath: '00000000000000aa' });
+    expect(admitted).toMatchObject({
+      kind: 'admitted',
+      caller: 'south',
+      subpath: '00000000000000aa',
+    });
     expect(refreshes()).toBe(0);
   });
 
@@ -117,7 +121,7 @@
   it('is to be retried, not refused for good, at an entry that may have missed a newer version', async () => {
     const { admit } = createTestAccess({
       index: BEFORE,
-      currency: { ageMs: 9000, mayBeOutdated: true },
+      freshness: { ageMs: 9000, mayBeOutdated: true },
     });
     expect(await admit('new-key')).toMatchObject({
       status: 503,
@@ -128,7 +132,7 @@
   });
 
   it('is allowed by the version in force at an entry that may have missed a newer one', async () => {
-    const { admit } = createTestAccess({ index: BEFORE, currency: { mayBeOutdated: true } });
+    const { admit } = createTestAccess({ index: BEFORE, freshness: { mayBeOutdated: true } });
     expect(await admit('old-key')).toMatchObject({ kind: 'admitted', caller: 'north' });
   });
 
@@ -154,7 +158,7 @@
   it('is refused with 404 by an up-to-date entry, with 503 by one that may have missed a newer version', async () => {
     const known = createTestAccess({ index: BEFORE });
     expect(await known.admit(undefined, '/none/1')).toMatchObject({ status: 404 });
-    const doubtful = createTestAccess({ index: BEFORE, currency: { mayBeOutdated: true } });
+    const doubtful = createTestAccess({ index: BEFORE, freshness: { mayBeOutdated: true } });
     expect(await doubtful.admit(undefined, '/none/1')).toMatchObject({ status: 503 });
   });
 });
--- a/packages/daemon/src/batch/entry/access.ts
+++ b/packages/daemon/src/batch/entry/access.ts
@@ -94,7 +94,11 @@
       await configuration.refreshFromNeighbours();
       const last = findAccessNow(request);
       if (!last) {
-        return createRefusal('notRun', 'no-configuration', 'the configuration is not known here yet');
+        return createRefusal(
+          'notRun',
+          'no-configuration',
+          'the configuration is not known here yet',
+        );
       }
       return 'kind' in last ? last : deny(request, last);
     },
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -29,7 +29,11 @@
 import { HEARTBEAT_INTERVAL_MS, createPeers, type AskPeer, type Peers } from './peers.js';
 import { answerOperator, OPERATORS_METHOD, type OperatorQuery } from '../operators/operators.js';
 import { createRelayOrderHandler } from '../relays/order-agent.js';
-import { createRelayedOrders, RELAY_ORDER_METHOD, RELAY_REFRESH_INTERVAL_MS } from '../relays/relayed-orders.js';
+import {
+  createRelayedOrders,
+  RELAY_ORDER_METHOD,
+  RELAY_REFRESH_INTERVAL_MS,
+} from '../relays/relayed-orders.js';
 import { createHolderPreference, computeHolderCapacity } from '../control/standing.js';
 import type { BatchPlatform } from '../ports.js';
 import { createRefusedJobs, REPORT_REFUSED_INTERVAL_MS } from '../jobs/refused-jobs.js';
@@ -238,7 +242,7 @@
 
   /**
    * Tries to acquire or renew the control lease. The other entries are read before that, since a weaker entry leaves
-   * control to a stronger one: see `Standing`.
+   * control to a stronger one: see `HolderPreference`.
    */
   const keepControl = async (): Promise<void> => {
     if (openPeers.strengths() === undefined) await openPeers.refresh(table);
--- a/packages/daemon/src/batch/entry/peers.ts
+++ b/packages/daemon/src/batch/entry/peers.ts
@@ -27,7 +27,7 @@
 export type PeerView = {
   readonly entryId: EntryId;
   readonly dataCentre: DataCentreId;
-  /** How much of a holder's work it can do, in cores: see `strengthOf`. */
+  /** How much of a holder's work it can do, in cores: see `computeHolderCapacity`. */
   readonly strength: number;
 };
 
--- a/packages/daemon/src/batch/hosts/completed-waves.test.ts
+++ b/packages/daemon/src/batch/hosts/completed-waves.test.ts
@@ -11,7 +11,12 @@
 import type { HostId } from '@valvelatch/core/shared/ids';
 
 import { type SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const WITHIN_MS = 40_000;
 const MAXIMUM = 2;
--- a/packages/daemon/src/batch/hosts/wave-keeper.ts
+++ b/packages/daemon/src/batch/hosts/wave-keeper.ts
@@ -86,7 +86,10 @@
    * Returns when the wave was ordered, by the monotonic clock: when this entry first saw it, or earlier if the row
    * that an earlier holder wrote says so.
    */
-  const computeOrderedAtMs = ({ request, firstSeenAtMs }: KnownWave, row: WaveRow | undefined): number => {
+  const computeOrderedAtMs = (
+    { request, firstSeenAtMs }: KnownWave,
+    row: WaveRow | undefined,
+  ): number => {
     if (row?.takenAtTodayMs === undefined) return firstSeenAtMs;
     // The wall clock jumps on some hosts, so the age from the row is limited to the time that the wave has.
     const ageMs = Math.max(0, Math.min(request.withinMs, wallClockMs() - row.takenAtTodayMs));
--- a/packages/daemon/src/batch/hosts/waves-in-time.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-in-time.test.ts
@@ -8,7 +8,12 @@
 import type { HostId, JobId } from '@valvelatch/core/shared/ids';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const WITHIN_MS = 26_000;
 const POOLS = ['alpha', 'beta'];
@@ -165,7 +170,8 @@
     fleet.orderWave({ waveNumber: 1, hosts, withinMs: 10_000, maximum: 12 });
     await advanceTime(500);
     clearInterval(work);
-    const lateWarnings = () => fleet.loggedEvents.filter(({ event }) => event === 'wave-late-expected');
+    const lateWarnings = () =>
+      fleet.loggedEvents.filter(({ event }) => event === 'wave-late-expected');
     expect(lateWarnings()).toHaveLength(1);
     expect(lateWarnings()[0]?.fields).toMatchObject({ wave: 1, lateHosts: 6 });
     await advanceTime(3000);
--- a/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
@@ -7,7 +7,12 @@
 import type { HostId } from '@valvelatch/core/shared/ids';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const POOLS = ['alpha', 'beta'];
 const HOSTS_PER_POOL = 10;
--- a/packages/daemon/src/batch/jobs/accept-queue.ts
+++ b/packages/daemon/src/batch/jobs/accept-queue.ts
@@ -51,7 +51,9 @@
   readonly accept: (row: LiveRow) => Promise<AcceptOutcome>;
   readonly isEmpty: () => boolean;
   /** Selects the submissions that `fits` admits to the next transaction; they stay in the queue. */
-  readonly selectFitting: (fits: (part: TableTransaction) => boolean) => readonly QueuedSubmission[];
+  readonly selectFitting: (
+    fits: (part: TableTransaction) => boolean,
+  ) => readonly QueuedSubmission[];
   /** Records that a transaction with these submissions is being sent. */
   readonly recordSent: (sent: readonly QueuedSubmission[]) => void;
   /** Records that the transaction has ended; after `unknown` it may have been committed. */
--- a/packages/daemon/src/batch/jobs/changed-jobs.ts
+++ b/packages/daemon/src/batch/jobs/changed-jobs.ts
@@ -53,7 +53,11 @@
 };
 
 /** Builds the write of an ended job, which also deletes its progress row because nothing needs it any more. */
-const buildEndWrite = (job: JobState, versions: JobRowVersions, todayMs: number): TableTransaction => {
+const buildEndWrite = (
+  job: JobState,
+  versions: JobRowVersions,
+  todayMs: number,
+): TableTransaction => {
   const { jobId } = job.job;
   const key = batchKey.job(jobId);
   const hasProgress = versions.progress > 0;
@@ -72,7 +76,11 @@
  * @param options - The jobs, and the callback for committed ends.
  * @returns An empty list.
  */
-export const createChangedJobs = ({ state, onSaved, wallClockMs }: ChangedJobsOptions): ChangedJobs => {
+export const createChangedJobs = ({
+  state,
+  onSaved,
+  wallClockMs,
+}: ChangedJobsOptions): ChangedJobs => {
   const versions = new Map<JobId, JobRowVersions>();
   const changed = new Set<JobId>();
 
--- a/packages/daemon/src/batch/jobs/intake.test.ts
+++ b/packages/daemon/src/batch/jobs/intake.test.ts
@@ -49,8 +49,8 @@
       : Err({ kind: 'unreachable', detail: '503' } as const);
   const intake = createIntake({
     table: {
-      isServed: () => isServed,
-      silentForMs: () => silence.tableMs,
+      isDirectRouteUp: () => isServed,
+      unansweredForMs: () => silence.tableMs,
     } as unknown as RelayedTable,
     groupCommit: { submit },
     control,
@@ -115,7 +115,7 @@
     const sent: string[] = [];
     const silentMs = () => Math.max(0, performance.now() - unavailableFromMs);
     const intake = createIntake({
-      table: { isServed: () => false, silentForMs: silentMs } as unknown as RelayedTable,
+      table: { isDirectRouteUp: () => false, unansweredForMs: silentMs } as unknown as RelayedTable,
       groupCommit: {
         submit: () => {
           sent.push('table');
--- a/packages/daemon/src/batch/jobs/intake.ts
+++ b/packages/daemon/src/batch/jobs/intake.ts
@@ -43,7 +43,11 @@
 const MAX_CACHED = 20_000;
 
 /** Outcomes after which the job certainly was not written, and its client may submit it again. */
-const NOT_WRITTEN: ReadonlySet<RowWriteOutcome['kind']> = new Set(['full', 'refused', 'unreachable']);
+const NOT_WRITTEN: ReadonlySet<RowWriteOutcome['kind']> = new Set([
+  'full',
+  'refused',
+  'unreachable',
+]);
 
 /** The answer to a client's request. */
 export type IntakeAnswer =
@@ -150,7 +154,8 @@
     const fault = validateJob(job);
     if (fault !== undefined) return createRefusal('notRun', 'malformed-request', fault);
     const quotaViolation = findQuotaViolation(job.steps, job.owner);
-    if (quotaViolation !== undefined) return createRefusal('notRun', 'beyond-quota', quotaViolation);
+    if (quotaViolation !== undefined)
+      return createRefusal('notRun', 'beyond-quota', quotaViolation);
     const row: LiveRow = { kind: 'live', job, policy: queue.policy };
     const written = await submission.submit(row, startedAtMs + deadlineMs * RETRY_SHARE);
     metrics.time('job_accept', (nowMs() - startedAtMs) * 1000);
--- a/packages/daemon/src/batch/jobs/job-owners.test.ts
+++ b/packages/daemon/src/batch/jobs/job-owners.test.ts
@@ -16,7 +16,13 @@
 import { createIntake } from './intake.js';
 import { batchKey, parseJobKey } from '../keys.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 const NORTH = brand<AccountName>('north');
@@ -64,8 +70,8 @@
   } as Partial<ControlClient> as ControlClient;
   const intake = createIntake({
     table: {
-      isServed: () => true,
-      silentForMs: () => 0,
+      isDirectRouteUp: () => true,
+      unansweredForMs: () => 0,
       read: async (keys: readonly string[]) =>
         Ok(
           [
--- a/packages/daemon/src/batch/jobs/job-rows.ts
+++ b/packages/daemon/src/batch/jobs/job-rows.ts
@@ -140,7 +140,8 @@
     });
     rows.forEach(({ key, value }) => {
       const parsed = parseJobKey(key);
-      if (parsed.isCancel && value !== null) cancelJob(state, parsed.jobId as JobId, parsed.cancelledBy);
+      if (parsed.isCancel && value !== null)
+        cancelJob(state, parsed.jobId as JobId, parsed.cancelledBy);
     });
   };
 
--- a/packages/daemon/src/batch/jobs/late-rows.test.ts
+++ b/packages/daemon/src/batch/jobs/late-rows.test.ts
@@ -9,7 +9,12 @@
 import { batchKey } from '../keys.js';
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
 import { SIM_QUEUE_POLICY } from '../testing/sim-world.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const JOB = brand<JobId>('00000000000000aa');
 
--- a/packages/daemon/src/batch/jobs/quotas-in-any-order.test.ts
+++ b/packages/daemon/src/batch/jobs/quotas-in-any-order.test.ts
@@ -5,7 +5,13 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import { createSimAccount, type SimEntry, type SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, createRandom, FAKED_TIMERS, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  createRandom,
+  FAKED_TIMERS,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 describe('quotas of client accounts', () => {
   beforeEach(() => {
@@ -81,7 +87,13 @@
       cutEndpoint: () => {
         if (!chosen) return;
         fleet.entries.forEach(({ unreachableEndpoints }) => unreachableEndpoints.add(chosen));
-        setTimeout(() => fleet.entries.forEach(({ unreachableEndpoints }) => unreachableEndpoints.delete(chosen)), forMs);
+        setTimeout(
+          () =>
+            fleet.entries.forEach(({ unreachableEndpoints }) =>
+              unreachableEndpoints.delete(chosen),
+            ),
+          forMs,
+        );
       },
       hostListAway: () => {
         Object.assign(fleet.faults, { isHostListDown: true });
@@ -97,7 +109,11 @@
     faults: readonly Fault[],
     faultRate: number,
   ): Promise<void> => {
-    const fleet = await createStartedFleet({ hostsPerPool: 4, seed, accounts: selectAccounts(firstChoice) });
+    const fleet = await createStartedFleet({
+      hostsPerPool: 4,
+      seed,
+      accounts: selectAccounts(firstChoice),
+    });
     Object.assign(fleet.faults, { lostAnswers: faultRate, lateOrders: faultRate });
     faults.forEach((one) => setTimeout(() => injectFault(fleet, one), one.atMs));
     const nextRandom = createRandom(seed);
--- a/packages/daemon/src/batch/jobs/refused-jobs.ts
+++ b/packages/daemon/src/batch/jobs/refused-jobs.ts
@@ -17,7 +17,7 @@
 export type RefusedJobs = {
   /** Records a job whose submission is refused as not run; a repeated refusal keeps the first time. */
   readonly add: (jobId: JobId) => void;
-  /** Reports the oldest jobs to the holder; must be called every `TELL_REFUSED_EVERY_MS`. */
+  /** Reports the oldest jobs to the holder; must be called every `REPORT_REFUSED_INTERVAL_MS`. */
   readonly report: () => Promise<void>;
 };
 
--- a/packages/daemon/src/batch/jobs/submission.ts
+++ b/packages/daemon/src/batch/jobs/submission.ts
@@ -67,7 +67,10 @@
   pause = sleep,
 }: SubmissionWriterOptions): SubmissionWriter => {
   const canSubmit = (): boolean =>
-    hasWritePath({ tableSilentMs: table.unansweredForMs(), holderSilentMs: control.holderSilentMs() });
+    hasWritePath({
+      tableSilentMs: table.unansweredForMs(),
+      holderSilentMs: control.holderSilentMs(),
+    });
 
   const write = async (
     transaction: Parameters<GroupCommit['submit']>[0],
@@ -105,9 +108,14 @@
     return askHolder(row, attempt, untilMs);
   };
 
-  const submitOnce = async (row: LiveRow, attempt: Attempt, untilMs: number): Promise<AttemptEnd> => {
+  const submitOnce = async (
+    row: LiveRow,
+    attempt: Attempt,
+    untilMs: number,
+  ): Promise<AttemptEnd> => {
     const outcome = await askHolder(row, attempt, nowMs() + HOLDER_WAIT_MS);
-    if (outcome?.kind === 'away' && !table.isDirectRouteUp()) return { kind: 'failed', detail: NO_PATH };
+    if (outcome?.kind === 'away' && !table.isDirectRouteUp())
+      return { kind: 'failed', detail: NO_PATH };
     if (outcome && outcome.kind !== 'unheard' && outcome.kind !== 'away') return outcome;
     if (outcome?.kind === 'unheard' && nowMs() + MIN_WRITE_MS > untilMs) {
       return { kind: 'failed', detail: 'the holder of control did not answer' };
@@ -125,7 +133,9 @@
     return { kind: 'failed', detail: NO_PATH };
   };
 
-  const runAttempt = async (run: (attempt: Attempt) => Promise<AttemptEnd>): Promise<RowWriteOutcome> => {
+  const runAttempt = async (
+    run: (attempt: Attempt) => Promise<AttemptEnd>,
+  ): Promise<RowWriteOutcome> => {
     const attempt = openAttempt();
     if (!canSubmit()) return attempt.close({ kind: 'failed', detail: NO_PATH });
     return Promise.race(
--- a/packages/daemon/src/batch/operators/account-views.ts
+++ b/packages/daemon/src/batch/operators/account-views.ts
@@ -72,7 +72,9 @@
     backlogByAccount.set(account, backlog);
     backlog.jobs += 1;
     listWaitingSteps(job).forEach((step) => {
-      const [cause] = describeWaitCause(state, step, nowMs).split(':') as ['quota' | 'share' | 'room'];
+      const [cause] = describeWaitCause(state, step, nowMs).split(':') as [
+        'quota' | 'share' | 'room',
+      ];
       backlog[cause] += step.waiting.length;
     });
   });
--- a/packages/daemon/src/batch/operators/domain-views.test.ts
+++ b/packages/daemon/src/batch/operators/domain-views.test.ts
@@ -6,7 +6,12 @@
 import { createDomainGauges } from '../control/domain-gauges.js';
 import { answerOperator } from './operators.js';
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 describe('an operator who queries failure domains', () => {
   beforeEach(() => {
--- a/packages/daemon/src/batch/operators/operators.test.ts
+++ b/packages/daemon/src/batch/operators/operators.test.ts
@@ -10,7 +10,12 @@
 import { SIM_DATA_CENTRES } from '../testing/sim-platform.fixtures.js';
 import { createSimAccount, type SimFleet } from '../testing/sim-fleet.fixtures.js';
 import { SIM_QUEUE_POLICY } from '../testing/sim-world.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 describe('an operator who queries', () => {
   beforeEach(() => {
@@ -191,7 +196,9 @@
       const fleet = await createStartedFleet({ hostsPerPool: 3 });
       fleet.evacuate('nroth' as DataCentreId);
       await advanceTime(5000);
-      const evacuationEvents = fleet.loggedEvents.filter(({ event }) => event.startsWith('evacuation-'));
+      const evacuationEvents = fleet.loggedEvents.filter(({ event }) =>
+        event.startsWith('evacuation-'),
+      );
       expect(evacuationEvents).toMatchObject([
         { event: 'evacuation-begun', fields: { endpoints: 0 } },
       ]);
--- a/packages/daemon/src/batch/relays/relayed-orders.test.ts
+++ b/packages/daemon/src/batch/relays/relayed-orders.test.ts
@@ -6,7 +6,13 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import type { SimEntry, SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const JOB_COUNT = 40;
 const SUBMIT_INTERVAL_MS = 200;
@@ -33,7 +39,10 @@
   const runJobs = async (
     injectFault: (fleet: SimFleet, turn: number) => void = () => undefined,
   ) => {
-    const fleet = await createStartedFleet({ ...RELAYING_OPTIONS, linkBytesPerMs: LINK_BYTES_PER_MS });
+    const fleet = await createStartedFleet({
+      ...RELAYING_OPTIONS,
+      linkBytesPerMs: LINK_BYTES_PER_MS,
+    });
     const jobs: JobId[] = [];
     for (let turn = 0; turn < JOB_COUNT; turn += 1) {
       const pool = turn % 2 ? 'alpha' : 'beta';
@@ -56,7 +65,10 @@
   });
 
   it('go directly while the link is not busy', async () => {
-    const fleet = await createStartedFleet({ ...RELAYING_OPTIONS, linkBytesPerMs: LINK_BYTES_PER_MS * 10 });
+    const fleet = await createStartedFleet({
+      ...RELAYING_OPTIONS,
+      linkBytesPerMs: LINK_BYTES_PER_MS * 10,
+    });
     const job = fleet.submit({ pool: 'alpha', steps: [{ taskCount: 12 }], specBytes: 1200 });
     await advanceTime(5000);
     expect(phaseOf(fleet, job)).toBe('completed');
@@ -82,7 +94,9 @@
     const fleet = await runJobs((one, turn) => {
       if (turn !== 15) return;
       otherEntriesOf(one).forEach(({ unreachableEndpoints }) =>
-        Array.from(one.endpoints.keys()).forEach((endpointId) => unreachableEndpoints.add(endpointId)),
+        Array.from(one.endpoints.keys()).forEach((endpointId) =>
+          unreachableEndpoints.add(endpointId),
+        ),
       );
     });
     expect(fleet.loggedEvents.filter(({ event }) => event === 'endpoint-lease-ended')).toEqual([]);
--- a/packages/daemon/src/batch/relays/relayed-orders.ts
+++ b/packages/daemon/src/batch/relays/relayed-orders.ts
@@ -67,7 +67,7 @@
 export type RelayedOrders = EndpointOrders & {
   /**
    * Decides from the load of the link whether to relay orders, and selects the relays. The holder must call this every
-   * `RELAYS_EVERY_MS`.
+   * `RELAY_REFRESH_INTERVAL_MS`.
    */
   readonly refresh: () => void;
 };
@@ -143,7 +143,12 @@
     waitMs: number,
   ): Promise<unknown> => {
     metrics.count(`relayed_${carried.kind}`);
-    return peers()?.ask(relay, RELAY_ORDER_METHOD, encodeOrder(carried), waitMs + RELAY_ROUND_TRIP_MS);
+    return peers()?.ask(
+      relay,
+      RELAY_ORDER_METHOD,
+      encodeOrder(carried),
+      waitMs + RELAY_ROUND_TRIP_MS,
+    );
   };
 
   /**
--- a/packages/daemon/src/batch/relays/relayed-table.ts
+++ b/packages/daemon/src/batch/relays/relayed-table.ts
@@ -43,8 +43,8 @@
 const NEIGHBOURS_BACKOFF_MS = 1000;
 
 /**
- * A table that has not answered for this long is probed every `PROBE_EVERY_MS`, while earlier calls still wait for their
- * time-outs, so that submissions are admitted again within `PROBE_EVERY_MS` of the table's return.
+ * A table that has not answered for this long is probed every `PROBE_INTERVAL_MS`, while earlier calls still wait for their
+ * time-outs, so that submissions are admitted again within `PROBE_INTERVAL_MS` of the table's return.
  */
 const PROBE_AFTER_MS = 400;
 export const PROBE_INTERVAL_MS = 200;
@@ -93,7 +93,7 @@
   readonly unansweredForMs: () => number;
   /**
    * Reads a row while the table is not answering, so that its return is noticed quickly. To be called every
-   * `PROBE_EVERY_MS`.
+   * `PROBE_INTERVAL_MS`.
    */
   readonly probe: () => void;
   /** True if the last direct call that has ended was answered, or if none has ended yet. */
@@ -192,7 +192,12 @@
   const callThroughNeighbour = async (neighbour: EntryId, call: TableCall): Promise<CallResult> => {
     metrics.count('table_relays');
     try {
-      const answer = (await ask(neighbour, TABLE_CALL_METHOD, call, RELAY_TIMEOUT_MS)) as TableCallAnswer;
+      const answer = (await ask(
+        neighbour,
+        TABLE_CALL_METHOD,
+        call,
+        RELAY_TIMEOUT_MS,
+      )) as TableCallAnswer;
       if (!answer.isOk) {
         failedAtMs.set(neighbour, nowMs());
         return Err(answer.value as PlatformError);
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -337,7 +337,12 @@
     onAnswer: (endpoint: SimEndpoint, answer: Answer<Value>) => void = () => undefined,
   ): Promise<Answer<Value>> =>
     new Promise((resolve) => {
-      const { requestMs, answerMs, resetAfterMs = null, refusal } = plannedOutcomes[kind].shift() ?? PROMPT_OUTCOME;
+      const {
+        requestMs,
+        answerMs,
+        resetAfterMs = null,
+        refusal,
+      } = plannedOutcomes[kind].shift() ?? PROMPT_OUTCOME;
       const endpoint = endpoints.get(endpointId);
       if (!endpoint || isStopped) return;
       let isFinished = false;
@@ -505,7 +510,10 @@
     setTimeout(() => {
       if (isStopped) return;
       target.isReplaced = true;
-      roster.applyListChanges({ changed: [addEndpoint(target.model.capacity.cpuMillis / 1000)], removed: [] });
+      roster.applyListChanges({
+        changed: [addEndpoint(target.model.capacity.cpuMillis / 1000)],
+        removed: [],
+      });
     }, backAfterMs);
   };
 
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -69,7 +69,12 @@
 };
 
 /** The outcome of a call that is carried out and answered without delay. */
-export const PROMPT_OUTCOME: CallOutcome = { kind: 'carried', requestMs: 1, answerMs: 1, executionDelayMs: 0 };
+export const PROMPT_OUTCOME: CallOutcome = {
+  kind: 'carried',
+  requestMs: 1,
+  answerMs: 1,
+  executionDelayMs: 0,
+};
 
 /** A period in which one fault is present. */
 export type FaultPeriod = {
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -550,7 +550,8 @@
       waves.set(wave.waveNumber, wave);
       entries.forEach(({ control }) => control.addWaves([wave]));
     },
-    rereadWaves: () => entries.forEach(({ control }) => control.addWaves(Array.from(waves.values()))),
+    rereadWaves: () =>
+      entries.forEach(({ control }) => control.addWaves(Array.from(waves.values()))),
     crash: world.crash,
     crashes: world.crashes,
     unlist: (instanceId) => unlisted.add(instanceId),
--- a/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
@@ -5,7 +5,12 @@
 import type { PlatformError } from '@valvelatch/platform';
 import { Err, Ok, type Result } from 'ts-results-es';
 
-import type { EvacuationFeedUpdate, FeedReadStats, OperatorFeed, OperatorUpdate } from '../ports.js';
+import type {
+  EvacuationFeedUpdate,
+  FeedReadStats,
+  OperatorFeed,
+  OperatorUpdate,
+} from '../ports.js';
 
 const STORE_MS = 4;
 const CALL_TIMEOUT_MS = 900;
@@ -90,7 +95,12 @@
     return { changes, isFullRead: true, isCurrent: false, revision: visibleRows.length };
   };
 
-  const feedOf = ({ waitUntilRunning, isCut, lossShare, configuration }: OperatorConnection): OperatorFeed => {
+  const feedOf = ({
+    waitUntilRunning,
+    isCut,
+    lossShare,
+    configuration,
+  }: OperatorConnection): OperatorFeed => {
     let lastRevision: number | undefined;
     let lastReadEpoch = 0;
     let hasFailed = false;
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -253,7 +253,11 @@
     // The caller has timed out and reset the connection, which therefore delivers nothing.
     if (hasTimedOut()) return Err(noAnswer);
     const endpoint = endpoints.get(instanceId);
-    if (!endpoint?.isUp() && !unreachableEndpoints.has(instanceId) && faults.replacedEndpoints.has(instanceId)) {
+    if (
+      !endpoint?.isUp() &&
+      !unreachableEndpoints.has(instanceId) &&
+      faults.replacedEndpoints.has(instanceId)
+    ) {
       return Err(otherEndpoint);
     }
     if (!endpoint?.isUp() || unreachableEndpoints.has(instanceId)) {
--- a/packages/stand-ins/src/executor.ts
+++ b/packages/stand-ins/src/executor.ts
@@ -26,7 +26,12 @@
 /** A running executor. */
 export type StandInExecutor = {
   readonly address: string;
-  readonly maxInFlight: { inFlight: number; mostInFlight: number; served: number; overSlots: number };
+  readonly stats: {
+    inFlight: number;
+    maxInFlight: number;
+    served: number;
+    overSlots: number;
+  };
   /** How often each idempotency key was executed. */
   readonly executions: ReadonlyMap<string, number>;
   readonly setFault: (fault: ExecutorFault) => void;
@@ -116,13 +121,13 @@
   host = '127.0.0.1',
   workMs = 5,
 }: ExecutorOptions): Promise<StandInExecutor> => {
-  const maxInFlight = { inFlight: 0, mostInFlight: 0, served: 0, overSlots: 0 };
+  const stats = { inFlight: 0, maxInFlight: 0, served: 0, overSlots: 0 };
   const executions = new Map<string, number>();
   let fault: ExecutorFault = 'none';
   let isLeaving = false;
 
   const respond = (request: IncomingMessage, response: ServerResponse, body: Buffer) => {
-    maxInFlight.served += 1;
+    stats.served += 1;
     response
       .writeHead(200, {
         'content-type': 'application/octet-stream',
@@ -138,15 +143,15 @@
       respondNotRun(response, { 'valvelatch-leaving': 'true' });
       return;
     }
-    if (maxInFlight.inFlight >= slots) {
-      maxInFlight.overSlots += 1;
+    if (stats.inFlight >= slots) {
+      stats.overSlots += 1;
       respondNotRun(response, {});
       return;
     }
-    maxInFlight.inFlight += 1;
-    maxInFlight.mostInFlight = Math.max(maxInFlight.mostInFlight, maxInFlight.inFlight);
+    stats.inFlight += 1;
+    stats.maxInFlight = Math.max(stats.maxInFlight, stats.inFlight);
     response.on('close', () => {
-      maxInFlight.inFlight -= 1;
+      stats.inFlight -= 1;
     });
     const body = await readBody(request);
     const key = request.headers['idempotency-key'];
@@ -166,7 +171,7 @@
 
   return {
     address: `http://${host}:${(server.address() as AddressInfo).port}`,
-    maxInFlight,
+    stats,
     executions,
     setFault: (newFault) => {
       fault = newFault;
@@ -175,7 +180,7 @@
       isLeaving = true;
     },
     close: async () => {
-      const cut = maxInFlight.inFlight;
+      const cut = stats.inFlight;
       server.closeAllConnections();
       await new Promise((resolve) => {
         server.close(resolve);
--- a/packages/stand-ins/src/workers.ts
+++ b/packages/stand-ins/src/workers.ts
@@ -111,8 +111,8 @@
   let doubleStarts = 0;
 
   const addTotalsOf = (executor: StandInExecutor) => {
-    endedTotals.served += executor.maxInFlight.served;
-    endedTotals.overSlots += executor.maxInFlight.overSlots;
+    endedTotals.served += executor.stats.served;
+    endedTotals.overSlots += executor.stats.overSlots;
     executor.executions.forEach((count, key) =>
       executions.set(key, (executions.get(key) ?? 0) + count),
     );
@@ -285,8 +285,8 @@
     const totals = { ...endedTotals };
     tasks.forEach(({ executor }) => {
       if (!executor) return;
-      totals.served += executor.maxInFlight.served;
-      totals.overSlots += executor.maxInFlight.overSlots;
+      totals.served += executor.stats.served;
+      totals.overSlots += executor.stats.overSlots;
       executor.executions.forEach((count, key) => sums.set(key, (sums.get(key) ?? 0) + count));
     });
     return { dataCentre, executions: Object.fromEntries(sums), ...totals, doubleStarts };
@@ -321,6 +321,6 @@
     app.server.closeAllConnections();
     await app.close();
   };
-  const servedBy = (jobId: string): number => tasks.get(jobId)?.executor?.maxInFlight.served ?? 0;
+  const servedBy = (jobId: string): number => tasks.get(jobId)?.executor?.stats.served ?? 0;
   return { url, report, servedBy, setHost, setExecutorFault, close };
 };
