--- a/packages/daemon/src/batch/jobs/job-owners.test.ts
+++ b/packages/daemon/src/batch/jobs/job-owners.test.ts
@@ -181,9 +181,9 @@
     const keys = [NORTH, SOUTH, null].map((caller) => batchKey.cancel(JOB, caller));
     expect(new Set(keys).size).toBe(3);
     expect(keys.map(parseJobKey)).toEqual([
-      { jobId: JOB, isCancel: true, by: NORTH },
-      { jobId: JOB, isCancel: true, by: SOUTH },
-      { jobId: JOB, isCancel: true, by: null },
+      { jobId: JOB, isCancel: true, cancelledBy: NORTH },
+      { jobId: JOB, isCancel: true, cancelledBy: SOUTH },
+      { jobId: JOB, isCancel: true, cancelledBy: null },
     ]);
   });
 });
