--- a/packages/daemon/src/batch/jobs/job-owners.test.ts
+++ b/packages/daemon/src/batch/jobs/job-owners.test.ts
@@ -16,7 +16,13 @@
 import { createIntake } from './intake.js';
 import { batchKey, parseJobKey } from '../keys.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, phaseOf, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  phaseOf,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 const NORTH = brand<AccountName>('north');
@@ -64,8 +70,8 @@
   } as Partial<ControlClient> as ControlClient;
   const intake = createIntake({
     table: {
-      isServed: () => true,
-      silentForMs: () => 0,
+      isDirectRouteUp: () => true,
+      unansweredForMs: () => 0,
       read: async (keys: readonly string[]) =>
         Ok(
           [
@@ -175,9 +181,9 @@
     const keys = [NORTH, SOUTH, null].map((caller) => batchKey.cancel(JOB, caller));
     expect(new Set(keys).size).toBe(3);
     expect(keys.map(parseJobKey)).toEqual([
-      { jobId: JOB, isCancel: true, by: NORTH },
-      { jobId: JOB, isCancel: true, by: SOUTH },
-      { jobId: JOB, isCancel: true, by: null },
+      { jobId: JOB, isCancel: true, cancelledBy: NORTH },
+      { jobId: JOB, isCancel: true, cancelledBy: SOUTH },
+      { jobId: JOB, isCancel: true, cancelledBy: null },
     ]);
   });
 });
