--- a/packages/bench/src/control/control.ts
+++ b/packages/bench/src/control/control-costs.ts
@@ -20,7 +20,7 @@
   createPoolSnapshot,
   createPendingJobs,
   expectedFleetSize,
-} from './big-world.js';
+} from './large-fleet.js';
 import { createMembershipModel } from './membership-model.js';
 
 const CHANGES_PER_DAY = 81_000;
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -6,7 +6,7 @@
 
 import { benchAccounts } from './accounts/accounts.js';
 import { benchBacklogs } from './backlog/backlog.js';
-import { benchControl } from './control/control.js';
+import { benchControl } from './control/control-costs.js';
 import { benchDataPath, benchMemory } from './data-path/data-path.js';
 import { benchIdle } from './idle/idle.js';
 import { benchOverload } from './overload/overload.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -3,8 +3,8 @@
 import yargs, { type Argv } from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
-import { callEntry, type Answer } from './client.js';
-import { readDeclarationFiles } from './files.js';
+import { callEntry, type Answer } from './entry-client.js';
+import { readDeclarationFiles } from './declaration-files.js';
 import { EXIT_CODES, printAnswer, type OutputFormat, type LineFormatter } from './output.js';
 import { replayFile, formatReplayReport } from './replay-command.js';
 import {
@@ -13,7 +13,7 @@
   formatExplanation,
   createListFormatter,
   formatStatus,
-} from './tables.js';
+} from './formatters.js';
 
 /** The options that all commands share. */
 type CommonOptions = { readonly url: string; readonly key?: string; readonly output: string };
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,5 +1,5 @@
 /** Prints answers, as tables for people or as JSON for scripts, and sets the exit code. */
-import type { Answer } from './client.js';
+import type { Answer } from './entry-client.js';
 
 export type OutputFormat = 'table' | 'json';
 
--- a/packages/cli/src/replay-command.ts
+++ b/packages/cli/src/replay-command.ts
@@ -13,7 +13,7 @@
 } from '@valvelatch/core';
 import { Err, Ok, type Result } from 'ts-results-es';
 
-import { readDeclarationFiles } from './files.js';
+import { readDeclarationFiles } from './declaration-files.js';
 
 const readConfiguration = async (
   folders: readonly string[],
--- a/packages/core/src/batch/accounts/pool-shares.test.ts
+++ b/packages/core/src/batch/accounts/pool-shares.test.ts
@@ -9,7 +9,7 @@
   type FleetSimulationResult,
   type SimulatedJob,
   type SimulatedPool,
-} from '../testing/fleet-play.fixtures.js';
+} from '../testing/fleet-simulation.fixtures.js';
 
 const FOR_MS = 32_000;
 const ACCOUNTS_PER_POOL = 5;
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -13,13 +13,13 @@
   submitJob,
   type JobOptions,
 } from '../testing/batch-state.fixtures.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import { addPendingReports } from '../endpoints/endpoints.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { taskKey, type StepSpec } from '../model/job.js';
-import { cancelJob } from '../jobs/jobs.js';
-import { applyStartOutcome } from '../endpoints/order-answers.js';
-import { DEFAULT_STEP } from '../model/plain-step.js';
+import { cancelJob } from '../jobs/job-lifecycle.js';
+import { applyStartOutcome } from '../endpoints/order-responses.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
 import {
   findQuotaViolation,
   estimateUnreportedUsage,
--- a/packages/core/src/batch/accounts/share-play.fixtures.ts
+++ b/packages/core/src/batch/accounts/share-simulation.fixtures.ts
@@ -5,9 +5,9 @@
 import { NO_LIMIT } from '../model/capacity.js';
 import { applyAnswer, POOL, addEndpoint } from '../testing/batch-state.fixtures.js';
 import type { TaskKey } from '../model/job.js';
-import { addJob } from '../jobs/jobs.js';
-import type { QueueOrder } from '../model/order-ways.js';
-import { DEFAULT_STEP } from '../model/plain-step.js';
+import { addJob } from '../jobs/job-lifecycle.js';
+import type { QueueOrder } from '../model/queue-order.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
 import { setAccounts } from './quota.js';
 import type { EndedRunReport } from '../endpoints/reports.js';
 import { schedulePool } from '../placement/schedule.js';
--- a/packages/core/src/batch/accounts/shares.test.ts
+++ b/packages/core/src/batch/accounts/shares.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName } from '../../shared/ids.js';
-import { simulateShares, type SimulatedAccount } from './share-play.fixtures.js';
+import { simulateShares, type SimulatedAccount } from './share-simulation.fixtures.js';
 
 const FOR_MS = 20_000;
 /** 8 endpoints of 8 slots run 64 tasks of 0.5 s at once, which is 32 jobs of four tasks a second. */
--- a/packages/core/src/batch/crashes/endpoint-crashes.ts
+++ b/packages/core/src/batch/crashes/endpoint-crashes.ts
@@ -4,7 +4,7 @@
  * so that the two cases can be told apart.
  */
 import { change } from '../../shared/change.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import { rackOf } from '../endpoints/endpoints.js';
 import type { LogFields } from '../endpoints/run-end.js';
 import type {
--- a/packages/core/src/batch/crashes/isolation.test.ts
+++ b/packages/core/src/batch/crashes/isolation.test.ts
@@ -16,11 +16,11 @@
   submitJob,
 } from '../testing/batch-state.fixtures.js';
 import { giveUpReason } from './endpoint-crashes.js';
-import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf, endpointIdOf } from '../model/endpoint-incarnation.js';
 import { addPendingReports } from '../endpoints/endpoints.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { taskKey, type StepSpec } from '../model/job.js';
-import { cancelJob } from '../jobs/jobs.js';
+import { cancelJob } from '../jobs/job-lifecycle.js';
 import { buildProgressRow, restoreJob } from '../jobs/progress.js';
 import { endpointsOf, schedulePool } from '../placement/schedule.js';
 import {
--- a/packages/core/src/batch/crashes/inherited-losses.ts
+++ b/packages/core/src/batch/crashes/losses-before-takeover.ts
@@ -5,8 +5,8 @@
  * the job's row before ordering it. If this holder is lost as well, together with the next endpoint, its successor
  * counts that start as a crash.
  */
-import type { ListedHost } from '../pools/hosts.js';
-import { incarnationStartMs } from '../model/endpoint-life.js';
+import type { ListedHost } from '../pools/listed-hosts.js';
+import { incarnationStartMs } from '../model/endpoint-incarnation.js';
 import {
   poolOf,
   type BatchState,
--- a/packages/core/src/batch/domains/outage.test.ts
+++ b/packages/core/src/batch/domains/suspected-domains.test.ts
@@ -4,7 +4,7 @@
 import { brand, type DomainId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
-import { isSchedulable } from '../endpoints/sound-endpoints.js';
+import { isSchedulable } from '../endpoints/schedulable-endpoints.js';
 import {
   createBatchState,
   removeEffects,
@@ -15,7 +15,12 @@
 import { schedulePool } from '../placement/schedule.js';
 import { applyAnswer, JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
 import { addEndpointAt, addFleet, type RackedFleet } from '../testing/domains.fixtures.js';
-import { expireSuspicions, isSuspected, recordAnswered, recordUnanswered } from './outage.js';
+import {
+  expireSuspicions,
+  isSuspected,
+  recordAnswered,
+  recordUnanswered,
+} from './suspected-domains.js';
 
 const RACK = brand<DomainId>('rack:dc-0/rack-0');
 const DATA_CENTRE = brand<DomainId>('data-centre:dc-0');
--- a/packages/core/src/batch/endpoints/answer-times.test.ts
+++ b/packages/core/src/batch/endpoints/delay-estimators.test.ts
@@ -1,7 +1,7 @@
 /** Timeouts that follow the response times of one endpoint and of all endpoints. */
 import { describe, expect, it } from 'vitest';
 
-import { createEndpointDelayEstimator, createSharedDelayEstimator } from './answer-times.js';
+import { createEndpointDelayEstimator, createSharedDelayEstimator } from './delay-estimators.js';
 
 describe('adaptive timeouts', () => {
   it('the timeout is 0.9 s before the first response and 250 ms after fast responses', () => {
--- a/packages/core/src/batch/endpoints/endpoints.ts
+++ b/packages/core/src/batch/endpoints/endpoints.ts
@@ -1,7 +1,7 @@
 /** Registers and updates endpoints from the platform's endpoint list. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
 import { domainsOf, addToDomains } from '../domains/domains.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import {
   isSoleHolder,
   poolOf,
--- a/packages/core/src/batch/endpoints/gone-endpoints.test.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.test.ts
@@ -11,7 +11,7 @@
   taskOf,
   scheduleAfterWrites,
 } from '../testing/batch-state.fixtures.js';
-import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf, endpointIdOf } from '../model/endpoint-incarnation.js';
 import { addPendingReports } from './endpoints.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from './gone-endpoints.js';
 import { endpointsOf } from '../placement/schedule.js';
--- a/packages/core/src/batch/endpoints/gone-endpoints.ts
+++ b/packages/core/src/batch/endpoints/gone-endpoints.ts
@@ -13,11 +13,11 @@
   recordCrash,
 } from '../crashes/endpoint-crashes.js';
 import { removeFromDomains } from '../domains/domains.js';
-import { stopAwaitingGone } from '../domains/outage.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
-import { mayRunInNextIncarnation } from './followed-runs.js';
-import { failJobIfCrashing } from '../jobs/give-up.js';
-import { endRunWithoutReport } from './lost-runs.js';
+import { stopAwaitingGone } from '../domains/suspected-domains.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
+import { mayRunInNextIncarnation } from './incarnation-runs.js';
+import { failJobIfCrashing } from '../jobs/crashing-jobs.js';
+import { endRunWithoutReport } from './unreported-runs.js';
 import { chargeUnexpectedRuns } from '../accounts/quota.js';
 import { recordRunEnd, type LogFields, type RunEvidence } from './run-end.js';
 import {
--- a/packages/core/src/batch/endpoints/followed-runs.test.ts
+++ b/packages/core/src/batch/endpoints/incarnation-runs.test.ts
@@ -13,12 +13,12 @@
   taskOf,
   scheduleAfterWrites,
 } from '../testing/batch-state.fixtures.js';
-import { instanceIdOf, endpointIdOf } from '../model/endpoint-life.js';
-import { blockUnansweredStarts } from './followed-runs.js';
+import { instanceIdOf, endpointIdOf } from '../model/endpoint-incarnation.js';
+import { blockUnansweredStarts } from './incarnation-runs.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from './gone-endpoints.js';
-import { cancelJob } from '../jobs/jobs.js';
-import { recordStartsAnswered, MAX_ORDER_DELAY_MS, recordStartSent } from './open-starts.js';
-import { applyStartOutcome, applyStopResponse } from './order-answers.js';
+import { cancelJob } from '../jobs/job-lifecycle.js';
+import { recordStartsAnswered, MAX_ORDER_DELAY_MS, recordStartSent } from './unanswered-starts.js';
+import { applyStartOutcome, applyStopResponse } from './order-responses.js';
 import type { RunEndKind } from './reports.js';
 import { endpointsOf } from '../placement/schedule.js';
 import {
@@ -27,7 +27,7 @@
   type BatchState,
   type GoneCause,
 } from '../model/state.js';
-import { handleStalledAndLapsedRuns } from './watch-runs.js';
+import { handleStalledAndLapsedRuns } from './stalled-runs.js';
 
 const FIRST_INCARNATION = endpointIdOf('i-0000000001', 1_700_000_000_000);
 const NEXT_INCARNATION = endpointIdOf('i-0000000001', 1_700_000_000_900);
--- a/packages/core/src/batch/endpoints/followed-runs.ts
+++ b/packages/core/src/batch/endpoints/incarnation-runs.ts
@@ -6,9 +6,9 @@
  */
 import { change } from '../../shared/change.js';
 import { assessCrash, recordCrash } from '../crashes/endpoint-crashes.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
-import { failJobIfCrashing } from '../jobs/give-up.js';
-import { isStartInTransit, unansweredStartsAt, type RunKey } from './open-starts.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
+import { failJobIfCrashing } from '../jobs/crashing-jobs.js';
+import { isStartInTransit, unansweredStartsAt, type RunKey } from './unanswered-starts.js';
 import { moveRun, stopRun } from './runs.js';
 import {
   isFinal,
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -1,15 +1,15 @@
 /** Applies the reports of endpoints: which runs are active, which have ended and how. */
 import type { EndpointId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { recordAnswered } from '../domains/outage.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
-import { applyFirstReport } from './followed-runs.js';
+import { recordAnswered } from '../domains/suspected-domains.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
+import { applyFirstReport } from './incarnation-runs.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
-import { endJob, findReportedTask, completeTask } from '../jobs/jobs.js';
+import { endJob, findReportedTask, completeTask } from '../jobs/job-lifecycle.js';
 import { chargeUnexpectedRuns } from '../accounts/quota.js';
 import { recordRunTime } from '../jobs/run-times.js';
 import { recordRunEnd, type RunEvidence } from './run-end.js';
-import { endRunWithoutReport } from './lost-runs.js';
+import { endRunWithoutReport } from './unreported-runs.js';
 import { addRun, dropRun, requeue } from './runs.js';
 import {
   isFinal,
@@ -20,7 +20,7 @@
   type StepRun,
   type Task,
 } from '../model/state.js';
-import { recordTaskSuccess, recordTaskFailure } from './health.js';
+import { recordTaskSuccess, recordTaskFailure } from './endpoint-health.js';
 import { closeTrial } from '../crashes/trials.js';
 
 /** How a run ended, as reported by the endpoint. */
--- a/packages/core/src/batch/endpoints/run-end.test.ts
+++ b/packages/core/src/batch/endpoints/run-end.test.ts
@@ -13,12 +13,12 @@
   scheduleAfterWrites,
 } from '../testing/batch-state.fixtures.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from './gone-endpoints.js';
-import { cancelJob } from '../jobs/jobs.js';
-import { applyStartOutcome, applyStopResponse, type StartResponse } from './order-answers.js';
+import { cancelJob } from '../jobs/job-lifecycle.js';
+import { applyStartOutcome, applyStopResponse, type StartResponse } from './order-responses.js';
 import { type RunEndKind, type EndedRunReport } from './reports.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, removeEffects, type BatchState } from '../model/state.js';
-import { handleStalledAndLapsedRuns } from './watch-runs.js';
+import { handleStalledAndLapsedRuns } from './stalled-runs.js';
 
 const endOf = (run: number, kind: RunEndKind): EndedRunReport => ({
   number: 1,
--- a/packages/core/src/batch/endpoints/sound-endpoints.ts
+++ b/packages/core/src/batch/endpoints/schedulable-endpoints.ts
@@ -3,8 +3,8 @@
  * step.
  */
 import type { InstanceId, PoolName } from '../../shared/ids.js';
-import { isSuspected } from '../domains/outage.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { isSuspected } from '../domains/suspected-domains.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import type { StepSpec } from '../model/job.js';
 import { fitsIn } from './runs.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
--- a/packages/core/src/batch/endpoints/endpoint-model.ts
+++ b/packages/core/src/batch/endpoints/simulated-endpoint.ts
@@ -5,7 +5,7 @@
 import { Err, Ok, type Result } from 'ts-results-es';
 
 import type { EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
-import { endpointIdOf } from '../model/endpoint-life.js';
+import { endpointIdOf } from '../model/endpoint-incarnation.js';
 import type { TaskKey } from '../model/job.js';
 import type {
   EndpointClock,
--- a/packages/core/src/batch/endpoints/watch-runs.ts
+++ b/packages/core/src/batch/endpoints/stalled-runs.ts
@@ -1,9 +1,9 @@
 /** Detects runs without progress, and endpoints whose lease has certainly ended. */
 import { change } from '../../shared/change.js';
 import type { EndpointId } from '../../shared/ids.js';
-import { mayRunInUnreportedIncarnation } from './followed-runs.js';
-import { withholdEndpoint } from './health.js';
-import { endRunWithoutReport } from './lost-runs.js';
+import { mayRunInUnreportedIncarnation } from './incarnation-runs.js';
+import { withholdEndpoint } from './endpoint-health.js';
+import { endRunWithoutReport } from './unreported-runs.js';
 import type { RunEvidence } from './run-end.js';
 import { stopRun } from './runs.js';
 import {
--- a/packages/core/src/batch/endpoints/open-starts.ts
+++ b/packages/core/src/batch/endpoints/unanswered-starts.ts
@@ -4,7 +4,7 @@
  * the fence that the previous incarnation had seen.
  */
 import type { EndpointId, InstanceId } from '../../shared/ids.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import type { BatchState, UnansweredStart } from '../model/state.js';
 
 /** The longest time for which a platform may delay an order. */
--- a/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
+++ b/packages/core/src/batch/evacuation/evacuated-hosts.test.ts
@@ -12,14 +12,14 @@
   type PoolName,
 } from '../../shared/ids.js';
 import { upsertEndpoint, type EndpointDescription } from '../endpoints/endpoints.js';
-import { isSchedulable } from '../endpoints/sound-endpoints.js';
-import { planMaintenance } from '../maintenance/upkeep.js';
-import { createMaintenanceWave } from '../maintenance/upkeep-progress.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { isSchedulable } from '../endpoints/schedulable-endpoints.js';
+import { planMaintenance } from '../maintenance/plan-maintenance.js';
+import { createMaintenanceWave } from '../maintenance/wave-progress.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import { createBatchState, poolOf, type EndpointState } from '../model/state.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createHostInventory, applyHostList } from '../pools/host-inventory.js';
-import type { ListedHost } from '../pools/hosts.js';
+import type { ListedHost } from '../pools/listed-hosts.js';
 import { planMoves } from '../pools/pool-moves.js';
 import { DEFAULT_POOL_POLICY, computePoolNeeds, type PoolPlanInput } from '../pools/pool-needs.js';
 import {
--- a/packages/core/src/batch/evacuation/evacuated-runs.ts
+++ b/packages/core/src/batch/evacuation/evacuated-runs.ts
@@ -1,6 +1,6 @@
 /** Tells operators which tasks an evacuated data centre still runs, and which steps wait because of an evacuation. */
 import type { DataCentreId } from '../../shared/ids.js';
-import { hasLabel } from '../endpoints/sound-endpoints.js';
+import { hasLabel } from '../endpoints/schedulable-endpoints.js';
 import { reservedCpu } from '../endpoints/runs.js';
 import { estimateStepTime } from '../jobs/step-times.js';
 import type { BatchState, EndpointState, RunState, StepRun } from '../model/state.js';
--- a/packages/core/src/batch/evacuation/belief.test.ts
+++ b/packages/core/src/batch/evacuation/evacuation-view.test.ts
@@ -10,7 +10,7 @@
   type EvacuationView,
   type EvacuationChange,
   type EvacuationUpdate,
-} from './belief.js';
+} from './evacuation-view.js';
 
 const NORTH = brand<DataCentreId>('north');
 const SOUTH = brand<DataCentreId>('south');
--- a/packages/core/src/batch/jobs/admission-control.test.ts
+++ b/packages/core/src/batch/jobs/admission-control.test.ts
@@ -6,7 +6,7 @@
 import { setAccounts } from '../accounts/quota.js';
 import { NO_LIMIT } from '../model/capacity.js';
 import type { BatchJob, StepSpec } from '../model/job.js';
-import { DEFAULT_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 import {
   applyAnswer,
--- a/packages/core/src/batch/jobs/admission-control.ts
+++ b/packages/core/src/batch/jobs/admission-control.ts
@@ -10,7 +10,7 @@
 import type { BatchJob, QueueName, QueuePolicy, StepSpec } from '../model/job.js';
 import type { JobShare } from '../model/share.js';
 import { poolOf, type BatchState } from '../model/state.js';
-import { LATE_SUCCESS_FACTOR } from '../placement/order.js';
+import { LATE_SUCCESS_FACTOR } from '../placement/job-rank.js';
 import { forecastJob, type Forecast, type ForecastInput } from './forecast.js';
 import { measureLoads, type PoolLoad, type QueuedWork } from './pool-load.js';
 import { estimateRunTime } from './run-times.js';
--- a/packages/core/src/batch/jobs/burst.test.ts
+++ b/packages/core/src/batch/jobs/burst.test.ts
@@ -9,7 +9,7 @@
   type FleetSimulationResult,
   type SimulatedJob,
   type SimulatedPool,
-} from '../testing/fleet-play.fixtures.js';
+} from '../testing/fleet-simulation.fixtures.js';
 
 const POOL: SimulatedPool = { name: brand<PoolName>('a'), hosts: 24, taskCpu: 6200, runMs: 800 };
 /** Each of the 24 hosts runs ten tasks at once; a job has sixteen tasks of 0.8 s. */
--- a/packages/core/src/batch/jobs/give-up.ts
+++ b/packages/core/src/batch/jobs/crashing-jobs.ts
@@ -1,6 +1,6 @@
 /** Fails jobs one of whose tasks repeatedly crashes the endpoints that run it. */
 import { giveUpReason } from '../crashes/endpoint-crashes.js';
-import { endJob } from './jobs.js';
+import { endJob } from './job-lifecycle.js';
 import type { BatchState, RunState } from '../model/state.js';
 
 /**
--- a/packages/core/src/batch/jobs/early-occurrence.test.ts
+++ b/packages/core/src/batch/jobs/early-occurrence.test.ts
@@ -13,7 +13,7 @@
   createStateWithJob,
 } from '../testing/batch-state.fixtures.js';
 import { taskKey } from '../model/job.js';
-import { addJob } from './jobs.js';
+import { addJob } from './job-lifecycle.js';
 import { createScheduleCycle } from '../placement/schedule-cycle.js';
 
 const REPEATED_JOB = brand<typeof JOB>('00000000000000bb');
--- a/packages/core/src/batch/jobs/jobs.ts
+++ b/packages/core/src/batch/jobs/job-lifecycle.ts
@@ -13,7 +13,7 @@
   type StepRun,
   type Task,
 } from '../model/state.js';
-import { addOccurrence, createJobState, type AddJobOptions } from './create-job.js';
+import { addOccurrence, createJobState, type AddJobOptions } from './job-factory.js';
 import { removeFirstAttempt } from './first-attempts.js';
 import { chargeShare } from '../accounts/shares.js';
 import { stopRun, removeFromWaiting } from '../endpoints/runs.js';
--- a/packages/core/src/batch/jobs/pool-load.ts
+++ b/packages/core/src/batch/jobs/pool-load.ts
@@ -2,9 +2,9 @@
 import type { PoolName } from '../../shared/ids.js';
 import { isRankedWithinShare } from '../accounts/shares.js';
 import { reservedCpu } from '../endpoints/runs.js';
-import { isSchedulable } from '../endpoints/sound-endpoints.js';
+import { isSchedulable } from '../endpoints/schedulable-endpoints.js';
 import { isFinal, type BatchState, type EndpointState, type JobState } from '../model/state.js';
-import { isTooLate } from '../placement/order.js';
+import { isTooLate } from '../placement/job-rank.js';
 import { estimateStepWork } from './step-times.js';
 
 /** The queued work of one job, with its rank. */
--- a/packages/core/src/batch/jobs/progress.ts
+++ b/packages/core/src/batch/jobs/progress.ts
@@ -4,8 +4,8 @@
  */
 import { change } from '../../shared/change.js';
 import type { AccountName } from '../../shared/ids.js';
-import { addOccurrence, createJobState } from './create-job.js';
-import { startDueOccurrences, endJob, completeTask } from './jobs.js';
+import { addOccurrence, createJobState } from './job-factory.js';
+import { startDueOccurrences, endJob, completeTask } from './job-lifecycle.js';
 import { giveUpReason } from '../crashes/endpoint-crashes.js';
 import { restoreTrial, findOpenTrialRun } from '../crashes/trials.js';
 import type { BatchJob, FinalPhase, QueuePolicy } from '../model/job.js';
--- a/packages/core/src/batch/jobs/lookup-queue.ts
+++ b/packages/core/src/batch/jobs/queue-index.ts
@@ -2,7 +2,7 @@
 import type { PoolName } from '../../shared/ids.js';
 import { indexAccounts, type AccountIndex, type ClientAccount } from '../model/accounts.js';
 import type { QueueName, QueuePolicy } from '../model/job.js';
-import type { DeclaredPool } from '../pools/hosts.js';
+import type { DeclaredPool } from '../pools/listed-hosts.js';
 
 /** A queue as the configuration declares it. */
 export type DeclaredQueue = {
--- a/packages/core/src/batch/jobs/waiting.test.ts
+++ b/packages/core/src/batch/jobs/waiting-jobs.test.ts
@@ -11,10 +11,10 @@
   createStateWithJob,
   TASK,
 } from '../testing/batch-state.fixtures.js';
-import { applyStartOutcome } from '../endpoints/order-answers.js';
+import { applyStartOutcome } from '../endpoints/order-responses.js';
 import { schedulePool } from '../placement/schedule.js';
 import type { BatchState } from '../model/state.js';
-import { countWaitingJobs } from './waiting.js';
+import { countWaitingJobs } from './waiting-jobs.js';
 
 const START = { task: TASK, run: FIRST_RUN };
 
--- a/packages/core/src/batch/maintenance/candidate-order.ts
+++ b/packages/core/src/batch/maintenance/candidate-order.ts
@@ -5,7 +5,7 @@
 import * as Ord from 'fp-ts/lib/Ord.js';
 import * as RA from 'fp-ts/lib/ReadonlyArray.js';
 
-import type { Candidate, PlanningPass } from './upkeep-rules.js';
+import type { Candidate, PlanningPass } from './host-rules.js';
 import { latestStartOf } from './wave-plan.js';
 
 /** A host with its sort keys, computed once per sort. */
--- a/packages/core/src/batch/maintenance/early-moves.test.ts
+++ b/packages/core/src/batch/maintenance/early-moves.test.ts
@@ -3,7 +3,7 @@
 
 import type { TaskKey } from '../model/job.js';
 import type { EndpointState } from '../model/state.js';
-import { PLENTY_OF_TIME_MS, createTestWave } from '../testing/upkeep-wave.fixtures.js';
+import { PLENTY_OF_TIME_MS, createTestWave } from '../testing/maintenance-wave.fixtures.js';
 
 /** Too short for 4 hosts with tasks of one step: they take 10 s, and 12 s are reserved before the deadline. */
 const TIGHT_MS = 14_000;
--- a/packages/core/src/batch/maintenance/early-moves.ts
+++ b/packages/core/src/batch/maintenance/early-moves.ts
@@ -9,9 +9,9 @@
   countUnavailable,
   runsOnlyLongRunningTasks,
   moveOneTask,
-} from '../pools/hosts.js';
+} from '../pools/listed-hosts.js';
 import type { EndpointState, StepRun } from '../model/state.js';
-import type { Candidate, PlanningPass } from './upkeep-rules.js';
+import type { Candidate, PlanningPass } from './host-rules.js';
 import { latestStartOf, type WavePlan } from './wave-plan.js';
 
 /**
--- a/packages/core/src/batch/maintenance/upkeep-rules.test.ts
+++ b/packages/core/src/batch/maintenance/host-rules.test.ts
@@ -7,8 +7,8 @@
   PLENTY_OF_TIME_MS,
   NO_TIME_LEFT_MS,
   createTestWave,
-} from '../testing/upkeep-wave.fixtures.js';
-import { applyOrderOutcome } from './upkeep-progress.js';
+} from '../testing/maintenance-wave.fixtures.js';
+import { applyOrderOutcome } from './wave-progress.js';
 
 const LONG_RUNNING = { isLasting: true, mayMiss: 1 };
 
--- a/packages/core/src/batch/maintenance/upkeep-rules.ts
+++ b/packages/core/src/batch/maintenance/host-rules.ts
@@ -7,9 +7,9 @@
   findBudgetViolation,
   runsOnlyLongRunningTasks,
   type BudgetViolation,
-} from '../pools/hosts.js';
+} from '../pools/listed-hosts.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
-import type { KnownHosts, MaintenanceHost, MaintenanceWave } from './upkeep-progress.js';
+import type { KnownHosts, MaintenanceHost, MaintenanceWave } from './wave-progress.js';
 import { MAX_DRAIN_MS, latestStartOf, type WavePlan } from './wave-plan.js';
 
 /** The input of planning: hosts, endpoints and pools. */
--- a/packages/core/src/batch/maintenance/upkeep.ts
+++ b/packages/core/src/batch/maintenance/plan-maintenance.ts
@@ -9,7 +9,7 @@
 import { change } from '../../shared/change.js';
 import type { HostPresence } from '../pools/host-inventory.js';
 import { rackOf } from '../endpoints/endpoints.js';
-import { countReady, budgetedLongRunningSteps, moveOneTask } from '../pools/hosts.js';
+import { countReady, budgetedLongRunningSteps, moveOneTask } from '../pools/listed-hosts.js';
 import type { EndpointState, StepRun } from '../model/state.js';
 import { sortCandidates } from './candidate-order.js';
 import { moveTasksEarly } from './early-moves.js';
@@ -18,14 +18,14 @@
   presenceInWave,
   type MaintenanceHost,
   type MaintenanceWave,
-} from './upkeep-progress.js';
+} from './wave-progress.js';
 import {
   decideHostAction,
   type Candidate,
   type HostDecision,
   type PlanningPass,
   type MaintenanceContext,
-} from './upkeep-rules.js';
+} from './host-rules.js';
 import { planWave } from './wave-plan.js';
 
 /** An order for a host of a wave to go down, with the reason for the operators' view. */
--- a/packages/core/src/batch/maintenance/wave-plan.test.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.test.ts
@@ -1,9 +1,9 @@
 /** Tests of the latest start times of the hosts of a wave, and of the forecast of late hosts. */
 import { describe, expect, it } from 'vitest';
 
-import { budgetedLongRunningSteps } from '../pools/hosts.js';
+import { budgetedLongRunningSteps } from '../pools/listed-hosts.js';
 import type { EndpointState } from '../model/state.js';
-import { createTestWave } from '../testing/upkeep-wave.fixtures.js';
+import { createTestWave } from '../testing/maintenance-wave.fixtures.js';
 import { latestStartOf, planWave, type PlannedHost } from './wave-plan.js';
 
 const DOWN_MS = 2300;
--- a/packages/core/src/batch/maintenance/wave-plan.ts
+++ b/packages/core/src/batch/maintenance/wave-plan.ts
@@ -4,7 +4,7 @@
  * others, from the maximum number of hosts that may be down at the same time.
  */
 import type { StepRun } from '../model/state.js';
-import type { MaintenanceWave, WaveForecast } from './upkeep-progress.js';
+import type { MaintenanceWave, WaveForecast } from './wave-progress.js';
 
 /** Short tasks on a draining host get this long to end; after that, the host is taken down anyway. */
 export const MAX_DRAIN_MS = 3000;
--- a/packages/core/src/batch/maintenance/upkeep-progress.test.ts
+++ b/packages/core/src/batch/maintenance/wave-progress.test.ts
@@ -4,15 +4,15 @@
 
 import { type DataCentreId, type HostId, brand } from '../../shared/ids.js';
 import { createHostInventory, hostPresence, applyHostList } from '../pools/host-inventory.js';
-import type { ListedHost } from '../pools/hosts.js';
+import type { ListedHost } from '../pools/listed-hosts.js';
 import { createBatchState } from '../model/state.js';
-import { planMaintenance } from './upkeep.js';
+import { planMaintenance } from './plan-maintenance.js';
 import {
   applyOrderOutcome,
   createMaintenanceWave,
   isWaveComplete,
   type HostOrderOutcome,
-} from './upkeep-progress.js';
+} from './wave-progress.js';
 
 const DOWN_MS = 2300;
 const GONE_AFTER_MS = 3300;
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -27,7 +27,7 @@
 import type { AccountLimits } from './accounts.js';
 import type { Usage } from './capacity.js';
 import type { Domain, SuspectedDomain } from './domain.js';
-import type { QueueOrder } from './order-ways.js';
+import type { QueueOrder } from './queue-order.js';
 import type { PlacementPolicy } from './placement-policy.js';
 import type { AccountShare } from './share.js';
 import { createRunTimes, type RunTimes } from '../jobs/run-times.js';
@@ -74,7 +74,7 @@
   doneCoreMs: number;
   /** The endpoints that may run inherited tasks and of which no incarnation has answered yet. */
   readonly unreportedInstances: Set<InstanceId>;
-  /** A host of the pool was down when this holder first read the host list: see `inherited-losses.ts`. */
+  /** A host of the pool was down when this holder first read the host list: see `losses-before-takeover.ts`. */
   hadHostDownAtTakeover: boolean;
 };
 
--- a/packages/core/src/batch/placement/advice.ts
+++ b/packages/core/src/batch/placement/advice.ts
@@ -5,7 +5,7 @@
  */
 import type { EndpointId } from '../../shared/ids.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
-import { findTask } from '../jobs/jobs.js';
+import { findTask } from '../jobs/job-lifecycle.js';
 import type { BatchState, EndpointState, StepRun } from '../model/state.js';
 
 /** The largest number of endpoints in one question. A job's objective allows for one question of this size for each step. */
--- a/packages/core/src/batch/placement/best-endpoint.ts
+++ b/packages/core/src/batch/placement/best-endpoint.ts
@@ -1,5 +1,5 @@
 /** Chooses the endpoint for a task. */
-import { canHoldTask } from '../endpoints/sound-endpoints.js';
+import { canHoldTask } from '../endpoints/schedulable-endpoints.js';
 import type { EndpointState } from '../model/state.js';
 import { computeTotalScore, type PlacementScore, type PlacementView } from './scores.js';
 
--- a/packages/core/src/batch/placement/candidates.ts
+++ b/packages/core/src/batch/placement/candidates.ts
@@ -3,7 +3,7 @@
  * placement changes are scored again. Scoring all of them for each task took 0.1 ms with 900 endpoints.
  */
 import { dataCentreCountKey, rackCountKey } from '../domains/domains.js';
-import { canHoldTask } from '../endpoints/sound-endpoints.js';
+import { canHoldTask } from '../endpoints/schedulable-endpoints.js';
 import type { DomainId } from '../../shared/ids.js';
 import type { EndpointState, Task } from '../model/state.js';
 import { chooseBestEndpoint } from './best-endpoint.js';
--- a/packages/core/src/batch/placement/gang-places.ts
+++ b/packages/core/src/batch/placement/gang-places.ts
@@ -1,6 +1,6 @@
 /** Finds endpoints for all tasks of a gang at once. */
 import { rackOf } from '../endpoints/endpoints.js';
-import { hasLabel } from '../endpoints/sound-endpoints.js';
+import { hasLabel } from '../endpoints/schedulable-endpoints.js';
 import type { EndpointState, StepRun } from '../model/state.js';
 
 /**
--- a/packages/core/src/batch/placement/inherited-tasks.test.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.test.ts
@@ -14,7 +14,7 @@
   upsertEndpoint,
 } from '../endpoints/endpoints.js';
 import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import { taskKey, type StepSpec } from '../model/job.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 import {
--- a/packages/core/src/batch/placement/inherited-tasks.ts
+++ b/packages/core/src/batch/placement/inherited-tasks.ts
@@ -3,10 +3,10 @@
  * be written to the job's row first.
  */
 import type { InstanceId } from '../../shared/ids.js';
-import { isFirstStartOfInheritedTask } from '../crashes/inherited-losses.js';
+import { isFirstStartOfInheritedTask } from '../crashes/losses-before-takeover.js';
 import { waitingSuspects } from '../crashes/isolation.js';
 import { findAnnouncedRun, announceTrials, areCrashRecordsWritten } from '../crashes/trials.js';
-import { mayRunInheritedTask } from '../endpoints/sound-endpoints.js';
+import { mayRunInheritedTask } from '../endpoints/schedulable-endpoints.js';
 import {
   isSoleHolder,
   type BatchState,
--- a/packages/core/src/batch/placement/order.ts
+++ b/packages/core/src/batch/placement/job-rank.ts
@@ -4,7 +4,7 @@
  * Within each of these tiers, steps of equal priority are ordered by the end of their objective, so that no step waits
  * for ever. The `QueueOrder` decides where the shares of client accounts come in.
  */
-import type { QueueOrder } from '../model/order-ways.js';
+import type { QueueOrder } from '../model/queue-order.js';
 import { isRankedWithinShare } from '../accounts/shares.js';
 import type { BatchState, JobState, StepRun } from '../model/state.js';
 import { estimateStepTime } from '../jobs/step-times.js';
--- a/packages/core/src/batch/placement/ranking.ts
+++ b/packages/core/src/batch/placement/ranking.ts
@@ -7,7 +7,7 @@
 import { change } from '../../shared/change.js';
 import { accountOf, isWithinQuota } from '../accounts/quota.js';
 import { isFinal, type BatchState, type PoolState, type StepRun } from '../model/state.js';
-import { compareRanks, rankStep, type Rank } from './order.js';
+import { compareRanks, rankStep, type Rank } from './job-rank.js';
 
 /** Each pass ranks all open steps of a pool that has at most this many. This is also the length of the shortlist. */
 const MAX_RANKED = 500;
--- a/packages/core/src/batch/placement/schedule-cycle.ts
+++ b/packages/core/src/batch/placement/schedule-cycle.ts
@@ -3,7 +3,7 @@
  * use up all the starts that may be sent.
  */
 import { change } from '../../shared/change.js';
-import { expireSuspicions } from '../domains/outage.js';
+import { expireSuspicions } from '../domains/suspected-domains.js';
 import { giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { estimateUnreportedUsage } from '../accounts/quota.js';
 import { schedulePool } from './schedule.js';
--- a/packages/core/src/batch/placement/schedule.ts
+++ b/packages/core/src/batch/placement/schedule.ts
@@ -4,12 +4,12 @@
  */
 import type { EndpointId, PoolName } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { lazy } from '../../shared/once.js';
+import { lazy } from '../../shared/lazy.js';
 import { admittedEndpoints, ticketOf, requestAdvice } from './advice.js';
-import { failJobIfCrashing } from '../jobs/give-up.js';
+import { failJobIfCrashing } from '../jobs/crashing-jobs.js';
 import { sortByRank, listRankedSteps } from './ranking.js';
 import { logTaskRestart } from '../endpoints/run-end.js';
-import { mayHaveLostEndpoints } from '../crashes/inherited-losses.js';
+import { mayHaveLostEndpoints } from '../crashes/losses-before-takeover.js';
 import { findAnnouncedRun, announceTrials, countLostTrials } from '../crashes/trials.js';
 import { announceInheritedStarts, awaitsReports, startableTasks } from './inherited-tasks.js';
 import { isRankedWithinShare } from '../accounts/shares.js';
@@ -17,7 +17,7 @@
 import { findGangPlaces } from './gang-places.js';
 import { createCandidates } from './candidates.js';
 import { scoresFor } from './scores.js';
-import { canHoldTask, schedulableEndpoints } from '../endpoints/sound-endpoints.js';
+import { canHoldTask, schedulableEndpoints } from '../endpoints/schedulable-endpoints.js';
 import { addRun, nextRunNumber } from '../endpoints/runs.js';
 import {
   countStartable,
--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -9,7 +9,7 @@
   observeDemand,
   type DemandPeakHistory,
 } from './demand-peaks.js';
-import { toDemandHistoryRow, restoreDemandHistoryRow } from './learned.js';
+import { toDemandHistoryRow, restoreDemandHistoryRow } from './demand-history.js';
 import { createBatchState } from '../model/state.js';
 
 const POOLS = ['a', 'b', 'c', 'd'].map((name) => brand<PoolName>(name));
--- a/packages/core/src/batch/pools/host-inventory.ts
+++ b/packages/core/src/batch/pools/host-inventory.ts
@@ -4,7 +4,7 @@
  */
 import type { HostId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import type { ListedHost } from './hosts.js';
+import type { ListedHost } from './listed-hosts.js';
 
 /**
  * What the host list tells about a host. `unknown`: the list has not been read yet. `listed`: the latest list contains
--- a/packages/core/src/batch/pools/hosts.ts
+++ b/packages/core/src/batch/pools/listed-hosts.ts
@@ -1,7 +1,7 @@
 /** Hosts in the platform's list, and which of them can go down without violating a step's disruption budget. */
 import type { DataCentreId, EndpointId, HostId, InstanceId, PoolName } from '../../shared/ids.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
-import { canHoldTask, schedulableEndpoints } from '../endpoints/sound-endpoints.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
+import { canHoldTask, schedulableEndpoints } from '../endpoints/schedulable-endpoints.js';
 import { stopRun } from '../endpoints/runs.js';
 import type {
   BatchState,
--- a/packages/core/src/batch/pools/pool-domains.test.ts
+++ b/packages/core/src/batch/pools/pool-domains.test.ts
@@ -2,11 +2,11 @@
 import { describe, expect, it } from 'vitest';
 
 import { brand, type EndpointId, type HostId, type PoolName } from '../../shared/ids.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import { JOB, POOL, submitJob } from '../testing/batch-state.fixtures.js';
 import { createBatchState, poolOf, type BatchState } from '../model/state.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
-import type { ListedHost } from './hosts.js';
+import type { ListedHost } from './listed-hosts.js';
 import { planMoves } from './pool-moves.js';
 import { DEFAULT_POOL_POLICY, type PoolPlanInput } from './pool-needs.js';
 
--- a/packages/core/src/batch/pools/pool-domains.ts
+++ b/packages/core/src/batch/pools/pool-domains.ts
@@ -5,7 +5,7 @@
 import type { DomainId } from '../../shared/ids.js';
 import { dataCentreCountKey, domainsOf, rackCountKey } from '../domains/domains.js';
 import { rackOf } from '../endpoints/endpoints.js';
-import type { ListedHost } from './hosts.js';
+import type { ListedHost } from './listed-hosts.js';
 
 /** The number of hosts that a pool has in each failure domain. */
 export type DomainCounts = Map<DomainId, number>;
--- a/packages/core/src/batch/pools/pool-moves.ts
+++ b/packages/core/src/batch/pools/pool-moves.ts
@@ -6,7 +6,7 @@
 import { change } from '../../shared/change.js';
 import { isRankedWithinShare } from '../accounts/shares.js';
 import { forecastCores } from './demand.js';
-import type { ListedHost } from './hosts.js';
+import type { ListedHost } from './listed-hosts.js';
 import {
   adjustCounts,
   countHostsByDomain,
--- a/packages/core/src/batch/pools/pool-needs.ts
+++ b/packages/core/src/batch/pools/pool-needs.ts
@@ -3,9 +3,9 @@
 import { isRankedWithinShare } from '../accounts/shares.js';
 import { forecastCores, type DemandRates } from './demand.js';
 import { predictPeakCores, observeDemand } from './demand-peaks.js';
-import type { ListedHost, DeclaredPool } from './hosts.js';
+import type { ListedHost, DeclaredPool } from './listed-hosts.js';
 import { reservedCpu } from '../endpoints/runs.js';
-import { isSchedulable } from '../endpoints/sound-endpoints.js';
+import { isSchedulable } from '../endpoints/schedulable-endpoints.js';
 import { poolOf, type BatchState, type EndpointState, type StepRun } from '../model/state.js';
 
 /** The input from which pool moves are planned. */
--- a/packages/core/src/batch/pools/pool-peaks.test.ts
+++ b/packages/core/src/batch/pools/pool-peaks.test.ts
@@ -8,10 +8,10 @@
   type PoolName,
   brand,
 } from '../../shared/ids.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
 import { removeEndpoint } from '../endpoints/gone-endpoints.js';
-import type { ListedHost } from './hosts.js';
+import type { ListedHost } from './listed-hosts.js';
 import { planMoves } from './pool-moves.js';
 import { DEFAULT_POOL_POLICY, observePeaks, type PoolPlanInput } from './pool-needs.js';
 import { createBatchState, poolOf } from '../model/state.js';
--- a/packages/core/src/batch/testing/batch-state.fixtures.ts
+++ b/packages/core/src/batch/testing/batch-state.fixtures.ts
@@ -11,8 +11,8 @@
 import { upsertEndpoint } from '../endpoints/endpoints.js';
 import type { JobOwner } from '../model/accounts.js';
 import { taskKey, type BatchJob, type QueuePolicy, type StepSpec } from '../model/job.js';
-import { addJob } from '../jobs/jobs.js';
-import { DEFAULT_STEP } from '../model/plain-step.js';
+import { addJob } from '../jobs/job-lifecycle.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
 import { applyReport, type EndpointReport } from '../endpoints/reports.js';
 import { createBatchState, type BatchState, type Task } from '../model/state.js';
 
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-simulation.fixtures.ts
@@ -15,11 +15,11 @@
 import { applyReport, type EndedRunReport } from '../endpoints/reports.js';
 import { createAdmissionControl, type AdmissionControl } from '../jobs/admission-control.js';
 import { recordFirstAttempts } from '../jobs/first-attempts.js';
-import { addJob } from '../jobs/jobs.js';
+import { addJob } from '../jobs/job-lifecycle.js';
 import { NO_LIMIT } from '../model/capacity.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import type { BatchJob, QueuePolicy, TaskKey } from '../model/job.js';
-import { DEFAULT_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
 import {
   createBatchState,
   removeEffects,
@@ -27,7 +27,7 @@
   type EndpointState,
 } from '../model/state.js';
 import { schedulePool } from '../placement/schedule.js';
-import type { ListedHost, DeclaredPool } from '../pools/hosts.js';
+import type { ListedHost, DeclaredPool } from '../pools/listed-hosts.js';
 import { updatePoolForecasts, planMoves, planReclaims } from '../pools/pool-moves.js';
 import { observePeaks } from '../pools/pool-needs.js';
 
--- a/packages/core/src/batch/testing/upkeep-wave.fixtures.ts
+++ b/packages/core/src/batch/testing/maintenance-wave.fixtures.ts
@@ -7,20 +7,20 @@
   type PoolName,
   brand,
 } from '../../shared/ids.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import { upsertEndpoint } from '../endpoints/endpoints.js';
 import { createHostInventory, applyHostList } from '../pools/host-inventory.js';
 import type { StepSpec } from '../model/job.js';
-import { addJob } from '../jobs/jobs.js';
-import { DEFAULT_STEP } from '../model/plain-step.js';
+import { addJob } from '../jobs/job-lifecycle.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
 import { addRun } from '../endpoints/runs.js';
 import { createBatchState, type EndpointState, type StepRun, type Task } from '../model/state.js';
 import {
   createMaintenanceWave,
   type MaintenanceHost,
   type MaintenanceWave,
-} from '../maintenance/upkeep-progress.js';
-import { planMaintenance } from '../maintenance/upkeep.js';
+} from '../maintenance/wave-progress.js';
+import { planMaintenance } from '../maintenance/plan-maintenance.js';
 
 const POOL = brand<PoolName>('alpha');
 const CAPACITY = { cpuMillis: 8000, memoryMb: 8000, accelerators: 0 };
--- a/packages/core/src/control/draft.ts
+++ b/packages/core/src/control/draft.ts
@@ -3,8 +3,8 @@
  * decisions of the steps before it, and every decision is recorded as one change with its
  * preconditions.
  */
-import type { PlacementHost, PlaceableJob } from '../placement/placeable.js';
-import { addResources, noResources } from '../placement/placeable.js';
+import type { PlacementHost, PlaceableJob } from '../placement/placement-input.js';
+import { addResources, noResources } from '../placement/placement-input.js';
 import {
   rowKey,
   type HostRow,
@@ -14,7 +14,7 @@
 } from '../rows/rows.js';
 import type { RowCheck, RowWrite } from '../rows/transaction.js';
 import type { HostId, JobId, WaveId } from '../shared/ids.js';
-import { listPlacementHosts, resourcesOfPlacement, type PoolSnapshot } from './world.js';
+import { listPlacementHosts, resourcesOfPlacement, type PoolSnapshot } from './pool-snapshot.js';
 
 /** One decision of a turn: a set of writes that are committed in one transaction. */
 export type ControlChange = {
--- a/packages/core/src/control/wave-trial.ts
+++ b/packages/core/src/control/drain-simulation.ts
@@ -11,7 +11,7 @@
   toExecutorJob,
   type PlaceableJob,
   type PlacementHost,
-} from '../placement/placeable.js';
+} from '../placement/placement-input.js';
 import type { PlacementRow } from '../rows/rows.js';
 import { countBy, groupBy } from '../shared/group-by.js';
 import type { HostId, JobId, ServiceName } from '../shared/ids.js';
--- a/packages/core/src/control/executors.ts
+++ b/packages/core/src/control/executors.ts
@@ -12,7 +12,11 @@
 import type { DeclarationOf } from '../declarations/schema.js';
 import { listDeclarations } from '../configuration/configuration.js';
 import { chooseHost, type HostChoice } from '../placement/choose-host.js';
-import { toExecutorJob, type PlaceableJob, type PlacementHost } from '../placement/placeable.js';
+import {
+  toExecutorJob,
+  type PlaceableJob,
+  type PlacementHost,
+} from '../placement/placement-input.js';
 import { rowKey, type PlacementPhase, type PlacementRow } from '../rows/rows.js';
 import { brand, type HostId, type JobId, type ServiceName } from '../shared/ids.js';
 import {
--- a/packages/core/src/control/jobs.ts
+++ b/packages/core/src/control/jobs.ts
@@ -7,7 +7,7 @@
 import type { Urgency } from '../declarations/schema.js';
 import { findDeclaration } from '../configuration/configuration.js';
 import { chooseHost } from '../placement/choose-host.js';
-import { toSubmittedJob, teamQuotaCores, type PlaceableJob } from '../placement/placeable.js';
+import { toSubmittedJob, teamQuotaCores, type PlaceableJob } from '../placement/placement-input.js';
 import { rowKey, type JobRow, type PlacementRow } from '../rows/rows.js';
 import type { HostId, JobId, TeamName } from '../shared/ids.js';
 import { groupBy } from '../shared/group-by.js';
--- a/packages/core/src/control/plan-turn.ts
+++ b/packages/core/src/control/plan-turn.ts
@@ -4,9 +4,9 @@
 import { planHosts } from './hosts.js';
 import { planJobs, planQuarantine } from './jobs.js';
 import { planLostHosts } from './lost-hosts.js';
-import { planPreemption } from './overuse.js';
+import { planPreemption } from './preemption.js';
 import { planWaves } from './waves.js';
-import type { PoolSnapshot } from './world.js';
+import type { PoolSnapshot } from './pool-snapshot.js';
 
 /** The outcome of a turn. */
 export type TurnPlan = {
--- a/packages/core/src/control/world.ts
+++ b/packages/core/src/control/pool-snapshot.ts
@@ -1,12 +1,12 @@
 /** The snapshot of a pool from which the holder of its control lease plans a turn. */
 import type { Configuration } from '../configuration/configuration.js';
-import { correctSize } from '../placement/corrected-size.js';
+import { correctSize } from '../placement/correct-size.js';
 import {
   addResources,
   noResources,
   type PlacementHost,
   type Resources,
-} from '../placement/placeable.js';
+} from '../placement/placement-input.js';
 import type { HostRow, HostSpec, JobRow, PlacementRow, Versioned, WaveRow } from '../rows/rows.js';
 import { findDeclaration } from '../configuration/configuration.js';
 import type { HostId, JobId, PoolName, ServiceName, WaveId } from '../shared/ids.js';
--- a/packages/core/src/control/pool-turn.test.ts
+++ b/packages/core/src/control/pool-turn.test.ts
@@ -5,7 +5,7 @@
 import { rowKey, rowPrefix, type JobRow, type PlacementRow } from '../rows/rows.js';
 import { brand, type DataCentreId, type HostId, type JobId, type PoolName } from '../shared/ids.js';
 import { createRng, pickRandom } from '../shared/rng.js';
-import { correctSize } from '../placement/corrected-size.js';
+import { correctSize } from '../placement/correct-size.js';
 import {
   changeHost,
   createConfiguration,
--- a/packages/core/src/control/waves.ts
+++ b/packages/core/src/control/waves.ts
@@ -9,7 +9,7 @@
 import * as RA from 'fp-ts/lib/ReadonlyArray.js';
 import * as S from 'fp-ts/lib/string.js';
 
-import type { PlacementHost } from '../placement/placeable.js';
+import type { PlacementHost } from '../placement/placement-input.js';
 import { rowKey, type HostRow, type WaveRow } from '../rows/rows.js';
 import { countBy } from '../shared/group-by.js';
 import type { HostId, WaveId } from '../shared/ids.js';
@@ -21,8 +21,8 @@
   simulateDrain,
   type DrainMode,
   type SimulatedHosts,
-} from './wave-trial.js';
-import type { WaveStrategy } from './world.js';
+} from './drain-simulation.js';
+import type { WaveStrategy } from './pool-snapshot.js';
 
 const MS_PER_S = 1000;
 /**
--- a/packages/core/src/placement/choose-host.ts
+++ b/packages/core/src/placement/choose-host.ts
@@ -6,7 +6,7 @@
 import { findUnmetRequirement, formatRequirement } from '../selectors/selector.js';
 import { builtInLabel } from '../fleet/fleet.js';
 import type { HostId } from '../shared/ids.js';
-import type { PlaceableJob, PlacementHost } from './placeable.js';
+import type { PlaceableJob, PlacementHost } from './placement-input.js';
 
 /** The number of hosts that were ruled out, by reason. */
 export type ExclusionCounts = Readonly<Record<string, number>>;
--- a/packages/core/src/placement/corrected-size.ts
+++ b/packages/core/src/placement/correct-size.ts
@@ -3,7 +3,7 @@
  * more than it declared counts with what it uses; a submitted job that uses less counts with less,
  * so that part of the unused cores becomes available.
  */
-import type { Resources } from './placeable.js';
+import type { Resources } from './placement-input.js';
 
 /** The measured use is multiplied by this factor, because usage reports lag behind. */
 const HEADROOM_FACTOR = 1.25;
--- a/packages/core/src/replay/fleet-model.ts
+++ b/packages/core/src/replay/fleet-model.ts
@@ -7,8 +7,8 @@
 import type { ControlAction, WithheldAction } from '../control/draft.js';
 import { retryDelayMs, countBackoffFailures } from '../control/jobs.js';
 import { planPoolTurn } from '../control/plan-turn.js';
-import { createRowVersionTracker } from '../control/row-ages.js';
-import type { PoolSnapshot, WaveStrategy } from '../control/world.js';
+import { createRowVersionTracker } from '../control/row-version-tracker.js';
+import type { PoolSnapshot, WaveStrategy } from '../control/pool-snapshot.js';
 import { listDeclaredHosts } from '../fleet/fleet.js';
 import {
   rowKey,
--- a/packages/core/src/replay/host-list-model.ts
+++ b/packages/core/src/replay/host-list-model.ts
@@ -2,7 +2,7 @@
  * The platform's list of hosts in virtual time. The list is stale by `lagMs`, and a silent host is
  * listed as gone only after `silenceTimeoutMs`.
  */
-import type { ListedHostState } from '../control/world.js';
+import type { ListedHostState } from '../control/pool-snapshot.js';
 import type { DataCentreId, HostId } from '../shared/ids.js';
 import type { ModelHost, WorkersModel } from './workers-model.js';
 
--- a/packages/daemon/src/batch/configuration/configuration-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/configuration-sync.test.ts
@@ -10,7 +10,7 @@
   NEIGHBOUR_POLL_INTERVAL_MS,
   createConfigurationSync,
   type ConfigurationSync,
-} from './configuration-keeper.js';
+} from './configuration-sync.js';
 import type { FeedReadStats, OperatorUpdate } from '../ports.js';
 
 const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
--- a/packages/daemon/src/batch/configuration/configuration-keeper.ts
+++ b/packages/daemon/src/batch/configuration/configuration-sync.ts
@@ -23,7 +23,7 @@
   createEvacuationTracker,
   type EvacuationTracker,
   type EvacuationMessage,
-} from './evacuation-keeper.js';
+} from './evacuation-tracker.js';
 
 /**
  * How long a read of the operator's feed waits for changes. It is short enough that a change is in force within 2 s
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-tracker.test.ts
@@ -13,8 +13,8 @@
   createConfigurationSync,
   type NeighbourAnswer,
   type NeighbourQuestion,
-} from './configuration-keeper.js';
-import { createEvacuationTracker, type EvacuationMessage } from './evacuation-keeper.js';
+} from './configuration-sync.js';
+import { createEvacuationTracker, type EvacuationMessage } from './evacuation-tracker.js';
 import { createStartGate } from './start-gate.js';
 
 const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
--- a/packages/daemon/src/batch/configuration/start-gate.ts
+++ b/packages/daemon/src/batch/configuration/start-gate.ts
@@ -2,8 +2,8 @@
 import { UNREAD_EVACUATION_VIEW, type EvacuationView } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
-import type { ConfigurationSync } from './configuration-keeper.js';
-import type { EvacuationTracker } from './evacuation-keeper.js';
+import type { ConfigurationSync } from './configuration-sync.js';
+import type { EvacuationTracker } from './evacuation-tracker.js';
 
 export type StartGateOptions = {
   readonly evacuations: EvacuationTracker;
--- a/packages/daemon/src/batch/control/control.ts
+++ b/packages/daemon/src/batch/control/control.ts
@@ -11,12 +11,12 @@
 import { brand, type EntryId, type JobId } from '@valvelatch/core/shared/ids';
 import type { TableClient } from '@valvelatch/platform';
 
-import { createLeaseManager } from '../../leases/lease-keeper.js';
+import { createLeaseManager } from '../../leases/lease-manager.js';
 import type { StartGate } from '../configuration/start-gate.js';
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
 import { sleep } from '../../shared/sleep.js';
-import type { ControlClient } from '../jobs/control-view.js';
+import type { ControlClient } from '../jobs/control-client.js';
 import type { AcceptOutcome } from '../jobs/job-saver.js';
 import { ENDPOINT_LEASE_MS } from '../endpoints/endpoint-link.js';
 import { CONTROL_METHOD, createHolderClient, HOLDER_SILENCE_LIMIT_MS } from './holder-client.js';
@@ -31,9 +31,9 @@
   EQUAL_PREFERENCE,
   HANDOVER_CHECK_INTERVAL_MS,
   type HolderPreference,
-} from './standing.js';
+} from './holder-preference.js';
 import { createTerm, type Term } from './term.js';
-import type { KnownWave } from '../hosts/wave-keeper.js';
+import type { KnownWave } from '../hosts/wave-tracker.js';
 
 /**
  * Duration of the control lease. A holder without the table continues to order endpoints for this long after its
--- a/packages/daemon/src/batch/control/learned-keeper.test.ts
+++ b/packages/daemon/src/batch/control/demand-history-store.test.ts
@@ -5,7 +5,10 @@
 
 import { createLog } from '../../observe/log.js';
 import { batchKey } from '../keys.js';
-import { createDemandHistoryStore, type DemandHistoryStoreOptions } from './learned-keeper.js';
+import {
+  createDemandHistoryStore,
+  type DemandHistoryStoreOptions,
+} from './demand-history-store.js';
 
 const EARLIER_ROW: DemandHistoryRow = {
   onsets: [['alpha', 1000]],
--- a/packages/daemon/src/batch/control/evacuation.test.ts
+++ b/packages/daemon/src/batch/control/evacuation.test.ts
@@ -9,7 +9,7 @@
 
 import { SIM_DATA_CENTRES } from '../testing/sim-platform.fixtures.js';
 import type { SimEntry, SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { EVACUATION_BOUND_MS } from '../testing/sim-world.fixtures.js';
+import { EVACUATION_BOUND_MS } from '../testing/sim-environment.fixtures.js';
 import {
   advanceTime,
   createRandom,
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -47,8 +47,8 @@
 import { createDomainGauges } from './domain-gauges.js';
 import { acquireGuard } from './guard.js';
 import { createJobAdmission, publishAdmissionCounts } from '../jobs/job-admission.js';
-import { createJobRowLookup } from '../jobs/row-lookup.js';
-import { createJobRowReader, type RetryUntilTermEnds } from '../jobs/job-rows.js';
+import { createJobRowLookup } from '../jobs/job-row-lookup.js';
+import { createJobRowReader, type RetryUntilTermEnds } from '../jobs/job-row-reader.js';
 import {
   createJobSaver,
   type AcceptOutcome,
@@ -56,8 +56,8 @@
   type LiveRow,
 } from '../jobs/job-saver.js';
 import { batchKey } from '../keys.js';
-import { createDemandHistoryStore } from './learned-keeper.js';
-import { logLoad, type LoadLogOptions } from './load-note.js';
+import { createDemandHistoryStore } from './demand-history-store.js';
+import { logLoad, type LoadLogOptions } from './load-log.js';
 import type { BatchPlatform } from '../ports.js';
 import type { RefusedJob } from '../jobs/refused-jobs.js';
 
--- a/packages/daemon/src/batch/endpoints/endpoint-crashes.test.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-crashes.test.ts
@@ -20,7 +20,7 @@
 import type { StepSpec } from '@valvelatch/core/batch';
 import type { JobId } from '@valvelatch/core/shared/ids';
 
-import { answerOperator } from '../operators/operators.js';
+import { answerOperator } from '../operators/operator-queries.js';
 import type { SimEntry, SimFleet } from '../testing/sim-fleet.fixtures.js';
 import {
   advanceTime,
--- a/packages/daemon/src/batch/endpoints/answer-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/response-order.test.ts
@@ -13,7 +13,7 @@
   type OrderOutcome,
   type HolderSimulation,
   type HolderSimulationOptions,
-} from '../testing/answer-orders.fixtures.js';
+} from '../testing/holder-simulation.fixtures.js';
 import { advanceTime, FAKED_TIMERS } from '../testing/virtual-time.fixtures.js';
 
 /** For this time, orders and responses are delayed or lost. */
--- a/packages/daemon/src/batch/entry/access.test.ts
+++ b/packages/daemon/src/batch/entry/access.test.ts
@@ -13,7 +13,7 @@
 
 import { createMetrics } from '../../observe/metrics.js';
 import { createAccess, type AccessRequest } from './access.js';
-import type { ConfigurationFreshness } from '../configuration/configuration-keeper.js';
+import type { ConfigurationFreshness } from '../configuration/configuration-sync.js';
 
 const hashKey = (key: string): KeyDigest =>
   brand<KeyDigest>(createHash('sha256').update(key).digest('base64'));
--- a/packages/daemon/src/batch/entry/access.ts
+++ b/packages/daemon/src/batch/entry/access.ts
@@ -7,7 +7,7 @@
 
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
-import type { ConfigurationSync } from '../configuration/configuration-keeper.js';
+import type { ConfigurationSync } from '../configuration/configuration-sync.js';
 import { createRefusal, type IntakeAnswer } from '../jobs/intake.js';
 
 /** The parts of a request that access depends on, known before its body is read. */
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -19,22 +19,26 @@
   CONFIGURATION_METHOD,
   createConfigurationSync,
   type NeighbourQuestion,
-} from '../configuration/configuration-keeper.js';
-import { createEvacuationTracker } from '../configuration/evacuation-keeper.js';
+} from '../configuration/configuration-sync.js';
+import { createEvacuationTracker } from '../configuration/evacuation-tracker.js';
 import { createStartGate } from '../configuration/start-gate.js';
 import { createAccess, type Access } from './access.js';
 import { createControl, type Control } from '../control/control.js';
 import { CONTROL_METHOD } from '../control/holder-client.js';
 import { createIntake, type Intake } from '../jobs/intake.js';
 import { HEARTBEAT_INTERVAL_MS, createPeers, type AskPeer, type Peers } from './peers.js';
-import { answerOperator, OPERATORS_METHOD, type OperatorQuery } from '../operators/operators.js';
-import { createRelayOrderHandler } from '../relays/order-agent.js';
+import {
+  answerOperator,
+  OPERATORS_METHOD,
+  type OperatorQuery,
+} from '../operators/operator-queries.js';
+import { createRelayOrderHandler } from '../relays/relay-order-handler.js';
 import {
   createRelayedOrders,
   RELAY_ORDER_METHOD,
   RELAY_REFRESH_INTERVAL_MS,
 } from '../relays/relayed-orders.js';
-import { createHolderPreference, computeHolderCapacity } from '../control/standing.js';
+import { createHolderPreference, computeHolderCapacity } from '../control/holder-preference.js';
 import type { BatchPlatform } from '../ports.js';
 import { createRefusedJobs, REPORT_REFUSED_INTERVAL_MS } from '../jobs/refused-jobs.js';
 import {
--- a/packages/daemon/src/batch/entry/peers.ts
+++ b/packages/daemon/src/batch/entry/peers.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../../observe/log.js';
 import { batchKey } from '../keys.js';
 import type { BatchTable } from '../ports.js';
-import { computeHolderCapacity } from '../control/standing.js';
+import { computeHolderCapacity } from '../control/holder-preference.js';
 
 /** The stored row of an entry. */
 type EntryRow = {
--- a/packages/daemon/src/batch/hosts/fleet-cycle.ts
+++ b/packages/daemon/src/batch/hosts/fleet-cycle.ts
@@ -29,7 +29,7 @@
 import type { GoneEvidence } from '../endpoints/endpoint-roster.js';
 import { createHostRoster } from './host-roster.js';
 import type { BatchPlatform } from '../ports.js';
-import { createWaveTracker, type KnownWave } from './wave-keeper.js';
+import { createWaveTracker, type KnownWave } from './wave-tracker.js';
 
 /** The pause between cycles. It is short because a wave over 15 hosts within 26 s has no second to spare. */
 const CYCLE_MS = 250;
--- a/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
@@ -1,7 +1,7 @@
 /**
  * Two waves over hosts of the same long-running steps, under faults. No order may make more tasks of a step unavailable
  * than its limit (`mayMiss`) allows, and each wave must complete. Single faults of this kind are tested in
- * `upkeep-rules.test.ts`.
+ * `host-rules.test.ts`.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId } from '@valvelatch/core/shared/ids';
--- a/packages/daemon/src/batch/jobs/intake.test.ts
+++ b/packages/daemon/src/batch/jobs/intake.test.ts
@@ -5,7 +5,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import { createMetrics } from '../../observe/metrics.js';
-import type { ControlClient } from './control-view.js';
+import type { ControlClient } from './control-client.js';
 import { createIntake } from './intake.js';
 import type { AcceptOutcome } from './job-saver.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
--- a/packages/daemon/src/batch/jobs/intake.ts
+++ b/packages/daemon/src/batch/jobs/intake.ts
@@ -30,8 +30,8 @@
 import type { LiveRow } from './accept-queue.js';
 import { batchKey } from '../keys.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
-import type { ControlClient } from './control-view.js';
-import { createSubmissionWriter } from './submission.js';
+import type { ControlClient } from './control-client.js';
+import { createSubmissionWriter } from './submission-writer.js';
 
 /** The share of the client's deadline during which a write without an answer is retried. */
 const RETRY_SHARE = 0.8;
--- a/packages/daemon/src/batch/jobs/job-admission.test.ts
+++ b/packages/daemon/src/batch/jobs/job-admission.test.ts
@@ -9,7 +9,7 @@
 import type { BatchTable } from '../ports.js';
 import type { LiveRow } from './accept-queue.js';
 import { createJobAdmission } from './job-admission.js';
-import { createJobRowLookup } from './row-lookup.js';
+import { createJobRowLookup } from './job-row-lookup.js';
 
 const log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 const JOB = brand<JobId>('00000000000000aa');
--- a/packages/daemon/src/batch/jobs/job-owners.test.ts
+++ b/packages/daemon/src/batch/jobs/job-owners.test.ts
@@ -12,7 +12,7 @@
 
 import { createMetrics } from '../../observe/metrics.js';
 import type { AcceptOutcome } from './accept-queue.js';
-import type { ControlClient } from './control-view.js';
+import type { ControlClient } from './control-client.js';
 import { createIntake } from './intake.js';
 import { batchKey, parseJobKey } from '../keys.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
--- a/packages/daemon/src/batch/jobs/late-rows.test.ts
+++ b/packages/daemon/src/batch/jobs/job-row-reader.test.ts
@@ -5,10 +5,10 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import type { EndedJobs } from './ended-jobs.js';
-import { createJobRowReader } from './job-rows.js';
+import { createJobRowReader } from './job-row-reader.js';
 import { batchKey } from '../keys.js';
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { SIM_QUEUE_POLICY } from '../testing/sim-world.fixtures.js';
+import { SIM_QUEUE_POLICY } from '../testing/sim-environment.fixtures.js';
 import {
   advanceTime,
   FAKED_TIMERS,
--- a/packages/daemon/src/batch/jobs/submission.test.ts
+++ b/packages/daemon/src/batch/jobs/submission-writer.test.ts
@@ -18,7 +18,7 @@
 import type { RowWriteOutcome } from './attempt.js';
 import type { AcceptOutcome, LiveRow } from './job-saver.js';
 import type { BatchTable } from '../ports.js';
-import { createSubmissionWriter } from './submission.js';
+import { createSubmissionWriter } from './submission-writer.js';
 
 const UNAVAILABLE_FROM_MS = 60;
 const CLIENT_TIMEOUT_MS = 2400;
--- a/packages/daemon/src/batch/jobs/submission.ts
+++ b/packages/daemon/src/batch/jobs/submission-writer.ts
@@ -8,7 +8,7 @@
 
 import { sleep } from '../../shared/sleep.js';
 import { openAttempt, type Attempt, type AttemptEnd, type RowWriteOutcome } from './attempt.js';
-import type { ControlClient } from './control-view.js';
+import type { ControlClient } from './control-client.js';
 import type { AcceptOutcome, LiveRow } from './accept-queue.js';
 import { batchKey } from '../keys.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
--- a/packages/daemon/src/batch/operators/domain-views.test.ts
+++ b/packages/daemon/src/batch/operators/domain-views.test.ts
@@ -4,7 +4,7 @@
 
 import { createMetrics } from '../../observe/metrics.js';
 import { createDomainGauges } from '../control/domain-gauges.js';
-import { answerOperator } from './operators.js';
+import { answerOperator } from './operator-queries.js';
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
 import {
   advanceTime,
--- a/packages/daemon/src/batch/operators/operators-http.ts
+++ b/packages/daemon/src/batch/operators/operator-http-server.ts
@@ -8,7 +8,7 @@
 
 import type { Metrics } from '../../observe/metrics.js';
 import type { OperatorResult } from '../../operators/operator-result.js';
-import type { OperatorQuery } from './operators.js';
+import type { OperatorQuery } from './operator-queries.js';
 
 const STATUS_CODES: Record<OperatorResult['kind'], number> = {
   ok: 200,
--- a/packages/daemon/src/batch/operators/operators.test.ts
+++ b/packages/daemon/src/batch/operators/operator-queries.test.ts
@@ -6,10 +6,10 @@
 import { brand, type DataCentreId, type JobId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { answerOperator } from './operators.js';
+import { answerOperator } from './operator-queries.js';
 import { SIM_DATA_CENTRES } from '../testing/sim-platform.fixtures.js';
 import { createSimAccount, type SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { SIM_QUEUE_POLICY } from '../testing/sim-world.fixtures.js';
+import { SIM_QUEUE_POLICY } from '../testing/sim-environment.fixtures.js';
 import {
   advanceTime,
   FAKED_TIMERS,
--- a/packages/daemon/src/batch/relays/order-agent.test.ts
+++ b/packages/daemon/src/batch/relays/relay-order-handler.test.ts
@@ -8,7 +8,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createMetrics } from '../../observe/metrics.js';
-import { createRelayOrderHandler } from './order-agent.js';
+import { createRelayOrderHandler } from './relay-order-handler.js';
 import { decodeAnswer, encodeOrder, type RelayedOrder } from './order-message.js';
 
 const NORTH = brand<DataCentreId>('north');
--- a/packages/daemon/src/batch/relays/relayed-table.ts
+++ b/packages/daemon/src/batch/relays/relayed-table.ts
@@ -9,7 +9,7 @@
 
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
-import { firstAnswer, isAnswered, type CallResult } from './first-answered.js';
+import { firstAnswer, isAnswered, type CallResult } from './first-answer.js';
 import { LEASE_PREFIX } from '../keys.js';
 import type { AskPeer } from '../entry/peers.js';
 import type { BatchTable } from '../ports.js';
--- a/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
+++ b/packages/daemon/src/batch/testing/leased-endpoint.fixtures.ts
@@ -33,7 +33,7 @@
 import { createEndpointRoster, type EndpointRoster } from '../endpoints/endpoint-roster.js';
 import type { EndpointFeed, EndpointOrders } from '../ports.js';
 import { neverSettle, sleep } from './sim-platform.fixtures.js';
-import { SIM_QUEUE_POLICY } from './sim-world.fixtures.js';
+import { SIM_QUEUE_POLICY } from './sim-environment.fixtures.js';
 
 /** How long the control lease lasts after a renewal. */
 const CONTROL_LEASE_MS = 8000;
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -38,15 +38,15 @@
   createConfigurationSync,
   type ConfigurationSync,
   type NeighbourQuestion,
-} from '../configuration/configuration-keeper.js';
-import { createEvacuationTracker } from '../configuration/evacuation-keeper.js';
+} from '../configuration/configuration-sync.js';
+import { createEvacuationTracker } from '../configuration/evacuation-tracker.js';
 import { createStartGate } from '../configuration/start-gate.js';
 import { createControl, type Control } from '../control/control.js';
 import { batchKey } from '../keys.js';
 import type { Peers } from '../entry/peers.js';
 import { createRelayedTable, type TableCall, type RelayedTable } from '../relays/relayed-table.js';
-import { createHolderPreference } from '../control/standing.js';
-import { createRelayOrderHandler } from '../relays/order-agent.js';
+import { createHolderPreference } from '../control/holder-preference.js';
+import { createRelayOrderHandler } from '../relays/relay-order-handler.js';
 import { createRelayedOrders } from '../relays/relayed-orders.js';
 import {
   createSimLink,
@@ -63,7 +63,7 @@
   type SentStart,
   type SimDomains,
   type SimFaults,
-} from './sim-world.fixtures.js';
+} from './sim-environment.fixtures.js';
 
 const TICK_MS = 500;
 /** The pause between two reads of the operator's rows. */
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -27,7 +27,7 @@
   MOVE_MS,
   ADVICE_TICKET,
   type SimWorld,
-} from './sim-world.fixtures.js';
+} from './sim-environment.fixtures.js';
 
 /** The limits that apply to a maintenance order whose wave is unknown. */
 const UNKNOWN_WAVE: Pick<MaintenanceRequest, 'maximum' | 'hosts'> = {
--- a/packages/daemon/src/batch/testing/virtual-time.fixtures.ts
+++ b/packages/daemon/src/batch/testing/virtual-time.fixtures.ts
@@ -4,7 +4,7 @@
 import type { JobId } from '@valvelatch/core/shared/ids';
 
 import { createSimFleet, type SimEntry, type SimFleet } from './sim-fleet.fixtures.js';
-import type { SimDomains } from './sim-world.fixtures.js';
+import type { SimDomains } from './sim-environment.fixtures.js';
 
 /** The timers and clocks that vi.useFakeTimers replaces. */
 export const FAKED_TIMERS = [
--- a/packages/daemon/src/control/pool-control.ts
+++ b/packages/daemon/src/control/pool-control.ts
@@ -14,11 +14,11 @@
 } from '@valvelatch/core';
 import type { HostListClient, CachedRowsReader, TableClient } from '@valvelatch/platform';
 
-import type { LeaseManager } from '../leases/lease-keeper.js';
+import type { LeaseManager } from '../leases/lease-manager.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import { createChangeWriter } from './change-writer.js';
-import { createPoolSnapshotBuilder, type RowsByKey } from './pool-view.js';
+import { createPoolSnapshotBuilder, type RowsByKey } from './pool-snapshot-builder.js';
 
 export type PoolControlOptions = {
   readonly pool: PoolName;
--- a/packages/daemon/src/data-path/endpoint-directory.test.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.test.ts
@@ -10,7 +10,7 @@
 import { change } from '@valvelatch/core/shared/change';
 
 import { createEndpointDirectory, endpointIdOf } from './endpoint-directory.js';
-import type { ServiceAdmission } from './service-gate.js';
+import type { ServiceAdmission } from './service-admission.js';
 
 const SERVICE = brand<ServiceName>('routing');
 
--- a/packages/daemon/src/data-path/endpoint-directory.ts
+++ b/packages/daemon/src/data-path/endpoint-directory.ts
@@ -17,8 +17,8 @@
 } from '@valvelatch/core';
 import { change } from '@valvelatch/core/shared/change';
 
-import type { HeldSeat } from '../seats/seat-keeper.js';
-import type { ServiceAdmission } from './service-gate.js';
+import type { HeldSeat } from '../seats/seat-manager.js';
+import type { ServiceAdmission } from './service-admission.js';
 
 /** The endpoints of this data centre, from the tasks of its workers. */
 export type EndpointDirectory = {
--- a/packages/daemon/src/data-path/request-types.ts
+++ b/packages/daemon/src/data-path/request-types.ts
@@ -14,9 +14,9 @@
 import type { Metrics } from '../observe/metrics.js';
 import type { Tracing } from '../observe/trace-types.js';
 import type { CompleteResponse } from './attempt.js';
-import type { ClaimStore } from './claim-keeper.js';
-import type { ConnectionPools } from './connections.js';
-import type { ServiceAdmission } from './service-gate.js';
+import type { ClaimStore } from './claim-store.js';
+import type { ConnectionPools } from './connection-pools.js';
+import type { ServiceAdmission } from './service-admission.js';
 
 /** A request as parsed from the caller's HTTP request. */
 export type CallerRequest = {
--- a/packages/daemon/src/data-path/serve-request.ts
+++ b/packages/daemon/src/data-path/serve-request.ts
@@ -19,11 +19,11 @@
 
 import type { TraceHeaders } from '../observe/trace-types.js';
 import { sendAttempt, type CompleteResponse } from './attempt.js';
-import type { ClaimOutcome, HeldClaim } from './claim-keeper.js';
-import { classifyAttempt, type AttemptClassification } from './classify.js';
+import type { ClaimOutcome, HeldClaim } from './claim-store.js';
+import { classifyAttempt, type AttemptClassification } from './classify-attempt.js';
 import { callerHeader, selectRequestHeaders } from './headers.js';
 import type { CallerRequest, RequestOutcome, ServeContext } from './request-types.js';
-import type { ServiceAdmission } from './service-gate.js';
+import type { ServiceAdmission } from './service-admission.js';
 
 /** `retry-after` of refusals caused by the platform or a missing configuration, in seconds. */
 const OUTAGE_RETRY_AFTER_S = 2;
--- a/packages/daemon/src/data-path/service-gate.test.ts
+++ b/packages/daemon/src/data-path/service-admission.test.ts
@@ -6,7 +6,7 @@
 import { brand, type EndpointId } from '@valvelatch/core/shared/ids';
 import { describe, expect, it } from 'vitest';
 
-import { createServiceAdmission, type SlotOutcome } from './service-gate.js';
+import { createServiceAdmission, type SlotOutcome } from './service-admission.js';
 
 const callerId =
   brand<Parameters<ReturnType<typeof createServiceAdmission>['release']>[1]>('caller');
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -24,10 +24,10 @@
   type PoolControl,
 } from '../control/pool-control.js';
 import type { EndpointDirectory } from '../data-path/endpoint-directory.js';
-import { createLeaseManager } from '../leases/lease-keeper.js';
+import { createLeaseManager } from '../leases/lease-manager.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
-import type { SeatManager } from '../seats/seat-keeper.js';
+import type { SeatManager } from '../seats/seat-manager.js';
 import type { Clients } from './clients.js';
 
 /** Control plane of an entry. */
--- a/packages/daemon/src/entry/entry-loops.ts
+++ b/packages/daemon/src/entry/entry-loops.ts
@@ -5,7 +5,7 @@
 import type { Loop } from '../shared/loops.js';
 import type { ControlPlane } from './control-plane.js';
 import type { RequestPlane } from './request-plane.js';
-import type { SeatServices } from './seat-plane.js';
+import type { SeatServices } from './seat-services.js';
 
 /** Parts of an entry that have periodic work. */
 export type EntryParts = {
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -29,7 +29,7 @@
 import { createEntryLoops } from './entry-loops.js';
 import { closeWhenIdle, listen, formatUrl } from './ports.js';
 import { createRequestPlane } from './request-plane.js';
-import { createSeatServices } from './seat-plane.js';
+import { createSeatServices } from './seat-services.js';
 
 /** Addresses on which a running entry listens. */
 export type EntryAddresses = {
--- a/packages/daemon/src/entry/request-plane.ts
+++ b/packages/daemon/src/entry/request-plane.ts
@@ -19,8 +19,8 @@
 
 import type { ConfigSync } from '../config-sync/config-sync.js';
 import { createCallersServer } from '../data-path/callers-server.js';
-import { createClaimStore, type ClaimStore } from '../data-path/claim-keeper.js';
-import { createConnectionPools } from '../data-path/connections.js';
+import { createClaimStore, type ClaimStore } from '../data-path/claim-store.js';
+import { createConnectionPools } from '../data-path/connection-pools.js';
 import {
   createEndpointDirectory,
   type EndpointDirectory,
@@ -33,11 +33,11 @@
   ServeContext,
 } from '../data-path/request-types.js';
 import { serveRequest } from '../data-path/serve-request.js';
-import { createServiceAdmission, type ServiceAdmission } from '../data-path/service-gate.js';
+import { createServiceAdmission, type ServiceAdmission } from '../data-path/service-admission.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import type { Tracing } from '../observe/trace-types.js';
-import type { HeldSeat } from '../seats/seat-keeper.js';
+import type { HeldSeat } from '../seats/seat-manager.js';
 import type { Settings } from '../settings/settings.js';
 import type { Clients } from './clients.js';
 
--- a/packages/daemon/src/entry/seat-plane.ts
+++ b/packages/daemon/src/entry/seat-services.ts
@@ -10,11 +10,11 @@
 import {
   createUnflushedClaimsMonitor,
   type UnflushedClaimsMonitor,
-} from '../data-path/doubt-watch.js';
+} from '../data-path/unflushed-claims-monitor.js';
 import { createOutageClaims, type OutageClaims } from '../data-path/outage-claims.js';
-import { createLeaseManager } from '../leases/lease-keeper.js';
+import { createLeaseManager } from '../leases/lease-manager.js';
 import type { Log } from '../observe/log.js';
-import { createSeatManager, type SeatManager } from '../seats/seat-keeper.js';
+import { createSeatManager, type SeatManager } from '../seats/seat-manager.js';
 
 /** Parts that depend on the seat of an entry. */
 export type SeatServices = {
--- a/packages/daemon/src/leases/lease-keeper.test.ts
+++ b/packages/daemon/src/leases/lease-manager.test.ts
@@ -15,7 +15,7 @@
 import { Err, Ok } from 'ts-results-es';
 import { describe, expect, it } from 'vitest';
 
-import { createLeaseManager } from './lease-keeper.js';
+import { createLeaseManager } from './lease-manager.js';
 
 const SELF = brand<EntryId>('holder');
 const DURATION_MS = 8000;
--- a/packages/daemon/src/seats/seat-keeper.ts
+++ b/packages/daemon/src/seats/seat-manager.ts
@@ -18,7 +18,7 @@
 } from '@valvelatch/core';
 import { change } from '@valvelatch/core/shared/change';
 
-import type { LeaseManager } from '../leases/lease-keeper.js';
+import type { LeaseManager } from '../leases/lease-manager.js';
 import type { Log } from '../observe/log.js';
 
 /** The seat that this entry may use at present. */
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -4,5 +4,5 @@
 export * from './http-json.js';
 export * from './platform-clients.js';
 export * from './platform-error.js';
-export * from './pulsed-table.js';
+export * from './control-change-marker.js';
 export * from './table-client.js';
