--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,5 +1,5 @@
 /** Prints answers, as tables for people or as JSON for scripts, and sets the exit code. */
-import type { Answer } from './client.js';
+import type { Answer } from './entry-client.js';
 
 export type OutputFormat = 'table' | 'json';
 
@@ -46,7 +46,10 @@
  * @param columns - The properties to show, in order.
  * @returns The lines.
  */
-export const formatTable = (rows: readonly Row[], columns: readonly string[]): readonly string[] => {
+export const formatTable = (
+  rows: readonly Row[],
+  columns: readonly string[],
+): readonly string[] => {
   const cells = [
     columns.map((column) => column.toUpperCase()),
     ...rows.map((row) => columns.map((column) => formatCell(row[column]))),
--- a/packages/core/src/batch/pools/demand-peaks.test.ts
+++ b/packages/core/src/batch/pools/demand-peaks.test.ts
@@ -9,7 +9,7 @@
   observeDemand,
   type DemandPeakHistory,
 } from './demand-peaks.js';
-import { toDemandHistoryRow, restoreDemandHistoryRow } from './learned.js';
+import { toDemandHistoryRow, restoreDemandHistoryRow } from './demand-history.js';
 import { createBatchState } from '../model/state.js';
 
 const POOLS = ['a', 'b', 'c', 'd'].map((name) => brand<PoolName>(name));
@@ -107,7 +107,7 @@
   });
 });
 
-describe('restoreLearnedRow', () => {
+describe('restoreDemandHistoryRow', () => {
   it('lets the next holder start from the saved peaks and run times, converted by the wall clock', () => {
     const first = createBatchState(1);
     simulateDemand(first.peaks, rotation, 38_000);
--- a/packages/daemon/src/batch/configuration/evacuation-keeper.test.ts
+++ b/packages/daemon/src/batch/configuration/evacuation-tracker.test.ts
@@ -13,8 +13,8 @@
   createConfigurationSync,
   type NeighbourAnswer,
   type NeighbourQuestion,
-} from './configuration-keeper.js';
-import { createEvacuationTracker, type EvacuationMessage } from './evacuation-keeper.js';
+} from './configuration-sync.js';
+import { createEvacuationTracker, type EvacuationMessage } from './evacuation-tracker.js';
 import { createStartGate } from './start-gate.js';
 
 const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
@@ -30,14 +30,20 @@
   isDeleted: false,
 });
 
-const changesAt = (revision: number, changes: EvacuationFeedUpdate['changes'] = []): EvacuationFeedUpdate => ({
+const changesAt = (
+  revision: number,
+  changes: EvacuationFeedUpdate['changes'] = [],
+): EvacuationFeedUpdate => ({
   changes,
   revision,
   isFullRead: false,
   isCurrent: true,
 });
 
-const fullReadAt = (revision: number, changes: EvacuationFeedUpdate['changes'] = []): EvacuationFeedUpdate => ({
+const fullReadAt = (
+  revision: number,
+  changes: EvacuationFeedUpdate['changes'] = [],
+): EvacuationFeedUpdate => ({
   changes,
   revision,
   isFullRead: true,
--- a/packages/daemon/src/batch/configuration/start-gate.ts
+++ b/packages/daemon/src/batch/configuration/start-gate.ts
@@ -2,12 +2,15 @@
 import { UNREAD_EVACUATION_VIEW, type EvacuationView } from '@valvelatch/core/batch';
 import type { DataCentreId } from '@valvelatch/core/shared/ids';
 
-import type { ConfigurationSync } from './configuration-keeper.js';
-import type { EvacuationTracker } from './evacuation-keeper.js';
+import type { ConfigurationSync } from './configuration-sync.js';
+import type { EvacuationTracker } from './evacuation-tracker.js';
 
 export type StartGateOptions = {
   readonly evacuations: EvacuationTracker;
-  readonly configuration: Pick<ConfigurationSync, 'confirmEvacuations' | 'isTableUnavailableToNeighbours'>;
+  readonly configuration: Pick<
+    ConfigurationSync,
+    'confirmEvacuations' | 'isTableUnavailableToNeighbours'
+  >;
   /** True if the table does not answer this entry, neither directly nor through its neighbours. */
   readonly isTableUnavailable: () => boolean;
 };
--- a/packages/daemon/src/batch/entry/access.ts
+++ b/packages/daemon/src/batch/entry/access.ts
@@ -7,7 +7,7 @@
 
 import type { Log } from '../../observe/log.js';
 import type { Metrics } from '../../observe/metrics.js';
-import type { ConfigurationSync } from '../configuration/configuration-keeper.js';
+import type { ConfigurationSync } from '../configuration/configuration-sync.js';
 import { createRefusal, type IntakeAnswer } from '../jobs/intake.js';
 
 /** The parts of a request that access depends on, known before its body is read. */
@@ -94,7 +94,11 @@
       await configuration.refreshFromNeighbours();
       const last = findAccessNow(request);
       if (!last) {
-        return createRefusal('notRun', 'no-configuration', 'the configuration is not known here yet');
+        return createRefusal(
+          'notRun',
+          'no-configuration',
+          'the configuration is not known here yet',
+        );
       }
       return 'kind' in last ? last : deny(request, last);
     },
--- a/packages/daemon/src/batch/entry/peers.ts
+++ b/packages/daemon/src/batch/entry/peers.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../../observe/log.js';
 import { batchKey } from '../keys.js';
 import type { BatchTable } from '../ports.js';
-import { computeHolderCapacity } from '../control/standing.js';
+import { computeHolderCapacity } from '../control/holder-preference.js';
 
 /** The stored row of an entry. */
 type EntryRow = {
@@ -27,7 +27,7 @@
 export type PeerView = {
   readonly entryId: EntryId;
   readonly dataCentre: DataCentreId;
-  /** How much of a holder's work it can do, in cores: see `strengthOf`. */
+  /** How much of a holder's work it can do, in cores: see `computeHolderCapacity`. */
   readonly strength: number;
 };
 
--- a/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
@@ -1,13 +1,18 @@
 /**
  * Two waves over hosts of the same long-running steps, under faults. No order may make more tasks of a step unavailable
  * than its limit (`mayMiss`) allows, and each wave must complete. Single faults of this kind are tested in
- * `upkeep-rules.test.ts`.
+ * `host-rules.test.ts`.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId } from '@valvelatch/core/shared/ids';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const POOLS = ['alpha', 'beta'];
 const HOSTS_PER_POOL = 10;
--- a/packages/daemon/src/batch/jobs/intake.test.ts
+++ b/packages/daemon/src/batch/jobs/intake.test.ts
@@ -5,7 +5,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import { createMetrics } from '../../observe/metrics.js';
-import type { ControlClient } from './control-view.js';
+import type { ControlClient } from './control-client.js';
 import { createIntake } from './intake.js';
 import type { AcceptOutcome } from './job-saver.js';
 import type { RelayedTable } from '../relays/relayed-table.js';
@@ -49,8 +49,8 @@
       : Err({ kind: 'unreachable', detail: '503' } as const);
   const intake = createIntake({
     table: {
-      isServed: () => isServed,
-      silentForMs: () => silence.tableMs,
+      isDirectRouteUp: () => isServed,
+      unansweredForMs: () => silence.tableMs,
     } as unknown as RelayedTable,
     groupCommit: { submit },
     control,
@@ -115,7 +115,7 @@
     const sent: string[] = [];
     const silentMs = () => Math.max(0, performance.now() - unavailableFromMs);
     const intake = createIntake({
-      table: { isServed: () => false, silentForMs: silentMs } as unknown as RelayedTable,
+      table: { isDirectRouteUp: () => false, unansweredForMs: silentMs } as unknown as RelayedTable,
       groupCommit: {
         submit: () => {
           sent.push('table');
--- a/packages/daemon/src/batch/jobs/late-rows.test.ts
+++ b/packages/daemon/src/batch/jobs/job-row-reader.test.ts
@@ -5,11 +5,16 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import type { EndedJobs } from './ended-jobs.js';
-import { createJobRowReader } from './job-rows.js';
+import { createJobRowReader } from './job-row-reader.js';
 import { batchKey } from '../keys.js';
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { SIM_QUEUE_POLICY } from '../testing/sim-world.fixtures.js';
-import { advanceTime, FAKED_TIMERS, requireHolder, createStartedFleet } from '../testing/virtual-time.fixtures.js';
+import { SIM_QUEUE_POLICY } from '../testing/sim-environment.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const JOB = brand<JobId>('00000000000000aa');
 
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -27,7 +27,7 @@
   MOVE_MS,
   ADVICE_TICKET,
   type SimWorld,
-} from './sim-world.fixtures.js';
+} from './sim-environment.fixtures.js';
 
 /** The limits that apply to a maintenance order whose wave is unknown. */
 const UNKNOWN_WAVE: Pick<MaintenanceRequest, 'maximum' | 'hosts'> = {
@@ -253,7 +253,11 @@
     // The caller has timed out and reset the connection, which therefore delivers nothing.
     if (hasTimedOut()) return Err(noAnswer);
     const endpoint = endpoints.get(instanceId);
-    if (!endpoint?.isUp() && !unreachableEndpoints.has(instanceId) && faults.replacedEndpoints.has(instanceId)) {
+    if (
+      !endpoint?.isUp() &&
+      !unreachableEndpoints.has(instanceId) &&
+      faults.replacedEndpoints.has(instanceId)
+    ) {
       return Err(otherEndpoint);
     }
     if (!endpoint?.isUp() || unreachableEndpoints.has(instanceId)) {
