--- a/packages/daemon/src/batch/endpoints/answer-orders.test.ts
+++ b/packages/daemon/src/batch/endpoints/answer-orders.test.ts
@@ -132,8 +132,8 @@
     it('has no task run twice, and acknowledges no ended run that it has not applied', async () => {
       await fc.assert(
         fc.asyncProperty(scenario, async (one) => {
-          const { broken } = await simulate(one);
-          expect(broken).toEqual([]);
+          const { violations } = await simulate(one);
+          expect(violations).toEqual([]);
         }),
         { numRuns },
       );
@@ -148,10 +148,10 @@
       });
       await fc.assert(
         fc.asyncProperty(scenario, handover, async (one, { atMs, afterMs }) => {
-          const { broken } = await simulate(one, (held) => {
+          const { violations } = await simulate(one, (held) => {
             setTimeout(() => held.succeed(afterMs), atMs);
           });
-          expect(broken).toEqual([]);
+          expect(violations).toEqual([]);
         }),
         { numRuns: Math.ceil(numRuns / 8) },
       );
@@ -202,7 +202,7 @@
       world.submit();
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2002], []]);
+      expect([phaseOf(world), runsOf(world), world.violations]).toEqual(['completed', [2002], []]);
     });
 
     it('does not start the task elsewhere while the stop order is unanswered as well', async () => {
@@ -224,7 +224,7 @@
       world.submit();
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2001], []]);
+      expect([phaseOf(world), runsOf(world), world.violations]).toEqual(['completed', [2001], []]);
     });
 
     it('interprets "old" as a run that the previous order started and that has ended', async () => {
@@ -235,7 +235,7 @@
       world.submit();
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2001], []]);
+      expect([phaseOf(world), runsOf(world), world.violations]).toEqual(['completed', [2001], []]);
     });
 
     it('keeps the run if the second order is rejected, which says nothing about the first', async () => {
@@ -244,7 +244,7 @@
       world.submit();
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([phaseOf(world), world.broken]).toEqual(['completed', []]);
+      expect([phaseOf(world), world.violations]).toEqual(['completed', []]);
     });
 
     it('starts the task elsewhere within 3 s of a stop order that an unhealthy endpoint rejected once', async () => {
@@ -253,7 +253,7 @@
       world.submit();
       await advanceTime(5000);
       world.stop();
-      expect([runsOf(world), world.broken]).toEqual([[2002], []]);
+      expect([runsOf(world), world.violations]).toEqual([[2002], []]);
     });
   });
 
@@ -268,7 +268,7 @@
       world.submit();
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([world.open(), runsOf(world), world.broken]).toEqual([[], [2001, 2001, 2002], []]);
+      expect([world.open(), runsOf(world), world.violations]).toEqual([[], [2001, 2001, 2002], []]);
     });
   });
 
@@ -283,7 +283,7 @@
       world.stopOne(0);
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([phaseOf(world), runsOf(world), world.broken]).toEqual(['completed', [2001], []]);
+      expect([phaseOf(world), runsOf(world), world.violations]).toEqual(['completed', [2001], []]);
     });
 
     /**
@@ -311,7 +311,7 @@
         before = endpoint.runs.size;
       }
       world.stop();
-      expect([before, world.broken]).toEqual([0, []]);
+      expect([before, world.violations]).toEqual([0, []]);
       return reappearances;
     };
 
@@ -348,7 +348,7 @@
       world.submit();
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([phaseOf(world), world.starts.length, world.broken]).toEqual(['completed', 2, []]);
+      expect([phaseOf(world), world.starts.length, world.violations]).toEqual(['completed', 2, []]);
     });
 
     it('does not restart the gang while the start order of one member is unanswered', async () => {
@@ -361,7 +361,7 @@
       world.submit();
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([phaseOf(world), world.starts.length, world.broken]).toEqual(['completed', 1, []]);
+      expect([phaseOf(world), world.starts.length, world.violations]).toEqual(['completed', 1, []]);
     });
   });
 
@@ -378,7 +378,7 @@
       world.submit();
       await advanceTime(5000);
       world.stop();
-      expect(world.broken).toEqual([]);
+      expect(world.violations).toEqual([]);
     });
   });
 
@@ -397,7 +397,7 @@
       world.submit({ repeats: 1, firstDueAtMs: Date.now() + 1500, intervalMs: 1 });
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect(world.broken).toEqual([]);
+      expect(world.violations).toEqual([]);
     });
   });
 
@@ -413,7 +413,7 @@
       world.succeed([200, 15_000]);
       await advanceTime(12_000);
       world.stop();
-      expect([runsOf(world), world.broken]).toEqual([[2001], []]);
+      expect([runsOf(world), world.violations]).toEqual([[2001], []]);
     });
 
     it('restarts no task that ended while its own list request waited, and whose end the other holder acknowledged', async () => {
@@ -430,7 +430,7 @@
       await model.list({ ...later, acknowledged: 1, waitMs: 0 });
       await advanceTime(RECOVERY_MS);
       world.stop();
-      expect([runsOf(world), world.broken]).toEqual([[2001], []]);
+      expect([runsOf(world), world.violations]).toEqual([[2001], []]);
     });
   });
 });
--- a/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
+++ b/packages/daemon/src/batch/testing/answer-orders.fixtures.ts
@@ -184,7 +184,7 @@
   const state: BatchState = createBatchState(FENCE);
   const endpoints = new Map<EndpointId, SimEndpoint>();
   const doneEnds: DoneEnd[] = [];
-  const broken: string[] = [];
+  const violations: string[] = [];
   const starts: { readonly task: TaskKey; readonly run: number; readonly on: EndpointId }[] = [];
   const plannedOutcomes: Record<OrderKind, OrderOutcome[]> = {
     start: [...(outcomes.start ?? [])],
@@ -199,7 +199,7 @@
   let endpointCount = 0;
   const nowMs = (): number => performance.now();
   const recordViolation = (text: string): void => {
-    if (broken.length < MAX_VIOLATIONS) broken.push(`${Math.round(nowMs())} ms: ${text}`);
+    if (violations.length < MAX_VIOLATIONS) violations.push(`${Math.round(nowMs())} ms: ${text}`);
   };
 
   const jobs: JobState[] = [];
@@ -565,7 +565,7 @@
     state,
     jobs,
     endpoints,
-    broken,
+    violations,
     starts,
     submit,
     /** Orders one of the current runs to be stopped. */
--- a/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-fleet.fixtures.ts
@@ -211,8 +211,8 @@
   random,
 }: SimFleetOptions): SimFleet => {
   const world = createSimWorld({ hostsPerPool, pools, sparePool, domains, random });
-  const { table, endpoints, hosts, jobs, broken: violations, faults, maintained, unlisted } = world;
-  const { waveStatus, waves, breaks, commit, operator } = world;
+  const { table, endpoints, hosts, jobs, violations, faults, maintained, unlisted } = world;
+  const { waveStatus, waves, recordViolation, commit, operator } = world;
   const loggedEvents: { readonly event: string; readonly fields: object }[] = [];
   let jobCount = 0;
 
@@ -237,7 +237,7 @@
       ],
     });
   let newestConfiguration = createConfiguration(1, accounts);
-  world.inForce.push({ maxima: maximaOf(accounts), untilMs: Infinity });
+  world.activeMaxima.push({ maxima: maximaOf(accounts), untilMs: Infinity });
 
   const log: Log = {
     debug: () => undefined,
@@ -245,7 +245,7 @@
     warn: (event, fields = {}) => loggedEvents.push({ event, fields }),
     error: (event, fields = {}) => {
       loggedEvents.push({ event, fields });
-      breaks(`${event} ${JSON.stringify(fields)}`);
+      recordViolation(`${event} ${JSON.stringify(fields)}`);
     },
   };
 
@@ -269,7 +269,7 @@
       });
     state.usage.forEach(({ cpuMillis }, account) => {
       if (cpuMillis === (sums.get(account) ?? 0)) return;
-      breaks(
+      recordViolation(
         `the holder counts ${cpuMillis} for ${account}, whose runs sum up to ${sums.get(account) ?? 0}`,
       );
     });
@@ -313,7 +313,7 @@
       configuration: newestConfiguration,
     } as { -readonly [Key in keyof SimEntry]: SimEntry[Key] };
 
-    const { platform, awake, carryMessage } = createSimPlatform(world, entry, {
+    const { platform, waitUntilRunning, transferMessage } = createSimPlatform(world, entry, {
       configuration: newestConfiguration.configuration,
       evacuateMs,
     });
@@ -325,7 +325,7 @@
       feed: platform.operator,
       neighbours,
       ask: async (entryId, _, payload, ms) => {
-        await awake();
+        await waitUntilRunning();
         const other = entries.find((one) => one.entryId === entryId);
         const isLost = !other || other.isFrozen || other.isSilent || entry.isSilent;
         const answer = isLost
@@ -347,11 +347,11 @@
     });
     const agent = createRelayOrderHandler(platform.orders, metrics, startGate);
     entry.relayOrder = async (payload) => {
-      await awake();
-      await carryMessage('in', payload);
+      await waitUntilRunning();
+      await transferMessage('in', payload);
       const answer = await agent.answer(payload);
-      await awake();
-      await carryMessage('out', answer);
+      await waitUntilRunning();
+      await transferMessage('out', answer);
       return answer;
     };
     /**
@@ -359,15 +359,15 @@
      * mesh, and late if either process is paused.
      */
     const askEntry = async (entryId: EntryId, payload: unknown): Promise<unknown> => {
-      await awake();
-      await carryMessage('out', payload);
+      await waitUntilRunning();
+      await transferMessage('out', payload);
       await sleep(1);
       const other = entries.find((one) => one.entryId === entryId);
       if (!other || other.isSilent || entry.isSilent) return neverSettle();
       const answer = await other.relayOrder(payload);
       await sleep(1);
-      await carryMessage('in', answer);
-      await awake();
+      await transferMessage('in', answer);
+      await waitUntilRunning();
       return other.isSilent || entry.isSilent ? neverSettle() : answer;
     };
     const silentForMs = (entryId: EntryId): number => {
@@ -403,7 +403,7 @@
       table: platform.table,
       neighbours,
       ask: async (entryId, _, payload, ms) => {
-        await awake();
+        await waitUntilRunning();
         const other = entries.find((one) => one.entryId === entryId);
         const isCut = !other || other.isSilent || entry.isSilent || entry.isCutFromRelays;
         const answer = isCut ? neverSettle() : other.table.callForNeighbour(payload as TableCall);
@@ -418,7 +418,7 @@
       self: entry.entryId,
       platform: { ...platform, orders },
       table: relayed,
-      peers: () => createPeers(entry, awake),
+      peers: () => createPeers(entry, waitUntilRunning),
       configuration: () => entry.configuration,
       startGate,
       log,
@@ -448,7 +448,7 @@
     };
     const repeat = async (run: () => Promise<void>, everyMs: number): Promise<void> => {
       while (!entry.isDead) {
-        await awake();
+        await waitUntilRunning();
         await run();
         await sleep(everyMs);
       }
@@ -531,10 +531,10 @@
         declared,
       );
       const declaredConfiguration = newestConfiguration;
-      const { inForce } = world;
-      const last = inForce.at(-1);
+      const { activeMaxima } = world;
+      const last = activeMaxima.at(-1);
       if (last) last.untilMs = performance.now() + APPLIED_WITHIN_MS;
-      inForce.push({ maxima: maximaOf(declared), untilMs: Infinity });
+      activeMaxima.push({ maxima: maximaOf(declared), untilMs: Infinity });
       entries.forEach((entry) =>
         setTimeout(() => {
           const isNewer =
@@ -544,8 +544,8 @@
       );
     },
     evacuate: operator.evacuate,
-    withdrawEvacuation: operator.takeBack,
-    compactOperatorRows: operator.forgetHistory,
+    withdrawEvacuation: operator.withdrawEvacuation,
+    compactOperatorRows: operator.compactHistory,
     orderWave: (wave) => {
       waves.set(wave.waveNumber, wave);
       entries.forEach(({ control }) => control.addWaves([wave]));
--- a/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
@@ -95,7 +95,7 @@
     return { changes, isFullRead: true, isCurrent: false, revision: visibleRows.length };
   };
 
-  const feedOf = ({
+  const createFeed = ({
     waitUntilRunning,
     isCut,
     lossShare,
@@ -145,7 +145,7 @@
 
   return {
     random,
-    feedOf,
+    createFeed,
     /** Writes the row of an evacuation. The write is acknowledged at once: the evacuation's duration counts from now. */
     evacuate: (dataCentre: DataCentreId): void => {
       if (!findOpenEvacuation(dataCentre)) {
@@ -154,7 +154,7 @@
       write(dataCentre, false);
     },
     /** Withdraws a data centre's evacuation; without effect where there is none. */
-    takeBack: (dataCentre: DataCentreId): void => {
+    withdrawEvacuation: (dataCentre: DataCentreId): void => {
       const open = findOpenEvacuation(dataCentre);
       if (!open) return;
       open.endMs = performance.now();
@@ -164,7 +164,7 @@
      * Compacts the history: feeds must read in full, and what they read is stale for a time. With refusesChanges, reads
      * of changes are refused for the same time.
      */
-    forgetHistory: ({ refusesChanges = false } = {}): void => {
+    compactHistory: ({ refusesChanges = false } = {}): void => {
       epoch += 1;
       staleByMs = STALE_MS.min + random() * (STALE_MS.max - STALE_MS.min);
       staleUntilMs = performance.now() + staleByMs;
--- a/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-platform.fixtures.ts
@@ -147,15 +147,15 @@
     isListed,
     waveStatus,
     waves,
-    breaks,
+    recordViolation,
     checkBudgets,
     checkStop,
     checkEmpty,
     checkReport,
     lateOrder,
-    noteAsked,
+    recordListed,
     newestFence,
-    relive,
+    restartHost,
     readAll,
     commit,
   } = world;
@@ -409,7 +409,7 @@
         }),
       feed: createTableFeed,
     },
-    operator: world.operator.feedOf({
+    operator: world.operator.createFeed({
       waitUntilRunning,
       isCut: () => faults.isTableDown || (entry.isCutFromOperator ?? entry.isCutFromTable),
       lossShare: () => faults.lostWrites,
@@ -419,7 +419,7 @@
     orders: {
       list: async ({ endpointId }, order, timeoutMs) => {
         const listRuns = async (one: SimulatedEndpoint) => {
-          noteAsked(one);
+          recordListed(one);
           const answer = await one.list(order);
           return answer.map((value) => ({ startedAtMs: one.startedAtMs, value }));
         };
@@ -469,7 +469,7 @@
           checkEmpty,
           (host) => {
             hosts.set(hostId, { ...host, pool: toPool, state: 'moving' });
-            relive({ ...host, pool: toPool, state: 'moving' }, MOVE_MS);
+            restartHost({ ...host, pool: toPool, state: 'moving' }, MOVE_MS);
           },
           (host) => host.pool === toPool,
         ),
@@ -481,9 +481,10 @@
           (host) => {
             const { maximum, hosts: inWave } = waves.get(waveNumber) ?? UNKNOWN_WAVE;
             const down = inWave.filter((id) => hosts.get(id)?.state === 'maintenance');
-            if (down.length >= maximum) breaks(`${hostId} goes down beside ${down.length} others`);
+            if (down.length >= maximum)
+              recordViolation(`${hostId} goes down beside ${down.length} others`);
             maintained.add(`${waveNumber}/${hostId}`);
-            relive({ ...host, state: 'maintenance' }, MAINTENANCE_MS);
+            restartHost({ ...host, state: 'maintenance' }, MAINTENANCE_MS);
           },
           () => maintained.has(`${waveNumber}/${hostId}`),
           (refused) => faults.refusedHosts.has(refused),
@@ -522,8 +523,8 @@
   };
 
   /** Transfers a message between entries over this entry's link. */
-  const carryMessage = (direction: 'out' | 'in', payload: unknown): Promise<void> =>
+  const transferMessage = (direction: 'out' | 'in', payload: unknown): Promise<void> =>
     transfer(direction, MESH_FRAME_BYTES + (JSON.stringify(payload) ?? '').length);
 
-  return { platform, awake: waitUntilRunning, carryMessage };
+  return { platform, waitUntilRunning, transferMessage };
 };
--- a/packages/daemon/src/batch/testing/sim-world.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-world.fixtures.ts
@@ -184,13 +184,14 @@
   const crashes = new Map<TaskKey, number>();
   /** The number of a task's starts since UNCOUNTED_CRASHES endpoints had crashed under it. */
   const startsAfterCrashes = new Map<TaskKey, number>();
-  const broken: string[] = [];
+  const violations: string[] = [];
   const operator = createSimOperator();
   let isTableDown = false;
   let tableBackAtMs = -Infinity;
   const startsSent: SentStart[] = [];
   /** The accounts' maxima in each configuration that an entry may still apply, the newest last. */
-  const inForce: { readonly maxima: ReadonlyMap<AccountName, Capacity>; untilMs: number }[] = [];
+  const activeMaxima: { readonly maxima: ReadonlyMap<AccountName, Capacity>; untilMs: number }[] =
+    [];
   const faults: SimFaults = {
     lostAnswers: 0,
     lateOrders: 0,
@@ -230,8 +231,8 @@
   /** Runs that were started by orders to the previous incarnation, by endpoint and task. */
   const strayRuns = new Set<string>();
 
-  const breaks = (text: string): void => {
-    broken.push(`${Math.round(performance.now())} ms: ${text}`);
+  const recordViolation = (text: string): void => {
+    violations.push(`${Math.round(performance.now())} ms: ${text}`);
   };
 
   const taskOf = (key: TaskKey): SimulatedTask => {
@@ -257,7 +258,7 @@
     const starts = (startsAfterCrashes.get(key) ?? 0) + 1;
     startsAfterCrashes.set(key, starts);
     if (starts >= EXCESSIVE_STARTS) {
-      breaks(
+      recordViolation(
         `${key} was started ${starts} times after ${UNCOUNTED_CRASHES} endpoints crashed under it`,
       );
     }
@@ -271,7 +272,7 @@
   /** Returns the highest maximum of an account in any configuration that may be in force; 0 for no limit. */
   const computeMaximum = (account: AccountName): number => {
     const nowMs = performance.now();
-    const maxima = inForce
+    const maxima = activeMaxima
       .filter(({ untilMs }) => untilMs > nowMs)
       .map(({ maxima: one }) => one.get(account)?.cpuMillis ?? 0);
     return maxima.includes(0) ? 0 : Math.max(0, ...maxima);
@@ -292,7 +293,7 @@
     const isIncluded = Array.from(endpoints.values()).some(({ runs }) => runs.has(task));
     const before = running - (isIncluded ? taskOf(task).cpuMillis : 0);
     if (before > maximum * (1 + QUOTA_EXCESS)) {
-      breaks(
+      recordViolation(
         `${task} started although ${before} millicores of ${account} were running, of at most ${maximum}`,
       );
     }
@@ -310,7 +311,7 @@
     if (nowMs - tableBackAtMs < TABLE_RECOVERY_MS) return;
     const evacuatedMs = operator.evacuatedForMs(dataCentre, Math.min(nowMs, lateOrder.sentAtMs));
     if (evacuatedMs === undefined || evacuatedMs <= EVACUATION_BOUND_MS) return;
-    breaks(
+    recordViolation(
       `${task} started in ${dataCentre}, which had been evacuated for ${Math.round(evacuatedMs)} ms`,
     );
   };
@@ -321,7 +322,9 @@
       Array.from(counts).some(([key, count]) => key.startsWith(jobId) && count >= atLeast);
     if (hasCause(failedEnds, SIM_QUEUE_POLICY.maxAttempts)) return;
     if (!hasCause(crashes, MIN_CRASHES_TO_FAIL))
-      breaks(`${jobId} failed although no task of it failed too often or crashed endpoints`);
+      recordViolation(
+        `${jobId} failed although no task of it failed too often or crashed endpoints`,
+      );
   };
 
   /** Checks that a task belongs to a submitted job, and that the steps before its own are done. */
@@ -329,7 +332,7 @@
     const name = parseTaskKey(key);
     const job = name && jobs.get(name.jobId)?.job;
     if (!name || !job) {
-      breaks(`${key} started, but belongs to no submitted job`);
+      recordViolation(`${key} started, but belongs to no submitted job`);
       return;
     }
     job.steps[name.step]?.after.forEach((before) => {
@@ -337,7 +340,7 @@
       const isDone = Array.from({ length: count }).every((_, index) =>
         doneTasks.has(`${name.jobId}.${name.occurrence}.${before}.${index}` as TaskKey),
       );
-      if (!isDone) breaks(`${key} started before step ${before} was done`);
+      if (!isDone) recordViolation(`${key} started before step ${before} was done`);
     });
   };
 
@@ -363,16 +366,18 @@
         .filter((other) => other !== endpoint && other.isUp() && other.runs.has(task))
         .filter((other) => !strayRuns.has(`${other.endpointId} ${task}`))
         .forEach((other) =>
-          breaks(`${task} run ${run} on ${endpoint.instanceId}: also on ${other.instanceId}`),
+          recordViolation(
+            `${task} run ${run} on ${endpoint.instanceId}: also on ${other.instanceId}`,
+          ),
         );
       if (acknowledgedTasks.has(task))
-        breaks(`${task} run ${run} started after its end was acknowledged`);
+        recordViolation(`${task} run ${run} started after its end was acknowledged`);
       if ((acknowledgedFailures.get(task) ?? 0) >= SIM_QUEUE_POLICY.maxAttempts)
-        breaks(`${task} started again after its last attempt`);
+        recordViolation(`${task} started again after its last attempt`);
       const name = parseTaskKey(task);
       const isAdvised = name !== undefined && jobs.get(name.jobId)?.needsAdvice === true;
       if (isAdvised && !mayRunAdvised(endpoint.instanceId)) {
-        breaks(
+        recordViolation(
           `${task} started on ${endpoint.instanceId}, which may not run steps that need advice`,
         );
       }
@@ -452,7 +457,7 @@
     const mayMiss = findMayMiss(name);
     const isReady = countReady(endpoint, name) > 0;
     if (mayMiss === 0 || !isReady || countUnavailable(name) < mayMiss || !hasBudget(name)) return;
-    breaks(`${key} was stopped while ${countUnavailable(name)} others were unavailable`);
+    recordViolation(`${key} was stopped while ${countUnavailable(name)} others were unavailable`);
   };
 
   /** Checks that the budgets of unavailable tasks allow all tasks on a host to be ended by an order to the host. */
@@ -466,7 +471,7 @@
       const readyHere = countReady(endpoint, name);
       const unavailable = countUnavailable(name);
       if (readyHere > 0 && unavailable + readyHere > mayMiss) {
-        breaks(
+        recordViolation(
           `${key} was ended by an order with ${readyHere} ready there while ${unavailable} others were unavailable`,
         );
       }
@@ -478,7 +483,7 @@
   /** Checks that a host which is to be moved runs no tasks. */
   const checkEmpty = (host: ListedHost): void => {
     const endpoint = host.instanceId && endpoints.get(host.instanceId);
-    if (endpoint && endpoint.runs.size > 0) breaks(`a move of ${host.hostId} ended tasks`);
+    if (endpoint && endpoint.runs.size > 0) recordViolation(`a move of ${host.hostId} ended tasks`);
     checkBudgets(host);
   };
 
@@ -488,7 +493,8 @@
     const open = (waves.get(waveNumber)?.hosts ?? []).filter(
       (hostId) => hosts.has(hostId) && !maintained.has(`${waveNumber}/${hostId}`),
     );
-    if (open.length > 0) breaks(`wave ${waveNumber} is completed without ${open.join(', ')}`);
+    if (open.length > 0)
+      recordViolation(`wave ${waveNumber} is completed without ${open.join(', ')}`);
   };
 
   /** Returns the fence of the newest control lease; 0 before the first. */
@@ -496,7 +502,7 @@
     (table.read('lease/control').value as LeaseRow | null)?.epoch ?? 0;
 
   /** Ends the incarnation on a host and starts the next one after a time, unless the host is in the spare pool by then. */
-  const relive = (host: ListedHost, afterMs: number): void => {
+  const restartHost = (host: ListedHost, afterMs: number): void => {
     const formerId = host.instanceId;
     if (formerId) endpoints.get(formerId)?.crash();
     hosts.set(host.hostId, { ...host, instanceId: null });
@@ -514,7 +520,7 @@
     const host = endpoint && hosts.get(endpoint.hostId);
     if (!endpoint?.isUp() || !host) return;
     endpoint.runs.forEach((_, task) => crashes.set(task, (crashes.get(task) ?? 0) + 1));
-    relive({ ...host, state: 'down' }, downMs);
+    restartHost({ ...host, state: 'down' }, downMs);
   };
 
   const locationOf = (index: number): Pick<ListedHost, 'dataCentre' | 'labels'> => {
@@ -566,7 +572,7 @@
     endpoints,
     hosts,
     jobs,
-    broken,
+    violations,
     startsSent,
     faults,
     maintained,
@@ -574,15 +580,15 @@
     operator,
     lateOrder,
     /** Records when an incarnation was first asked to list its runs. */
-    noteAsked: (endpoint: SimulatedEndpoint): void => {
+    recordListed: (endpoint: SimulatedEndpoint): void => {
       if (!firstListedAtMs.has(endpoint)) firstListedAtMs.set(endpoint, performance.now());
     },
     isListed,
     hasDomains: domains !== undefined,
-    inForce,
+    activeMaxima,
     waveStatus,
     waves,
-    breaks,
+    recordViolation,
     checkBudgets,
     checkStop,
     checkEmpty,
@@ -591,7 +597,7 @@
     crash,
     crashes,
     holderAge,
-    relive,
+    restartHost,
     readAll,
     commit,
   };
