--- a/packages/core/src/batch/accounts/shares.ts
+++ b/packages/core/src/batch/accounts/shares.ts
@@ -13,7 +13,7 @@
  * starved.
  */
 const MAX_DEFERRAL_MS = 20_000;
-/** Burst allowance: an idle account saves up the jobs within its share of at most this many seconds. */
+/** Burst allowance: an idle account saves up at most this many seconds of its rate, or one job if that is more. */
 const BURST_ALLOWANCE_S = 1;
 const MS_PER_S = 1000;
 
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -210,8 +210,8 @@
 };
 
 /**
- * Marks runs as ended that were confirmed or blocked before the list request and are listed neither as running nor as
- * ended.
+ * Marks runs as ended that were confirmed, or whose stop order was answered, before the list request and that are
+ * listed neither as running nor as ended.
  */
 const endUnlistedRuns = (
   state: BatchState,
--- a/packages/core/src/batch/endpoints/run-end.ts
+++ b/packages/core/src/batch/endpoints/run-end.ts
@@ -1,6 +1,6 @@
 /**
- * Logs why a run is considered ended: the evidence, its age, and for how long this entry was certain to be the only
- * holder. Each run that is removed from the state produces one log line.
+ * Records the end of a run: updates its task and job, and logs one line with the evidence, its age, and for how long
+ * this entry is certain to be the only holder.
  */
 import { change } from '../../shared/change.js';
 import type { TaskKey } from '../model/job.js';
--- a/packages/core/src/batch/endpoints/runs.ts
+++ b/packages/core/src/batch/endpoints/runs.ts
@@ -184,8 +184,8 @@
 };
 
 /**
- * Removes a run that has certainly ended, frees its capacity, and updates its task and job. Each run that leaves the
- * state goes through this function.
+ * Removes a run that has certainly ended, frees its capacity, and updates its task and job. Each run that ends
+ * leaves the state through this function; `moveRun` only moves a run.
  *
  * @param state - The holder's batch state, modified in place.
  * @param options - The run, the evidence that it has ended, and the update of the task and its job.
--- a/packages/core/src/batch/placement/job-rank.ts
+++ b/packages/core/src/batch/placement/job-rank.ts
@@ -1,8 +1,6 @@
 /**
- * The order in which open steps are placed. Steps that can still finish within their job's objective come first, those
- * whose objective ends earliest before the others. Steps that can still be a late success come next, and then the rest.
- * Within each of these tiers, steps of equal priority are ordered by the end of their objective, so that no step waits
- * for ever. The `QueueOrder` decides where the shares of client accounts come in.
+ * The order in which open steps are placed: by tier (see `Rank`), then by priority, then by the end of the objective.
+ * The `QueueOrder` decides where the shares of client accounts come in, see `SORT_KEYS`.
  */
 import type { QueueOrder } from '../model/queue-order.js';
 import { isRankedWithinShare } from '../accounts/shares.js';
@@ -15,11 +13,11 @@
 /** The values that decide the position of a step in the queue. */
 export type Rank = {
   readonly step: StepRun;
-  /** 0: can finish within the objective. 1: can still be a late success. 2: can be neither. */
+  /** 0: can finish within the objective, or is lasting. 1: can still be a late success. 2: can be neither. */
   readonly tier: 0 | 1 | 2;
   /** When the objective of the job ends, on the holder's monotonic clock. */
   readonly dueAtMs: number;
-  /** 0: the job is within its account's share. 1: the job is beyond that share. */
+  /** 0: the job counts as within its account's share, see `isRankedWithinShare`. 1: it does not. */
   readonly shareTier: 0 | 1;
   /** The priority of the job's queue; 0 goes before all others. */
   readonly priority: number;
--- a/packages/daemon/src/batch/endpoints/endpoint-roster.ts
+++ b/packages/daemon/src/batch/endpoints/endpoint-roster.ts
@@ -92,7 +92,10 @@
   const links = new Map<EndpointId, EndpointLink>();
   /** The endpoints that the list names. */
   const listed = new Set<EndpointId>();
-  /** Incarnations that have ended. They never return, so late list entries of them are ignored. */
+  /**
+   * Incarnations that have ended, whose late list entries are ignored. One that was only unlisted is not kept here,
+   * because it may return.
+   */
   const endedIncarnations = new Set<EndpointId>();
   /** Endpoints of which at least one incarnation was seen. */
   const knownInstances = new Set<InstanceId>();
--- a/packages/daemon/src/batch/jobs/attempt.ts
+++ b/packages/daemon/src/batch/jobs/attempt.ts
@@ -1,9 +1,8 @@
 /**
  * One attempt to write something on behalf of a client. All calls of the attempt are sent through it.
  * Closing the attempt fixes the answer for the client and stops sending in one step: the answer
- * accounts for every call that was sent before, and no call is sent after it. Separate checks in each
- * retry loop are not enough: one loop lacked the check after a pause, and a job was sent after its
- * client had been told that it was not run.
+ * accounts for every call that was sent before, and no call is sent after it. A check in each
+ * retry loop would not be enough, because the answer could be fixed between the check and the send.
  */
 
 /** The outcome of a write. */
--- a/packages/daemon/src/batch/jobs/job-row-reader.ts
+++ b/packages/daemon/src/batch/jobs/job-row-reader.ts
@@ -76,7 +76,7 @@
 /**
  * Creates the reader of job rows for one term of a holder.
  *
- * @param options - The scheduler state and the table.
+ * @param options - The scheduler state, the table, and what the reader uses of the holder's term.
  * @returns The reader.
  */
 export const createJobRowReader = ({
--- a/packages/daemon/src/batch/jobs/job-saver.ts
+++ b/packages/daemon/src/batch/jobs/job-saver.ts
@@ -37,7 +37,7 @@
   readonly versions: Map<JobId, JobRowVersions>;
   /** Writes a submitted job; resolves once it is committed or refused, or its outcome cannot be determined. */
   readonly accept: (row: LiveRow) => Promise<AcceptOutcome>;
-  /** Requests that a changed job is written; an urgent one is written after 1 ms. */
+  /** Requests that a changed job is written. For an urgent one, a round is scheduled in 1 ms unless one is running. */
   readonly requestSave: (jobId: JobId, isUrgent: boolean) => void;
   /** Requests a save round even if no job has changed, so that ends can be acknowledged. */
   readonly requestRound: () => void;
--- a/packages/daemon/src/leases/lease-manager.test.ts
+++ b/packages/daemon/src/leases/lease-manager.test.ts
@@ -3,7 +3,7 @@
  * lost, the manager knows an older version of the row than the table has, so its release conflicts with its own
  * renewal. When a conflict counted as a completed release, the row was never freed.
  *
- * In a run where the holder of control was partitioned off with a third of the entries, it gave control up after
+ * In a run where the control holder was partitioned off with a third of the entries, it gave control up after
  * 3.6 s. No entry took control for another 3.7 s, although every entry that still reached the table read the
  * lease twice a second: they waited until the lease had lapsed. When the row showed the release (`holder=none`),
  * the next holder took control 0.2 s later.
