--- a/packages/bench/src/overload/overload.ts
+++ b/packages/bench/src/overload/overload.ts
@@ -1,8 +1,8 @@
-/** Goodput and isolation beyond capacity, in virtual time. */
+/** Measures goodput and isolation between callers under overload, in virtual time. */
 import { createRng } from '@valvelatch/core';
 import * as hdr from 'hdr-histogram-js';
 
-import { rounded, type BenchRow } from '../report.js';
+import { roundToPrecision, type BenchRow } from '../report.js';
 import { createVirtualExecutor } from './executors.js';
 import { policies } from './policies.js';
 import { createVirtualTime } from './virtual-time.js';
@@ -12,10 +12,13 @@
 const MEAN_WORK_MS = 20;
 const DEADLINE_MS = 500;
 const RUN_MS = 20_000;
-/** The heavy caller sends all load that the light ones do not. */
+/** The heavy caller sends the part of the load that the light callers don't send. */
 const LIGHT_CALLERS = ['light-1', 'light-2', 'light-3'];
 const HEAVY_CALLER = 'heavy';
-/** Each light caller wants this share of the capacity, well below its isolated quarter. */
+/**
+ * The share of the capacity that each light caller requests. It is well below the quarter that each of
+ * the four callers is guaranteed.
+ */
 const LIGHT_SHARE = 0.05;
 const CAPACITY_PER_MS = (EXECUTORS * SLOTS) / MEAN_WORK_MS;
 const LOAD_FACTORS = [0.8, 1, 2, 5];
@@ -46,7 +49,7 @@
     policy.submit({
       caller,
       deadlineMs,
-      onAnswer: () => {
+      onResponse: () => {
         const isGood = time.nowMs() <= deadlineMs;
         if (isGood) counts.good += 1;
         else counts.late += 1;
@@ -60,9 +63,9 @@
   const startSending = (caller: string, perMs: number): void => {
     const next = (): void => {
       send(caller);
-      time.at(time.nowMs() - Math.log(1 - rng()) / perMs, next);
+      time.schedule(time.nowMs() - Math.log(1 - rng()) / perMs, next);
     };
-    time.at(-Math.log(1 - rng()) / perMs, next);
+    time.schedule(-Math.log(1 - rng()) / perMs, next);
   };
   const lightPerMs = CAPACITY_PER_MS * LIGHT_SHARE;
   LIGHT_CALLERS.forEach((caller) => startSending(caller, lightPerMs));
@@ -73,19 +76,19 @@
     bench: 'overload',
     policy: policyName,
     loadFactor,
-    goodputFraction: rounded((heavy.good + light.good) / (CAPACITY_PER_MS * RUN_MS)),
-    lightGoodFraction: rounded(light.good / light.sent),
-    lightCallerP99Ms: rounded(lightTimes.getValueAtPercentile(99)),
+    goodputFraction: roundToPrecision((heavy.good + light.good) / (CAPACITY_PER_MS * RUN_MS)),
+    lightGoodFraction: roundToPrecision(light.good / light.sent),
+    lightCallerP99Ms: roundToPrecision(lightTimes.getValueAtPercentile(99)),
     notRun: heavy.refused + light.refused,
     mayHaveRun: heavy.late + light.late,
-    mostAtOneExecutor: Math.max(...executors.map((executor) => executor.mostAtOnce())),
+    mostAtOneExecutor: Math.max(...executors.map((executor) => executor.maxLoad())),
   };
 };
 
 /**
- * Runs each policy at each load.
+ * Runs each policy at each load factor.
  *
- * @returns One row a run; capacity is 1.
+ * @returns One row per run; a load factor of 1 is the capacity.
  */
 export const benchOverload = async (): Promise<readonly BenchRow[]> => {
   const rows: BenchRow[] = [];
--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that are compared: the gate of an entry, no limits, and static shares. */
+/** The compared policies: the admission of an entry, no limits, and static shares. */
 import {
   brand,
   createEndpoint,
@@ -17,18 +17,18 @@
 import type { VirtualExecutor } from './executors.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** A request under way. */
+/** A request in flight. */
 export type VirtualRequest = {
   readonly caller: string;
   readonly deadlineMs: number;
-  readonly onAnswer: () => void;
+  readonly onResponse: () => void;
   readonly onRefused: () => void;
 };
 
-/** A way to deal with requests. */
+/** Decides where each request runs and whether it is refused. */
 export type Policy = { readonly submit: (request: VirtualRequest) => void };
 
-/** What a policy works with. */
+/** The dependencies of a policy. */
 export type PolicyOptions = {
   readonly time: VirtualTime;
   readonly rng: Rng;
@@ -38,8 +38,8 @@
 };
 
 const ENTRIES = 2;
-const PUMP_MS = 20;
-const LONGEST_MS = 120_000;
+const QUEUE_INTERVAL_MS = 20;
+const MAX_RUN_MS = 120_000;
 
 const createEntry = ({ time, rng, executors, slots }: PolicyOptions, seat: number): Policy => {
   const gate = createServiceAdmission({
@@ -59,9 +59,10 @@
     });
   });
   gate.setEndpoints(endpoints);
-  for (let atMs = PUMP_MS; atMs < LONGEST_MS; atMs += PUMP_MS) time.at(atMs, gate.processQueue);
+  for (let atMs = QUEUE_INTERVAL_MS; atMs < MAX_RUN_MS; atMs += QUEUE_INTERVAL_MS)
+    time.schedule(atMs, gate.processQueue);
 
-  const submit = async ({ caller, deadlineMs, onAnswer, onRefused }: VirtualRequest) => {
+  const submit = async ({ caller, deadlineMs, onResponse, onRefused }: VirtualRequest) => {
     const callerId = brand<CallerId>(caller);
     const slot = await gate.acquire({ callerId, deadlineMs, excludedEndpoints: [] });
     if (slot.kind === 'none') {
@@ -73,7 +74,7 @@
     executors[endpoints.indexOf(endpoint)]?.accept(() => {
       recordOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
       gate.release(endpoint, callerId);
-      onAnswer();
+      onResponse();
     });
   };
   return {
@@ -89,14 +90,14 @@
 };
 
 const noLimits = ({ rng, executors }: PolicyOptions): Policy => ({
-  submit: ({ onAnswer }) => pickRandom(executors, rng)?.accept(onAnswer),
+  submit: ({ onResponse }) => pickRandom(executors, rng)?.accept(onResponse),
 });
 
 const staticShares = ({ executors, slots, callers }: PolicyOptions): Policy => {
   const share = Math.floor((executors.length * slots) / callers.length);
   const inFlight = new Map<string, number>();
   return {
-    submit: ({ caller, onAnswer, onRefused }) => {
+    submit: ({ caller, onResponse, onRefused }) => {
       const own = inFlight.get(caller) ?? 0;
       const free = executors.find((executor) => executor.load() < slots);
       if (own >= share || !free) {
@@ -106,13 +107,13 @@
       inFlight.set(caller, own + 1);
       free.accept(() => {
         inFlight.set(caller, (inFlight.get(caller) ?? 1) - 1);
-        onAnswer();
+        onResponse();
       });
     },
   };
 };
 
-/** The policies by the name that is printed. */
+/** The policies by their printed name. */
 export const policies: Readonly<Record<string, (options: PolicyOptions) => Policy>> = {
   valvelatch,
   'no-limits': noLimits,
--- a/packages/core/src/batch/testing/fleet-play.fixtures.ts
+++ b/packages/core/src/batch/testing/fleet-simulation.fixtures.ts
@@ -15,19 +15,19 @@
 import { applyReport, type EndedRunReport } from '../endpoints/reports.js';
 import { createAdmissionControl, type AdmissionControl } from '../jobs/admission-control.js';
 import { recordFirstAttempts } from '../jobs/first-attempts.js';
-import { addJob } from '../jobs/jobs.js';
+import { addJob } from '../jobs/job-lifecycle.js';
 import { NO_LIMIT } from '../model/capacity.js';
-import { instanceIdOf } from '../model/endpoint-life.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
 import type { BatchJob, QueuePolicy, TaskKey } from '../model/job.js';
-import { DEFAULT_STEP } from '../model/plain-step.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
 import {
   createBatchState,
-  takeEffects,
+  removeEffects,
   type BatchState,
   type EndpointState,
 } from '../model/state.js';
 import { schedulePool } from '../placement/schedule.js';
-import type { ListedHost, DeclaredPool } from '../pools/hosts.js';
+import type { ListedHost, DeclaredPool } from '../pools/listed-hosts.js';
 import { updatePoolForecasts, planMoves, planReclaims } from '../pools/pool-moves.js';
 import { observePeaks } from '../pools/pool-needs.js';
 
@@ -300,7 +300,7 @@
     admission.checkTrackedRefusals(nowMs);
     if (step % TIME_STEPS_PER_MOVE_PASS === 0) fleet.planAndStartMoves(nowMs);
     pools.forEach(({ name }) => schedulePool(state, name, nowMs));
-    takeEffects(state).forEach((effect) => {
+    removeEffects(state).forEach((effect) => {
       const endpoint = effect.kind === 'start' && state.endpoints.get(effect.endpointId);
       if (endpoint) startRun(endpoint, effect.task, effect.run, nowMs);
     });
--- a/packages/core/src/declarations/read-declarations.ts
+++ b/packages/core/src/declarations/read-declarations.ts
@@ -1,4 +1,4 @@
-/** Reading declarations from YAML text: each fault is told with its file, place and reason. */
+/** Reads declarations from YAML text and reports each error with its file, location and reason. */
 import { Err, Ok, type Result } from 'ts-results-es';
 import { parseAllDocuments, type Document } from 'yaml';
 import type { z } from 'zod';
@@ -12,10 +12,10 @@
   type JobDeclaration,
 } from './schema.js';
 
-/** One fault in a declaration. */
-export type DeclarationFault = {
+/** An error in a declaration. */
+export type DeclarationError = {
   readonly file: string;
-  /** Where in the file, for example `document 2: spec.cores`. */
+  /** The location in the file, for example `document 2: spec.cores`. */
   readonly path: string;
   readonly reason: string;
 };
@@ -29,7 +29,7 @@
 
 const readDocuments = (
   { file, text }: DeclarationFile,
-  faults: DeclarationFault[],
+  faults: DeclarationError[],
 ): readonly Located<unknown>[] => {
   const documents = parseAllDocuments(text, { maxAliasCount: 0 } as object);
   return Array.from(documents as Iterable<Document.Parsed>).flatMap((document, index) => {
@@ -46,7 +46,7 @@
 const toFaults = (
   error: z.ZodError,
   { file, path }: Located<unknown>,
-): readonly DeclarationFault[] =>
+): readonly DeclarationError[] =>
   error.issues.map((issue) => ({
     file,
     path: issue.path.length > 0 ? `${path}: ${issue.path.join('.')}` : path,
@@ -56,7 +56,7 @@
 const parseEach = <Value>(
   schema: z.ZodType<Value>,
   files: readonly DeclarationFile[],
-  faults: DeclarationFault[],
+  faults: DeclarationError[],
 ): readonly Located<Value>[] =>
   files
     .flatMap((file) => readDocuments(file, faults))
@@ -67,7 +67,7 @@
       return [];
     });
 
-const findDuplicates = (declarations: readonly Located<Declaration>[]): DeclarationFault[] => {
+const findDuplicates = (declarations: readonly Located<Declaration>[]): DeclarationError[] => {
   const seen = new Set<string>();
   return declarations.flatMap(({ value, file, path }) => {
     const key = declarationKey(value);
@@ -77,26 +77,27 @@
   });
 };
 
-const locateReferenceFaults = (declarations: readonly Located<Declaration>[]): DeclarationFault[] =>
+const locateReferenceFaults = (declarations: readonly Located<Declaration>[]): DeclarationError[] =>
   checkReferences(declarations.map(({ value }) => value)).map((fault) => {
-    const place = declarations.find(({ value }) => declarationKey(value) === fault.key);
+    const located = declarations.find(({ value }) => declarationKey(value) === fault.key);
     return {
-      file: place?.file ?? '',
-      path: `${place?.path ?? ''}: ${fault.path}`,
+      file: located?.file ?? '',
+      path: `${located?.path ?? ''}: ${fault.path}`,
       reason: fault.reason,
     };
   });
 
 /**
- * Reads a whole set of declarations. It is taken whole or refused whole.
+ * Reads a complete set of declarations. A single error rejects the whole set. References between
+ * declarations are checked only if there is no other error.
  *
  * @param files - The files, as text.
- * @returns The declarations, or every fault that was found.
+ * @returns The declarations, or every error that was found.
  */
-export const readDeclarations = (
+export const parseDeclarations = (
   files: readonly DeclarationFile[],
-): Result<readonly Declaration[], readonly DeclarationFault[]> => {
-  const faults: DeclarationFault[] = [];
+): Result<readonly Declaration[], readonly DeclarationError[]> => {
+  const faults: DeclarationError[] = [];
   const declarations = parseEach(declarationSchema, files, faults);
   faults.push(...findDuplicates(declarations));
   if (faults.length === 0) faults.push(...locateReferenceFaults(declarations));
@@ -104,15 +105,15 @@
 };
 
 /**
- * Reads job declarations.
+ * Reads job declarations. A single error rejects all of them.
  *
  * @param files - The files, as text.
- * @returns The jobs, or every fault that was found.
+ * @returns The jobs, or every error that was found.
  */
-export const readJobs = (
+export const parseJobs = (
   files: readonly DeclarationFile[],
-): Result<readonly JobDeclaration[], readonly DeclarationFault[]> => {
-  const faults: DeclarationFault[] = [];
+): Result<readonly JobDeclaration[], readonly DeclarationError[]> => {
+  const faults: DeclarationError[] = [];
   const jobs = parseEach(jobDeclarationSchema, files, faults);
   return faults.length > 0 ? Err(faults) : Ok(jobs.map(({ value }) => value));
 };
--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -15,29 +15,37 @@
 import type { OperatorResult } from '../../operators/operator-result.js';
 import { startLoops, type RunningLoops } from '../../shared/loops.js';
 import {
-  ASK_NEIGHBOURS_EVERY_MS,
+  NEIGHBOUR_POLL_INTERVAL_MS,
   CONFIGURATION_METHOD,
-  createConfigurationKeeper,
+  createConfigurationSync,
   type NeighbourQuestion,
-} from '../configuration/configuration-keeper.js';
-import { createEvacuationKeeper } from '../configuration/evacuation-keeper.js';
+} from '../configuration/configuration-sync.js';
+import { createEvacuationTracker } from '../configuration/evacuation-tracker.js';
 import { createStartGate } from '../configuration/start-gate.js';
 import { createAccess, type Access } from './access.js';
 import { createControl, type Control } from '../control/control.js';
 import { CONTROL_METHOD } from '../control/holder-client.js';
 import { createIntake, type Intake } from '../jobs/intake.js';
-import { BEAT_MS, createPeers, type AskPeer, type Peers } from './peers.js';
-import { answerOperator, OPERATORS_METHOD, type OperatorQuestion } from '../operators/operators.js';
-import { createOrderAgent } from '../relays/order-agent.js';
-import { createRelayedOrders, ORDER_METHOD, RELAYS_EVERY_MS } from '../relays/relayed-orders.js';
-import { createStanding, strengthOf } from '../control/standing.js';
+import { HEARTBEAT_INTERVAL_MS, createPeers, type AskPeer, type Peers } from './peers.js';
+import {
+  answerOperator,
+  OPERATORS_METHOD,
+  type OperatorQuery,
+} from '../operators/operator-queries.js';
+import { createRelayOrderHandler } from '../relays/relay-order-handler.js';
+import {
+  createRelayedOrders,
+  RELAY_ORDER_METHOD,
+  RELAY_REFRESH_INTERVAL_MS,
+} from '../relays/relayed-orders.js';
+import { createHolderPreference, computeHolderCapacity } from '../control/holder-preference.js';
 import type { BatchPlatform } from '../ports.js';
-import { createRefusedJobs, TELL_REFUSED_EVERY_MS } from '../jobs/refused-jobs.js';
+import { createRefusedJobs, REPORT_REFUSED_INTERVAL_MS } from '../jobs/refused-jobs.js';
 import {
   createRelayedTable,
-  PROBE_EVERY_MS,
-  RELAY_METHOD,
-  type RelayCall,
+  PROBE_INTERVAL_MS,
+  TABLE_CALL_METHOD,
+  type TableCall,
 } from '../relays/relayed-table.js';
 
 /** The interval at which this entry tries to acquire or renew the control lease. */
@@ -86,7 +94,7 @@
   readonly intake: Intake;
   readonly control: Control;
   /** Answers an operator, through the control holder if that is another entry. */
-  readonly askOperators: (question: OperatorQuestion) => Promise<OperatorResult>;
+  readonly answerOperator: (question: OperatorQuery) => Promise<OperatorResult>;
   /** True if new clients should be routed to this entry. */
   readonly isReady: () => boolean;
   /** Gives up control at once and stops being ready for new clients. Connected clients are still served. */
@@ -133,17 +141,17 @@
     metrics,
   });
 
-  const evacuations = createEvacuationKeeper({
-    evacuateMs: () => platform.bounds().evacuateMs,
+  const evacuations = createEvacuationTracker({
+    maxEvacuationDelayMs: () => platform.bounds().evacuateMs,
     log,
   });
 
-  const configuration = createConfigurationKeeper({
+  const configuration = createConfigurationSync({
     evacuations,
     feed: platform.operator,
     neighbours,
     ask: askPeer,
-    onWaves: (waves) => control.takeWaves(waves),
+    onWaves: (waves) => control.addWaves(waves),
     log,
     metrics,
   });
@@ -151,18 +159,18 @@
   const startGate = createStartGate({
     evacuations,
     configuration,
-    isTableAway: () => table.silentForMs() >= TABLE_UNAVAILABLE_MS,
+    isTableUnavailable: () => table.unansweredForMs() >= TABLE_UNAVAILABLE_MS,
   });
 
   const orders = createRelayedOrders({
     orders: platform.orders,
     peers: () => peers,
-    linkUse: platform.linkUse,
-    isAllowed: mayRelayOrders,
+    readLinkUsage: platform.readLinkUsage,
+    mayRelay: mayRelayOrders,
     log,
     metrics,
   });
-  const orderAgent = createOrderAgent(platform.orders, metrics, startGate);
+  const orderAgent = createRelayOrderHandler(platform.orders, metrics, startGate);
 
   const control = createControl({
     self,
@@ -174,18 +182,18 @@
     placementPolicy,
     log,
     metrics,
-    standing: createStanding({
-      strength: strengthOf(cores, linkBytesPerS),
-      othersStrength: () => peers?.strengths(),
+    holderPreference: createHolderPreference({
+      capacity: computeHolderCapacity(cores, linkBytesPerS),
+      othersCapacity: () => peers?.strengths(),
       ask: async (entryId) => peers?.ask(entryId, CONTROL_METHOD.willing, null, WILLING_TIMEOUT_MS),
     }),
   });
 
   /** Answers an operator at this entry; returns undefined if it is not the control holder. */
-  const answerAsHolder = (question: OperatorQuestion): OperatorResult | undefined =>
+  const answerAsHolder = (question: OperatorQuery): OperatorResult | undefined =>
     answerOperator(control, question, configuration.index()?.configuration.version ?? 0);
 
-  const askOperators = async (question: OperatorQuestion): Promise<OperatorResult> => {
+  const askOperators = async (question: OperatorQuery): Promise<OperatorResult> => {
     const ownAnswer = answerAsHolder(question);
     const holder = control.holder();
     if (ownAnswer) return ownAnswer;
@@ -208,28 +216,28 @@
     port: meshPort,
     meshKey,
     log,
-    onFrame: platform.noteMeshFrame,
+    onFrame: platform.recordMeshFrame,
     answer: async (method, payload) => {
-      if (method === ORDER_METHOD) return orderAgent.answer(payload);
-      if (method === RELAY_METHOD) return table.answerNeighbour(payload as RelayCall);
+      if (method === RELAY_ORDER_METHOD) return orderAgent.answer(payload);
+      if (method === TABLE_CALL_METHOD) return table.callForNeighbour(payload as TableCall);
       if (method === CONFIGURATION_METHOD) {
         return configuration.answerNeighbour(payload as NeighbourQuestion | number);
       }
-      if (method === OPERATORS_METHOD) return answerAsHolder(payload as OperatorQuestion) ?? null;
-      return control.answer(method, payload);
+      if (method === OPERATORS_METHOD) return answerAsHolder(payload as OperatorQuery) ?? null;
+      return control.handleCall(method, payload);
     },
   });
   const openPeers = peers;
 
-  const refusedJobs = createRefusedJobs({ send: control.tellRefused });
+  const refusedJobs = createRefusedJobs({ send: control.reportRefusedJobs });
 
   const intake = createIntake({
     onRefused: refusedJobs.add,
     table,
-    group: createGroupCommit({
+    groupCommit: createGroupCommit({
       table,
       windowMs: GROUP_COMMIT_WINDOW_MS,
-      mostPerGroup: MAX_GROUP_COMMIT_SIZE,
+      maxGroupSize: MAX_GROUP_COMMIT_SIZE,
     }),
     control,
     log,
@@ -238,7 +246,7 @@
 
   /**
    * Tries to acquire or renew the control lease. The other entries are read before that, since a weaker entry leaves
-   * control to a stronger one: see `Standing`.
+   * control to a stronger one: see `HolderPreference`.
    */
   const keepControl = async (): Promise<void> => {
     if (openPeers.strengths() === undefined) await openPeers.refresh(table);
@@ -256,18 +264,18 @@
 
   const loops: RunningLoops = startLoops(
     [
-      { name: 'operator', everyMs: FEED_PAUSE_MS, run: configuration.follow },
+      { name: 'operator', pauseMs: FEED_PAUSE_MS, run: configuration.pollFeed },
       {
         name: 'configuration',
-        everyMs: ASK_NEIGHBOURS_EVERY_MS,
+        pauseMs: NEIGHBOUR_POLL_INTERVAL_MS,
         run: configuration.askNeighbours,
       },
-      { name: 'lease', everyMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
-      { name: 'relays', everyMs: RELAYS_EVERY_MS, run: refreshRelays },
-      { name: 'refused', everyMs: TELL_REFUSED_EVERY_MS, run: refusedJobs.tell },
-      { name: 'peers', everyMs: PEERS_REFRESH_INTERVAL_MS, run: refreshPeers },
-      { name: 'beat', everyMs: BEAT_MS, run: async () => openPeers.beat() },
-      { name: 'probe', everyMs: PROBE_EVERY_MS, run: async () => table.probe() },
+      { name: 'lease', pauseMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
+      { name: 'relays', pauseMs: RELAY_REFRESH_INTERVAL_MS, run: refreshRelays },
+      { name: 'refused', pauseMs: REPORT_REFUSED_INTERVAL_MS, run: refusedJobs.report },
+      { name: 'peers', pauseMs: PEERS_REFRESH_INTERVAL_MS, run: refreshPeers },
+      { name: 'beat', pauseMs: HEARTBEAT_INTERVAL_MS, run: async () => openPeers.sendHeartbeats() },
+      { name: 'probe', pauseMs: PROBE_INTERVAL_MS, run: async () => table.probe() },
     ],
     (name, error) => {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
@@ -280,8 +288,8 @@
     access: createAccess({ configuration, log, metrics }),
     intake,
     control,
-    askOperators,
-    isReady: () => !isDraining && configuration.index() !== undefined && intake.canTake(),
+    answerOperator: askOperators,
+    isReady: () => !isDraining && configuration.index() !== undefined && intake.canSubmit(),
     drain: async () => {
       isDraining = true;
       await control.resign();
--- a/packages/daemon/src/batch/jobs/late-rows.test.ts
+++ b/packages/daemon/src/batch/jobs/job-row-reader.test.ts
@@ -5,11 +5,16 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
 import type { EndedJobs } from './ended-jobs.js';
-import { createJobRows } from './job-rows.js';
+import { createJobRowReader } from './job-row-reader.js';
 import { batchKey } from '../keys.js';
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { SIM_POLICY } from '../testing/sim-world.fixtures.js';
-import { advance, FAKED, holderOf, started } from '../testing/virtual-time.fixtures.js';
+import { SIM_QUEUE_POLICY } from '../testing/sim-environment.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const JOB = brand<JobId>('00000000000000aa');
 
@@ -30,7 +35,7 @@
     const state = createBatchState(1);
     const term = { isSoleHolder: true };
     let answer: () => void = () => undefined;
-    const rows = createJobRows({
+    const rows = createJobRowReader({
       state,
       table: {
         feed: () => ({
@@ -41,7 +46,7 @@
                   Ok([
                     {
                       key: batchKey.job(JOB),
-                      value: { kind: 'live', job, policy: SIM_POLICY },
+                      value: { kind: 'live', job, policy: SIM_QUEUE_POLICY },
                       version: 1,
                     },
                   ]),
@@ -54,7 +59,7 @@
       configuration: () => undefined,
       isSoleHolder: () => term.isSoleHolder,
       isStopped: () => false,
-      poke: () => undefined,
+      requestScheduling: () => undefined,
       log: {
         debug: () => undefined,
         info: () => undefined,
@@ -62,14 +67,14 @@
         error: () => undefined,
       },
       nowMs: () => 0,
-      todayMs: () => 0,
+      wallClockMs: () => 0,
     });
     return { state, term, rows, answer: () => answer() };
   };
 
   it('are applied if no other entry can be the holder', async () => {
     const { state, rows, answer } = setUp();
-    const followed = rows.follow();
+    const followed = rows.applyChanges();
     answer();
     await followed;
     expect(state.jobs.has(JOB)).toBe(true);
@@ -77,7 +82,7 @@
 
   it('are not applied once another entry may be the holder and may have accepted the job', async () => {
     const { state, term, rows, answer } = setUp();
-    const followed = rows.follow();
+    const followed = rows.applyChanges();
     term.isSoleHolder = false;
     answer();
     await followed;
@@ -87,7 +92,7 @@
 
 describe('a job that the next holder accepted', () => {
   beforeEach(() => {
-    vi.useFakeTimers({ toFake: [...FAKED] });
+    vi.useFakeTimers({ toFake: [...FAKED_TIMERS] });
   });
 
   afterEach(() => {
@@ -99,25 +104,25 @@
 
   const runScenario = async (cutAfterMs: number): Promise<SimFleet> => {
     vi.useRealTimers();
-    vi.useFakeTimers({ toFake: [...FAKED] });
-    const fleet = await started({ hostsPerPool: 2, tickMs: 100 });
-    await advance(cutAfterMs);
-    const formerHolder = holderOf(fleet);
+    vi.useFakeTimers({ toFake: [...FAKED_TIMERS] });
+    const fleet = await createStartedFleet({ hostsPerPool: 2, tickMs: 100 });
+    await advanceTime(cutAfterMs);
+    const formerHolder = requireHolder(fleet);
     const others = fleet.entries.filter((one) => one !== formerHolder);
     // Half of the endpoints of the pool can be reached only by the first holder.
     const [reachable] = Array.from(fleet.endpoints.values()).filter(({ pool }) => pool === 'alpha');
     Object.assign(formerHolder, { isCutFromTable: true, isSilent: true, feedMs: FEED_MS });
     fleet.endpoints.forEach(({ instanceId }) => {
-      if (instanceId !== reachable?.instanceId) formerHolder.cutFrom.add(instanceId);
-      else others.forEach(({ cutFrom }) => cutFrom.add(instanceId));
+      if (instanceId !== reachable?.instanceId) formerHolder.unreachableEndpoints.add(instanceId);
+      else others.forEach(({ unreachableEndpoints }) => unreachableEndpoints.add(instanceId));
     });
-    while (!others.some(({ control }) => control.term())) await advance(5);
+    while (!others.some(({ control }) => control.term())) await advanceTime(5);
     // By then the next holder has read the rows; it starts jobs that are accepted later at once.
-    await advance(20);
+    await advanceTime(20);
     fleet.submit({ pool: 'alpha', steps: [{}], runMs: 5000 });
-    await advance(1000);
+    await advanceTime(1000);
     Object.assign(formerHolder, { isCutFromTable: false, isSilent: false });
-    await advance(12_000);
+    await advanceTime(12_000);
     return fleet;
   };
 
@@ -126,7 +131,7 @@
     for (let cutAfterMs = 0; cutAfterMs < 2000; cutAfterMs += 40) {
       const fleet = await runScenario(cutAfterMs);
       violations.push(
-        ...fleet.broken.slice(0, 1).map((text) => `cut after ${cutAfterMs} ms: ${text}`),
+        ...fleet.violations.slice(0, 1).map((text) => `cut after ${cutAfterMs} ms: ${text}`),
       );
     }
     expect(violations).toEqual([]);
--- a/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
+++ b/packages/daemon/src/batch/testing/sim-operator.fixtures.ts
@@ -5,11 +5,16 @@
 import type { PlatformError } from '@valvelatch/platform';
 import { Err, Ok, type Result } from 'ts-results-es';
 
-import type { EvacuationNews, FeedReading, OperatorFeed, OperatorNews } from '../ports.js';
+import type {
+  EvacuationFeedUpdate,
+  FeedReadStats,
+  OperatorFeed,
+  OperatorUpdate,
+} from '../ports.js';
 
 const STORE_MS = 4;
 const CALL_TIMEOUT_MS = 900;
-const READING: FeedReading = { scope: 'changes', replaced: 0, bytes: 0, arrivingMs: 0 };
+const READING: FeedReadStats = { scope: 'changes', replacedRows: 0, bytes: 0, transferMs: 0 };
 /**
  * After a compaction, full reads return the rows as they were some time ago, and do so for as long again. The time is
  * drawn between these two bounds.
@@ -33,12 +38,12 @@
 };
 
 /** The state of an entry and of its connection to the operator's rows. */
-export type OperatorReach = {
+export type OperatorConnection = {
   /** Resolves once the entry's process runs. */
-  readonly awake: () => Promise<void>;
+  readonly waitUntilRunning: () => Promise<void>;
   readonly isCut: () => boolean;
   /** Returns the share of answers that are lost, from 0 to 1. */
-  readonly lost: () => number;
+  readonly lossShare: () => number;
   readonly configuration: BatchConfiguration;
 };
 
@@ -81,7 +86,7 @@
       waiters.add(wake);
     });
 
-  const readFull = (): EvacuationNews => {
+  const readFull = (): EvacuationFeedUpdate => {
     const isStale = performance.now() < staleUntilMs;
     const asOfMs = performance.now() - (isStale ? staleByMs : 0);
     const visibleRows = history.filter(({ atMs }) => atMs <= asOfMs);
@@ -90,12 +95,17 @@
     return { changes, isFullRead: true, isCurrent: false, revision: visibleRows.length };
   };
 
-  const feedOf = ({ awake, isCut, lost, configuration }: OperatorReach): OperatorFeed => {
+  const createFeed = ({
+    waitUntilRunning,
+    isCut,
+    lossShare,
+    configuration,
+  }: OperatorConnection): OperatorFeed => {
     let lastRevision: number | undefined;
     let lastReadEpoch = 0;
     let hasFailed = false;
 
-    const readChanges = async (waitMs: number): Promise<EvacuationNews | undefined> => {
+    const readChanges = async (waitMs: number): Promise<EvacuationFeedUpdate | undefined> => {
       const position = lastRevision ?? 0;
       if (history.length <= position && waitMs > 0) await waitForChange(waitMs);
       if (lastReadEpoch < epoch || performance.now() < noChangesUntilMs) return undefined;
@@ -103,7 +113,7 @@
       return { changes, isFullRead: false, isCurrent: true, revision: history.length };
     };
 
-    const read = async (waitMs: number): Promise<EvacuationNews> => {
+    const read = async (waitMs: number): Promise<EvacuationFeedUpdate> => {
       const mustReadFull = lastRevision === undefined || hasFailed;
       const changes = mustReadFull ? undefined : await readChanges(waitMs);
       if (changes) return changes;
@@ -111,22 +121,22 @@
       return readFull();
     };
 
-    const next = async (waitMs: number): Promise<Result<OperatorNews, PlatformError>> => {
-      await awake();
+    const next = async (waitMs: number): Promise<Result<OperatorUpdate, PlatformError>> => {
+      await waitUntilRunning();
       await sleep(STORE_MS);
       const news = isCut() ? undefined : await read(waitMs);
-      if (news === undefined || isCut() || random() < lost()) {
+      if (news === undefined || isCut() || random() < lossShare()) {
         hasFailed = true;
         await sleep(CALL_TIMEOUT_MS);
-        await awake();
+        await waitUntilRunning();
         return Err(NO_ANSWER);
       }
       hasFailed = false;
       const isFirst = lastRevision === undefined;
       lastRevision = Math.max(lastRevision ?? 0, news.revision);
       await sleep(1);
-      await awake();
-      const operatorNews = { waves: [], reading: READING, evacuations: news };
+      await waitUntilRunning();
+      const operatorNews = { waves: [], readStats: READING, evacuations: news };
       return Ok(isFirst ? { ...operatorNews, configuration } : operatorNews);
     };
 
@@ -135,7 +145,7 @@
 
   return {
     random,
-    feedOf,
+    createFeed,
     /** Writes the row of an evacuation. The write is acknowledged at once: the evacuation's duration counts from now. */
     evacuate: (dataCentre: DataCentreId): void => {
       if (!findOpenEvacuation(dataCentre)) {
@@ -144,7 +154,7 @@
       write(dataCentre, false);
     },
     /** Withdraws a data centre's evacuation; without effect where there is none. */
-    takeBack: (dataCentre: DataCentreId): void => {
+    withdrawEvacuation: (dataCentre: DataCentreId): void => {
       const open = findOpenEvacuation(dataCentre);
       if (!open) return;
       open.endMs = performance.now();
@@ -154,7 +164,7 @@
      * Compacts the history: feeds must read in full, and what they read is stale for a time. With refusesChanges, reads
      * of changes are refused for the same time.
      */
-    forgetHistory: ({ refusesChanges = false } = {}): void => {
+    compactHistory: ({ refusesChanges = false } = {}): void => {
       epoch += 1;
       staleByMs = STALE_MS.min + random() * (STALE_MS.max - STALE_MS.min);
       staleUntilMs = performance.now() + staleByMs;
--- a/packages/daemon/src/control/pool-control.ts
+++ b/packages/daemon/src/control/pool-control.ts
@@ -12,20 +12,20 @@
   type PoolName,
   type WithheldAction,
 } from '@valvelatch/core';
-import type { HostListClient, PulsedReader, TableClient } from '@valvelatch/platform';
+import type { HostListClient, CachedRowsReader, TableClient } from '@valvelatch/platform';
 
-import type { LeaseManager } from '../leases/lease-keeper.js';
+import type { LeaseManager } from '../leases/lease-manager.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
 import { createChangeWriter } from './change-writer.js';
-import { createPoolSnapshotBuilder, type RowsByKey } from './pool-view.js';
+import { createPoolSnapshotBuilder, type RowsByKey } from './pool-snapshot-builder.js';
 
 export type PoolControlOptions = {
   readonly pool: PoolName;
   readonly lease: LeaseManager;
   readonly table: TableClient;
   /** Reads the rows that control depends on; all pools of an entry share it. */
-  readonly rowReader: PulsedReader;
+  readonly rowReader: CachedRowsReader;
   readonly hostList: HostListClient;
   readonly configuration: () => Configuration;
   readonly log: Log;
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -14,7 +14,7 @@
   type WithheldAction,
 } from '@valvelatch/core';
 
-import { createPulsedReader, type HostListClient } from '@valvelatch/platform';
+import { createCachedRowsReader, type HostListClient } from '@valvelatch/platform';
 
 import { createDataCentreAgent, type DataCentreAgent } from '../control/data-centre-agent.js';
 import {
@@ -24,10 +24,10 @@
   type PoolControl,
 } from '../control/pool-control.js';
 import type { EndpointDirectory } from '../data-path/endpoint-directory.js';
-import { createLeaseKeeper } from '../leases/lease-keeper.js';
+import { createLeaseManager } from '../leases/lease-manager.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
-import type { SeatManager } from '../seats/seat-keeper.js';
+import type { SeatManager } from '../seats/seat-manager.js';
 import type { Clients } from './clients.js';
 
 /** Control plane of an entry. */
@@ -113,7 +113,7 @@
   const { table, workers } = clients;
   const hostList = withListCache(clients.hostList);
   const controls = new Map<PoolName, PoolControl>();
-  const rowReader = createPulsedReader(table, controlPrefixes);
+  const rowReader = createCachedRowsReader(table, controlPrefixes);
 
   /**
    * Whether no entry has a request in flight at an endpoint. Each entry that may send to the endpoint holds a
@@ -170,7 +170,7 @@
     const existing = controls.get(pool);
     if (existing) return existing;
     const name = formatControlLeaseName(pool);
-    const lease = createLeaseKeeper({ table, name, self, durationMs: leaseMs });
+    const lease = createLeaseManager({ table, name, self, durationMs: leaseMs });
     const created = createPoolControl({
       pool,
       lease,
--- a/packages/daemon/src/operators/configuration-handlers.ts
+++ b/packages/daemon/src/operators/configuration-handlers.ts
@@ -1,13 +1,19 @@
-/** Applying and comparing declarations. */
+/** Handlers that apply declarations and compare them with the current configuration. */
 import { randomUUID } from 'node:crypto';
 
-import { brand, diffConfiguration, readDeclarations, type ChangeId } from '@valvelatch/core';
+import { brand, diffConfiguration, parseDeclarations, type ChangeId } from '@valvelatch/core';
 import { z } from 'zod';
 
 import { otherMembers, type OperatorContext } from './operator-context.js';
-import { ok, unavailable, withBody, type Handler, type OperatorResult } from './operator-result.js';
+import {
+  ok,
+  platformUnavailable,
+  withBody,
+  type Handler,
+  type OperatorResult,
+} from './operator-result.js';
 
-/** Files with declarations, as they travel. */
+/** Files with declarations, as they are sent in a request body. */
 export const files = z.array(z.strictObject({ file: z.string(), text: z.string() }));
 const applyBody = z.strictObject({
   files,
@@ -16,11 +22,15 @@
   waitMs: z.number().int().min(0).max(60_000).default(0),
 });
 
-const inForce = async (context: OperatorContext, revision: number, waitMs: number) => {
+/**
+ * Waits up to `waitMs` for the other entries to apply a revision, and lists the entries that have
+ * applied it and those that haven't confirmed it.
+ */
+const awaitRevision = async (context: OperatorContext, revision: number, waitMs: number) => {
   const answers = await Promise.all(
     otherMembers(context).map(async (member) => {
       try {
-        await context.ask(member, 'await-revision', { revision, waitMs }, waitMs);
+        await context.request(member, 'await-revision', { revision, waitMs }, waitMs);
         return { entryId: member.entryId, isInForce: true };
       } catch {
         return { entryId: member.entryId, isInForce: false };
@@ -28,7 +38,7 @@
     }),
   );
   return {
-    inForce: [context.self, ...answers.filter((one) => one.isInForce).map((one) => one.entryId)],
+    inForce: [context.entryId, ...answers.filter((one) => one.isInForce).map((one) => one.entryId)],
     unreachable: answers.filter((one) => !one.isInForce).map((one) => one.entryId),
   };
 };
@@ -38,7 +48,7 @@
   body: z.infer<typeof applyBody>,
 ): Promise<OperatorResult> => {
   const { configSync } = context;
-  const read = readDeclarations(body.files);
+  const read = parseDeclarations(body.files);
   if (read.isErr()) {
     return { kind: 'invalid', detail: 'nothing was applied', faults: read.error };
   }
@@ -49,14 +59,15 @@
     changeId: brand<ChangeId>(randomUUID()),
   });
   if (outcome.isErr()) {
-    if (outcome.error.kind === 'platform') return unavailable(outcome.error.error);
+    if (outcome.error.kind === 'platform') return platformUnavailable(outcome.error.error);
     return {
       kind: 'conflict',
       detail: `another operator's change came first, at revision ${outcome.error.revision}`,
       value: outcome.error,
     };
   }
-  const reach = body.waitMs > 0 ? await inForce(context, outcome.value.revision, body.waitMs) : {};
+  const reach =
+    body.waitMs > 0 ? await awaitRevision(context, outcome.value.revision, body.waitMs) : {};
   return ok({ ...outcome.value, ...reach });
 };
 
@@ -64,7 +75,7 @@
   { configSync }: OperatorContext,
   body: z.infer<typeof applyBody>,
 ): Promise<OperatorResult> => {
-  const read = readDeclarations(body.files);
+  const read = parseDeclarations(body.files);
   if (read.isErr()) return { kind: 'invalid', detail: 'not comparable', faults: read.error };
   await configSync.poll();
   const current = configSync.current();
@@ -74,7 +85,7 @@
 /**
  * Builds the handlers for configuration.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const configurationHandlers = (
--- a/packages/daemon/src/operators/host-handlers.ts
+++ b/packages/daemon/src/operators/host-handlers.ts
@@ -1,4 +1,4 @@
-/** Draining, moving and returning hosts. */
+/** Handlers that drain hosts, move them to another pool and return them to service. */
 import {
   brand,
   listDeclarations,
@@ -10,7 +10,7 @@
 import { z } from 'zod';
 
 import type { OperatorContext } from './operator-context.js';
-import { changeRow, withBody, type Handler, type OperatorResult } from './operator-result.js';
+import { updateRow, withBody, type Handler, type OperatorResult } from './operator-result.js';
 
 const hostBody = z.strictObject({ hostId: z.string(), toPool: z.string().optional() });
 type HostBody = z.infer<typeof hostBody>;
@@ -21,7 +21,7 @@
   drain: DrainPurpose,
   reason: string,
 ): Promise<OperatorResult> =>
-  changeRow<HostRow>(table, rowKey.host(hostId), (row) =>
+  updateRow<HostRow>(table, rowKey.host(hostId), (row) =>
     row.phase === 'assigned' || row.phase === 'quarantined'
       ? { ...row, phase: 'draining', drain, reason }
       : `host ${hostId} is ${row.phase} already: ${row.reason}`,
@@ -31,10 +31,10 @@
   context: OperatorContext,
   { hostId, toPool }: HostBody,
 ): Promise<OperatorResult> => {
-  const known = listDeclarations(context.configSync.current(), 'Pool').some(
+  const isDeclared = listDeclarations(context.configSync.current(), 'Pool').some(
     ({ name }) => name === toPool,
   );
-  if (toPool === undefined || !known) {
+  if (toPool === undefined || !isDeclared) {
     return { kind: 'invalid', detail: `no Pool named '${toPool ?? ''}' is declared` };
   }
   const purpose: DrainPurpose = { kind: 'transfer', toPool: brand<PoolName>(toPool) };
@@ -42,7 +42,7 @@
 };
 
 const returnHost = ({ table }: OperatorContext, { hostId }: HostBody): Promise<OperatorResult> =>
-  changeRow<HostRow>(table, rowKey.host(hostId), (row) =>
+  updateRow<HostRow>(table, rowKey.host(hostId), (row) =>
     row.phase === 'quarantined' || row.drain?.kind === 'operator' || row.drain?.kind === 'transfer'
       ? { ...row, phase: 'assigned', drain: null, reason: 'an operator returned it to use' }
       : `host ${hostId} is ${row.phase}: ${row.reason}`,
@@ -51,7 +51,7 @@
 /**
  * Builds the handlers for hosts.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const hostHandlers = (
--- a/packages/daemon/src/operators/operator-context.ts
+++ b/packages/daemon/src/operators/operator-context.ts
@@ -1,10 +1,10 @@
-/** What the operators' handlers depend on. */
+/** The dependencies of the operators' handlers. */
 import type { DecisionStore, Member, WithheldAction } from '@valvelatch/core';
 import type { TableClient } from '@valvelatch/platform';
 
 import type { ConfigSync } from '../config-sync/config-sync.js';
 
-/** How one entry stands, for a status. */
+/** The status of one entry. `seat` is null while the entry holds no seat. */
 export type EntryStatus = {
   readonly entryId: string;
   readonly dataCentre: string;
@@ -14,27 +14,32 @@
   readonly endpoints: Readonly<Record<string, number>>;
 };
 
-/** What the handlers depend on. */
+/** The dependencies of the handlers. `entryId` is the ID of this entry. */
 export type OperatorContext = {
   readonly table: TableClient;
   readonly configSync: ConfigSync;
   readonly decisions: DecisionStore;
-  readonly withheld: () => readonly WithheldAction[];
+  readonly listWithheldActions: () => readonly WithheldAction[];
   readonly ownStatus: () => EntryStatus;
   readonly members: () => readonly Member[];
-  /** Asks another entry; rejects where it cannot be reached. */
-  readonly ask: (member: Member, method: string, payload: unknown, ms: number) => Promise<unknown>;
-  readonly self: string;
+  /** Sends a request to another entry; rejects if it doesn't respond within `ms` milliseconds. */
+  readonly request: (
+    member: Member,
+    method: string,
+    payload: unknown,
+    ms: number,
+  ) => Promise<unknown>;
+  readonly entryId: string;
 };
 
 /**
  * Lists the other entries.
  *
  * @param context - The context.
- * @returns All members but this entry.
+ * @returns All members except this entry.
  */
-export const otherMembers = ({ members, self }: OperatorContext): readonly Member[] =>
+export const otherMembers = ({ members, entryId: self }: OperatorContext): readonly Member[] =>
   members().filter(({ entryId }) => entryId !== self);
 
-/** How long another entry may take to answer, in milliseconds. */
-export const ASK_MS = 2000;
+/** Timeout of a request to another entry, in milliseconds. */
+export const ENTRY_REQUEST_TIMEOUT_MS = 2000;
--- a/packages/stand-ins/src/executor.ts
+++ b/packages/stand-ins/src/executor.ts
@@ -26,12 +26,17 @@
 /** A running executor. */
 export type StandInExecutor = {
   readonly address: string;
-  readonly stats: { inFlight: number; mostInFlight: number; served: number; overSlots: number };
+  readonly stats: {
+    inFlight: number;
+    maxInFlight: number;
+    served: number;
+    overSlots: number;
+  };
   /** How often each idempotency key was executed. */
   readonly executions: ReadonlyMap<string, number>;
   readonly setFault: (fault: ExecutorFault) => void;
   /** Refuses all further requests with the header `valvelatch-leaving`. */
-  readonly setLeaving: () => void;
+  readonly startDraining: () => void;
   /** Closes the executor and returns the number of requests that were in flight. */
   readonly close: () => Promise<number>;
 };
@@ -116,7 +121,7 @@
   host = '127.0.0.1',
   workMs = 5,
 }: ExecutorOptions): Promise<StandInExecutor> => {
-  const stats = { inFlight: 0, mostInFlight: 0, served: 0, overSlots: 0 };
+  const stats = { inFlight: 0, maxInFlight: 0, served: 0, overSlots: 0 };
   const executions = new Map<string, number>();
   let fault: ExecutorFault = 'none';
   let isLeaving = false;
@@ -144,7 +149,7 @@
       return;
     }
     stats.inFlight += 1;
-    stats.mostInFlight = Math.max(stats.mostInFlight, stats.inFlight);
+    stats.maxInFlight = Math.max(stats.maxInFlight, stats.inFlight);
     response.on('close', () => {
       stats.inFlight -= 1;
     });
@@ -171,7 +176,7 @@
     setFault: (newFault) => {
       fault = newFault;
     },
-    setLeaving: () => {
+    startDraining: () => {
       isLeaving = true;
     },
     close: async () => {
