--- a/packages/bench/src/accounts/accounts.ts
+++ b/packages/bench/src/accounts/accounts.ts
@@ -1,13 +1,13 @@
-/** What client accounts cost an entry and a holder at 2,000 accounts with 20,000 keys. */
+/** Measures what 2,000 client accounts with 20,000 keys cost an entry and a control holder. */
 import { createHash } from 'node:crypto';
 
 import {
   createBatchState,
   indexQueues,
   isWithinQuota,
-  PLAIN_STEP,
-  takeAccounts,
-  takeInJob,
+  DEFAULT_STEP,
+  setAccounts,
+  addJob,
   type BatchConfiguration,
   type ClientAccount,
   type KeyDigest,
@@ -15,7 +15,7 @@
 } from '@valvelatch/core/batch';
 import { brand } from '@valvelatch/core/shared/ids';
 
-import { rounded, type BenchRow } from '../report.js';
+import { roundToPrecision, type BenchRow } from '../report.js';
 
 const ACCOUNTS = 2000;
 const KEYS_PER_ACCOUNT = 10;
@@ -29,7 +29,7 @@
 const digestOf = (key: string): KeyDigest =>
   brand<KeyDigest>(createHash('sha256').update(key).digest('base64'));
 
-const declared = (): readonly ClientAccount[] =>
+const declareAccounts = (): readonly ClientAccount[] =>
   Array.from({ length: ACCOUNTS }, (_, account) => ({
     name: brand(`account-${account}`),
     keyDigests: Array.from({ length: KEYS_PER_ACCOUNT }, (__, key) =>
@@ -45,15 +45,15 @@
   return process.memoryUsage().heapUsed;
 };
 
-/** The time of one of many, in microseconds. */
-const timeOf = (count: number, act: (index: number) => void): number => {
+/** Measures the mean time of one call, in microseconds. */
+const measureMeanUs = (count: number, act: (index: number) => void): number => {
   const beganAtMs = performance.now();
   for (let index = 0; index < count; index += 1) act(index);
-  return rounded(((performance.now() - beganAtMs) / count) * US_PER_MS);
+  return roundToPrecision(((performance.now() - beganAtMs) / count) * US_PER_MS);
 };
 
 /**
- * Measures the check of a key, the place of a job in the queue, the check of a quota and the memory.
+ * Measures the time to check a key, to add a job to its queue and to check a quota, and the memory.
  *
  * @returns One row.
  */
@@ -63,28 +63,28 @@
     version: 1,
     queues: [],
     pools: [],
-    accounts: declared(),
+    accounts: declareAccounts(),
   };
   const index = indexQueues(configuration);
-  const memoryMb = rounded((heapBytes() - before) / BYTES_PER_MB);
+  const memoryMb = roundToPrecision((heapBytes() - before) / BYTES_PER_MB);
 
-  const keyCheckUs = timeOf(ROUNDS, (round) => {
+  const keyCheckUs = measureMeanUs(ROUNDS, (round) => {
     index.accounts.byKey.get(digestOf(keyOf(round % ACCOUNTS, round % KEYS_PER_ACCOUNT)));
   });
 
   const state = createBatchState(2);
-  takeAccounts(state, index.accounts.byName);
+  setAccounts(state, index.accounts.byName);
   const steps: StepRun[] = [];
   const { accounts } = configuration;
-  const admitUs = timeOf(JOBS, (number) => {
+  const admitUs = measureMeanUs(JOBS, (number) => {
     const { name, maximum } = accounts[number % ACCOUNTS] as ClientAccount;
-    const job = takeInJob(state, {
+    const job = addJob(state, {
       job: {
         jobId: brand(number.toString(16).padStart(16, '0')),
         queue: brand('q'),
         pool: brand('p'),
         spec: '',
-        steps: [PLAIN_STEP],
+        steps: [DEFAULT_STEP],
         repeats: 0,
         firstDueAtMs: 0,
         intervalMs: 0,
@@ -93,11 +93,11 @@
       },
       policy: { priority: 0, maxAttempts: 3, stretch: 2, targetLatencyMs: 600 },
       nowMs: number,
-      todayMs: number,
+      wallClockMs: number,
     });
     steps.push(job.occurrences.get(0)?.steps[0] as StepRun);
   });
-  const quotaUs = timeOf(ROUNDS, (round) => {
+  const quotaUs = measureMeanUs(ROUNDS, (round) => {
     isWithinQuota(state, steps[round % JOBS] as StepRun);
   });
   return [
--- a/packages/bench/src/control/big-world.ts
+++ b/packages/bench/src/control/large-fleet.ts
@@ -1,11 +1,11 @@
-/** A pool's world at the size of two years, for measuring turns. */
+/** Builds configurations and pool snapshots of large fleets to measure control turns. */
 import {
   brand,
-  declaredHosts,
+  listDeclaredHosts,
   emptyConfiguration,
-  executorJob,
+  toExecutorJob,
   findDeclaration,
-  takeSnapshot,
+  applySnapshot,
   type Configuration,
   type Declaration,
   type HostId,
@@ -14,12 +14,12 @@
   type JobRow,
   type PlacementRow,
   type PoolName,
-  type PoolWorld,
+  type PoolSnapshot,
   type ServiceName,
   type Versioned,
 } from '@valvelatch/core';
 
-/** Sizes of a fleet. */
+/** The size of a fleet. */
 export type FleetSize = {
   readonly hosts: number;
   readonly pools: number;
@@ -27,8 +27,13 @@
   readonly teams: number;
 };
 
-/** The size of two years. */
-export const twoYears: FleetSize = { hosts: 21_000, pools: 23, dataCentres: 20, teams: 95 };
+/** The fleet size that is expected in two years. */
+export const expectedFleetSize: FleetSize = {
+  hosts: 21_000,
+  pools: 23,
+  dataCentres: 20,
+  teams: 95,
+};
 
 const HOSTS_PER_RACK = 4;
 const SERVICES_PER_POOL = 5;
@@ -71,13 +76,13 @@
 });
 
 /**
- * Declares a fleet.
+ * Builds the configuration of a fleet.
  *
- * @param size - How large it is.
- * @returns Its configuration.
+ * @param size - The size of the fleet.
+ * @returns The configuration.
  */
-export const bigConfiguration = (size: FleetSize): Configuration =>
-  takeSnapshot(emptyConfiguration, {
+export const createFleetConfiguration = (size: FleetSize): Configuration =>
+  applySnapshot(emptyConfiguration, {
     revision: 1,
     declarations: [
       ...range(size.dataCentres).map((index) =>
@@ -105,7 +110,7 @@
     const declaration = findDeclaration(configuration, 'Service', name);
     if (!declaration) return;
     range(EXECUTORS_PER_SERVICE).forEach((index) => {
-      const { jobId, leaseMs } = executorJob(declaration, brand<JobId>(`${name}-${index}`));
+      const { jobId, leaseMs } = toExecutorJob(declaration, brand<JobId>(`${name}-${index}`));
       const place = (service * EXECUTORS_PER_SERVICE + index) % hosts.length;
       placements.set(
         jobId,
@@ -129,19 +134,19 @@
 };
 
 /**
- * Builds the world of one pool in which all is placed and running.
+ * Builds the snapshot of a pool whose executors are all placed and running.
  *
  * @param configuration - The configuration of the fleet.
  * @param pool - The pool.
- * @param jobs - Jobs that are still to be placed.
- * @returns The world, with the rows of the pool's own hosts.
+ * @param jobs - The jobs that are still pending.
+ * @returns The snapshot, with the rows of the pool's own hosts.
  */
-export const bigWorld = (
+export const createPoolSnapshot = (
   configuration: Configuration,
   pool: PoolName,
   jobs: ReadonlyMap<JobId, Versioned<JobRow>> = new Map(),
-): PoolWorld => {
-  const specs = declaredHosts(configuration).filter(({ firstPool }) => firstPool === pool);
+): PoolSnapshot => {
+  const specs = listDeclaredHosts(configuration).filter(({ initialPool }) => initialPool === pool);
   const hosts = new Map<HostId, Versioned<HostRow>>(
     specs.map(({ hostId }) => [
       hostId,
@@ -166,11 +171,11 @@
     placements: placeAll(configuration, pool, Array.from(hosts.keys())),
     jobs,
     waves: new Map(),
-    sightings: new Map(
+    listedHosts: new Map(
       specs.map(({ hostId }) => [hostId, { state: 'live', boots: 1, sinceMs: 0 }]),
     ),
-    hostSinceMs: new Map(),
-    placementSinceMs: new Map(),
+    hostRowSinceMs: new Map(),
+    placementRowSinceMs: new Map(),
     waveStrategy: 'growing',
     usedCores: new Map(),
     retryAtMs: new Map(),
@@ -178,13 +183,16 @@
 };
 
 /**
- * Builds pending jobs of one pool.
+ * Builds pending jobs of a pool.
  *
  * @param pool - The pool.
- * @param count - How many.
- * @returns Their rows.
+ * @param count - The number of jobs.
+ * @returns The rows of the jobs.
  */
-export const pendingJobs = (pool: PoolName, count: number): ReadonlyMap<JobId, Versioned<JobRow>> =>
+export const createPendingJobs = (
+  pool: PoolName,
+  count: number,
+): ReadonlyMap<JobId, Versioned<JobRow>> =>
   new Map(
     range(count).map((index) => {
       const name = `job-${index}`;
--- a/packages/bench/src/overload/policies.ts
+++ b/packages/bench/src/overload/policies.ts
@@ -1,34 +1,34 @@
-/** The policies that are compared: the gate of an entry, no limits, and static shares. */
+/** The compared policies: the admission of an entry, no limits, and static shares. */
 import {
   brand,
   createEndpoint,
-  noteOutcome,
-  pick,
-  portionOfShare,
-  shareOfSeat,
+  recordOutcome,
+  pickRandom,
+  computePortion,
+  computeSeatShare,
   type CallerId,
   type EndpointId,
   type HostId,
   type Rng,
   type ServiceName,
 } from '@valvelatch/core';
-import { createServiceGate } from '@valvelatch/daemon';
+import { createServiceAdmission } from '@valvelatch/daemon';
 
 import type { VirtualExecutor } from './executors.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** A request under way. */
+/** A request in flight. */
 export type VirtualRequest = {
   readonly caller: string;
   readonly deadlineMs: number;
-  readonly onAnswer: () => void;
+  readonly onResponse: () => void;
   readonly onRefused: () => void;
 };
 
-/** A way to deal with requests. */
+/** Decides where each request runs and whether it is refused. */
 export type Policy = { readonly submit: (request: VirtualRequest) => void };
 
-/** What a policy works with. */
+/** The dependencies of a policy. */
 export type PolicyOptions = {
   readonly time: VirtualTime;
   readonly rng: Rng;
@@ -38,32 +38,33 @@
 };
 
 const ENTRIES = 2;
-const PUMP_MS = 20;
-const LONGEST_MS = 120_000;
+const QUEUE_INTERVAL_MS = 20;
+const MAX_RUN_MS = 120_000;
 
 const createEntry = ({ time, rng, executors, slots }: PolicyOptions, seat: number): Policy => {
-  const gate = createServiceGate({
+  const gate = createServiceAdmission({
     service: brand<ServiceName>('service'),
     rng,
     nowMs: time.nowMs,
   });
   const endpoints = executors.map((_, index) => {
     const endpointId = brand<EndpointId>(`executor-${index}`);
-    const share = shareOfSeat(slots, ENTRIES, seat, endpointId);
+    const share = computeSeatShare(slots, ENTRIES, seat, endpointId);
     return createEndpoint({
       endpointId,
       service: brand<ServiceName>('service'),
       hostId: brand<HostId>(`host-${index}`),
       address: '',
-      slotShare: portionOfShare(share, 'full'),
+      slotShare: computePortion(share, 'full'),
     });
   });
   gate.setEndpoints(endpoints);
-  for (let atMs = PUMP_MS; atMs < LONGEST_MS; atMs += PUMP_MS) time.at(atMs, gate.pump);
+  for (let atMs = QUEUE_INTERVAL_MS; atMs < MAX_RUN_MS; atMs += QUEUE_INTERVAL_MS)
+    time.schedule(atMs, gate.processQueue);
 
-  const submit = async ({ caller, deadlineMs, onAnswer, onRefused }: VirtualRequest) => {
+  const submit = async ({ caller, deadlineMs, onResponse, onRefused }: VirtualRequest) => {
     const callerId = brand<CallerId>(caller);
-    const slot = await gate.acquire({ callerId, deadlineMs, exclude: [] });
+    const slot = await gate.acquire({ callerId, deadlineMs, excludedEndpoints: [] });
     if (slot.kind === 'none') {
       onRefused();
       return;
@@ -71,9 +72,9 @@
     const { endpoint } = slot;
     const startedMs = time.nowMs();
     executors[endpoints.indexOf(endpoint)]?.accept(() => {
-      noteOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
+      recordOutcome(endpoint, 'answered', time.nowMs() - startedMs, endpoints, time.nowMs());
       gate.release(endpoint, callerId);
-      onAnswer();
+      onResponse();
     });
   };
   return {
@@ -85,18 +86,18 @@
 
 const valvelatch = (options: PolicyOptions): Policy => {
   const entries = Array.from({ length: ENTRIES }, (_, seat) => createEntry(options, seat));
-  return { submit: (request) => pick(entries, options.rng)?.submit(request) };
+  return { submit: (request) => pickRandom(entries, options.rng)?.submit(request) };
 };
 
 const noLimits = ({ rng, executors }: PolicyOptions): Policy => ({
-  submit: ({ onAnswer }) => pick(executors, rng)?.accept(onAnswer),
+  submit: ({ onResponse }) => pickRandom(executors, rng)?.accept(onResponse),
 });
 
 const staticShares = ({ executors, slots, callers }: PolicyOptions): Policy => {
   const share = Math.floor((executors.length * slots) / callers.length);
   const inFlight = new Map<string, number>();
   return {
-    submit: ({ caller, onAnswer, onRefused }) => {
+    submit: ({ caller, onResponse, onRefused }) => {
       const own = inFlight.get(caller) ?? 0;
       const free = executors.find((executor) => executor.load() < slots);
       if (own >= share || !free) {
@@ -106,13 +107,13 @@
       inFlight.set(caller, own + 1);
       free.accept(() => {
         inFlight.set(caller, (inFlight.get(caller) ?? 1) - 1);
-        onAnswer();
+        onResponse();
       });
     },
   };
 };
 
-/** The policies by the name that is printed. */
+/** The policies by their printed name. */
 export const policies: Readonly<Record<string, (options: PolicyOptions) => Policy>> = {
   valvelatch,
   'no-limits': noLimits,
--- a/packages/bench/src/waves/waves.ts
+++ b/packages/bench/src/waves/waves.ts
@@ -1,7 +1,9 @@
-/** Roll-out time, moves and buffer cost of the planner and its baselines, in virtual time. */
+/**
+ * Measures roll-out time, moves and buffer cost of the planner and its baselines, in virtual time.
+ */
 import {
   createFleetModel,
-  declarationsOf,
+  listDeclarations,
   rowKey,
   rowPrefix,
   type Configuration,
@@ -9,25 +11,25 @@
   type HostId,
   type HostRow,
   type HostSpec,
-  declaredHosts,
+  listDeclaredHosts,
   type WaveRow,
   type WaveStrategy,
 } from '@valvelatch/core';
 
 import { readExample } from '@valvelatch/stand-ins';
 
-import { rounded, type BenchRow } from '../report.js';
+import { roundToPrecision, type BenchRow } from '../report.js';
 
-/** What is lost in the middle of the wave, for good. */
-export type Losses = 'none' | 'host' | 'rack' | 'data-centre';
+/** What fails permanently during the wave. */
+export type FailureKind = 'none' | 'host' | 'rack' | 'data-centre';
 
 const REBOOT_MS = 300_000;
 const START_MS = 2000;
 const STEP_MS = 1000;
 const SETTLE_STEPS = 20;
-const MOST_STEPS = 15_000;
+const MAX_STEPS = 15_000;
 const WAVE = 'bench';
-/** The loss strikes once this share of the hosts has been maintained. */
+/** The failure occurs once this share of the hosts has been maintained. */
 const LOSS_AT_SHARE = 0.25;
 
 const planners: Readonly<Record<string, WaveStrategy>> = {
@@ -35,20 +37,21 @@
   'one-host': 'one-host',
   rack: 'rack',
 };
-const allLosses: readonly Losses[] = ['none', 'host', 'rack', 'data-centre'];
+const allLosses: readonly FailureKind[] = ['none', 'host', 'rack', 'data-centre'];
 
 const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
 
 /**
- * The shortest roll-out that any plan could have: a canary must be through first, then each pool
- * can be without no more hosts at a time than leave room for its executors.
+ * Computes a lower bound of the roll-out time of any plan, in seconds: a canary host is maintained
+ * first, then each pool can spare only as many hosts at a time as leave enough capacity for its
+ * executors.
  */
-const boundS = (configuration: Configuration): number => {
-  const hosts = declaredHosts(configuration);
-  const rounds = declarationsOf(configuration, 'Pool').map(({ name }) => {
-    const inPool = hosts.filter(({ firstPool }) => firstPool === name);
+const computeMinRollOutS = (configuration: Configuration): number => {
+  const hosts = listDeclaredHosts(configuration);
+  const rounds = listDeclarations(configuration, 'Pool').map(({ name }) => {
+    const inPool = hosts.filter(({ initialPool }) => initialPool === name);
     const needed = sum(
-      declarationsOf(configuration, 'Service')
+      listDeclarations(configuration, 'Service')
         .filter(({ spec }) => spec.pool === name)
         .map(({ spec }) => spec.cores * spec.executors),
     );
@@ -70,25 +73,29 @@
   fleet.table.transact([], [{ key: rowKey.wave(WAVE), value: row }]);
 };
 
-const victims: Record<Losses, (specs: readonly HostSpec[], used: HostSpec) => readonly HostSpec[]> =
-  {
-    none: () => [],
-    host: (_, used) => [used],
-    rack: (specs, used) => specs.filter(({ rack }) => rack === used.rack),
-    'data-centre': (specs, used) =>
-      specs.filter(({ dataCentre }) => dataCentre === used.dataCentre),
-  };
+const failedHosts: Record<
+  FailureKind,
+  (specs: readonly HostSpec[], used: HostSpec) => readonly HostSpec[]
+> = {
+  none: () => [],
+  host: (_, used) => [used],
+  rack: (specs, used) => specs.filter(({ rack }) => rack === used.rack),
+  'data-centre': (specs, used) => specs.filter(({ dataCentre }) => dataCentre === used.dataCentre),
+};
 
-const usedHost = (fleet: FleetModel, specs: readonly HostSpec[]): HostSpec => {
+const findUsedHost = (fleet: FleetModel, specs: readonly HostSpec[]): HostSpec => {
   const [task] = fleet.workers.tasks().filter(({ service }) => service !== null);
   return specs.find(({ hostId }) => hostId === task?.hostId) ?? (specs[0] as HostSpec);
 };
 
-/** Cores of hosts that are being maintained, and cores that are used twice during a move. */
-const heldBackCores = (fleet: FleetModel, specs: ReadonlyMap<HostId, HostSpec>): number =>
+/**
+ * Sums the cores of live hosts that are not assigned: hosts under maintenance, and hosts that are being
+ * drained while replacements of their executors already use other cores.
+ */
+const sumHeldBackCores = (fleet: FleetModel, specs: ReadonlyMap<HostId, HostSpec>): number =>
   sum(
     fleet
-      .rows<HostRow>(rowPrefix.host)
+      .listRows<HostRow>(rowPrefix.host)
       .filter(({ phase }) => phase !== 'assigned')
       .filter(({ hostId }) => fleet.workers.hosts.get(hostId)?.state !== 'dead')
       .map(({ hostId }) => specs.get(hostId)?.cores ?? 0),
@@ -104,17 +111,21 @@
   readonly phase: string;
 };
 
-const runOne = (configuration: Configuration, strategy: WaveStrategy, losses: Losses): Outcome => {
+const runOne = (
+  configuration: Configuration,
+  strategy: WaveStrategy,
+  losses: FailureKind,
+): Outcome => {
   const fleet = createFleetModel({
     configuration,
-    startMs: START_MS,
+    taskStartMs: START_MS,
     rebootMs: REBOOT_MS,
     stepMs: STEP_MS,
     waveStrategy: strategy,
   });
-  const list = declaredHosts(configuration);
+  const list = listDeclaredHosts(configuration);
   const specs = new Map(list.map((spec) => [spec.hostId, spec]));
-  const services = declarationsOf(configuration, 'Service');
+  const services = listDeclarations(configuration, 'Service');
   for (let step = 0; step < SETTLE_STEPS; step += 1) fleet.step();
   const startedMs = fleet.nowMs();
   const decided = fleet.decisions.length;
@@ -128,20 +139,21 @@
   let isLost = false;
   const wave = (): WaveRow => fleet.table.read(rowKey.wave(WAVE)).value as WaveRow;
   const maintained = (): number =>
-    fleet.rows<HostRow>(rowPrefix.host).filter(({ maintainedBy }) => maintainedBy !== null).length;
-  for (let step = 0; step < MOST_STEPS && wave().phase === 'running'; step += 1) {
+    fleet.listRows<HostRow>(rowPrefix.host).filter(({ maintainedBy }) => maintainedBy !== null)
+      .length;
+  for (let step = 0; step < MAX_STEPS && wave().phase === 'running'; step += 1) {
     fleet.step();
     if (!isLost && maintained() >= list.length * LOSS_AT_SHARE) {
       isLost = true;
-      victims[losses](list, usedHost(fleet, list)).forEach(({ hostId }) =>
-        fleet.workers.kill(hostId),
+      failedHosts[losses](list, findUsedHost(fleet, list)).forEach(({ hostId }) =>
+        fleet.workers.crashHost(hostId),
       );
     }
-    const held = heldBackCores(fleet, specs);
+    const held = sumHeldBackCores(fleet, specs);
     heldBackCoreS += (held * STEP_MS) / 1000;
     peakCores = Math.max(peakCores, held);
     budgetViolations += services.filter(
-      ({ name, spec }) => fleet.readyOf(name) < spec.minReady,
+      ({ name, spec }) => fleet.countReadyExecutors(name) < spec.minReady,
     ).length;
   }
   const placed = fleet.decisions
@@ -153,27 +165,27 @@
     heldBackCoreS,
     peakCores,
     budgetViolations,
-    cutRequests: fleet.workers.faults.cutTasks,
+    cutRequests: fleet.workers.violations.interruptedTasks,
     phase: wave().phase,
   };
 };
 
 /**
- * Runs the planner and its baselines on an example, with each kind of loss.
+ * Runs the planner and its baselines on an example with each kind of failure.
  *
- * @param example - The folder under `examples/`.
- * @returns One row a run.
+ * @param example - The name of the folder under `examples/`.
+ * @returns One row per run.
  */
 export const benchWaves = async (example: string): Promise<readonly BenchRow[]> => {
   const configuration = await readExample(example);
-  const hosts = declaredHosts(configuration);
+  const hosts = listDeclaredHosts(configuration);
   const totalCores = sum(hosts.map(({ cores }) => cores));
-  const bound = boundS(configuration);
+  const bound = computeMinRollOutS(configuration);
   return allLosses.flatMap((losses) => {
     const outcomes = Object.entries(planners).map(
       ([planner, strategy]) => [planner, runOne(configuration, strategy, losses)] as const,
     );
-    // All planners are charged over the same time, so that a short wave is not held against it.
+    // The buffer cost of all planners refers to the same period, so that a short wave is not penalised.
     const horizonS = Math.max(...outcomes.map(([, { rollOutS }]) => rollOutS));
     return outcomes.map(([planner, outcome]) => ({
       bench: 'waves',
@@ -184,8 +196,8 @@
       rollOutS: outcome.rollOutS,
       boundS: bound,
       moves: outcome.moves,
-      bufferCoreFraction: rounded(outcome.heldBackCoreS / (totalCores * horizonS)),
-      peakCoreFraction: rounded(outcome.peakCores / totalCores),
+      bufferCoreFraction: roundToPrecision(outcome.heldBackCoreS / (totalCores * horizonS)),
+      peakCoreFraction: roundToPrecision(outcome.peakCores / totalCores),
       budgetViolations: outcome.budgetViolations,
       cutRequests: outcome.cutRequests,
       end: outcome.phase,
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,41 +1,43 @@
-/** The operators' command line. */
+/** The command line for operators, `valvelatch`. */
 import { Err } from 'ts-results-es';
 import yargs, { type Argv } from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
-import { callEntry, type Answer } from './client.js';
-import { readFiles } from './files.js';
-import { exitCode, printAnswer, type OutputForm, type TableWriter } from './output.js';
-import { replayFile, replayLines } from './replay-command.js';
+import { callEntry, type Answer } from './entry-client.js';
+import { readDeclarationFiles } from './declaration-files.js';
+import { EXIT_CODES, printAnswer, type OutputFormat, type LineFormatter } from './output.js';
+import { replayFile, formatReplayReport } from './replay-command.js';
 import {
-  applyLines,
-  differenceLines,
-  explanationLines,
-  listWriter,
-  statusLines,
-} from './tables.js';
+  formatApplyResult,
+  formatDifference,
+  formatExplanation,
+  createListFormatter,
+  formatStatus,
+} from './formatters.js';
 
-type Common = { readonly url: string; readonly key?: string; readonly output: string };
+/** The options that all commands share. */
+type CommonOptions = { readonly url: string; readonly key?: string; readonly output: string };
 
-const asJsonLine: TableWriter = (value) => [JSON.stringify(value)];
+const formatJsonLine: LineFormatter = (value) => [JSON.stringify(value)];
 
 const run = async (
-  common: Common,
+  commonOptions: CommonOptions,
   method: string,
   body: unknown,
-  toLines: TableWriter,
+  toLines: LineFormatter,
 ): Promise<void> => {
-  const { key = '', url, output } = common;
+  const { key = '', url, output } = commonOptions;
   const answer: Answer = await callEntry({ urls: url.split(','), key }, method, body);
-  printAnswer(answer, output as OutputForm, toLines);
+  printAnswer(answer, output as OutputFormat, toLines);
 };
 
-const readOrComplain = async (paths: readonly string[]) => {
+/** Reads the given files; prints the error and exits when one cannot be read. */
+const readFilesOrExit = async (paths: readonly string[]) => {
   try {
-    return await readFiles(paths);
+    return await readDeclarationFiles(paths);
   } catch (error) {
     process.stderr.write(`valvelatch: ${(error as Error).message}\n`);
-    return process.exit(exitCode.invalid);
+    return process.exit(EXIT_CODES.invalid);
   }
 };
 
@@ -47,28 +49,34 @@
   describe: 'files, or folders with YAML files',
 } as const;
 
-const listCommand = (argv: Argv<Common>, kind: 'pools' | 'hosts' | 'jobs') =>
+const listCommand = (argv: Argv<CommonOptions>, kind: 'pools' | 'hosts' | 'jobs') =>
   argv.command(
     'list',
     `list ${kind}`,
     { selector: { type: 'string', default: '', describe: 'labels to match, for hosts' } } as const,
     (args) =>
-      run(args as never, 'get', { kind, selector: args.selector }, listWriter(kind) as TableWriter),
+      run(
+        args as never,
+        'get',
+        { kind, selector: args.selector },
+        createListFormatter(kind) as LineFormatter,
+      ),
   );
 
-const poolCommands = (argv: Argv<Common>) => listCommand(argv, 'pools').demandCommand(1).strict();
+const poolCommands = (argv: Argv<CommonOptions>) =>
+  listCommand(argv, 'pools').demandCommand(1).strict();
 
-const hostCommands = (argv: Argv<Common>) =>
+const hostCommands = (argv: Argv<CommonOptions>) =>
   listCommand(argv, 'hosts')
-    .command('drain <host>', 'empty a host and keep it out of use', {}, (args) =>
-      run(args as never, 'host-drain', { hostId: args.host }, asJsonLine),
+    .command('drain <host>', 'drain a host and take it out of service', {}, (args) =>
+      run(args as never, 'host-drain', { hostId: args.host }, formatJsonLine),
     )
-    .command('return <host>', 'take a host back into use', {}, (args) =>
-      run(args as never, 'host-return', { hostId: args.host }, asJsonLine),
+    .command('return <host>', 'return a host to service', {}, (args) =>
+      run(args as never, 'host-return', { hostId: args.host }, formatJsonLine),
     )
     .command(
       'move <host>',
-      'move a host to another pool, once it is empty',
+      'move a host to another pool once it is empty',
       {
         to: { type: 'string', demandOption: true, describe: 'the pool' },
       } as const,
@@ -77,50 +85,50 @@
           args as never,
           'host-move',
           { hostId: (args as never as { host: string }).host, toPool: args.to },
-          asJsonLine,
+          formatJsonLine,
         ),
     )
     .demandCommand(1)
     .strict();
 
-const jobCommands = (argv: Argv<Common>) =>
+const jobCommands = (argv: Argv<CommonOptions>) =>
   listCommand(argv, 'jobs')
     .command('submit', 'submit jobs', { file: fileOption } as const, async (args) => {
-      const files = await readOrComplain(args.file);
-      await run(args as never, 'job-submit', { files }, asJsonLine);
+      const files = await readFilesOrExit(args.file);
+      await run(args as never, 'job-submit', { files }, formatJsonLine);
     })
     .command('cancel <name>', 'cancel a job', {}, (args) =>
-      run(args as never, 'job-cancel', { name: args.name }, asJsonLine),
+      run(args as never, 'job-cancel', { name: args.name }, formatJsonLine),
     )
     .demandCommand(1)
     .strict();
 
-const waveChange = (argv: Argv<Common>, change: 'hold' | 'resume' | 'cancel') =>
-  argv.command(`${change} <name>`, `${change} a wave`, {}, (args) =>
-    run(args as never, 'wave-change', { name: args.name, change }, asJsonLine),
+const addWaveChangeCommand = (argv: Argv<CommonOptions>, change: 'hold' | 'resume' | 'cancel') =>
+  argv.command(`${change} <name>`, `${change} a maintenance wave`, {}, (args) =>
+    run(args as never, 'wave-change', { name: args.name, change }, formatJsonLine),
   );
 
-const waveCommands = (argv: Argv<Common>) => {
-  const started = argv
+const waveCommands = (argv: Argv<CommonOptions>) => {
+  const commands = argv
     .command(
       'start <name>',
-      'start a wave of maintenance over the hosts that a selector names',
+      'start a maintenance wave on the hosts that match a selector',
       { selector: { type: 'string', demandOption: true } } as const,
       (args) =>
         run(
           args as never,
           'wave-start',
           { name: (args as never as { name: string }).name, selector: args.selector },
-          asJsonLine,
+          formatJsonLine,
         ),
     )
-    .command('list', 'list waves', {}, (args) =>
-      run(args as never, 'get', { kind: 'waves' }, listWriter('waves') as TableWriter),
+    .command('list', 'list maintenance waves', {}, (args) =>
+      run(args as never, 'get', { kind: 'waves' }, createListFormatter('waves') as LineFormatter),
     );
-  waveChange(started, 'hold');
-  waveChange(started, 'resume');
-  waveChange(started, 'cancel');
-  return started.demandCommand(1).strict();
+  addWaveChangeCommand(commands, 'hold');
+  addWaveChangeCommand(commands, 'resume');
+  addWaveChangeCommand(commands, 'cancel');
+  return commands.demandCommand(1).strict();
 };
 
 const cli = yargs(hideBin(process.argv))
@@ -132,7 +140,7 @@
     url: {
       type: 'string',
       default: process.env.VALVELATCH_URL ?? 'http://127.0.0.1:7002',
-      describe: "operators' addresses of entries, joined by commas (VALVELATCH_URL)",
+      describe: "addresses of the entries' operators' ports, separated by commas (VALVELATCH_URL)",
     },
     key: {
       type: 'string',
@@ -140,25 +148,25 @@
       defaultDescription: 'VALVELATCH_KEY',
       describe: "the operators' key (VALVELATCH_KEY)",
     },
-    output: { choices: ['table', 'json'] as const, default: 'table', describe: 'form of output' },
+    output: { choices: ['table', 'json'] as const, default: 'table', describe: 'output format' },
   })
   .command(
     'apply',
-    'put a set of declarations in force, whole or not at all',
+    'apply a set of declarations atomically',
     {
       file: fileOption,
-      'base-revision': { type: 'number', describe: 'the revision that you have seen' },
+      'base-revision': { type: 'number', describe: 'the revision that the changes are based on' },
       author: { type: 'string', default: process.env.USER ?? 'operator' },
       'wait-ms': {
         type: 'number',
         default: 0,
-        describe: 'wait so long for it to be in force everywhere',
+        describe: 'how long to wait until all entries have applied it',
       },
     } as const,
     async (args) => {
-      const files = await readOrComplain(args.file);
+      const files = await readFilesOrExit(args.file);
       const { baseRevision, author, waitMs } = args;
-      await run(args as never, 'apply', { files, baseRevision, author, waitMs }, applyLines);
+      await run(args as never, 'apply', { files, baseRevision, author, waitMs }, formatApplyResult);
     },
   )
   .command(
@@ -166,17 +174,17 @@
     'show what an apply would change',
     { file: fileOption } as const,
     async (args) => {
-      const files = await readOrComplain(args.file);
+      const files = await readFilesOrExit(args.file);
       const toLines = ({ revision, difference }: { revision: number; difference: never }) => [
         `against revision ${revision}`,
-        ...differenceLines(difference),
+        ...formatDifference(difference),
       ];
       await run(args as never, 'diff', { files }, toLines);
     },
   )
   .command(
     'get <kind>',
-    'show what is in force',
+    'show the current configuration or state',
     (argv) =>
       argv
         .positional('kind', {
@@ -199,23 +207,24 @@
           describe: 'labels to match, for hosts',
         }),
     (args) => {
-      const toLines = args.kind === 'config' ? asJsonLine : (listWriter(args.kind) as TableWriter);
+      const toLines =
+        args.kind === 'config' ? formatJsonLine : (createListFormatter(args.kind) as LineFormatter);
       return run(args, 'get', { kind: args.kind, selector: args.selector }, toLines);
     },
   )
   .command('pool', 'pools of hosts', (argv) => poolCommands(argv as never))
   .command('host', 'hosts', (argv) => hostCommands(argv as never))
   .command('job', 'jobs', (argv) => jobCommands(argv as never))
-  .command('wave', 'waves of maintenance', (argv) => waveCommands(argv as never))
+  .command('wave', 'maintenance waves', (argv) => waveCommands(argv as never))
   .command(
     'doubt-clear',
-    'vouch that no claim of a replaced data centre matters any more',
+    'confirm that claims of replaced data centres no longer matter',
     {},
-    (args) => run(args as never, 'doubt-clear', {}, asJsonLine),
+    (args) => run(args as never, 'doubt-clear', {}, formatJsonLine),
   )
   .command(
     'explain <kind> <name>',
-    'why a job runs where it does, a host is withheld, a request was refused',
+    'explain a placement, the state of an object or a refused request',
     (argv) =>
       argv
         .positional('kind', {
@@ -228,12 +237,12 @@
         args as never,
         'explain',
         { kind: args.kind, name: args.name },
-        explanationLines as TableWriter,
+        formatExplanation as LineFormatter,
       ),
   )
   .command(
     'replay <file>',
-    'replay a recorded trace against the decisions and check its stated outcomes',
+    'replay a recorded trace and check the outcomes that it expects',
     (argv) =>
       argv
         .positional('file', { type: 'string', demandOption: true })
@@ -242,27 +251,27 @@
       const report = await replayFile(file).catch((error: Error) => Err(error.message));
       if (report.isErr()) {
         process.stderr.write(`valvelatch: ${report.error}\n`);
-        process.exitCode = exitCode.invalid;
+        process.exitCode = EXIT_CODES.invalid;
         return;
       }
-      process.exitCode = report.value.broken.length === 0 ? exitCode.ok : exitCode.fault;
+      process.exitCode = report.value.broken.length === 0 ? EXIT_CODES.ok : EXIT_CODES.fault;
       const lines =
         output === 'json'
           ? [JSON.stringify(report.value, null, 2)]
-          : replayLines(report.value, decisions);
+          : formatReplayReport(report.value, decisions);
       process.stdout.write(`${lines.join('\n')}\n`);
     },
   )
-  .command('status', 'how the entries stand', {}, (args) =>
-    run(args as never, 'status', {}, statusLines as TableWriter),
+  .command('status', 'show the status of the entries', {}, (args) =>
+    run(args as never, 'status', {}, formatStatus as LineFormatter),
   )
-  .demandCommand(1, 'name a command')
+  .demandCommand(1, 'a command is required')
   .strict()
   .recommendCommands()
   .wrap(null)
   .fail((message, error) => {
     process.stderr.write(`valvelatch: ${message ?? error.message}\n`);
-    process.exit(message ? exitCode.usage : exitCode.fault);
+    process.exit(message ? EXIT_CODES.usage : EXIT_CODES.fault);
   });
 
 await cli.parseAsync();
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,10 +1,10 @@
-/** What the command line prints, as a table for people or as JSON for scripts. */
-import type { Answer } from './client.js';
+/** Prints answers, as tables for people or as JSON for scripts, and sets the exit code. */
+import type { Answer } from './entry-client.js';
 
-export type OutputForm = 'table' | 'json';
+export type OutputFormat = 'table' | 'json';
 
-/** Exit codes that scripts can rely on. */
-export const exitCode = {
+/** Exit codes of the command line; a stable interface for scripts. */
+export const EXIT_CODES = {
   ok: 0,
   fault: 1,
   usage: 2,
@@ -16,40 +16,43 @@
 } as const;
 
 const codeByKind: Readonly<Record<string, number>> = {
-  ok: exitCode.ok,
-  invalid: exitCode.invalid,
-  conflict: exitCode.conflict,
-  'not-found': exitCode.notFound,
-  unavailable: exitCode.unavailable,
-  unauthorized: exitCode.unauthorized,
+  ok: EXIT_CODES.ok,
+  invalid: EXIT_CODES.invalid,
+  conflict: EXIT_CODES.conflict,
+  'not-found': EXIT_CODES.notFound,
+  unavailable: EXIT_CODES.unavailable,
+  unauthorized: EXIT_CODES.unauthorized,
 };
 
 /**
- * Gives the exit code for an answer.
+ * Returns the exit code for an answer; `fault` for an unknown kind.
  *
  * @param answer - The entry's answer.
  * @returns The code.
  */
-export const exitCodeOf = (answer: Answer): number => codeByKind[answer.kind] ?? exitCode.fault;
+export const exitCodeOf = (answer: Answer): number => codeByKind[answer.kind] ?? EXIT_CODES.fault;
 
 type Row = Readonly<Record<string, unknown>>;
 
-const cell = (value: unknown): string => {
+const formatCell = (value: unknown): string => {
   if (value === null || value === undefined) return '-';
   return typeof value === 'object' ? JSON.stringify(value) : String(value);
 };
 
 /**
- * Writes rows as an aligned table.
+ * Formats rows as an aligned table with a header line.
  *
  * @param rows - The rows.
- * @param columns - The columns, in order.
+ * @param columns - The properties to show, in order.
  * @returns The lines.
  */
-export const tableLines = (rows: readonly Row[], columns: readonly string[]): readonly string[] => {
+export const formatTable = (
+  rows: readonly Row[],
+  columns: readonly string[],
+): readonly string[] => {
   const cells = [
     columns.map((column) => column.toUpperCase()),
-    ...rows.map((row) => columns.map((column) => cell(row[column]))),
+    ...rows.map((row) => columns.map((column) => formatCell(row[column]))),
   ];
   const widths = columns.map((_, index) =>
     Math.max(...cells.map((line) => (line[index] as string).length)),
@@ -62,8 +65,8 @@
   );
 };
 
-/** Writes the value of an answer for people. */
-export type TableWriter = (value: never) => readonly string[];
+/** Formats the value of an answer as lines for people. */
+export type LineFormatter = (value: never) => readonly string[];
 
 const writeError = ({ kind, detail, faults = [] }: Answer): void => {
   process.stderr.write(`valvelatch: ${kind}: ${detail ?? ''}\n`);
@@ -76,10 +79,10 @@
  * Prints an answer and sets the exit code of the process.
  *
  * @param answer - The entry's answer.
- * @param form - The form of output.
- * @param toLines - Writes the value for people.
+ * @param form - The output format.
+ * @param toLines - Formats the value for the table format.
  */
-export const printAnswer = (answer: Answer, form: OutputForm, toLines: TableWriter): void => {
+export const printAnswer = (answer: Answer, form: OutputFormat, toLines: LineFormatter): void => {
   process.exitCode = exitCodeOf(answer);
   if (form === 'json') {
     process.stdout.write(`${JSON.stringify(answer, null, 2)}\n`);
--- a/packages/core/src/batch/accounts/quota.test.ts
+++ b/packages/core/src/batch/accounts/quota.test.ts
@@ -1,26 +1,31 @@
-/** What client accounts may have running, and what counts as running. */
+/** Quotas of client accounts, and which runs count towards them. */
 import { describe, expect, it } from 'vitest';
 
 import { brand, type AccountName, type EndpointId, type JobId } from '../../shared/ids.js';
 import type { JobOwner } from '../model/accounts.js';
 import { NO_LIMIT } from '../model/capacity.js';
 import {
-  answer,
+  applyAnswer,
   FIRST,
   POOL,
   SECOND,
-  see,
+  addEndpoint,
   submitJob,
-  type Submission,
+  type JobOptions,
 } from '../testing/batch-state.fixtures.js';
-import { instanceOf } from '../model/endpoint-life.js';
-import { expectReports } from '../endpoints/endpoints.js';
-import { removeEndpoint, settleGoneEndpoints } from '../endpoints/gone-endpoints.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
+import { addPendingReports } from '../endpoints/endpoints.js';
+import { removeEndpoint, giveUpRunsOfGoneEndpoints } from '../endpoints/gone-endpoints.js';
 import { taskKey, type StepSpec } from '../model/job.js';
-import { cancelJob } from '../jobs/jobs.js';
-import { applyStartOutcome } from '../endpoints/order-answers.js';
-import { PLAIN_STEP } from '../model/plain-step.js';
-import { findQuotaFault, reckonUnreported, takeAccounts, takeOwner } from './quota.js';
+import { cancelJob } from '../jobs/job-lifecycle.js';
+import { applyStartOutcome } from '../endpoints/order-responses.js';
+import { DEFAULT_STEP } from '../model/default-step.js';
+import {
+  findQuotaViolation,
+  estimateUnreportedUsage,
+  setAccounts,
+  recordOwnerLimits,
+} from './quota.js';
 import { schedulePool } from '../placement/schedule.js';
 import { createBatchState, type BatchState } from '../model/state.js';
 
@@ -38,17 +43,17 @@
   maximum: { ...NO_LIMIT, cpuMillis },
 });
 
-const submit = (state: BatchState, jobId: JobId, submission: Submission): void => {
+const submit = (state: BatchState, jobId: JobId, submission: JobOptions): void => {
   submitJob(state, jobId, submission);
-  if (submission.owner) takeOwner(state, submission.owner);
+  if (submission.owner) recordOwnerLimits(state, submission.owner);
 };
 
-/** A holder with two endpoints of eight cores that have answered. */
-const stateWith = (): BatchState => {
+/** The state of a control holder with two endpoints of eight cores that have reported. */
+const stateWithTwoEndpoints = (): BatchState => {
   const state = createBatchState(2);
   [FIRST, SECOND].forEach((endpointId) => {
-    see(state, endpointId);
-    answer(state, { endpointId, askedAtMs: 5, nowMs: 10 });
+    addEndpoint(state, endpointId);
+    applyAnswer(state, { endpointId, requestedAtMs: 5, nowMs: 10 });
   });
   return state;
 };
@@ -58,22 +63,22 @@
     .flatMap(({ runs }) => Array.from(runs.values()))
     .filter(({ step }) => step.job.job.jobId === jobId).length;
 
-const declare = (state: BatchState, ...owners: readonly JobOwner[]): void =>
-  takeAccounts(
+const setOwners = (state: BatchState, ...owners: readonly JobOwner[]): void =>
+  setAccounts(
     state,
     new Map(owners.map(({ account, maximum }) => [account, { maximum, weight: 1 }])),
   );
 
 describe('an account with a maximum', () => {
-  it('has no more running on all endpoints together than that', () => {
-    const state = stateWith();
+  it('never uses more than its maximum on all endpoints together', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { step: { taskCount: 16 }, owner: ownerOf(NORTH, 10_000) });
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[0])).toBe(10);
   });
 
-  it('does not keep others from the room that is left', () => {
-    const state = stateWith();
+  it('leaves the remaining capacity to other accounts', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { step: { taskCount: 16 }, owner: ownerOf(NORTH, 10_000) });
     submit(state, JOBS[1], { step: { taskCount: 6 }, owner: ownerOf(SOUTH, 0) });
     submit(state, JOBS[2], { step: { taskCount: 6 } });
@@ -81,8 +86,8 @@
     expect(JOBS.map((jobId) => runsOf(state, jobId))).toEqual([10, 6, 0]);
   });
 
-  it('does not hold up others by however many steps that wait for it', () => {
-    const state = stateWith();
+  it('does not delay other jobs, however many of its steps wait for the quota', () => {
+    const state = stateWithTwoEndpoints();
     const owner = ownerOf(NORTH, 1000);
     Array.from({ length: 90 }).forEach((_, index) =>
       submit(state, brand<JobId>(`${index}`.padStart(16, '0')), { owner }),
@@ -92,8 +97,8 @@
     expect(runsOf(state, JOBS[2])).toBe(4);
   });
 
-  it('has runs counted until they have surely ended', () => {
-    const state = stateWith();
+  it('is charged for cancelled runs until they have ended with certainty', () => {
+    const state = stateWithTwoEndpoints();
     const owner = ownerOf(NORTH, 8000);
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner });
     schedulePool(state, POOL, 20);
@@ -103,12 +108,12 @@
     expect(runsOf(state, JOBS[1])).toBe(0);
     removeEndpoint(state, FIRST, { detail: 'host-taken', atMs: 40, nowMs: 40 });
     removeEndpoint(state, SECOND, { detail: 'host-taken', atMs: 40, nowMs: 40 });
-    settleGoneEndpoints(state, 40);
+    giveUpRunsOfGoneEndpoints(state, 40);
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 
-  it('has an order that was refused taken off again', () => {
-    const state = stateWith();
+  it('is no longer charged for a start order that the endpoint rejected', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { owner: ownerOf(NORTH, 1000) });
     schedulePool(state, POOL, 20);
     expect(state.usage.get(NORTH)).toMatchObject({ cpuMillis: 1000 });
@@ -122,37 +127,37 @@
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 
-  it('has what it had running when its maximum fell, and begins nothing more', () => {
-    const state = stateWith();
-    declare(state, ownerOf(NORTH, 16_000));
+  it('keeps its running tasks but starts no more when its maximum is lowered', () => {
+    const state = stateWithTwoEndpoints();
+    setOwners(state, ownerOf(NORTH, 16_000));
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 16_000) });
     schedulePool(state, POOL, 20);
-    declare(state, ownerOf(NORTH, 2000));
+    setOwners(state, ownerOf(NORTH, 2000));
     submit(state, JOBS[1], { owner: ownerOf(NORTH, 2000) });
     schedulePool(state, POOL, 30);
     expect([runsOf(state, JOBS[0]), runsOf(state, JOBS[1])]).toEqual([8, 0]);
     expect(state.effects.filter(({ kind }) => kind === 'stop')).toEqual([]);
   });
 
-  it('keeps its last maximum once the configuration has lost it', () => {
-    const state = stateWith();
-    declare(state, ownerOf(NORTH, 3000));
-    declare(state);
+  it('keeps its last maximum when the configuration no longer names it', () => {
+    const state = stateWithTwoEndpoints();
+    setOwners(state, ownerOf(NORTH, 3000));
+    setOwners(state);
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 9000) });
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[0])).toBe(3);
   });
 
-  it('goes by the row of its job where the configuration has never named it', () => {
-    const state = stateWith();
+  it('uses the maximum stored with its job if the configuration has never named it', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { step: { taskCount: 8 }, owner: ownerOf(NORTH, 4000) });
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[0])).toBe(4);
   });
 
-  it('has a task that is wider than half of it begun beside less than half', () => {
-    const state = stateWith();
-    declare(state, ownerOf(NORTH, 8000));
+  it('may start a task of more than half its maximum while it uses less than half', () => {
+    const state = stateWithTwoEndpoints();
+    setOwners(state, ownerOf(NORTH, 8000));
     submit(state, JOBS[0], { step: { taskCount: 3 }, owner: ownerOf(NORTH, 8000) });
     submit(state, JOBS[1], {
       step: { taskCount: 2, cpuMillis: 6000 },
@@ -162,8 +167,8 @@
     expect([runsOf(state, JOBS[0]), runsOf(state, JOBS[1])]).toEqual([3, 1]);
   });
 
-  it('has a gang begun as a whole or not at all', () => {
-    const state = stateWith();
+  it('starts a gang as a whole or not at all', () => {
+    const state = stateWithTwoEndpoints();
     const gang = { taskCount: 6, isGang: true };
     submit(state, JOBS[0], { step: gang, owner: ownerOf(NORTH, 10_000) });
     submit(state, JOBS[1], { step: gang, owner: ownerOf(NORTH, 10_000) });
@@ -172,51 +177,51 @@
   });
 });
 
-describe('what an earlier holder may have begun', () => {
-  /** A new holder of whose three endpoints the last has not answered. */
-  const inherited = (step: Partial<StepSpec>): BatchState => {
-    const state = stateWith();
-    see(state, THIRD);
-    expectReports(state, [{ instanceId: instanceOf(THIRD), pool: POOL }]);
+describe('runs that an earlier control holder may have started', () => {
+  /** The state of a new control holder with three endpoints, the last of which has not reported yet. */
+  const stateAfterTakeover = (step: Partial<StepSpec>): BatchState => {
+    const state = stateWithTwoEndpoints();
+    addEndpoint(state, THIRD);
+    addPendingReports(state, [{ instanceId: instanceIdOf(THIRD), pool: POOL }]);
     state.inheritedLeasesEndAtMs = 9000;
     submit(state, JOBS[0], { step, owner: ownerOf(NORTH, 10_000), isInherited: true });
     submit(state, JOBS[1], { step: { taskCount: 10 }, owner: ownerOf(NORTH, 10_000) });
-    reckonUnreported(state, 20);
+    estimateUnreportedUsage(state, 20);
     schedulePool(state, POOL, 20);
     return state;
   };
 
-  it('counts as running while an endpoint has not answered', () => {
-    const state = inherited({ taskCount: 4 });
+  it('count as running while an endpoint has not reported', () => {
+    const state = stateAfterTakeover({ taskCount: 4 });
     expect(runsOf(state, JOBS[1])).toBe(6);
   });
 
-  it('counts no more than fits there', () => {
-    const state = inherited({ taskCount: 100 });
+  it('count only up to the capacity of the endpoints that have not reported', () => {
+    const state = stateAfterTakeover({ taskCount: 100 });
     expect(runsOf(state, JOBS[1])).toBe(2);
   });
 
-  it('counts in full while hosts that no list names may hold it', () => {
-    const state = stateWith();
+  it('count in full until the host list is known', () => {
+    const state = stateWithTwoEndpoints();
     state.isHostListAwaited = true;
     state.inheritedLeasesEndAtMs = 9000;
     const step = { taskCount: 9 };
     submit(state, JOBS[0], { step, owner: ownerOf(NORTH, 10_000), isInherited: true });
     submit(state, JOBS[1], { step, owner: ownerOf(NORTH, 10_000) });
-    reckonUnreported(state, 20);
+    estimateUnreportedUsage(state, 20);
     schedulePool(state, POOL, 20);
     expect(runsOf(state, JOBS[1])).toBe(1);
   });
 
-  it('is not counted any more once all have answered', () => {
-    const state = inherited({ taskCount: 4 });
-    answer(state, { endpointId: THIRD, askedAtMs: 30, nowMs: 40 });
-    reckonUnreported(state, 50);
+  it('no longer count once all endpoints have reported', () => {
+    const state = stateAfterTakeover({ taskCount: 4 });
+    applyAnswer(state, { endpointId: THIRD, requestedAtMs: 30, nowMs: 40 });
+    estimateUnreportedUsage(state, 50);
     expect(state.unreportedUsage.size).toBe(0);
   });
 
-  it('counts where an endpoint lists it though its job has ended', () => {
-    const state = stateWith();
+  it('count while an endpoint reports them although their job has ended', () => {
+    const state = stateWithTwoEndpoints();
     submit(state, JOBS[0], { owner: ownerOf(NORTH, 1000) });
     cancelJob(state, JOBS[0], NORTH);
     const listed = {
@@ -226,21 +231,21 @@
       percent: 1,
       figure: 0,
     };
-    answer(state, { running: [listed], askedAtMs: 30, nowMs: 40 });
+    applyAnswer(state, { running: [listed], requestedAtMs: 30, nowMs: 40 });
     expect(state.usage.get(NORTH)).toMatchObject({ cpuMillis: 1000 });
-    answer(state, { askedAtMs: 50, nowMs: 60 });
+    applyAnswer(state, { requestedAtMs: 50, nowMs: 60 });
     expect(state.usage.get(NORTH)).toEqual(NO_LIMIT);
   });
 });
 
-describe('a job that can never begin under the maximum of its account', () => {
+describe('the quota check of a job before it is accepted', () => {
   it.each([
     [{ cpuMillis: 6000 }, undefined],
     [{ cpuMillis: 10_001 }, 'a task of step 0 needs 10001 cpuMillis'],
     [{ taskCount: 11, isGang: true }, 'the 11 tasks of gang step 0 needs 11000 cpuMillis'],
     [{ taskCount: 11 }, undefined],
-  ])('is told as it comes in: %j', (step, expected) => {
-    const fault = findQuotaFault([{ ...PLAIN_STEP, ...step }], ownerOf(NORTH, 10_000));
+  ])('names a step that can never start under the maximum: %j', (step, expected) => {
+    const fault = findQuotaViolation([{ ...DEFAULT_STEP, ...step }], ownerOf(NORTH, 10_000));
     if (expected === undefined) expect(fault).toBeUndefined();
     else expect(fault).toContain(expected);
   });
--- a/packages/core/src/batch/crashes/trials.ts
+++ b/packages/core/src/batch/crashes/trials.ts
@@ -1,10 +1,11 @@
 /**
- * Starts of tasks that endpoints crashed under. Each is written to the job's row before it is ordered: a holder that
- * is lost before it could write that the next endpoint crashed, too, leaves the start behind, and the next holder counts
- * it unless an endpoint tells what became of it.
+ * Announced starts, which the code calls trials: starts of tasks under which endpoints crashed or may have crashed.
+ * Each is written to the job's row before it is ordered. If the control holder is lost before it can record that the
+ * next endpoint crashed as well, the row still holds the announced start, and the next holder counts it as a crash
+ * unless an endpoint reports what became of the run.
  */
 import { change } from '../../shared/change.js';
-import { isSettled } from './endpoint-crashes.js';
+import { hasSurvivedObservation } from './endpoint-crashes.js';
 import { nextRunNumber } from '../endpoints/runs.js';
 import type {
   BatchState,
@@ -15,74 +16,78 @@
   Task,
 } from '../model/state.js';
 
-const isAccountedFor = ({ lastEnd, crashes }: Task, run: number): boolean =>
+/** Tells whether the end of a run, or of a later run of the task, is known. */
+const hasKnownEnd = ({ lastEnd, crashes }: Task, run: number): boolean =>
   (lastEnd?.run ?? 0) >= run || crashes.some((crash) => crash.run >= run);
 
 /**
- * Gives the announced start of a task of which no end is known.
+ * Returns the announced start of a task if the end of its run is not known.
  *
  * @param task - The task.
- * @returns The run, or undefined if none is open.
+ * @returns The run number; undefined if there is no such start.
  */
-export const openTrialOf = (
+export const findOpenTrialRun = (
   task: Pick<Task, 'trial' | 'lastEnd' | 'crashes'>,
 ): number | undefined =>
-  task.trial && !isAccountedFor(task as Task, task.trial.run) ? task.trial.run : undefined;
+  task.trial && !hasKnownEnd(task as Task, task.trial.run) ? task.trial.run : undefined;
 
 /**
- * Tells whether a task may be begun under the run that was announced for it.
+ * Returns the run under which a task may be started because this holder announced the start.
  *
  * @param task - The task.
- * @returns The run, or undefined if one must be announced first.
+ * @returns The run number; undefined if the start must be announced first.
  */
-export const announcedRunOf = (task: Task): number | undefined =>
-  task.trial?.isInherited === false ? openTrialOf(task) : undefined;
+export const findAnnouncedRun = (task: Task): number | undefined =>
+  task.trial?.isInherited === false ? findOpenTrialRun(task) : undefined;
 
 /**
- * Tells whether all that was counted and announced is in the job's row, so that whoever holds control next knows of it.
+ * Tells whether all recorded crashes and announced starts are in the job's row, so that the next holder will know of
+ * them.
  *
  * @param job - The job.
- * @returns False while a write is awaited.
+ * @returns False while a write is pending.
  */
-export const isWritten = ({ blameRevision, writtenBlameRevision }: JobState): boolean =>
-  writtenBlameRevision >= blameRevision;
+export const areCrashRecordsWritten = ({
+  crashRecordRevision,
+  writtenCrashRecordRevision,
+}: JobState): boolean => writtenCrashRecordRevision >= crashRecordRevision;
 
 /**
- * Announces the next start of tasks in the row of their job; they are not begun before it is written.
+ * Announces the next start of tasks in the row of their job. The tasks are not started until the row has been written.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The batch state, changed in place.
  * @param step - Their step.
- * @param tasks - The tasks; all get the same run, as members of a gang must have.
+ * @param tasks - The tasks. All get the same run number, as the members of a gang must.
  */
 export const announceTrials = (state: BatchState, step: StepRun, tasks: readonly Task[]): void => {
   const { job } = step;
   const run = nextRunNumber(state.fence, Math.max(...tasks.map(({ lastRun }) => lastRun)));
   tasks.forEach((task) => change(task, { trial: { run, isInherited: false } }));
-  change(job, { blameRevision: job.blameRevision + 1 });
+  change(job, { crashRecordRevision: job.crashRecordRevision + 1 });
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
 };
 
 /**
- * Notes a start that an earlier holder announced.
+ * Restores a start that an earlier holder announced.
  *
  * @param task - The task, changed in place.
- * @param run - The run.
+ * @param run - The run number.
  */
-export const inheritTrial = (task: Task, run: number): void =>
+export const restoreTrial = (task: Task, run: number): void =>
   change(task, { trial: { run, isInherited: true }, lastRun: Math.max(task.lastRun, run) });
 
 /**
- * Counts the inherited starts of a step that no endpoint tells of, once all that may run them have answered: the
- * endpoint that began one is gone.
+ * Counts as crashes those inherited announced starts of a step that no endpoint reports, because the endpoint that
+ * started the run must be gone. To be called only after all endpoints that may run the step have answered.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The batch state, changed in place.
  * @param step - The step.
- * @param nowMs - The time.
+ * @param nowMs - The current time.
  */
 export const countLostTrials = (state: BatchState, step: StepRun, nowMs: number): void => {
   const { job, tasks } = step;
   const lost = tasks.flatMap((task) => {
-    const run = openTrialOf(task);
+    const run = findOpenTrialRun(task);
     const isLost = run !== undefined && task.trial?.isInherited && task.phase === 'waiting';
     return isLost ? [{ task, run }] : [];
   });
@@ -99,25 +104,26 @@
           isSoleSuspect: true,
           isCorrelated: false,
           fence: state.fence,
-          countedAtMs: Math.round(nowMs + state.todayAheadMs),
+          countedAtMs: Math.round(nowMs + state.wallClockOffsetMs),
         },
       ],
     }),
   );
-  change(job, { blameRevision: job.blameRevision + 1 });
+  change(job, { crashRecordRevision: job.crashRecordRevision + 1 });
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
 };
 
 /**
- * Closes the announced start of a run that its endpoint has lived with: its end tells nothing any more.
+ * Removes the announced start of a run once its endpoint has been alive with it for the observation period: a later
+ * crash is no longer conclusive.
  *
- * @param state - All that is known, changed in place.
- * @param endpoint - Where it runs.
+ * @param state - The batch state, changed in place.
+ * @param endpoint - The endpoint that runs it.
  * @param run - The run.
  */
 export const closeTrial = (state: BatchState, endpoint: EndpointState, run: RunState): void => {
   const { task, step } = run;
-  if (task.trial?.run !== run.run || !isSettled(endpoint, run)) return;
+  if (task.trial?.run !== run.run || !hasSurvivedObservation(endpoint, run)) return;
   change(task, { trial: null });
   state.effects.push({ kind: 'save', jobId: step.job.job.jobId, isUrgent: false });
 };
--- a/packages/core/src/batch/endpoints/reports.test.ts
+++ b/packages/core/src/batch/endpoints/reports.test.ts
@@ -1,27 +1,27 @@
-/** What is made of the reports of endpoints. */
+/** How the reports of endpoints are applied. */
 import { describe, expect, it } from 'vitest';
 
 import {
-  answer,
+  applyAnswer,
   FIRST,
   SECOND,
-  see,
-  stateWithJob,
+  addEndpoint,
+  createStateWithJob,
   JOB,
   TASK,
   taskOf,
 } from '../testing/batch-state.fixtures.js';
 import type { EndpointId } from '../../shared/ids.js';
-import type { EndReport, RunningReport } from './reports.js';
+import type { EndedRunReport, RunningReport } from './reports.js';
 import type { BatchState } from '../model/state.js';
 
 const stateWith = (...endpointIds: EndpointId[]): BatchState => {
-  const state = stateWithJob({ isInherited: true });
-  endpointIds.forEach((endpointId) => see(state, endpointId));
+  const state = createStateWithJob({ isInherited: true });
+  endpointIds.forEach((endpointId) => addEndpoint(state, endpointId));
   return state;
 };
 
-const failed = (number: number, run: number): EndReport => ({
+const failed = (number: number, run: number): EndedRunReport => ({
   number,
   task: TASK,
   run,
@@ -37,19 +37,23 @@
   figure: 0,
 });
 
-const report = (state: BatchState, endpointId: EndpointId, ended: readonly EndReport[]): void =>
-  answer(state, { endpointId, ended, askedAtMs: 1, nowMs: 2 });
+const report = (
+  state: BatchState,
+  endpointId: EndpointId,
+  ended: readonly EndedRunReport[],
+): void => applyAnswer(state, { endpointId, ended, requestedAtMs: 1, nowMs: 2 });
 
 describe('reports of endpoints', () => {
-  it('count each failed run once, in whatever order endpoints list them again', () => {
-    // Guards the budget of attempts where a holder is lost before it has written three failures.
+  it('count each failed run, in whatever order endpoints list them', () => {
+    // Guards the limit of attempts if a holder is lost before it has stored three failures: the next holder then
+    // receives them from several endpoints, not in the order of the run numbers.
     const state = stateWith(FIRST, SECOND);
     report(state, SECOND, [failed(1, 1003)]);
     report(state, FIRST, [failed(1, 1001), failed(2, 1002)]);
     expect(state.jobs.get(JOB)?.phase).toBe('failed');
   });
 
-  it('count a failure that is listed again only once', () => {
+  it('count a failure once if it is listed repeatedly', () => {
     const state = stateWith(FIRST);
     report(state, FIRST, [failed(1, 1001)]);
     report(state, FIRST, [failed(1, 1001)]);
@@ -57,20 +61,20 @@
     expect(state.jobs.get(JOB)?.phase).not.toBe('failed');
   });
 
-  describe('that name neither the run nor its end', () => {
+  describe('that list a run neither as running nor as ended', () => {
     const phaseAfter = (hasMoreEnds: boolean): string => {
       const state = stateWith(FIRST);
-      answer(state, { running: [running(1001)], askedAtMs: 1, nowMs: 2 });
-      answer(state, { hasMoreEnds, askedAtMs: 10, nowMs: 12 });
+      applyAnswer(state, { running: [running(1001)], requestedAtMs: 1, nowMs: 2 });
+      applyAnswer(state, { hasMoreEnds, requestedAtMs: 10, nowMs: 12 });
       return taskOf(state).phase;
     };
 
-    it('show that it is gone if they list all that has ended', () => {
+    it('put the task back into the queue if they list all ended runs', () => {
       expect(phaseAfter(false)).toBe('waiting');
     });
 
-    it('show nothing if more has ended than they list', () => {
-      // While the table is away ends gather: 21 a second of tasks of 0.8 s on 32 cores.
+    it('leave the run unchanged if they do not list all ended runs', () => {
+      // While the table is unavailable, ended runs accumulate: 21 per second with tasks of 0.8 s on 32 cores.
       expect(phaseAfter(true)).toBe('placed');
     });
   });
--- a/packages/core/src/batch/endpoints/reports.ts
+++ b/packages/core/src/batch/endpoints/reports.ts
@@ -1,15 +1,15 @@
-/** What endpoints report: which tasks run, which have ended and how. */
+/** Applies the reports of endpoints: which runs are active, which have ended and how. */
 import type { EndpointId } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import { noteAnswered } from '../domains/outage.js';
-import { instanceOf } from '../model/endpoint-life.js';
-import { followRuns } from './followed-runs.js';
+import { recordAnswered } from '../domains/suspected-domains.js';
+import { instanceIdOf } from '../model/endpoint-incarnation.js';
+import { applyFirstReport } from './incarnation-runs.js';
 import { parseTaskKey, type TaskKey } from '../model/job.js';
-import { endJob, findReportedTask, markDone } from '../jobs/jobs.js';
-import { chargeStrays } from '../accounts/quota.js';
-import { learnRunTime } from '../jobs/run-times.js';
-import { noteRunEnd, type RunEvidence } from './run-end.js';
-import { loseRun } from './lost-runs.js';
+import { endJob, findReportedTask, completeTask } from '../jobs/job-lifecycle.js';
+import { chargeUnexpectedRuns } from '../accounts/quota.js';
+import { recordRunTime } from '../jobs/run-times.js';
+import { recordRunEnd, type RunEvidence } from './run-end.js';
+import { endRunWithoutReport } from './unreported-runs.js';
 import { addRun, dropRun, requeue } from './runs.js';
 import {
   isFinal,
@@ -20,41 +20,41 @@
   type StepRun,
   type Task,
 } from '../model/state.js';
-import { noteDone, noteFailure } from './health.js';
+import { recordTaskSuccess, recordTaskFailure } from './endpoint-health.js';
 import { closeTrial } from '../crashes/trials.js';
 
-/** How a run ended, by the endpoint's word. */
-export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
+/** How a run ended, as reported by the endpoint. */
+export type RunEndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
 
-/** A run as an endpoint lists it. */
+/** An active run as listed by an endpoint. */
 export type RunningReport = {
   readonly task: TaskKey;
   readonly run: number;
   readonly checkpoint: string;
-  /** How far the work is; a lasting task is at work at 100. */
+  /** Progress of the work; a long-running task is ready at 100. */
   readonly percent: number;
-  /** A serving task's tail of answer times in milliseconds, another's processors in use. */
+  /** For a task that serves requests: tail response time in milliseconds. For others: number of processors in use. */
   readonly figure: number;
 };
 
-/** An end as an endpoint lists it, again and again until it is acknowledged. */
-export type EndReport = {
-  /** Rises by one with each end in the endpoint's life. */
+/** An ended run as listed by an endpoint. It is listed in each response until it is acknowledged. */
+export type EndedRunReport = {
+  /** Sequence number, which increases by one with each ended run of an incarnation. */
   readonly number: number;
   readonly task: TaskKey;
   readonly run: number;
-  readonly kind: EndKind;
+  readonly kind: RunEndKind;
   readonly checkpoint: string;
 };
 
-/** An answer of an endpoint. */
+/** A list response of an endpoint. */
 export type EndpointReport = {
   readonly running: readonly RunningReport[];
-  readonly ended: readonly EndReport[];
-  /** The endpoint has more ends than it lists at once: a run that is not named may have ended. */
+  readonly ended: readonly EndedRunReport[];
+  /** True if not all ended runs fit into the response: a run that is missing from it may have ended. */
   readonly hasMoreEnds: boolean;
-  /** When the question was sent: runs that were started later may be missing from the answer. */
-  readonly askedAtMs: number;
+  /** When the list request was sent. Runs that were started later may be missing from the response. */
+  readonly requestedAtMs: number;
   readonly nowMs: number;
 };
 
@@ -63,24 +63,24 @@
   context: {
     readonly step: StepRun;
     readonly task: Task;
-    readonly end: EndReport;
+    readonly end: EndedRunReport;
     readonly endpoint: EndpointState;
     readonly ranMs: number;
   },
 ) => void;
 
-const giveBack: EndHandler = (state, { step, task, end }) => {
+const returnToQueue: EndHandler = (state, { step, task, end }) => {
   if (end.checkpoint !== '') change(task, { checkpoint: end.checkpoint });
   if (task.lastRun <= end.run) requeue(state, step, task);
 };
 
-const fail: EndHandler = (state, context) => {
+const handleFailure: EndHandler = (state, context) => {
   const { step, task, end, endpoint } = context;
   if (task.failedRuns.includes(end.run)) return;
-  change(task, { avoid: endpoint.endpointId });
-  noteFailure(state, endpoint, step.job.job.jobId);
+  change(task, { avoidedEndpoint: endpoint.endpointId });
+  recordTaskFailure(state, endpoint, step.job.job.jobId);
   if (step.spec.isLasting) {
-    giveBack(state, context);
+    returnToQueue(state, context);
     return;
   }
   change(task, { failedRuns: [...task.failedRuns, end.run] });
@@ -91,100 +91,109 @@
     return;
   }
   state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
-  giveBack(state, context);
+  returnToQueue(state, context);
 };
 
-const finish: EndHandler = (state, { step, task, endpoint, ranMs }) => {
-  noteDone(endpoint);
+const handleDone: EndHandler = (state, { step, task, endpoint, ranMs }) => {
+  recordTaskSuccess(endpoint);
   if (step.spec.isLasting) {
     requeue(state, step, task);
     return;
   }
-  if (ranMs > 0 && task.checkpoint === '') learnRunTime(state.runTimes, step.kind, ranMs);
-  if (step.spec.isGang) step.tasks.forEach((member) => markDone(state, step, member));
-  else markDone(state, step, task);
+  if (ranMs > 0 && task.checkpoint === '') recordRunTime(state.runTimes, step.kind, ranMs);
+  if (step.spec.isGang) step.tasks.forEach((member) => completeTask(state, step, member));
+  else completeTask(state, step, task);
 };
 
-const endHandlers: Readonly<Record<EndKind, EndHandler>> = {
-  done: finish,
-  failed: fail,
-  stopped: giveBack,
-  lapsed: giveBack,
-  broken: giveBack,
-  alone: giveBack,
+const endHandlers: Readonly<Record<RunEndKind, EndHandler>> = {
+  done: handleDone,
+  failed: handleFailure,
+  stopped: returnToQueue,
+  lapsed: returnToQueue,
+  broken: returnToQueue,
+  alone: returnToQueue,
 };
 
-type AnswerTimes = Pick<EndpointReport, 'askedAtMs' | 'nowMs'>;
+type ReportTimes = Pick<EndpointReport, 'requestedAtMs' | 'nowMs'>;
 
 const applyEnd = (
   state: BatchState,
   endpoint: EndpointState,
-  end: EndReport,
-  { askedAtMs, nowMs }: AnswerTimes,
+  end: EndedRunReport,
+  { requestedAtMs, nowMs }: ReportTimes,
 ): void => {
   const { task, run, kind } = end;
   const known = endpoint.runs.get(task);
   const name = parseTaskKey(task);
-  const found = name && findReportedTask(state, name);
-  const evidence: RunEvidence = { cause: 'reported', atMs: askedAtMs, detail: kind };
-  if (found) change(found.step.job, { hasBegun: true });
-  const settleAfter = (ranMs: number): void => {
-    if (!found || isFinal(found.step.job.phase)) return;
-    endHandlers[kind](state, { ...found, end, endpoint, ranMs });
+  const taskWithStep = name && findReportedTask(state, name);
+  const evidence: RunEvidence = { cause: 'reported', atMs: requestedAtMs, detail: kind };
+  if (taskWithStep) change(taskWithStep.step.job, { hasStarted: true });
+  const applyEndWithRunTime = (ranMs: number): void => {
+    if (!taskWithStep || isFinal(taskWithStep.step.job.phase)) return;
+    endHandlers[kind](state, { ...taskWithStep, end, endpoint, ranMs });
   };
   if (known?.run === run) {
-    const settle = (): void => settleAfter(nowMs - known.startedAtMs);
-    dropRun(state, { endpoint, run: known, evidence, nowMs, settle });
+    const updateTask = (): void => applyEndWithRunTime(nowMs - known.startedAtMs);
+    dropRun(state, { endpoint, run: known, evidence, nowMs, updateTask });
     return;
   }
-  const settle = (): void => settleAfter(0);
+  const updateTask = (): void => applyEndWithRunTime(0);
   const startedAtMs = undefined;
-  noteRunEnd(state, { endpoint, task, run, found, startedAtMs, evidence, nowMs, settle });
+  recordRunEnd(state, {
+    endpoint,
+    task,
+    run,
+    taskWithStep,
+    startedAtMs,
+    evidence,
+    nowMs,
+    updateTask,
+  });
 };
 
 const updateRun = (
   { formerOrdersEndAtMs }: BatchState,
   run: RunState,
   report: RunningReport,
-  { askedAtMs, nowMs }: AnswerTimes,
+  { requestedAtMs, nowMs }: ReportTimes,
 ): void => {
-  const { task, step, phase, percent, progressAtMs, confirmedAtMs, begunByMs } = run;
-  change(step.job, { hasBegun: true });
+  const { task, step, phase, percent, progressAtMs, confirmedAtMs, startedByMs } = run;
+  change(step.job, { hasStarted: true });
   change(run, {
     confirmedAtMs: Math.min(confirmedAtMs, nowMs),
-    begunByMs: Math.min(begunByMs, nowMs),
+    startedByMs: Math.min(startedByMs, nowMs),
     isListed: true,
     phase: phase === 'stopping' ? phase : 'running',
     progressAtMs: report.percent > percent ? nowMs : progressAtMs,
     percent: report.percent,
-    figure: report.figure,
+    loadFigure: report.figure,
   });
-  if (askedAtMs >= formerOrdersEndAtMs) task.isLocated = true;
+  if (requestedAtMs >= formerOrdersEndAtMs) task.isLocated = true;
   if (report.checkpoint !== '') task.checkpoint = report.checkpoint;
-  if (step.spec.isLasting && report.percent >= 100) task.awaySinceMs = 0;
+  if (step.spec.isLasting && report.percent >= 100) task.unavailableSinceMs = 0;
 };
 
 const mayAdopt = (found: { readonly step: StepRun; readonly task: Task } | undefined): boolean =>
   found !== undefined && found.task.phase === 'waiting' && !isFinal(found.step.job.phase);
 
 /**
- * A run that is not known here was begun by an earlier holder: it is taken over or stopped.
+ * Handles a listed run that this holder does not know. An earlier holder started it; it is adopted or stopped.
  *
- * @returns The step of one that is stopped.
+ * @returns The step of the run if it is stopped; undefined if it is adopted or its task is not known.
  */
 const applyUnknownRun = (
   state: BatchState,
   endpoint: EndpointState,
   report: RunningReport,
-  times: AnswerTimes,
+  times: ReportTimes,
 ): StepRun | undefined => {
   const { nowMs } = times;
   const name = parseTaskKey(report.task);
   const found = name && findReportedTask(state, name);
   if (found && mayAdopt(found)) {
     const run = addRun(state, { endpoint, ...found, run: report.run, phase: 'running', nowMs });
-    // Whoever ordered it did so before this holder took over, and the endpoint has lived with it since.
-    change(run, { begunByMs: Math.min(nowMs, state.takenOverAtMs) });
+    // The start order was sent before this holder took over, and the endpoint has been running the task since then.
+    change(run, { startedByMs: Math.min(nowMs, state.takenOverAtMs) });
     updateRun(state, run, report, times);
     return undefined;
   }
@@ -200,44 +209,47 @@
   return found?.step;
 };
 
-/** Runs that were confirmed, or barred, before the question and are neither running nor ended. */
-const loseUnlisted = (
+/**
+ * Marks runs as ended that were confirmed, or whose stop order was answered, before the list request and that are
+ * listed neither as running nor as ended.
+ */
+const endUnlistedRuns = (
   state: BatchState,
   endpoint: EndpointState,
   listed: ReadonlySet<TaskKey>,
-  { askedAtMs, nowMs }: AnswerTimes,
+  { requestedAtMs, nowMs }: ReportTimes,
 ): void =>
   endpoint.runs.forEach((run) => {
-    const wasConfirmed = run.confirmedAtMs < askedAtMs;
-    const isSettled = wasConfirmed || run.stopAnsweredAtMs < askedAtMs;
-    if (!isSettled || listed.has(run.task.key)) return;
+    const wasConfirmed = run.confirmedAtMs < requestedAtMs;
+    const mustBeListed = wasConfirmed || run.stopAnsweredAtMs < requestedAtMs;
+    if (!mustBeListed || listed.has(run.task.key)) return;
     const detail = wasConfirmed ? 'confirmed-before' : 'stop-answered';
-    const evidence: RunEvidence = { cause: 'not-listed', atMs: askedAtMs, detail };
-    loseRun(state, { endpoint, run, evidence, nowMs });
+    const evidence: RunEvidence = { cause: 'not-listed', atMs: requestedAtMs, detail };
+    endRunWithoutReport(state, { endpoint, run, evidence, nowMs });
   });
 
 /**
- * Applies what an endpoint answered. Ends come first: a run that has ended is not running. The
- * endpoint lists ends again until they are acknowledged; those applied before are left out.
+ * Applies a list response of an endpoint. Ended runs are applied first, because a run that has ended is not running.
+ * The endpoint lists ended runs again until they are acknowledged; the caller leaves out those that were applied before.
  *
- * @param state - All that is known, changed in place.
- * @param endpointId - Who answered.
- * @param report - Its answer.
+ * @param state - The holder's batch state, modified in place.
+ * @param endpointId - The endpoint.
+ * @param report - Its response.
  */
 export const applyReport = (
   state: BatchState,
   endpointId: EndpointId,
-  { running, ended, hasMoreEnds, askedAtMs, nowMs }: EndpointReport,
+  { running, ended, hasMoreEnds, requestedAtMs, nowMs }: EndpointReport,
 ): void => {
   const endpoint = state.endpoints.get(endpointId);
   if (!endpoint) return;
-  const times: AnswerTimes = { askedAtMs, nowMs };
-  if (!endpoint.isKnown && !hasMoreEnds) {
-    followRuns(state, endpoint, { named: [...running, ...ended], nowMs });
+  const times: ReportTimes = { requestedAtMs, nowMs };
+  if (!endpoint.hasReported && !hasMoreEnds) {
+    applyFirstReport(state, endpoint, { listed: [...running, ...ended], nowMs });
   }
   ended.forEach((end) => applyEnd(state, endpoint, end, times));
   const listed = new Set<TaskKey>();
-  const strays = running.flatMap((report) => {
+  const unexpectedRuns = running.flatMap((report) => {
     listed.add(report.task);
     const run = endpoint.runs.get(report.task);
     if (!run) return applyUnknownRun(state, endpoint, report, times) ?? [];
@@ -247,9 +259,9 @@
     }
     return [];
   });
-  chargeStrays(state, endpoint, strays);
-  if (!hasMoreEnds) loseUnlisted(state, endpoint, listed, times);
-  noteAnswered(state, endpoint, nowMs);
-  change(endpoint, { isKnown: true, reportedAtMs: askedAtMs, lapsedRuns: [] });
-  poolOf(state, endpoint.pool).notReported.delete(instanceOf(endpointId));
+  chargeUnexpectedRuns(state, endpoint, unexpectedRuns);
+  if (!hasMoreEnds) endUnlistedRuns(state, endpoint, listed, times);
+  recordAnswered(state, endpoint, nowMs);
+  change(endpoint, { hasReported: true, reportedAtMs: requestedAtMs, expiredRuns: [] });
+  poolOf(state, endpoint.pool).unreportedInstances.delete(instanceIdOf(endpointId));
 };
--- a/packages/core/src/batch/jobs/early-occurrence.test.ts
+++ b/packages/core/src/batch/jobs/early-occurrence.test.ts
@@ -1,23 +1,32 @@
-/** An occurrence that is not due here, of which an endpoint reports a task as done. */
+/**
+ * Guards against starting an occurrence too early: an endpoint reports a completed task of an occurrence that an
+ * earlier control holder started by a clock that was ahead, and that is not due yet by the clock of this one.
+ */
 import { describe, expect, it } from 'vitest';
 
 import { brand } from '../../shared/ids.js';
-import { answer, FIRST, JOB, see, stateWithJob } from '../testing/batch-state.fixtures.js';
+import {
+  applyAnswer,
+  FIRST,
+  JOB,
+  addEndpoint,
+  createStateWithJob,
+} from '../testing/batch-state.fixtures.js';
 import { taskKey } from '../model/job.js';
-import { takeInJob } from './jobs.js';
+import { addJob } from './job-lifecycle.js';
 import { createScheduleCycle } from '../placement/schedule-cycle.js';
 
-const TIMED = brand<typeof JOB>('00000000000000bb');
+const REPEATED_JOB = brand<typeof JOB>('00000000000000bb');
 
-describe('an occurrence that an earlier holder began, and that is not due here', () => {
-  it('has no further task begun before its time', () => {
-    const state = stateWithJob();
-    const one = state.jobs.get(JOB);
-    if (!one) throw new Error('there is no job');
-    const steps = one.job.steps.map((step) => ({ ...step, taskCount: 2 }));
+describe('an occurrence that an earlier control holder started and that is not due yet by this clock', () => {
+  it('starts no further task before it is due', () => {
+    const state = createStateWithJob();
+    const original = state.jobs.get(JOB);
+    if (!original) throw new Error('the state has no job');
+    const steps = original.job.steps.map((step) => ({ ...step, taskCount: 2 }));
     const job = {
-      ...one.job,
-      jobId: TIMED,
+      ...original.job,
+      jobId: REPEATED_JOB,
       steps,
       repeats: 2,
       firstDueAtMs: 60_000,
@@ -25,11 +34,11 @@
     };
     state.jobs.delete(JOB);
     state.pools.clear();
-    takeInJob(state, { job, policy: one.policy, nowMs: 0, todayMs: 0, isInherited: true });
-    see(state, FIRST);
-    const task = taskKey(TIMED, 0, 0, 0);
+    addJob(state, { job, policy: original.policy, nowMs: 0, wallClockMs: 0, isInherited: true });
+    addEndpoint(state, FIRST);
+    const task = taskKey(REPEATED_JOB, 0, 0, 0);
     const ended = [{ number: 1, task, run: 1001, kind: 'done', checkpoint: '' } as const];
-    answer(state, { ended, askedAtMs: 1, nowMs: 2 });
+    applyAnswer(state, { ended, requestedAtMs: 1, nowMs: 2 });
     createScheduleCycle(state)(10, 100);
     const starts = state.effects.filter(({ kind }) => kind === 'start');
     expect(starts).toEqual([]);
--- a/packages/core/src/batch/jobs/forecast.ts
+++ b/packages/core/src/batch/jobs/forecast.ts
@@ -1,68 +1,74 @@
 /**
- * When a job that comes now would be done: by the work before it, the room that its pool has and gets, and how long its
- * own steps take. Work is in core-milliseconds, room in cores.
+ * Forecasts when a job that is submitted now would complete, from the queued work that runs before it, the present and
+ * arriving capacity of its pool, and the duration of its own steps. Work is in core-milliseconds, capacity in cores.
  */
 
-/** Room that a pool gets in some time. */
-export type ComingRoom = { readonly cores: number; readonly inMs: number };
+/** Capacity that a pool gains after a delay. */
+export type ArrivingCapacity = { readonly cores: number; readonly delayMs: number };
 
-/** What a job meets in its pool. */
-export type JobOutlook = {
-  /** Work that waits and goes before the job. */
-  readonly waitingCoreMs: number;
-  /** Cores that tasks like the job's can use. */
-  readonly roomCores: number;
-  readonly coming: readonly ComingRoom[];
-  /** Cores that are kept busy by what arrives later and still goes before the job. */
-  readonly overtakenByCores: number;
-  /** The job's own work. */
-  readonly ownCoreMs: number;
-  /** The longest chain of its steps. */
-  readonly chainMs: number;
+/** The input of a forecast: the part of the pool's state that affects the job, and the job's own work. */
+export type ForecastInput = {
+  /** Queued work that runs before the job. */
+  readonly queuedAheadCoreMs: number;
+  /** Cores of the pool that tasks of the job's size can use. */
+  readonly usableCores: number;
+  readonly arrivingCapacity: readonly ArrivingCapacity[];
+  /** Cores kept busy by work that arrives later and still runs before the job. */
+  readonly overtakingCores: number;
+  /** The work of the job itself. */
+  readonly jobCoreMs: number;
+  /** The duration of the job's critical path, its longest chain of dependent steps. */
+  readonly criticalPathMs: number;
 };
 
-/** When a job would begin and end, from now; Infinity where its pool has no room for it. */
+/** When a job would start and complete, in milliseconds from now; Infinity if its pool has no capacity for it. */
 export type Forecast = {
-  /** When what waits before the job has begun: room comes free all the time as what runs ends. */
+  /** When all work queued before the job has started: capacity is freed continuously as running tasks end. */
   readonly backlogMs: number;
   readonly doneMs: number;
 };
 
-/** What arrives later never takes more than this share of the room: some of a backlog goes on being served. */
-const MOST_OVERTAKEN_SHARE = 0.9;
+/** Later arrivals never take more than this share of the capacity, so that a backlog always makes some progress. */
+const MAX_OVERTAKEN_SHARE = 0.9;
 
-/** How long some work takes in room that grows. */
-const timeFor = (
+/** How long an amount of work takes while the capacity grows; in milliseconds, Infinity without any capacity. */
+const processingTimeMs = (
   coreMs: number,
-  { roomCores, coming, overtakenByCores }: Omit<JobOutlook, 'ownCoreMs' | 'chainMs'>,
+  {
+    usableCores,
+    arrivingCapacity,
+    overtakingCores,
+  }: Omit<ForecastInput, 'jobCoreMs' | 'criticalPathMs'>,
 ): number => {
   if (coreMs <= 0) return 0;
-  const steps = [...coming].sort((left, right) => left.inMs - right.inMs);
-  let leftCoreMs = coreMs;
-  let cores = roomCores;
+  const growthSteps = [...arrivingCapacity].sort((left, right) => left.delayMs - right.delayMs);
+  let remainingCoreMs = coreMs;
+  let cores = usableCores;
   let atMs = 0;
-  const speed = (): number =>
-    Math.max(cores * (1 - MOST_OVERTAKEN_SHARE), cores - overtakenByCores);
-  for (let index = 0; index < steps.length; index += 1) {
-    const { cores: more, inMs } = steps[index] as ComingRoom;
-    const doneCoreMs = (inMs - atMs) * speed();
-    if (doneCoreMs >= leftCoreMs) break;
-    leftCoreMs -= doneCoreMs;
-    atMs = inMs;
-    cores += more;
+  const speed = (): number => Math.max(cores * (1 - MAX_OVERTAKEN_SHARE), cores - overtakingCores);
+  for (let index = 0; index < growthSteps.length; index += 1) {
+    const { cores: addedCores, delayMs } = growthSteps[index] as ArrivingCapacity;
+    const doneCoreMs = (delayMs - atMs) * speed();
+    if (doneCoreMs >= remainingCoreMs) break;
+    remainingCoreMs -= doneCoreMs;
+    atMs = delayMs;
+    cores += addedCores;
   }
-  return cores > 0 ? atMs + leftCoreMs / speed() : Infinity;
+  return cores > 0 ? atMs + remainingCoreMs / speed() : Infinity;
 };
 
 /**
- * Forecasts when a job would be done.
+ * Forecasts when a job would start and complete.
  *
- * @param outlook - What it meets.
+ * @param input - The state of its pool and its own work.
  * @returns The times from now, in milliseconds.
  */
-export const forecastJob = (outlook: JobOutlook): Forecast => {
-  const { waitingCoreMs, ownCoreMs, chainMs } = outlook;
-  const backlogMs = timeFor(waitingCoreMs, outlook);
-  const doneMs = Math.max(timeFor(waitingCoreMs + ownCoreMs, outlook), backlogMs + chainMs);
+export const forecastJob = (input: ForecastInput): Forecast => {
+  const { queuedAheadCoreMs, jobCoreMs, criticalPathMs } = input;
+  const backlogMs = processingTimeMs(queuedAheadCoreMs, input);
+  const doneMs = Math.max(
+    processingTimeMs(queuedAheadCoreMs + jobCoreMs, input),
+    backlogMs + criticalPathMs,
+  );
   return { backlogMs, doneMs };
 };
--- a/packages/core/src/batch/jobs/create-job.ts
+++ b/packages/core/src/batch/jobs/job-factory.ts
@@ -1,4 +1,4 @@
-/** Jobs, occurrences, steps and tasks as they are built, before anything of them has begun. */
+/** Creates the initial state of jobs, occurrences, steps and tasks, before any task has started. */
 import {
   taskKey,
   type BatchJob,
@@ -6,8 +6,8 @@
   type StepSpec,
   type TaskKey,
 } from '../model/job.js';
-import { kindOf } from './step-times.js';
-import { OWED, type JobShare } from '../model/share.js';
+import { taskKindOf } from './step-times.js';
+import { WITHIN_SHARE, type JobShare } from '../model/share.js';
 import {
   createStepAdvice,
   type JobState,
@@ -16,7 +16,7 @@
   type Task,
 } from '../model/state.js';
 
-const newTask = (key: TaskKey, index: number): Task => ({
+const createTask = (key: TaskKey, index: number): Task => ({
   key,
   index,
   phase: 'waiting',
@@ -25,13 +25,13 @@
   isLocated: false,
   lastEnd: null,
   checkpoint: '',
-  avoid: null,
-  awaySinceMs: 0,
+  avoidedEndpoint: null,
+  unavailableSinceMs: 0,
   crashes: [],
   trial: null,
 });
 
-const newStep = (
+const createStep = (
   job: JobState,
   occurrence: OccurrenceState,
   number: number,
@@ -41,9 +41,9 @@
   occurrence,
   number,
   spec,
-  kind: kindOf(job.job.queue, spec),
+  kind: taskKindOf(job.job.queue, spec),
   tasks: Array.from({ length: spec.taskCount }, (_, index) =>
-    newTask(taskKey(job.job.jobId, occurrence.number, number, index), index),
+    createTask(taskKey(job.job.jobId, occurrence.number, number, index), index),
   ),
   waiting: Array.from({ length: spec.taskCount }, (_, index) => index),
   isOpen: false,
@@ -56,35 +56,40 @@
 });
 
 /**
- * Builds an occurrence of a job that is not there yet.
+ * Adds an occurrence to a job that does not have it yet.
  *
  * @param job - The job, changed in place.
- * @param number - Which occurrence.
+ * @param number - The number of the occurrence, from 0.
  * @param dueAtMs - When it is due, by the monotonic clock.
- * @returns The occurrence.
+ * @returns The new occurrence.
  */
 export const addOccurrence = (job: JobState, number: number, dueAtMs: number): OccurrenceState => {
   const occurrence: OccurrenceState = { number, dueAtMs, steps: [] };
   job.job.steps.forEach((spec, index) => {
-    occurrence.steps.push(newStep(job, occurrence, index, spec));
+    occurrence.steps.push(createStep(job, occurrence, index, spec));
   });
   job.occurrences.set(number, occurrence);
   return occurrence;
 };
 
-export type TakeInOptions = {
+/** What the state of a job is created from. */
+export type AddJobOptions = {
   readonly job: BatchJob;
   readonly policy: QueuePolicy;
+  /** The current time by the monotonic clock. */
   readonly nowMs: number;
-  readonly todayMs: number;
+  /** The current time by the wall clock, in milliseconds since 1970. */
+  readonly wallClockMs: number;
+  /** Whether the job was accepted under an earlier control holder; false by default. */
   readonly isInherited?: boolean;
+  /** The rank of the job by the guaranteed rate of its account; by default it is covered by it. */
   readonly share?: JobShare;
-  /** When its client first tried to hand it in; Infinity where that is not known. */
+  /** When the client first tried to submit the job, by the monotonic clock; Infinity if unknown. */
   readonly firstAttemptAtMs?: number;
 };
 
 /**
- * Builds the state of a job, with none of its occurrences begun.
+ * Creates the state of a job without any occurrence.
  *
  * @param options - The job, its policy and the times.
  * @returns The state.
@@ -93,27 +98,27 @@
   job,
   policy,
   nowMs,
-  todayMs,
+  wallClockMs,
   isInherited = false,
-  share = OWED,
+  share = WITHIN_SHARE,
   firstAttemptAtMs = Infinity,
-}: TakeInOptions): JobState => ({
+}: AddJobOptions): JobState => ({
   job,
   policy,
   phase: 'pending',
   reason: `queue=${job.queue} pool=${job.pool}: waits for room`,
   occurrences: new Map(),
   nextOccurrence: 0,
-  sinceMs: Math.min(
+  submittedAtMs: Math.min(
     firstAttemptAtMs,
-    nowMs - Math.max(0, Math.min(todayMs - job.acceptedAtMs, MOST_BELIEVED_AGE_MS)),
+    nowMs - Math.max(0, Math.min(wallClockMs - job.acceptedAtMs, MAX_TRUSTED_AGE_MS)),
   ),
   share,
   isInherited,
-  hasBegun: false,
-  blameRevision: 0,
-  writtenBlameRevision: 0,
+  hasStarted: false,
+  crashRecordRevision: 0,
+  writtenCrashRecordRevision: 0,
 });
 
-/** Clocks of entries differ and jump: an age above this is not believed. */
-const MOST_BELIEVED_AGE_MS = 120_000;
+/** The wall clocks of entries differ and jump, so the age of an accepted job counts only up to this limit. */
+const MAX_TRUSTED_AGE_MS = 120_000;
--- /dev/null
+++ b/packages/core/src/batch/jobs/job-lifecycle.ts
@@ -0,0 +1,213 @@
+/** The life cycle of a job: adding it to the state, opening its steps as their predecessors complete, and ending it. */
+import type { JobId } from '../../shared/ids.js';
+import { change } from '../../shared/change.js';
+import { maySee, type Caller } from '../model/accounts.js';
+import type { BatchJob, BatchPhase, TaskKeyParts } from '../model/job.js';
+import {
+  addOpenStep,
+  isFinal,
+  poolOf,
+  type BatchState,
+  type JobState,
+  type OccurrenceState,
+  type StepRun,
+  type Task,
+} from '../model/state.js';
+import { addOccurrence, createJobState, type AddJobOptions } from './job-factory.js';
+import { removeFirstAttempt } from './first-attempts.js';
+import { chargeShare } from '../accounts/shares.js';
+import { stopRun, removeFromWaiting } from '../endpoints/runs.js';
+import { estimateStepWork } from './step-times.js';
+
+const isStepDone = (step: StepRun | undefined): boolean =>
+  step !== undefined && step.doneCount === step.spec.taskCount;
+
+/**
+ * Opens the steps of an occurrence whose predecessors have all completed.
+ *
+ * @param state - The state, changed in place.
+ * @param occurrence - The occurrence.
+ */
+export const openReadySteps = (state: BatchState, occurrence: OccurrenceState): void => {
+  occurrence.steps.forEach((step) => {
+    if (step.isOpen || isStepDone(step)) return;
+    if (!step.spec.after.every((number) => isStepDone(occurrence.steps[number]))) return;
+    change(step, { isOpen: true });
+    if (step.waiting.length > 0) addOpenStep(state, step);
+  });
+};
+
+const occurrenceCount = ({ repeats }: BatchJob): number => Math.max(1, repeats);
+
+/** The wall clock jumps on some hosts, so an occurrence starts this long after its due time, never before it. */
+const DUE_MARGIN_MS = 20;
+
+/**
+ * Starts the occurrences of a job that are due.
+ *
+ * @param state - The state, changed in place.
+ * @param job - The job.
+ * @param nowMs - The current time by the monotonic clock.
+ * @param wallClockMs - The current time by the wall clock, in milliseconds since 1970.
+ */
+export const startDueOccurrences = (
+  state: BatchState,
+  job: JobState,
+  nowMs: number,
+  wallClockMs: number,
+): void => {
+  const { firstDueAtMs, intervalMs, repeats, pool } = job.job;
+  while (job.nextOccurrence < occurrenceCount(job.job)) {
+    const number = job.nextOccurrence;
+    const dueAtMs = repeats > 0 ? firstDueAtMs + number * intervalMs : wallClockMs;
+    if (repeats > 0 && wallClockMs < dueAtMs + DUE_MARGIN_MS) break;
+    change(job, { nextOccurrence: number + 1 });
+    const occurrence =
+      job.occurrences.get(number) ?? addOccurrence(job, number, nowMs - (wallClockMs - dueAtMs));
+    const coreMs = occurrence.steps.reduce((sum, step) => sum + estimateStepWork(state, step), 0);
+    const { demand } = poolOf(state, pool);
+    if (!job.isInherited) demand.recordArrival(coreMs, nowMs, job.share.isWithinShare);
+    openReadySteps(state, occurrence);
+  }
+  if (job.nextOccurrence >= occurrenceCount(job.job)) state.recurringJobs.delete(job);
+  else state.recurringJobs.add(job);
+};
+
+/**
+ * Adds an accepted job to the state. A job that is there already stays unchanged.
+ *
+ * @param state - The state, changed in place.
+ * @param options - The job, its policy and the times.
+ * @returns The state of the job.
+ */
+export const addJob = (state: BatchState, options: AddJobOptions): JobState => {
+  const existing = state.jobs.get(options.job.jobId);
+  if (existing) return existing;
+  const { job: accepted, nowMs } = options;
+  const share = chargeShare(state, accepted.owner?.account, nowMs);
+  const firstAttemptAtMs = removeFirstAttempt(state, accepted.jobId);
+  const job = createJobState({ ...options, share, firstAttemptAtMs });
+  state.jobs.set(options.job.jobId, job);
+  startDueOccurrences(state, job, options.nowMs, options.wallClockMs);
+  return job;
+};
+
+/**
+ * Finds a task by the parts of its key.
+ *
+ * @param state - The state.
+ * @param name - The parts of the key.
+ * @returns The task and its step; undefined if there is no such task.
+ */
+export const findTask = (
+  state: BatchState,
+  { jobId, occurrence, step, index }: TaskKeyParts,
+): { readonly step: StepRun; readonly task: Task } | undefined => {
+  const found = state.jobs.get(jobId)?.occurrences.get(occurrence)?.steps[step];
+  const task = found?.tasks[index];
+  return found && task ? { step: found, task } : undefined;
+};
+
+/**
+ * Finds a task that an endpoint reports. Its occurrence may not be due yet by the clock of this control holder, because
+ * an earlier one with a wall clock that was ahead has started it. The occurrence is then added to the job, so that the
+ * reported outcome is not lost.
+ *
+ * @param state - The state, changed in place.
+ * @param name - The parts of the task's key.
+ * @returns The task and its step; undefined if there is no such task.
+ */
+export const findReportedTask = (
+  state: BatchState,
+  name: TaskKeyParts,
+): { readonly step: StepRun; readonly task: Task } | undefined => {
+  const job = state.jobs.get(name.jobId);
+  const isOccurrenceMissing = job !== undefined && !job.occurrences.has(name.occurrence);
+  if (isOccurrenceMissing && name.occurrence < occurrenceCount(job.job)) {
+    addOccurrence(job, name.occurrence, state.clockMs);
+  }
+  return findTask(state, name);
+};
+
+/**
+ * Ends a job: none of its tasks is started any more, and running tasks are stopped. A job that has ended stays as it
+ * is.
+ *
+ * @param state - The state, changed in place.
+ * @param job - The job.
+ * @param phase - Its final phase.
+ * @param reason - Why the job ends, as its client and operators see it.
+ */
+export const endJob = (
+  state: BatchState,
+  job: JobState,
+  phase: BatchPhase,
+  reason: string,
+): void => {
+  if (isFinal(job.phase)) return;
+  change(job, { phase, reason });
+  state.recurringJobs.delete(job);
+  state.suspectJobs.delete(job);
+  const { openSteps } = poolOf(state, job.job.pool);
+  job.occurrences.forEach(({ steps }) => steps.forEach((step) => openSteps.delete(step)));
+  state.endpoints.forEach((endpoint) => {
+    endpoint.runs.forEach((run) => {
+      if (run.step.job === job) stopRun(state, endpoint, run, reason);
+    });
+  });
+  state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: true });
+};
+
+/** The reason that is stored for a cancelled job. */
+export const CANCELLED_REASON = 'cancelled by its client';
+
+/**
+ * Cancels a job on behalf of a caller.
+ *
+ * @param state - The state, changed in place.
+ * @param jobId - The job.
+ * @param caller - Who requests the cancellation.
+ * @returns The phase of the job afterwards; undefined if the job is unknown or belongs to another account.
+ */
+export const cancelJob = (
+  state: BatchState,
+  jobId: JobId,
+  caller: Caller,
+): BatchPhase | undefined => {
+  const job = state.jobs.get(jobId);
+  if (!job || !maySee(job.job.owner?.account, caller)) return undefined;
+  endJob(state, job, 'cancelled', CANCELLED_REASON);
+  return job.phase;
+};
+
+const isOccurrenceDone = ({ steps }: OccurrenceState): boolean => steps.every(isStepDone);
+
+/**
+ * Marks a task as done. Opens the steps that depended on it, or completes the job if it was the last task.
+ *
+ * @param state - The state, changed in place.
+ * @param step - The task's step.
+ * @param task - The task.
+ */
+export const completeTask = (state: BatchState, step: StepRun, task: Task): void => {
+  if (task.phase === 'done') return;
+  if (task.phase === 'waiting') removeFromWaiting(step, task);
+  change(task, { phase: 'done', checkpoint: '' });
+  change(step, { doneCount: step.doneCount + 1 });
+  const { job, occurrence } = step;
+  const pool = poolOf(state, job.job.pool);
+  const taskCoreMs = estimateStepWork(state, step) / step.spec.taskCount;
+  change(pool, { doneCoreMs: pool.doneCoreMs + taskCoreMs });
+  const isJobDone =
+    isOccurrenceDone(occurrence) &&
+    job.nextOccurrence >= occurrenceCount(job.job) &&
+    Array.from(job.occurrences.values()).every(isOccurrenceDone);
+  if (step.waiting.length === 0) pool.openSteps.delete(step);
+  if (isJobDone) endJob(state, job, 'completed', 'all tasks are done');
+  else {
+    state.effects.push({ kind: 'save', jobId: job.job.jobId, isUrgent: false });
+    // An occurrence that an earlier control holder started early, because its clock was ahead, continues only when it
+    // is due by the clock of this one.
+    if (occurrence.number < job.nextOccurrence) openReadySteps(state, occurrence);
+  }
+};
--- a/packages/core/src/batch/model/state.ts
+++ b/packages/core/src/batch/model/state.ts
@@ -1,7 +1,8 @@
 /**
- * What the holder of control knows of batch work. The records change in place: an endpoint reports
- * many ends a second, and nothing else reads them meanwhile. Times are of the holder's monotonic
- * clock unless a name says otherwise.
+ * The state of batch work that the control holder, the entry that holds the control lease, keeps in memory; it is
+ * called the holder below. The records are changed in place, because each endpoint reports many ended runs a second and
+ * nothing reads the records during a change. Times are on the holder's monotonic clock, in milliseconds, unless a name
+ * or comment says otherwise.
  */
 import type {
   AccountName,
@@ -13,15 +14,20 @@
   PoolName,
 } from '../../shared/ids.js';
 import { change } from '../../shared/change.js';
-import type { EndpointState, GoneEndpoint, OpenStart, RecentCrash } from './endpoint-state.js';
+import type {
+  EndpointState,
+  GoneEndpoint,
+  UnansweredStart,
+  RecentCrash,
+} from './endpoint-state.js';
 import type { BatchPhase, TaskKey } from './job.js';
 import type { JobState, StepRun } from './job-state.js';
 import { createDemand, type Demand } from '../pools/demand.js';
-import { createDemandPeaks, type DemandPeaks } from '../pools/demand-peaks.js';
+import { createDemandPeakHistory, type DemandPeakHistory } from '../pools/demand-peaks.js';
 import type { AccountLimits } from './accounts.js';
 import type { Usage } from './capacity.js';
 import type { Domain, SuspectedDomain } from './domain.js';
-import type { OrderWay } from './order-ways.js';
+import type { QueueOrder } from './queue-order.js';
 import type { PlacementPolicy } from './placement-policy.js';
 import type { AccountShare } from './share.js';
 import { createRunTimes, type RunTimes } from '../jobs/run-times.js';
@@ -31,47 +37,48 @@
 export * from './endpoint-state.js';
 export * from './job-state.js';
 
-/** Where a platform does not bound the lease that one order may grant. */
-const LONGEST_LEASE_MS = 10_000;
+/** The maximum lease that one order may grant, if the platform does not set a bound. */
+const DEFAULT_MAX_LEASE_MS = 10_000;
 
-/** After so many opened steps a backlog is ranked as a whole at the next pass. */
-const MOST_OPENED = 1000;
+/** After this many steps were opened since the last ranking, the next pass ranks the whole backlog. */
+const MAX_OPENED = 1000;
 
-/** What a pool remembers of the order of a large backlog. */
+/** The last ranking of a pool's large backlog. */
 export type PoolRanking = {
-  /** The first steps in order as the backlog was ranked last. */
+  /** The first steps in order when the whole backlog was last ranked. */
   shortlist: readonly StepRun[];
-  /** Steps that were opened since. */
-  opened: StepRun[];
+  /** The steps opened since then. */
+  openedSteps: StepRun[];
   rankedAtMs: number;
 };
 
-/** Room that a pool can get, by the list of hosts. */
-export type PoolOutlook = {
-  /** On hosts that are on their way to it. */
-  readonly comingCpu: number;
-  /** On free hosts of other pools and of the spare one. */
+/** The CPU that a pool can gain, by the host list, in thousandths of a core. */
+export type PoolForecast = {
+  /** The CPU of hosts that are being moved to the pool. */
+  readonly joiningCpu: number;
+  /** The CPU of free hosts in other pools and in the spare pool. */
   readonly freeCpu: number;
-  /** On hosts of other pools that are emptied for work that is owed. */
+  /** The CPU of hosts in other pools that are being emptied for jobs within their account's share. */
   readonly reclaimedCpu: number;
 };
 
-/** A pool with its open steps. */
+/** The state of a pool. */
 export type PoolState = {
   readonly name: PoolName;
-  readonly open: Set<StepRun>;
+  /** The steps whose tasks may start. */
+  readonly openSteps: Set<StepRun>;
   readonly ranking: PoolRanking;
   readonly demand: Demand;
-  outlook: PoolOutlook;
-  /** Work of its tasks that are done, in core-milliseconds. */
+  forecast: PoolForecast;
+  /** The work of the tasks completed so far, in core-milliseconds. */
   doneCoreMs: number;
-  /** Endpoints that may run inherited tasks and of which no life has answered yet. */
-  readonly notReported: Set<InstanceId>;
-  /** A host was down as this holder first read the list: see `inherited-losses.ts`. */
-  hasLossBefore: boolean;
+  /** The endpoints that may run inherited tasks and of which no incarnation has answered yet. */
+  readonly unreportedInstances: Set<InstanceId>;
+  /** A host of the pool was down when this holder first read the host list: see `losses-before-takeover.ts`. */
+  hadHostDownAtTakeover: boolean;
 };
 
-/** What the runtime has to do. */
+/** An action that the runtime has to perform. */
 export type BatchEffect =
   | {
       readonly kind: 'start';
@@ -80,7 +87,7 @@
       readonly run: number;
       readonly spec: string;
       readonly checkpoint: string;
-      /** '' where the queue needs no advice. */
+      /** The ticket of the advice service; '' if the queue needs no advice. */
       readonly ticket: string;
       readonly reason: string;
     }
@@ -106,7 +113,7 @@
       readonly percent: number;
       readonly reason: string;
     }
-  /** Asks an endpoint at once whether it is there. */
+  /** Sends a question to an endpoint at once, to find out whether it still answers. */
   | { readonly kind: 'ask'; readonly endpointId: EndpointId }
   | { readonly kind: 'save'; readonly jobId: JobId; readonly isUrgent: boolean }
   | {
@@ -115,71 +122,81 @@
       readonly fields: Readonly<Record<string, string | number | boolean | undefined>>;
     };
 
-/** All that a holder knows. */
+/** The whole state of a holder. */
 export type BatchState = {
+  /** The holder's fencing token. */
   readonly fence: number;
   /** The monotonic time of the event that is being applied. */
   clockMs: number;
-  /** What the time of day is ahead of the monotonic time. */
-  todayAheadMs: number;
+  /** The wall-clock time minus the monotonic time. */
+  wallClockOffsetMs: number;
   /**
-   * Until then no other entry can have become the holder. Later another may have prolonged leases on
-   * endpoints and heard how runs ended: nothing is concluded from what this one has not heard.
+   * Until this time no other entry can have become the holder. Afterwards another holder may have extended leases on
+   * endpoints and received reports of ended runs, so this holder concludes nothing from reports that it has not received.
    */
   soleHolderUntilMs: number;
-  /** When this holder took over; infinite before it began. */
+  /** When this holder took over; infinite before that. */
   takenOverAtMs: number;
-  /** When every lease granted by an earlier holder has surely ended. */
+  /** The time at which every lease granted by an earlier holder has certainly ended. */
   inheritedLeasesEndAtMs: number;
-  /** From then on no earlier holder orders endpoints any more. */
+  /** From this time on no earlier holder sends orders to endpoints. */
   formerOrdersEndAtMs: number;
-  /** The hosts have not been read yet, so any of them may hold an endpoint that is in no list. */
+  /** The host list has not been read yet, so any host may have an endpoint that is in no list. */
   isHostListAwaited: boolean;
-  /** Data centres whose endpoints begin nothing, as the operator has ordered. */
-  evacuated: ReadonlySet<DataCentreId>;
+  /** The data centres that an operator has ordered to be evacuated. Their endpoints get no new work. */
+  evacuatedDataCentres: ReadonlySet<DataCentreId>;
   readonly jobs: Map<JobId, JobState>;
   readonly pools: Map<PoolName, PoolState>;
   readonly endpoints: Map<EndpointId, EndpointState>;
-  /** Racks and data centres with the endpoints that stand in them; none is empty. */
+  /** The racks and data centres with the endpoints in them; none of them is empty. */
   readonly domains: Map<DomainId, Domain>;
-  /** Those that may be lost as a whole: what has not answered since gets no new work. */
+  /** The domains suspected to have failed as a whole. Endpoints in them that have not answered since get no new work. */
   readonly suspectedDomains: Map<DomainId, SuspectedDomain>;
-  /** The life that each endpoint is known to be in. */
-  readonly lives: Map<InstanceId, EndpointState>;
+  /** The current incarnation of each endpoint of which one is known. */
+  readonly currentIncarnations: Map<InstanceId, EndpointState>;
+  /** The endpoints that are gone and whose runs are not given up yet. */
   readonly goneEndpoints: Map<EndpointId, GoneEndpoint>;
-  /** Orders to start that had no answer, by where they were sent. */
-  readonly openStarts: Map<InstanceId, readonly OpenStart[]>;
-  /** For how long an endpoint may keep what runs there by one order. */
+  /** The unanswered start orders by the endpoint that they were sent to. */
+  readonly unansweredStarts: Map<InstanceId, readonly UnansweredStart[]>;
+  /** The longest lease that one order may grant to the runs on an endpoint. */
   longestLeaseMs: number;
   recentCrashes: readonly RecentCrash[];
+  /** The actions that the runtime has to perform next. */
   readonly effects: BatchEffect[];
-  /** Rises each time that room comes free on an endpoint. */
-  roomRevision: number;
-  /** How many more starts may be sent now: what the holder's link carries. */
+  /** Incremented whenever capacity becomes free on an endpoint. */
+  freeCapacityRevision: number;
+  /** How many more start orders may be sent now. The capacity of the holder's network link limits them. */
   startsLeft: number;
   readonly runTimes: RunTimes;
-  readonly peaks: DemandPeaks;
-  /** Jobs with occurrences still to come. */
-  readonly timed: Set<JobState>;
-  /** Live jobs with tasks under which endpoints crashed, or may have. */
+  readonly peaks: DemandPeakHistory;
+  /** The jobs with occurrences that are still to come. */
+  readonly recurringJobs: Set<JobState>;
+  /** The jobs that have not ended and have tasks under which endpoints crashed or may have crashed. */
   readonly suspectJobs: Set<JobState>;
-  /** By the newest configuration; and those that it has lost, or that only rows tell of. */
+  /** The limits of the accounts in the newest configuration. */
   accounts: ReadonlyMap<AccountName, AccountLimits>;
+  /** The limits of accounts that the configuration no longer contains, or that are known only from rows of jobs. */
   readonly formerAccounts: Map<AccountName, AccountLimits>;
-  /** What each account has running, ordered or being stopped, as far as it is known here. */
+  /** The resources of each account's runs that are known here, including those that are being started or stopped. */
   readonly usage: Map<AccountName, Usage>;
-  /** What each may have running besides, begun by an earlier holder; reckoned at the time that follows. */
+  /**
+   * The resources that each account's runs may use in addition: runs that an earlier holder started and no endpoint has
+   * reported yet. Computed at `unreportedAtMs`.
+   */
   unreportedUsage: ReadonlyMap<AccountName, Usage>;
   unreportedAtMs: number;
-  /** What each account is owed of what it hands in. */
+  /** The share of each account. */
   readonly shares: Map<AccountName, AccountShare>;
-  /** When clients first tried to hand in jobs that were refused. */
+  /** When clients first tried to submit jobs that were refused. */
   readonly firstAttempts: Map<JobId, number>;
-  /** Endpoints that take no further work beyond what accounts are owed: their hosts are owed to other pools. */
-  reclaimed: ReadonlySet<EndpointId>;
-  /** How the queue is ordered. */
-  orderWay: OrderWay;
-  /** Where tasks of short steps go. */
+  /**
+   * Endpoints that take only jobs within their account's share, because their hosts are needed by other pools for such
+   * jobs.
+   */
+  reclaimedEndpoints: ReadonlySet<EndpointId>;
+  /** The order of the queue. */
+  queueOrder: QueueOrder;
+  /** How tasks of short steps are placed. */
   placementPolicy: PlacementPolicy;
 };
 
@@ -192,29 +209,29 @@
 export const createBatchState = (fence: number): BatchState => ({
   fence,
   clockMs: 0,
-  todayAheadMs: 0,
+  wallClockOffsetMs: 0,
   soleHolderUntilMs: Infinity,
   takenOverAtMs: Infinity,
   inheritedLeasesEndAtMs: 0,
   formerOrdersEndAtMs: 0,
   isHostListAwaited: false,
-  evacuated: new Set(),
+  evacuatedDataCentres: new Set(),
   jobs: new Map(),
   pools: new Map(),
   endpoints: new Map(),
   domains: new Map(),
   suspectedDomains: new Map(),
-  lives: new Map(),
+  currentIncarnations: new Map(),
   goneEndpoints: new Map(),
-  openStarts: new Map(),
-  longestLeaseMs: LONGEST_LEASE_MS,
+  unansweredStarts: new Map(),
+  longestLeaseMs: DEFAULT_MAX_LEASE_MS,
   recentCrashes: [],
   effects: [],
-  roomRevision: 0,
+  freeCapacityRevision: 0,
   startsLeft: Infinity,
   runTimes: createRunTimes(),
-  peaks: createDemandPeaks(),
-  timed: new Set(),
+  peaks: createDemandPeakHistory(),
+  recurringJobs: new Set(),
   suspectJobs: new Set(),
   accounts: new Map(),
   formerAccounts: new Map(),
@@ -223,73 +240,74 @@
   unreportedAtMs: -Infinity,
   shares: new Map(),
   firstAttempts: new Map(),
-  reclaimed: new Set(),
-  orderWay: 'owed-then-fair',
+  reclaimedEndpoints: new Set(),
+  queueOrder: 'owed-then-fair',
   placementPolicy: 'fullest',
 });
 
 /**
- * Tells whether a run that was not heard to end may be given up and its task started again. A holder
- * that may have been replaced must not: what it has not heard, the next one may have.
+ * Tells whether this holder is certainly the only one. Only then may it give up a run of which it has not received the
+ * end, and start the task again: if it may have been replaced, the next holder may have received that end.
  *
- * @param state - All that is known.
- * @param nowMs - The time.
+ * @param state - The batch state.
+ * @param nowMs - The current time on the holder's monotonic clock, in milliseconds.
  * @returns True while no other entry can have become the holder.
  */
 export const isSoleHolder = ({ soleHolderUntilMs }: BatchState, nowMs: number): boolean =>
   nowMs < soleHolderUntilMs;
 
 /**
- * Gives the state of a pool.
+ * Returns the state of a pool.
  *
- * @param state - All that is known.
- * @param name - The pool.
- * @returns Its state; built at the first use.
+ * @param state - The batch state.
+ * @param name - The pool's name.
+ * @returns Its state, which is created at the first use.
  */
 export const poolOf = (state: BatchState, name: PoolName): PoolState => {
   const known = state.pools.get(name);
   if (known) return known;
-  const built: PoolState = {
+  const created: PoolState = {
     name,
-    open: new Set(),
-    ranking: { shortlist: [], opened: [], rankedAtMs: -Infinity },
+    openSteps: new Set(),
+    ranking: { shortlist: [], openedSteps: [], rankedAtMs: -Infinity },
     demand: createDemand(),
-    outlook: { comingCpu: 0, freeCpu: 0, reclaimedCpu: 0 },
+    forecast: { joiningCpu: 0, freeCpu: 0, reclaimedCpu: 0 },
     doneCoreMs: 0,
-    notReported: new Set(),
-    hasLossBefore: false,
+    unreportedInstances: new Set(),
+    hadHostDownAtTakeover: false,
   };
-  state.pools.set(name, built);
-  return built;
+  state.pools.set(name, created);
+  return created;
 };
 
 /**
- * Opens a step: its waiting tasks may begin.
+ * Opens a step, so that its waiting tasks may start.
  *
- * @param state - All that is known, changed in place.
+ * @param state - The batch state, changed in place.
  * @param step - The step.
  */
 export const addOpenStep = (state: BatchState, step: StepRun): void => {
-  const { open, ranking } = poolOf(state, step.job.job.pool);
-  open.add(step);
-  ranking.opened.push(step);
-  // A pool without endpoints is not ranked meanwhile.
-  if (ranking.opened.length > MOST_OPENED) change(ranking, { opened: [], rankedAtMs: -Infinity });
+  const { openSteps, ranking } = poolOf(state, step.job.job.pool);
+  openSteps.add(step);
+  ranking.openedSteps.push(step);
+  // A pool without endpoints is never ranked, which would let this list grow without bound.
+  if (ranking.openedSteps.length > MAX_OPENED)
+    change(ranking, { openedSteps: [], rankedAtMs: -Infinity });
 };
 
 /**
- * Takes what is to be done.
+ * Removes and returns the actions that the runtime has to perform.
  *
- * @param state - All that is known; its effects are empty afterwards.
- * @returns The effects in order.
+ * @param state - The batch state; its list of effects is empty afterwards.
+ * @returns The actions in order.
  */
-export const takeEffects = (state: BatchState): readonly BatchEffect[] =>
+export const removeEffects = (state: BatchState): readonly BatchEffect[] =>
   state.effects.splice(0, state.effects.length);
 
 /**
  * Tells whether a phase is final.
  *
  * @param phase - The phase of a job.
- * @returns True for completed, failed and cancelled.
+ * @returns True for `completed`, `failed` and `cancelled`.
  */
 export const isFinal = (phase: BatchPhase): boolean => phase !== 'pending' && phase !== 'running';
--- a/packages/core/src/batch/placement/best-endpoint.ts
+++ b/packages/core/src/batch/placement/best-endpoint.ts
@@ -1,17 +1,17 @@
-/** Which endpoint takes a task. */
-import { mayHold } from '../endpoints/sound-endpoints.js';
+/** Chooses the endpoint for a task. */
+import { canHoldTask } from '../endpoints/schedulable-endpoints.js';
 import type { EndpointState } from '../model/state.js';
-import { scoreOf, type PlacementScore, type PlacementView } from './scores.js';
+import { computeTotalScore, type PlacementScore, type PlacementView } from './scores.js';
 
 /**
  * Chooses the endpoint with the best score that may hold a task.
  *
- * @param endpoints - Those that take new work.
- * @param view - The task, and what is known.
- * @param scores - What makes an endpoint better than another.
- * @returns The endpoint; undefined where none has room.
+ * @param endpoints - The schedulable endpoints.
+ * @param view - The task and the state that its scores are computed from.
+ * @param scores - The scores to add up for each endpoint.
+ * @returns The first endpoint with the highest score; undefined if no endpoint may hold the task.
  */
-export const bestFor = (
+export const chooseBestEndpoint = (
   endpoints: readonly EndpointState[],
   view: PlacementView,
   scores: readonly PlacementScore[],
@@ -19,8 +19,8 @@
   let best: EndpointState | undefined;
   let bestScore = -Infinity;
   endpoints.forEach((endpoint) => {
-    if (!mayHold(endpoint, view.step)) return;
-    const score = scoreOf(endpoint, view, scores);
+    if (!canHoldTask(endpoint, view.step)) return;
+    const score = computeTotalScore(endpoint, view, scores);
     if (score <= bestScore) return;
     best = endpoint;
     bestScore = score;
--- a/packages/core/src/control/draft.ts
+++ b/packages/core/src/control/draft.ts
@@ -1,9 +1,10 @@
 /**
- * The working copy of a pool's world during one control turn. Each step of the turn sees what the
- * steps before it have decided, and every decision becomes one change with its preconditions.
+ * The working copy of a pool's snapshot during one control turn. Each step of the turn sees the
+ * decisions of the steps before it, and every decision is recorded as one change with its
+ * preconditions.
  */
-import type { PlacementHost, PlaceableJob } from '../placement/placeable.js';
-import { addResources, noResources } from '../placement/placeable.js';
+import type { PlacementHost, PlaceableJob } from '../placement/placement-input.js';
+import { addResources, noResources } from '../placement/placement-input.js';
 import {
   rowKey,
   type HostRow,
@@ -13,19 +14,22 @@
 } from '../rows/rows.js';
 import type { RowCheck, RowWrite } from '../rows/transaction.js';
 import type { HostId, JobId, WaveId } from '../shared/ids.js';
-import { placementHosts, sizeOfPlacement, type PoolWorld } from './world.js';
+import { listPlacementHosts, resourcesOfPlacement, type PoolSnapshot } from './pool-snapshot.js';
 
-/** One decision of a turn: a set of writes that happen together or not at all. */
+/** One decision of a turn: a set of writes that are committed in one transaction. */
 export type ControlChange = {
   readonly kind: 'write';
-  /** What it is about, for logs and explanations. */
+  /** The key of the row that the decision is about, for logs and explanations. */
   readonly subject: string;
   readonly reason: string;
   readonly checks: readonly RowCheck[];
   readonly writes: readonly RowWrite[];
 };
 
-/** A request to the platform to reboot a host; it is idempotent by its request name. */
+/**
+ * A request to the platform to reboot a host. Requests with the same `requestName` reboot the host
+ * once.
+ */
 export type RebootRequest = {
   readonly kind: 'reboot';
   readonly hostId: HostId;
@@ -34,112 +38,117 @@
 
 export type ControlAction = ControlChange | RebootRequest;
 
-/** Something that was considered and not done, with the reason. */
-export type Withheld = { readonly subject: string; readonly reason: string };
+/** An action that was considered and not taken, with the key of its row and the reason. */
+export type WithheldAction = { readonly subject: string; readonly reason: string };
 
-/** The working copy. It changes in place during one turn. */
+/** The working copy of one turn, which the steps change in place. */
 export type Draft = {
-  readonly world: PoolWorld;
+  readonly snapshot: PoolSnapshot;
+  /** The start of the turn, by the lease holder's monotonic clock. */
   readonly nowMs: number;
   readonly hosts: Map<HostId, PlacementHost>;
   readonly placements: Map<JobId, PlacementRow>;
   readonly actions: ControlAction[];
-  readonly withheld: Withheld[];
-  /** Hosts that a running wave still has to take down: what is moved there would move again. */
-  readonly hostsAhead: ReadonlySet<HostId>;
+  readonly withheld: WithheldAction[];
+  /**
+   * Hosts that a running wave has yet to maintain. An executor that is moved to one of them would
+   * have to move again.
+   */
+  readonly hostsAwaitingMaintenance: ReadonlySet<HostId>;
+  /** The epoch that the next placement gets. */
   nextEpoch: number;
 };
 
-const hostsAhead = (world: PoolWorld): ReadonlySet<HostId> =>
+const findHostsAwaitingMaintenance = (snapshot: PoolSnapshot): ReadonlySet<HostId> =>
   new Set(
-    Array.from(world.waves.values())
+    Array.from(snapshot.waves.values())
       .filter(({ value }) => value.phase === 'running')
       .flatMap(({ value }) =>
-        value.hosts.filter((id) => world.hosts.get(id)?.value.maintainedBy !== value.waveId),
+        value.hosts.filter((id) => snapshot.hosts.get(id)?.value.maintainedBy !== value.waveId),
       ),
   );
 
 /**
- * Starts a turn.
+ * Creates the working copy for a turn.
  *
- * @param world - What is known.
- * @param nowMs - The time by the watcher's monotonic clock.
+ * @param snapshot - The pool's snapshot.
+ * @param nowMs - The time by the lease holder's monotonic clock.
  * @returns The working copy.
  */
-export const createDraft = (world: PoolWorld, nowMs: number): Draft => ({
-  world,
+export const createDraft = (snapshot: PoolSnapshot, nowMs: number): Draft => ({
+  snapshot,
   nowMs,
-  hosts: new Map(placementHosts(world).map((host) => [host.spec.hostId, host])),
-  placements: new Map(Array.from(world.placements, ([id, { value }]) => [id, value])),
+  hosts: new Map(listPlacementHosts(snapshot).map((host) => [host.spec.hostId, host])),
+  placements: new Map(Array.from(snapshot.placements, ([id, { value }]) => [id, value])),
   actions: [],
   withheld: [],
-  hostsAhead: hostsAhead(world),
-  nextEpoch: world.nextEpoch,
+  hostsAwaitingMaintenance: findHostsAwaitingMaintenance(snapshot),
+  nextEpoch: snapshot.nextEpoch,
 });
 
-type Versions = ReadonlyMap<string, { readonly version: number }>;
+type VersionedRows = ReadonlyMap<string, { readonly version: number }>;
 
-const checkOf = (rows: Versions, id: string, key: string): RowCheck => ({
+const versionCheckOf = (rows: VersionedRows, id: string, key: string): RowCheck => ({
   key,
   version: rows.get(id)?.version ?? 0,
 });
 
 const pushChange = (draft: Draft, change: Omit<ControlChange, 'kind'>): void => {
-  const { fence } = draft.world;
+  const { fence } = draft.snapshot;
   draft.actions.push({ ...change, kind: 'write', checks: [fence, ...change.checks] });
 };
 
 /**
- * Writes a host's row.
+ * Writes a host's row. Does nothing for a host that is not declared.
  *
  * @param draft - The working copy, changed in place.
- * @param row - The row.
+ * @param row - The new row.
  */
 export const writeHost = (draft: Draft, row: HostRow): void => {
   const { hostId } = row;
   const key = rowKey.host(hostId);
   const host = draft.hosts.get(hostId);
-  const spec = host?.spec ?? draft.world.specs.get(hostId);
+  const spec = host?.spec ?? draft.snapshot.specs.get(hostId);
   if (!spec) return;
   draft.hosts.set(hostId, {
     spec,
     row,
     isLive: host?.isLive ?? true,
     used: host?.used ?? noResources,
-    executors: host?.executors ?? new Map(),
+    executorCounts: host?.executorCounts ?? new Map(),
   });
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [checkOf(draft.world.hosts, hostId, key)],
+    checks: [versionCheckOf(draft.snapshot.hosts, hostId, key)],
     writes: [{ key, value: row }],
   });
 };
 
-export type PlaceOptions = {
+export type PlaceJobOptions = {
   readonly job: PlaceableJob;
   readonly hostId: HostId;
   readonly reason: string;
 };
 
-const standOn = (draft: Draft, hostId: HostId, job: PlaceableJob): void => {
+const reserveResources = (draft: Draft, hostId: HostId, job: PlaceableJob): void => {
   const host = draft.hosts.get(hostId);
   if (!host) return;
-  const executors = new Map(host.executors);
+  const executorCounts = new Map(host.executorCounts);
   if (job.service !== null) {
-    executors.set(job.service, (executors.get(job.service) ?? 0) + 1);
+    executorCounts.set(job.service, (executorCounts.get(job.service) ?? 0) + 1);
   }
-  draft.hosts.set(hostId, { ...host, used: addResources(host.used, job), executors });
+  draft.hosts.set(hostId, { ...host, used: addResources(host.used, job), executorCounts });
 };
 
 /**
- * Places a job. The transaction depends on the version of the host's row, so that a job cannot
- * land on a host that has just changed its pool.
+ * Places a job. The transaction checks the version of the host's row, so that a job cannot be
+ * placed on a host that has just been moved to another pool.
  *
  * @param draft - The working copy, changed in place.
  * @param options - The job, its host and the reason.
  */
-export const placeOn = (draft: Draft, { job, hostId, reason }: PlaceOptions): void => {
+export const placeJob = (draft: Draft, { job, hostId, reason }: PlaceJobOptions): void => {
   const state = draft;
   const key = rowKey.placement(job.jobId);
   const row: PlacementRow = {
@@ -151,30 +160,31 @@
     phase: 'assigned',
     outcome: 'none',
     leaseMs: job.leaseMs,
-    revision: state.world.configuration.revision,
+    revision: state.snapshot.configuration.revision,
     reason,
     phaseReason: '',
   };
   state.nextEpoch += 1;
-  standOn(state, hostId, job);
+  reserveResources(state, hostId, job);
   state.placements.set(job.jobId, row);
   pushChange(state, {
     subject: key,
     reason,
     checks: [
-      checkOf(state.world.placements, job.jobId, key),
-      checkOf(state.world.hosts, hostId, rowKey.host(hostId)),
+      versionCheckOf(state.snapshot.placements, job.jobId, key),
+      versionCheckOf(state.snapshot.hosts, hostId, rowKey.host(hostId)),
     ],
     writes: [{ key, value: row }],
   });
 };
 
 /**
- * Changes a placement that stands.
+ * Updates an existing placement.
  *
  * @param draft - The working copy, changed in place.
- * @param row - The placement with its new phase.
- * @param reason - Why it changes; why it stands on its host is kept.
+ * @param row - The placement with its new phase. Its `reason`, which says why the host was chosen,
+ *   is kept.
+ * @param reason - Why the phase changes; it is stored as `phaseReason`.
  */
 export const writePlacement = (draft: Draft, row: PlacementRow, reason: string): void => {
   const key = rowKey.placement(row.jobId);
@@ -182,21 +192,21 @@
   pushChange(draft, {
     subject: key,
     reason,
-    checks: [checkOf(draft.world.placements, row.jobId, key)],
+    checks: [versionCheckOf(draft.snapshot.placements, row.jobId, key)],
     writes: [{ key, value: { ...row, phaseReason: reason } }],
   });
 };
 
-const freeRoom = (draft: Draft, row: PlacementRow): void => {
+const releaseResources = (draft: Draft, row: PlacementRow): void => {
   const host = draft.hosts.get(row.hostId);
   if (!host) return;
-  const size = sizeOfPlacement(draft.world, row);
-  const executors = new Map(host.executors);
+  const size = resourcesOfPlacement(draft.snapshot, row);
+  const executorCounts = new Map(host.executorCounts);
   const { service } = row;
-  if (service !== null) executors.set(service, (executors.get(service) ?? 1) - 1);
+  if (service !== null) executorCounts.set(service, (executorCounts.get(service) ?? 1) - 1);
   draft.hosts.set(row.hostId, {
     ...host,
-    executors,
+    executorCounts,
     used: {
       cores: host.used.cores - size.cores,
       memoryMb: host.used.memoryMb - size.memoryMb,
@@ -208,12 +218,12 @@
 export type RemoveOptions = {
   readonly row: PlacementRow;
   readonly reason: string;
-  /** The job's row, where the end of the placement changes it too. */
+  /** The job's new row; undefined if the removal does not change it. */
   readonly jobRow?: JobRow;
 };
 
 /**
- * Takes a placement away, together with what its end means for the job.
+ * Removes a placement and, in the same transaction, updates the job's row if one is given.
  *
  * @param draft - The working copy, changed in place.
  * @param options - The placement, the reason and the job's new row.
@@ -221,14 +231,14 @@
 export const removePlacement = (draft: Draft, { row, reason, jobRow }: RemoveOptions): void => {
   const key = rowKey.placement(row.jobId);
   const jobKey = rowKey.job(row.jobId);
-  freeRoom(draft, row);
+  releaseResources(draft, row);
   draft.placements.delete(row.jobId);
-  const placementCheck = checkOf(draft.world.placements, row.jobId, key);
+  const placementCheck = versionCheckOf(draft.snapshot.placements, row.jobId, key);
   pushChange(draft, {
     subject: jobRow ? jobKey : key,
     reason,
     checks: jobRow
-      ? [placementCheck, checkOf(draft.world.jobs, row.jobId, jobKey)]
+      ? [placementCheck, versionCheckOf(draft.snapshot.jobs, row.jobId, jobKey)]
       : [placementCheck],
     writes: jobRow
       ? [
@@ -244,14 +254,14 @@
  *
  * @param draft - The working copy, changed in place.
  * @param jobId - The job.
- * @param row - The row.
+ * @param row - The new row.
  */
 export const writeJob = (draft: Draft, jobId: JobId, row: JobRow): void => {
   const key = rowKey.job(jobId);
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [checkOf(draft.world.jobs, jobId, key)],
+    checks: [versionCheckOf(draft.snapshot.jobs, jobId, key)],
     writes: [{ key, value: row }],
   });
 };
@@ -261,25 +271,25 @@
  *
  * @param draft - The working copy, changed in place.
  * @param waveId - The wave.
- * @param row - The row.
+ * @param row - The new row.
  */
 export const writeWave = (draft: Draft, waveId: WaveId, row: WaveRow): void => {
   const key = rowKey.wave(waveId);
   pushChange(draft, {
     subject: key,
     reason: row.reason,
-    checks: [checkOf(draft.world.waves, waveId, key)],
+    checks: [versionCheckOf(draft.snapshot.waves, waveId, key)],
     writes: [{ key, value: row }],
   });
 };
 
 /**
- * Notes what was considered and not done.
+ * Records an action that was considered and not taken.
  *
  * @param draft - The working copy, changed in place.
- * @param subject - What it is about, in the form of a row key.
- * @param reason - Why not, in the operator's terms.
+ * @param subject - The key of the row that the action would have changed.
+ * @param reason - Why it was not taken, for operators.
  */
-export const withhold = (draft: Draft, subject: string, reason: string): void => {
+export const recordWithheldAction = (draft: Draft, subject: string, reason: string): void => {
   draft.withheld.push({ subject, reason });
 };
--- a/packages/core/src/control/plan-turn.ts
+++ b/packages/core/src/control/plan-turn.ts
@@ -1,29 +1,33 @@
-/** One control turn of a pool: what is known goes in, decisions with their preconditions come out. */
-import { createDraft, type ControlAction, type Withheld } from './draft.js';
-import { planExecutors, planUndeclared } from './executors.js';
+/** Plans one control turn of a pool: maps its snapshot to decisions with their preconditions. */
+import { createDraft, type ControlAction, type WithheldAction } from './draft.js';
+import { planExecutors, planUndeclaredExecutors } from './executors.js';
 import { planHosts } from './hosts.js';
 import { planJobs, planQuarantine } from './jobs.js';
 import { planLostHosts } from './lost-hosts.js';
-import { planOveruse } from './overuse.js';
+import { planPreemption } from './preemption.js';
 import { planWaves } from './waves.js';
-import type { PoolWorld } from './world.js';
+import type { PoolSnapshot } from './pool-snapshot.js';
 
 /** The outcome of a turn. */
 export type TurnPlan = {
   readonly actions: readonly ControlAction[];
-  /** What was considered and not done, for explanations. */
-  readonly withheld: readonly Withheld[];
+  /** Actions that were considered and not taken, for explanations. */
+  readonly withheld: readonly WithheldAction[];
+  /** The epoch that the first placement of the next turn gets. */
   readonly nextEpoch: number;
 };
 
-/** The order matters: what ends makes room, and the budget is counted after what is placed. */
+/**
+ * The steps of a turn, in their order. Placements end first, because that frees resources for new
+ * ones. Waves come last, because the availability budgets must count what the turn has placed.
+ */
 const steps = [
   planLostHosts,
   planHosts,
   planQuarantine,
-  planUndeclared,
+  planUndeclaredExecutors,
   planExecutors,
-  planOveruse,
+  planPreemption,
   planJobs,
   planWaves,
 ] as const;
@@ -31,12 +35,12 @@
 /**
  * Plans one turn.
  *
- * @param world - What the holder of the pool's lease knows.
- * @param nowMs - The time by its monotonic clock.
- * @returns The actions, in the order in which they are to be carried out.
+ * @param snapshot - The snapshot of the pool, read by the holder of its control lease.
+ * @param nowMs - The time by the lease holder's monotonic clock.
+ * @returns The plan, with its actions in the order in which they are to be carried out.
  */
-export const planPoolTurn = (world: PoolWorld, nowMs: number): TurnPlan => {
-  const draft = createDraft(world, nowMs);
+export const planPoolTurn = (snapshot: PoolSnapshot, nowMs: number): TurnPlan => {
+  const draft = createDraft(snapshot, nowMs);
   steps.forEach((step) => step(draft));
   const { actions, withheld, nextEpoch } = draft;
   return { actions, withheld, nextEpoch };
--- a/packages/core/src/replay/agent-model.ts
+++ b/packages/core/src/replay/agent-model.ts
@@ -1,5 +1,12 @@
-/** The agent of a data centre in virtual time: the real reconciling against the models. */
-import { emptyHosts, reconcile, renewals, type ReconcileAction } from '../control/reconcile.js';
+/**
+ * The agent of a data centre in virtual time: runs the production reconciler against the models.
+ */
+import {
+  findEmptyHosts,
+  reconcile,
+  listTasksToRenew,
+  type ReconcileAction,
+} from '../control/reconcile.js';
 import {
   rowKey,
   rowPrefix,
@@ -9,12 +16,15 @@
   type Versioned,
 } from '../rows/rows.js';
 import type { DataCentreId, HostId, JobId } from '../shared/ids.js';
-import { rowsOf, type TableModel } from './table-model.js';
+import { readRows, type TableModel } from './table-model.js';
 import type { WorkersModel } from './workers-model.js';
 
 export type AgentModel = {
-  /** Reconciles; without the table it only renews what it knew of last. */
-  readonly run: (hasTable: boolean, nowMs: number) => void;
+  /**
+   * Reconciles the data centre's workers with the table. Without access to the table
+   * (`hasTable` is false), only renews the leases of tasks that the last read placements contain.
+   */
+  readonly reconcile: (hasTable: boolean, nowMs: number) => void;
 };
 
 export type AgentModelOptions = {
@@ -28,17 +38,17 @@
 /**
  * Builds the agent of a data centre.
  *
- * @param options - The table and the workers.
+ * @param options - The data centre, the table and the workers.
  * @returns The agent.
  */
 export const createAgentModel = ({ dataCentre, table, workers }: AgentModelOptions): AgentModel => {
   let lastPlacements: readonly Versioned<PlacementRow>[] = [];
 
-  /** The rows about hosts of the data centre. */
+  /** Lists the rows under a prefix that refer to hosts of this data centre. */
   const localRows = <Row extends { readonly hostId: HostId }>(
     prefix: string,
   ): readonly Versioned<Row>[] =>
-    Array.from(rowsOf<string, Row>(table, prefix).values()).filter(
+    Array.from(readRows<string, Row>(table, prefix).values()).filter(
       ({ value }) => workers.hosts.get(value.hostId)?.dataCentre === dataCentre,
     );
 
@@ -61,7 +71,7 @@
     },
   };
 
-  const carryOut = (action: ReconcileAction, nowMs: number): void => {
+  const applyAction = (action: ReconcileAction, nowMs: number): void => {
     const handle = handlers[action.kind] as (one: ReconcileAction, atMs: number) => void;
     handle(action, nowMs);
   };
@@ -74,16 +84,16 @@
   };
 
   return {
-    run: (hasTable, nowMs) => {
-      const observed = workers.observed(dataCentre);
+    reconcile: (hasTable, nowMs) => {
+      const observed = workers.listObservedTasks(dataCentre);
       if (!hasTable) {
-        renewals(lastPlacements, observed).forEach((task) => workers.renew(task, nowMs));
+        listTasksToRenew(lastPlacements, observed).forEach((task) => workers.renew(task, nowMs));
         return;
       }
       const placements = localRows<PlacementRow>(rowPrefix.placement);
       lastPlacements = placements;
-      emptyHosts(localRows<HostRow>(rowPrefix.host), placements, observed).forEach(reportEmpty);
-      reconcile(placements, observed).forEach((action) => carryOut(action, nowMs));
+      findEmptyHosts(localRows<HostRow>(rowPrefix.host), placements, observed).forEach(reportEmpty);
+      reconcile(placements, observed).forEach((action) => applyAction(action, nowMs));
     },
   };
 };
--- a/packages/core/src/replay/replay.ts
+++ b/packages/core/src/replay/replay.ts
@@ -1,6 +1,8 @@
-/** Replay of a trace against the real decisions, with its stated outcomes checked. */
-import { declarationsOf, type Configuration } from '../configuration/configuration.js';
-import { declaredHosts, hostsNamedBy } from '../fleet/fleet.js';
+/**
+ * Replays a trace against the production planner and checks the expectations that the trace states.
+ */
+import { listDeclarations, type Configuration } from '../configuration/configuration.js';
+import { listDeclaredHosts, selectHosts } from '../fleet/fleet.js';
 import { rowKey, rowPrefix, type HostRow, type JobRow, type WaveRow } from '../rows/rows.js';
 import { parseSelector } from '../selectors/parse-selector.js';
 import {
@@ -15,24 +17,25 @@
   createFleetModel,
   type Decision,
   type FleetModel,
-  type PausedTurn,
+  type PlannedTurn,
 } from './fleet-model.js';
 import type { Expectation, TimedEvent, Trace } from './trace.js';
 
-/** What a replay has shown. */
+/** The result of a replay. */
 export type ReplayReport = {
   readonly decisions: readonly Decision[];
-  /** Outcomes that were stated and held. */
+  /** The number of expectations that were met. */
   readonly held: number;
-  /** Outcomes that did not hold, in words. */
+  /** A description of each expectation or invariant that was violated. */
   readonly broken: readonly string[];
+  /** The duration of the replay in virtual time, in seconds. */
   readonly lastedS: number;
 };
 
 type Run = {
   readonly fleet: FleetModel;
   readonly configuration: Configuration;
-  readonly paused: Map<string, PausedTurn>;
+  readonly paused: Map<string, PlannedTurn>;
   readonly broken: string[];
   held: number;
 };
@@ -46,44 +49,44 @@
   }
 };
 
-const note = (run: Run, what: string, wanted: unknown, found: unknown): void => {
+const checkEqual = (run: Run, label: string, expected: unknown, actual: unknown): void => {
   const state = run;
-  if (wanted === found) state.held += 1;
+  if (expected === actual) state.held += 1;
   else
     state.broken.push(
-      `at ${run.fleet.nowMs() / MS_PER_S} s: ${what}: wanted ${String(wanted)}, found ${String(found)}`,
+      `at ${run.fleet.nowMs() / MS_PER_S} s: ${label}: wanted ${String(expected)}, found ${String(actual)}`,
     );
 };
 
 const readRow = <Row>({ fleet }: Run, key: string): Row | undefined =>
   (fleet.table.read(key).value ?? undefined) as Row | undefined;
 
-const checkExpectation = (run: Run, one: Expectation): void => {
-  Object.entries(one.ready ?? {}).forEach(([service, count]) =>
-    note(run, `ready of ${service}`, count, run.fleet.readyOf(service)),
+const checkExpectation = (run: Run, expectation: Expectation): void => {
+  Object.entries(expectation.ready ?? {}).forEach(([service, count]) =>
+    checkEqual(run, `ready of ${service}`, count, run.fleet.countReadyExecutors(service)),
   );
-  Object.entries(one.jobs ?? {}).forEach(([job, phase]) =>
-    note(run, `job ${job}`, phase, readRow<JobRow>(run, rowKey.job(job))?.phase),
+  Object.entries(expectation.jobs ?? {}).forEach(([job, phase]) =>
+    checkEqual(run, `job ${job}`, phase, readRow<JobRow>(run, rowKey.job(job))?.phase),
   );
-  Object.entries(one.waves ?? {}).forEach(([wave, phase]) =>
-    note(run, `wave ${wave}`, phase, readRow<WaveRow>(run, rowKey.wave(wave))?.phase),
+  Object.entries(expectation.waves ?? {}).forEach(([wave, phase]) =>
+    checkEqual(run, `wave ${wave}`, phase, readRow<WaveRow>(run, rowKey.wave(wave))?.phase),
   );
-  Object.entries(one.pools ?? {}).forEach(([host, pool]) =>
-    note(run, `pool of ${host}`, pool, readRow<HostRow>(run, rowKey.host(host))?.pool),
+  Object.entries(expectation.pools ?? {}).forEach(([host, pool]) =>
+    checkEqual(run, `pool of ${host}`, pool, readRow<HostRow>(run, rowKey.host(host))?.pool),
   );
-  Object.entries(one.phases ?? {}).forEach(([host, phase]) =>
-    note(run, `phase of ${host}`, phase, readRow<HostRow>(run, rowKey.host(host))?.phase),
+  Object.entries(expectation.phases ?? {}).forEach(([host, phase]) =>
+    checkEqual(run, `phase of ${host}`, phase, readRow<HostRow>(run, rowKey.host(host))?.phase),
   );
-  if (one.withheld !== undefined) {
-    const text = one.withheld;
-    const isTold = run.fleet.withheld().some(({ reason }) => reason.includes(text));
-    note(run, `withheld: ${text}`, true, isTold);
+  if (expectation.withheld !== undefined) {
+    const text = expectation.withheld;
+    const isReported = run.fleet.listWithheldActions().some(({ reason }) => reason.includes(text));
+    checkEqual(run, `withheld: ${text}`, true, isReported);
   }
 };
 
 const startWave = ({ fleet, configuration }: Run, wave: string, selectorText: string): void => {
   const selector = parseSelector(selectorText).unwrap();
-  const hosts = hostsNamedBy(configuration, fleet.rows<HostRow>(rowPrefix.host), selector);
+  const hosts = selectHosts(configuration, fleet.listRows<HostRow>(rowPrefix.host), selector);
   const waveId = brand<WaveId>(wave);
   const row: WaveRow = {
     waveId,
@@ -95,7 +98,7 @@
   fleet.table.transact([], [{ key: rowKey.wave(wave), value: row }]);
 };
 
-const eachHost = (
+const forEachHost = (
   { fleet }: Run,
   hosts: readonly string[],
   change: (hostId: HostId) => void,
@@ -110,7 +113,7 @@
   hosts: readonly string[],
   change: { readonly failsTasks?: boolean; readonly isLeaving?: boolean },
 ): void =>
-  eachHost(run, hosts, (id) => Object.assign(run.fleet.workers.hosts.get(id) ?? {}, change));
+  forEachHost(run, hosts, (id) => Object.assign(run.fleet.workers.hosts.get(id) ?? {}, change));
 
 type EventOf<Type extends TimedEvent['type']> = Extract<TimedEvent, { type: Type }>;
 
@@ -127,21 +130,21 @@
         ? { ...row, phase: 'cancelled', reason: 'an operator cancelled it' }
         : row,
     ),
-  'job-uses': ({ fleet }, { job, cores }) => fleet.setUse(brand<JobId>(job), cores),
-  'host-kill': (run, { hosts }) => eachHost(run, hosts, run.fleet.workers.kill),
-  'host-revive': (run, { hosts }) => eachHost(run, hosts, run.fleet.workers.revive),
+  'job-uses': ({ fleet }, { job, cores }) => fleet.setUsedCores(brand<JobId>(job), cores),
+  'host-kill': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.crashHost),
+  'host-revive': (run, { hosts }) => forEachHost(run, hosts, run.fleet.workers.restartHost),
   'host-fails-tasks': (run, { hosts }) => setHosts(run, hosts, { failsTasks: true }),
   'host-leaving': (run, { hosts }) => setHosts(run, hosts, { isLeaving: true }),
   'rack-kill': (run, { rack }) =>
-    declaredHosts(run.configuration)
+    listDeclaredHosts(run.configuration)
       .filter((spec) => spec.rack === rack)
-      .forEach(({ hostId }) => run.fleet.workers.kill(hostId)),
+      .forEach(({ hostId }) => run.fleet.workers.crashHost(hostId)),
   'data-centre-cut': ({ fleet }, { dataCentre }) =>
-    fleet.setCut(brand<DataCentreId>(dataCentre), true),
+    fleet.setPartitioned(brand<DataCentreId>(dataCentre), true),
   'data-centre-heal': ({ fleet }, { dataCentre }) =>
-    fleet.setCut(brand<DataCentreId>(dataCentre), false),
-  'platform-away': ({ fleet }) => fleet.setPlatformAway(true),
-  'platform-back': ({ fleet }) => fleet.setPlatformAway(false),
+    fleet.setPartitioned(brand<DataCentreId>(dataCentre), false),
+  'platform-away': ({ fleet }) => fleet.setPlatformUnavailable(true),
+  'platform-back': ({ fleet }) => fleet.setPlatformUnavailable(false),
   'wave-start': (run, { wave, selector }) => startWave(run, wave, selector),
   'wave-change': ({ fleet }, { wave, to }) =>
     changeRow<WaveRow>(fleet, rowKey.wave(wave), (row) => ({
@@ -161,51 +164,57 @@
         : row,
     ),
   'control-paused': ({ fleet, paused }, { pool }) => {
-    paused.set(pool, fleet.planOnly(brand<PoolName>(pool)));
+    paused.set(pool, fleet.planTurn(brand<PoolName>(pool)));
   },
-  'control-taken': ({ fleet }, { pool }) => fleet.takeControl(brand<PoolName>(pool)),
+  'control-taken': ({ fleet }, { pool }) => fleet.transferControl(brand<PoolName>(pool)),
   'control-woken': (run, { pool }) => {
     const turn = run.paused.get(pool);
-    if (turn) note(run, `writes of the paused holder of ${pool}`, 0, run.fleet.write(turn));
+    if (turn)
+      checkEqual(run, `writes of the paused holder of ${pool}`, 0, run.fleet.writeTurn(turn));
     run.paused.delete(pool);
   },
   expect: checkExpectation,
 };
 
-const checkAlways = (run: Run, mayBreakBudgets: boolean): void => {
-  const { cutTasks, doubleRuns } = run.fleet.workers.faults;
-  if (cutTasks > 0) note(run, 'tasks cut by a planned reboot', 0, cutTasks);
-  if (doubleRuns > 0) note(run, 'jobs that ran twice at one time', 0, doubleRuns);
-  if (mayBreakBudgets) return;
-  declarationsOf(run.configuration, 'Service').forEach(({ name, spec }) => {
-    const ready = run.fleet.readyOf(name);
+const checkInvariants = (run: Run, allowBudgetViolations: boolean): void => {
+  const { interruptedTasks, duplicateRuns } = run.fleet.workers.violations;
+  if (interruptedTasks > 0) checkEqual(run, 'tasks cut by a planned reboot', 0, interruptedTasks);
+  if (duplicateRuns > 0) checkEqual(run, 'jobs that ran twice at one time', 0, duplicateRuns);
+  if (allowBudgetViolations) return;
+  listDeclarations(run.configuration, 'Service').forEach(({ name, spec }) => {
+    const ready = run.fleet.countReadyExecutors(name);
     if (ready < spec.minReady)
-      note(run, `budget of ${name} (minReady ${spec.minReady})`, true, false);
+      checkEqual(run, `budget of ${name} (minReady ${spec.minReady})`, true, false);
   });
 };
 
-/** At the start nothing runs yet, so budgets are watched only from then on. */
-const SETTLED_AFTER_S = 10;
+/**
+ * Nothing runs at the start, so invariants and availability budgets are checked only after this
+ * time.
+ */
+const INVARIANT_CHECKS_FROM_S = 10;
 
 /**
  * Replays a trace.
  *
  * @param trace - The trace.
- * @param configuration - What its declarations say.
- * @returns The decisions, and which of the stated outcomes held.
+ * @param configuration - The configuration that the trace's declarations define.
+ * @returns The decisions, the number of met expectations, and the violations. The replay stops
+ * advancing time at the first violation.
  */
 export const replayTrace = (trace: Trace, configuration: Configuration): ReplayReport => {
-  const { fleet: line, events } = trace;
+  const { fleet: fleetLine, events } = trace;
   const fleet = createFleetModel({
     configuration,
-    rebootMs: line.rebootS * MS_PER_S,
-    startMs: line.startS * MS_PER_S,
+    rebootMs: fleetLine.rebootS * MS_PER_S,
+    taskStartMs: fleetLine.startS * MS_PER_S,
   });
   const run: Run = { fleet, configuration, paused: new Map(), broken: [], held: 0 };
   events.forEach((event) => {
     while (fleet.nowMs() < event.atS * MS_PER_S && run.broken.length === 0) {
       fleet.step();
-      if (fleet.nowMs() > SETTLED_AFTER_S * MS_PER_S) checkAlways(run, line.budgetsMayBreak);
+      if (fleet.nowMs() > INVARIANT_CHECKS_FROM_S * MS_PER_S)
+        checkInvariants(run, fleetLine.budgetsMayBreak);
     }
     (handlers[event.type] as (one: Run, what: TimedEvent) => void)(run, event);
   });
--- a/packages/core/src/replay/workers-model.ts
+++ b/packages/core/src/replay/workers-model.ts
@@ -1,10 +1,12 @@
-/** Workers in virtual time: hosts that run tasks under leases, reboot, fail and come back. */
+/**
+ * Workers in virtual time: hosts that run tasks under leases, reboot, fail and return to service.
+ */
 import { change } from '../shared/change.js';
 import type { ObservedTask } from '../control/reconcile.js';
 import type { PlacementRow } from '../rows/rows.js';
 import type { DataCentreId, HostId, JobId } from '../shared/ids.js';
 
-/** A task on a host. */
+/** A task on a host. Its `service` is null if it belongs to a job that ends by itself. */
 export type ModelTask = {
   readonly jobId: JobId;
   readonly epoch: number;
@@ -13,11 +15,11 @@
   readonly leaseMs: number;
   phase: ObservedTask['phase'];
   leaseUntilMs: number;
-  /** When its phase changes by itself: it has started, or it has run. */
-  changesAtMs: number;
+  /** When its phase changes next: from starting to running, or from running to its end. */
+  nextPhaseAtMs: number;
 };
 
-/** A host. */
+/** A host. `rebootEndsAtMs` is when its reboot ends; it applies only while `state` is `rebooting`. */
 export type ModelHost = {
   readonly hostId: HostId;
   readonly dataCentre: DataCentreId;
@@ -25,53 +27,56 @@
   isLeaving: boolean;
   failsTasks: boolean;
   boots: number;
-  backAtMs: number;
+  rebootEndsAtMs: number;
 };
 
-/** Times of the model, in milliseconds. */
+/** How long the start of a task and the reboot of a host take, in milliseconds. */
 export type WorkerTimes = {
-  readonly startMs: number;
+  readonly taskStartMs: number;
   readonly rebootMs: number;
 };
 
-/** What has gone wrong, if anything has. */
-export type WorkerFaults = {
-  /** Tasks that were serving when their host was rebooted as planned. */
-  cutTasks: number;
-  /** Moments at which two tasks of one job ran at the same time. */
-  doubleRuns: number;
+/** Counts of invariant violations; all are 0 in a correct run. */
+export type InvariantViolations = {
+  /** Unfinished tasks that a planned reboot of their host terminated. */
+  interruptedTasks: number;
+  /** Starts of a task while another task of the same job was live. */
+  duplicateRuns: number;
 };
 
 export type WorkersModel = {
   readonly hosts: ReadonlyMap<HostId, ModelHost>;
   readonly tasks: () => readonly ModelTask[];
-  readonly observed: (dataCentre: DataCentreId) => readonly ObservedTask[];
+  readonly listObservedTasks: (dataCentre: DataCentreId) => readonly ObservedTask[];
   readonly start: (placement: PlacementRow, runTimeMs: number, nowMs: number) => void;
   readonly drain: (task: ObservedTask) => void;
   readonly stop: (task: ObservedTask) => void;
   readonly renew: (task: ObservedTask, nowMs: number) => void;
-  readonly reboot: (hostId: HostId, requestName: string, nowMs: number) => void;
-  readonly kill: (hostId: HostId) => void;
-  readonly revive: (hostId: HostId) => void;
-  /** Lets time pass: starts end, jobs end, leases lapse, hosts come back. */
+  readonly rebootHost: (hostId: HostId, requestName: string, nowMs: number) => void;
+  readonly crashHost: (hostId: HostId) => void;
+  readonly restartHost: (hostId: HostId) => void;
+  /**
+   * Advances the model to `nowMs`: completes due starts and runs, ends tasks whose lease has
+   * expired, and returns hosts whose reboot is complete.
+   */
   readonly advance: (nowMs: number) => void;
-  readonly faults: WorkerFaults;
+  readonly violations: InvariantViolations;
 };
 
-const LONG = Number.MAX_SAFE_INTEGER;
+const NEVER_MS = Number.MAX_SAFE_INTEGER;
 
 const isLive = ({ phase }: ModelTask): boolean => phase !== 'done' && phase !== 'failed';
 
 /**
  * Builds the workers.
  *
- * @param places - Each host with its data centre.
- * @param times - The times of the model.
- * @returns The workers, all hosts up and without tasks.
+ * @param places - The data centre of each host.
+ * @param times - How long starts and reboots take.
+ * @returns The workers; all hosts are up and run no tasks.
  */
 export const createWorkersModel = (
   places: ReadonlyMap<HostId, DataCentreId>,
-  { startMs, rebootMs }: WorkerTimes,
+  { taskStartMs, rebootMs }: WorkerTimes,
 ): WorkersModel => {
   const hosts = new Map<HostId, ModelHost>(
     Array.from(places, ([hostId, dataCentre]) => [
@@ -83,32 +88,33 @@
         isLeaving: false,
         failsTasks: false,
         boots: 1,
-        backAtMs: 0,
+        rebootEndsAtMs: 0,
       },
     ]),
   );
   let tasks: ModelTask[] = [];
   const runTimes = new Map<string, number>();
-  const ended = new Set<string>();
+  const endedKeys = new Set<string>();
   const rebootRequests = new Set<string>();
-  const faults: WorkerFaults = { cutTasks: 0, doubleRuns: 0 };
+  const violations: InvariantViolations = { interruptedTasks: 0, duplicateRuns: 0 };
 
-  const keyOf = ({ jobId, epoch }: { jobId: JobId; epoch: number }): string => `${jobId}@${epoch}`;
-  const find = (wanted: ObservedTask): ModelTask | undefined =>
-    tasks.find((task) => keyOf(task) === keyOf(wanted));
+  const taskKey = ({ jobId, epoch }: { jobId: JobId; epoch: number }): string =>
+    `${jobId}@${epoch}`;
+  const findTask = (wanted: ObservedTask): ModelTask | undefined =>
+    tasks.find((task) => taskKey(task) === taskKey(wanted));
 
-  const end = (gone: readonly ModelTask[]): void => {
-    gone.forEach((task) => ended.add(keyOf(task)));
-    const keys = new Set(gone.map(keyOf));
-    tasks = tasks.filter((task) => !keys.has(keyOf(task)));
+  const removeTasks = (removed: readonly ModelTask[]): void => {
+    removed.forEach((task) => endedKeys.add(taskKey(task)));
+    const keys = new Set(removed.map(taskKey));
+    tasks = tasks.filter((task) => !keys.has(taskKey(task)));
   };
 
   const start = (placement: PlacementRow, runTimeMs: number, nowMs: number): void => {
     const { jobId, epoch, hostId, service, leaseMs } = placement;
-    const key = keyOf(placement);
-    if (hosts.get(hostId)?.state !== 'up' || ended.has(key)) return;
-    if (tasks.some((task) => keyOf(task) === key)) return;
-    if (tasks.some((task) => task.jobId === jobId && isLive(task))) faults.doubleRuns += 1;
+    const key = taskKey(placement);
+    if (hosts.get(hostId)?.state !== 'up' || endedKeys.has(key)) return;
+    if (tasks.some((task) => taskKey(task) === key)) return;
+    if (tasks.some((task) => task.jobId === jobId && isLive(task))) violations.duplicateRuns += 1;
     runTimes.set(key, runTimeMs);
     tasks.push({
       jobId,
@@ -118,19 +124,19 @@
       leaseMs,
       phase: 'starting',
       leaseUntilMs: nowMs + leaseMs,
-      changesAtMs: nowMs + startMs,
+      nextPhaseAtMs: nowMs + taskStartMs,
     });
   };
 
   const tasksOn = (hostId: HostId) => tasks.filter((task) => task.hostId === hostId);
 
   const changePhase = (task: ModelTask, nowMs: number): void => {
-    if (nowMs < task.changesAtMs || !isLive(task)) return;
+    if (nowMs < task.nextPhaseAtMs || !isLive(task)) return;
     if (task.phase === 'starting') {
-      const runTimeMs = runTimes.get(keyOf(task)) ?? 0;
+      const runTimeMs = runTimes.get(taskKey(task)) ?? 0;
       change(task, {
         phase: 'running',
-        changesAtMs: task.service === null ? nowMs + runTimeMs : LONG,
+        nextPhaseAtMs: task.service === null ? nowMs + runTimeMs : NEVER_MS,
       });
       return;
     }
@@ -141,7 +147,7 @@
   return {
     hosts,
     tasks: () => tasks,
-    observed: (dataCentre) =>
+    listObservedTasks: (dataCentre) =>
       tasks
         .filter(({ hostId }) => hosts.get(hostId)?.dataCentre === dataCentre)
         .map(({ jobId, epoch, hostId, phase, service }) => ({
@@ -154,35 +160,35 @@
         })),
     start,
     drain: (wanted) => {
-      const task = find(wanted);
+      const task = findTask(wanted);
       if (task && isLive(task)) task.phase = 'leaving';
     },
     stop: (wanted) => {
-      const task = find(wanted);
-      if (task) end([task]);
-      ended.add(keyOf(wanted));
+      const task = findTask(wanted);
+      if (task) removeTasks([task]);
+      endedKeys.add(taskKey(wanted));
     },
     renew: (wanted, nowMs) => {
-      const task = find(wanted);
+      const task = findTask(wanted);
       if (task) task.leaseUntilMs = nowMs + task.leaseMs;
     },
-    reboot: (hostId, requestName, nowMs) => {
+    rebootHost: (hostId, requestName, nowMs) => {
       const host = hosts.get(hostId);
       if (!host || host.state !== 'up' || rebootRequests.has(requestName)) return;
       rebootRequests.add(requestName);
-      faults.cutTasks += tasksOn(hostId).filter(
+      violations.interruptedTasks += tasksOn(hostId).filter(
         ({ phase }) => phase !== 'done' && phase !== 'failed',
       ).length;
-      end(tasksOn(hostId));
+      removeTasks(tasksOn(hostId));
       host.state = 'rebooting';
-      host.backAtMs = nowMs + rebootMs;
+      host.rebootEndsAtMs = nowMs + rebootMs;
     },
-    kill: (hostId) => {
+    crashHost: (hostId) => {
       const host = hosts.get(hostId);
       if (host) host.state = 'dead';
-      end(tasksOn(hostId));
+      removeTasks(tasksOn(hostId));
     },
-    revive: (hostId) => {
+    restartHost: (hostId) => {
       const host = hosts.get(hostId);
       if (!host || host.state !== 'dead') return;
       host.state = 'up';
@@ -190,12 +196,12 @@
     },
     advance: (nowMs) => {
       tasks.forEach((task) => changePhase(task, nowMs));
-      end(tasks.filter((task) => isLive(task) && nowMs > task.leaseUntilMs));
+      removeTasks(tasks.filter((task) => isLive(task) && nowMs > task.leaseUntilMs));
       hosts.forEach((host) => {
-        if (host.state !== 'rebooting' || nowMs < host.backAtMs) return;
+        if (host.state !== 'rebooting' || nowMs < host.rebootEndsAtMs) return;
         change(host, { state: 'up', boots: host.boots + 1 });
       });
     },
-    faults,
+    violations,
   };
 };
--- a/packages/core/src/retry/retry-budget.ts
+++ b/packages/core/src/retry/retry-budget.ts
@@ -1,50 +1,53 @@
 /**
- * The retry budget: first attempts earn a fraction of a retry each, so that retries stay a bounded
- * share of the load however many endpoints fail.
+ * The retry budget: each first attempt adds a fraction of a token and each retry takes one token,
+ * so that retries stay a bounded share of the load however many endpoints fail.
  */
 
-/** The state of a budget. It changes in place, since it is touched by each request. */
+/** The state of a budget. It is changed in place, because each request updates it. */
 export type RetryBudget = {
+  /** The retries that are available, including a fraction. */
   tokens: number;
-  readonly earnPerRequest: number;
-  readonly most: number;
+  /** The tokens that a first attempt adds. */
+  readonly tokensPerRequest: number;
+  /** The maximum number of tokens. */
+  readonly maxTokens: number;
 };
 
 export type RetryBudgetOptions = {
-  /** Retries earned by one first attempt. */
-  readonly earnPerRequest?: number;
-  /** The most retries that can be saved up. */
-  readonly most?: number;
+  /** The tokens that a first attempt adds. */
+  readonly tokensPerRequest?: number;
+  /** The maximum number of tokens. */
+  readonly maxTokens?: number;
 };
 
 /**
- * Builds a full budget.
+ * Creates a full budget.
  *
- * @param options - The rate of earning and the ceiling.
+ * @param options - The tokens that a first attempt adds, and the maximum.
  * @returns The budget.
  */
 export const createRetryBudget = ({
-  earnPerRequest = 0.1,
-  most = 20,
-}: RetryBudgetOptions = {}): RetryBudget => ({ tokens: most, earnPerRequest, most });
+  tokensPerRequest = 0.1,
+  maxTokens = 20,
+}: RetryBudgetOptions = {}): RetryBudget => ({ tokens: maxTokens, tokensPerRequest, maxTokens });
 
 /**
- * Notes a first attempt.
+ * Adds the tokens for a first attempt.
  *
  * @param budget - The budget, changed in place.
  */
-export const earnRetry = (budget: RetryBudget): void => {
+export const addRetryTokens = (budget: RetryBudget): void => {
   const state = budget;
-  state.tokens = Math.min(state.most, state.tokens + state.earnPerRequest);
+  state.tokens = Math.min(state.maxTokens, state.tokens + state.tokensPerRequest);
 };
 
 /**
- * Takes one retry out of the budget, if there is one.
+ * Takes one token, if one is available.
  *
  * @param budget - The budget, changed in place.
  * @returns True if the retry may be made.
  */
-export const spendRetry = (budget: RetryBudget): boolean => {
+export const takeRetryToken = (budget: RetryBudget): boolean => {
   const state = budget;
   if (state.tokens < 1) return false;
   state.tokens -= 1;
--- a/packages/daemon/src/batch/control/term.ts
+++ b/packages/daemon/src/batch/control/term.ts
@@ -1,25 +1,25 @@
 /**
- * One term of a holder of control: from taking the lease until it is lost or given up. Nothing of
- * it outlives it; the next holder starts from the rows and from what endpoints report.
+ * One term of a control holder, from taking the lease until it is lost or given up. No state in memory is kept
+ * after it: the next holder starts from the stored rows and from the reports of endpoints.
  */
 import {
-  beginDue,
+  startDueOccurrences,
   cancelJob,
-  countWaiting,
+  countWaitingJobs,
   createAdmissionControl,
   createBatchState,
-  createLinkDelay,
+  createSharedDelayEstimator,
   createOrderWindow,
   createScheduleCycle,
-  expectReports,
-  instanceOf,
-  isInTime,
-  noteFirstAttempts,
-  paceFillers,
-  soleForMs,
-  takeAccounts,
-  takeEffects,
-  watchRuns,
+  addPendingReports,
+  instanceIdOf,
+  isWithinObjective,
+  recordFirstAttempts,
+  paceGapFillers,
+  remainingSoleHolderMs,
+  setAccounts,
+  removeEffects,
+  handleStalledAndLapsedRuns,
   type AdmissionControl,
   type BatchEffect,
   type BatchJob,
@@ -45,10 +45,10 @@
 import { createFleetCycle, type FleetCycle } from '../hosts/fleet-cycle.js';
 import { createEvacuationWatch, type EvacuationWatch } from './evacuation-watch.js';
 import { createDomainGauges } from './domain-gauges.js';
-import { takeGuard } from './guard.js';
-import { createJobAdmission, noteAdmission } from '../jobs/job-admission.js';
-import { createRowLookup } from '../jobs/row-lookup.js';
-import { createJobRows, type Until } from '../jobs/job-rows.js';
+import { acquireGuard } from './guard.js';
+import { createJobAdmission, publishAdmissionCounts } from '../jobs/job-admission.js';
+import { createJobRowLookup } from '../jobs/job-row-lookup.js';
+import { createJobRowReader, type RetryUntilTermEnds } from '../jobs/job-row-reader.js';
 import {
   createJobSaver,
   type AcceptOutcome,
@@ -56,83 +56,102 @@
   type LiveRow,
 } from '../jobs/job-saver.js';
 import { batchKey } from '../keys.js';
-import { createLearnedKeeper } from './learned-keeper.js';
-import { noteLoad, type LoadNoteOptions } from './load-note.js';
+import { createDemandHistoryStore } from './demand-history-store.js';
+import { logLoad, type LoadLogOptions } from './load-log.js';
 import type { BatchPlatform } from '../ports.js';
 import type { RefusedJob } from '../jobs/refused-jobs.js';
 
 const TICK_MS = 100;
-/** New jobs are announced over the mesh; the feed finds what was lost there. */
+/** New jobs are announced over the mesh; the feed of rows finds those whose announcement was lost. */
 const JOB_FEED_MS = 500;
-/** Each endpoint writes its entry every 1.5 s, so a waiting feed would wake all the time. */
+/**
+ * The list of endpoints is polled. Each endpoint writes its entry every 1.5 s, so a blocking read would return
+ * almost at once each time.
+ */
 const ENDPOINT_FEED_MS = 400;
-/** A lease on an endpoint ends so much later by an endpoint's slow clock and a late answer. */
-const LEASE_SLACK = 1.05;
+/** An endpoint's lease may last longer than its duration by this factor, because of a slow clock at the endpoint. */
+const LEASE_CLOCK_FACTOR = 1.05;
+/** An endpoint's lease may last longer by this time in addition, because of a late answer. */
 const LEASE_MARGIN_MS = 500;
 const FEED_RETRY_MS = 300;
-/** A sweep takes 40 jobs: 57 a second, above the 50 that a fleet of 250 endpoints admits. */
-const SWEEP_MS = 700;
-/** A change of the holder costs the learning of so long; each writing is one call of the table. */
-const LEARNED_MS = 2000;
-const NOTE_LOAD_MS = 1000;
+/** A sweep removes up to 40 jobs, so 57 a second: more than the 50 a second that a fleet of 250 endpoints admits. */
+const SWEEP_INTERVAL_MS = 700;
+/** A change of holder loses up to this much of the demand history; each save is one call to the table. */
+const DEMAND_HISTORY_SAVE_INTERVAL_MS = 2000;
+const LOAD_LOG_INTERVAL_MS = 1000;
 
 export type TermOptions = {
   readonly self: EntryId;
   readonly fence: number;
-  /** The row that a taker of the lease changes; writes of waves depend on it. */
+  /** The key and version of the fence row, which each new holder changes; writes of wave rows depend on it. */
   readonly fenceCheck: RowCheck;
   readonly platform: BatchPlatform;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** True while the lease is surely held. */
-  readonly holds: () => boolean;
-  /** True while orders to hosts may be sent too. */
+  /** True while the lease is certainly held. */
+  readonly holdsLease: () => boolean;
+  /** True while orders to hosts may be sent. */
   readonly mayOrderHosts: () => boolean;
-  /** How long after its start the term may order hosts for the first time. */
-  readonly hostOrdersAfterMs: number;
-  /** For how long after the start of the term holders before may still order endpoints. */
-  readonly holdersBeforeMs: number;
-  /** For how long an endpoint keeps what runs there without contact with the holder. */
+  /** How long after its start the term may order hosts for the first time, in milliseconds. */
+  readonly hostOrderDelayMs: number;
+  /** For how long after the start of the term earlier holders may still order endpoints, in milliseconds. */
+  readonly formerOrdersRemainingMs: number;
+  /** How long an endpoint keeps its runs without contact with the holder, in milliseconds. */
   readonly endpointLeaseMs: number;
-  /** Where tasks of short steps go; `fullest` if left out. */
+  /** How endpoints are chosen for tasks of short steps; `fullest` if left out. */
   readonly placementPolicy?: PlacementPolicy;
-  /** The table has answered nothing for so long that it is away. */
-  readonly isTableAway: () => boolean;
-  /** Until then no other entry can have become the holder: what was not heard has not happened elsewhere. */
+  /** True once the table has answered nothing for long enough to count as unavailable. */
+  readonly isTableUnavailable: () => boolean;
+  /**
+   * Until this time no other entry can have become the holder, so that what was not reported to this holder was not
+   * reported to another one either.
+   */
   readonly soleHolderUntilMs: () => number;
+  /** The operator's queues; undefined until they were read once. */
   readonly configuration: () => QueueIndex | undefined;
-  /** Whether orders to start may leave this entry. */
+  /** Decides whether this entry may send start orders; if left out, it always may. */
   readonly startGate?: StartGate;
+  /** Called once if the term finds that another holder has replaced it. */
   readonly onLost: (reason: string) => void;
   readonly nowMs?: () => number;
-  readonly todayMs?: () => number;
+  readonly wallClockMs?: () => number;
 };
 
-/** What others may ask a holder. */
+/** A term as other parts of the entry use it. */
 export type Term = {
   readonly self: EntryId;
   readonly state: BatchState;
   readonly fleet: FleetCycle;
-  readonly evacuations: Omit<EvacuationWatch, 'look' | 'close'>;
+  readonly evacuations: Omit<EvacuationWatch, 'update' | 'close'>;
   readonly admission: AdmissionControl;
+  /** Recovers the state from rows and from the list of endpoints, then starts the loops. */
   readonly start: () => Promise<void>;
+  /** Ends all work of the term. */
   readonly stop: () => Promise<void>;
-  /** Where a job stands; undefined if the holder cannot tell. */
+  /** The status of a job; undefined if the job is unknown or this entry cannot answer as the holder. */
   readonly statusOf: (jobId: JobId) => JobStatus | undefined;
-  readonly waiting: () => ReadonlyMap<string, number> | undefined;
-  /** Writes and admits a job; undefined if this entry cannot. */
+  /** The number of waiting jobs by queue; undefined if this entry cannot answer as the holder. */
+  readonly countWaitingJobs: () => ReadonlyMap<string, number> | undefined;
+  /** Writes and admits a job; undefined if this entry cannot act as the holder. */
   readonly accept: (row: LiveRow) => Promise<AcceptOutcome | undefined>;
-  /** Admits a job whose row another entry wrote. */
-  readonly takeIn: (row: LiveRow, version: number) => void;
-  /** Notes jobs whose clients were refused and come back. */
-  readonly noteRefused: (jobs: readonly RefusedJob[]) => void;
+  /**
+   * Admits a job whose row another entry wrote. Ignored before the recovery, and while another entry may have become the
+   * holder.
+   */
+  readonly addAcceptedJob: (row: LiveRow, version: number) => void;
+  /** Records jobs that were refused and that their clients will submit again. */
+  readonly recordRefusedJobs: (jobs: readonly RefusedJob[]) => void;
+  /**
+   * Cancels a job and returns its phase afterwards; undefined if the job is unknown or belongs to another account, or
+   * if this entry cannot answer as the holder.
+   */
   readonly cancel: (jobId: JobId, caller: Caller) => BatchPhase | undefined;
 };
 
 /**
  * Builds a term.
  *
- * @param options - Who holds control, under which fence, and on which platform.
+ * @param options - The holder, its fence, the platform and the limits from the lease.
  * @returns The term, not yet started.
  */
 export const createTerm = ({
@@ -142,58 +161,62 @@
   platform,
   log,
   metrics,
-  holds,
+  holdsLease,
   mayOrderHosts,
-  hostOrdersAfterMs,
-  holdersBeforeMs,
+  hostOrderDelayMs,
+  formerOrdersRemainingMs,
   endpointLeaseMs,
   placementPolicy = 'fullest',
-  isTableAway,
+  isTableUnavailable,
   soleHolderUntilMs,
   configuration,
   startGate = OPEN_GATE,
   onLost,
   nowMs = () => performance.now(),
-  todayMs = () => Date.now(),
+  wallClockMs = () => Date.now(),
 }: TermOptions): Term => {
   const state = createBatchState(fence);
-  const bornAtMs = nowMs();
+  const createdAtMs = nowMs();
   state.placementPolicy = placementPolicy;
   const schedulePools = createScheduleCycle(state);
-  const inheritedLeasesMs = endpointLeaseMs * LEASE_SLACK + LEASE_MARGIN_MS + holdersBeforeMs;
-  const window = createOrderWindow();
-  const linkDelay = createLinkDelay();
+  const inheritedLeasesMs =
+    endpointLeaseMs * LEASE_CLOCK_FACTOR + LEASE_MARGIN_MS + formerOrdersRemainingMs;
+  const orderWindow = createOrderWindow();
+  const sharedDelayEstimator = createSharedDelayEstimator();
   let guard: RowCheck = { key: batchKey.guard, version: -1 };
   let isStopped = false;
   let isReady = false;
-  let isPoked = false;
+  let isCycleRequested = false;
   let loops: RunningLoops | undefined;
 
   const isSoleHolder = (): boolean => nowMs() < soleHolderUntilMs();
 
-  /** A new holder starts nothing before it has asked what is evacuated: the holder before may have known more. */
-  const mayStart = (): boolean => startGate.isConfirmedSince(bornAtMs) && startGate.isOpen();
+  /**
+   * A new holder starts nothing before its evacuation view was confirmed: the previous holder may have known of a newer
+   * evacuation.
+   */
+  const mayStart = (): boolean => startGate.isConfirmedSince(createdAtMs) && startGate.isOpen();
 
   const confirmEvacuations = async (): Promise<void> => {
     if (mayStart()) return;
     await startGate.confirm();
-    poke();
+    requestCycle();
   };
 
-  /** A term whose lease has lapsed cannot know what another holder does. */
-  const isAnswering = (): boolean => !isStopped && isReady && holds();
+  /** False once the lease has lapsed, since another holder may have changed what this one would answer. */
+  const isHolder = (): boolean => !isStopped && isReady && holdsLease();
 
-  const lose = (reason: string): void => {
+  const endAsLost = (reason: string): void => {
     if (isStopped) return;
     isStopped = true;
     onLost(reason);
   };
 
-  const poke = (): void => {
-    if (isPoked || isStopped) return;
-    isPoked = true;
+  const requestCycle = (): void => {
+    if (isCycleRequested || isStopped) return;
+    isCycleRequested = true;
     setImmediate(() => {
-      isPoked = false;
+      isCycleRequested = false;
       cycle();
     });
   };
@@ -204,28 +227,28 @@
     linkContext: {
       state,
       orders: platform.orders,
-      linkDelay,
-      window,
+      sharedDelayEstimator,
+      orderWindow,
       endpointLeaseMs,
       log,
       metrics,
       nowMs,
-      mayOrder: () => !isStopped && holds(),
-      mayStartIn: (dataCentre) => mayStart() && startGate.mayStartIn(dataCentre),
-      poke,
-      wantSave: () => saver.poke(),
-      onFenceLost: () => lose('an endpoint has seen a higher fence'),
+      isCertainlyHolder: () => !isStopped && holdsLease(),
+      isStartAllowedIn: (dataCentre) => mayStart() && startGate.mayStartIn(dataCentre),
+      requestScheduling: requestCycle,
+      requestSave: () => saver.requestRound(),
+      onFenceLost: () => endAsLost('an endpoint has seen a higher fence'),
     },
     inheritedLeasesMs,
     isStopped: () => isStopped,
   });
 
-  const ended = createEndedJobs({
+  const endedJobs = createEndedJobs({
     table: platform.table,
     guard: () => guard,
     log,
     answerableMs: () => platform.bounds().answerableMs,
-    todayMs,
+    wallClockMs,
   });
 
   const saver: JobSaver = createJobSaver({
@@ -234,46 +257,59 @@
     fence: () => guard,
     log,
     metrics,
-    todayMs,
-    isTableAway,
-    beginRound: roster.mark,
+    wallClockMs,
+    isTableUnavailable,
+    beginRound: roster.snapshotAppliedEnds,
     onSaved: ({ job, phase, reason }: JobState) => {
-      ended.add(job.jobId, { phase, reason, ...accountOf(job) }, todayMs());
+      endedJobs.add(job.jobId, { phase, reason, ...accountOf(job) }, wallClockMs());
       state.jobs.delete(job.jobId);
       saver.versions.delete(job.jobId);
     },
-    onAccepted: (row, version) => jobRows.takeIn(row, version),
-    onFenceLost: () => lose('another holder changed the fence row'),
+    onAccepted: (row, version) => jobRows.addAcceptedJob(row, version),
+    onFenceLost: () => endAsLost('another holder changed the guard row'),
   });
 
-  const jobRows = createJobRows({
+  const jobRows = createJobRowReader({
     state,
     table: platform.table,
     versions: saver.versions,
-    ended,
+    ended: endedJobs,
     configuration,
     isSoleHolder,
     isStopped: () => isStopped,
-    poke,
+    requestScheduling: requestCycle,
     log,
     nowMs,
-    todayMs,
+    wallClockMs,
   });
 
   const admission = createAdmissionControl({ state });
   const admitJob = createJobAdmission({
     admission,
     write: saver.accept,
-    hasRow: createRowLookup(platform.table),
-    isAnswering,
+    hasRow: createJobRowLookup(platform.table),
+    isHolder,
     log,
     metrics,
     nowMs,
   });
 
-  const learned = createLearnedKeeper({ table: platform.table, state, log, nowMs, todayMs });
+  const demandHistory = createDemandHistoryStore({
+    table: platform.table,
+    state,
+    log,
+    nowMs,
+    wallClockMs,
+  });
 
-  const advisor = createAdvisor({ state, port: platform.advice, log, metrics, nowMs, poke });
+  const advisor = createAdvisor({
+    state,
+    port: platform.advice,
+    log,
+    metrics,
+    nowMs,
+    requestScheduling: requestCycle,
+  });
 
   const evacuations = createEvacuationWatch({
     state,
@@ -281,7 +317,7 @@
     log,
     metrics,
     nowMs,
-    todayMs,
+    wallClockMs,
   });
 
   const effectHandlers: {
@@ -296,70 +332,71 @@
       const job = state.jobs.get(jobId);
       if (job && isUrgent) {
         log.info('job-ended', { job: jobId, phase: job.phase, reason: job.reason });
-        if (job.phase === 'completed') admission.noteDone(job.job, isInTime(state, job, nowMs()));
+        if (job.phase === 'completed')
+          admission.recordCompletion(job.job, isWithinObjective(state, job, nowMs()));
       }
-      saver.mark(jobId, isUrgent);
+      saver.requestSave(jobId, isUrgent);
     },
     note: ({ event, fields }) => log.info(event, fields),
   };
 
   const perform = (): void => {
-    takeEffects(state).forEach((effect) => {
+    removeEffects(state).forEach((effect) => {
       const handle = effectHandlers[effect.kind] as (one: BatchEffect) => void;
       handle(effect);
     });
   };
 
   const cycle = (): void => {
-    state.evacuated = startGate.evacuated();
-    if (isStopped || !isReady || !holds()) {
+    state.evacuatedDataCentres = startGate.evacuated();
+    if (isStopped || !isReady || !holdsLease()) {
       perform();
       return;
     }
     state.clockMs = nowMs();
-    state.todayAheadMs = todayMs() - nowMs();
+    state.wallClockOffsetMs = wallClockMs() - nowMs();
     state.soleHolderUntilMs = soleHolderUntilMs();
-    takeAccounts(state, configuration()?.accounts.byName ?? state.accounts);
-    schedulePools(mayStart() ? window.left() : 0, nowMs());
+    setAccounts(state, configuration()?.accounts.byName ?? state.accounts);
+    schedulePools(mayStart() ? orderWindow.available() : 0, nowMs());
     perform();
   };
 
   const domainGauges = createDomainGauges(state, metrics);
 
-  const loadNote: LoadNoteOptions = {
+  const loadLogOptions: LoadLogOptions = {
     state,
-    window,
-    linkDelay,
-    soleForMs: () => soleHolderUntilMs() - nowMs(),
+    orderWindow,
+    sharedDelayEstimator,
+    remainingSoleHolderMs: () => soleHolderUntilMs() - nowMs(),
     nowMs,
     log,
   };
 
-  const note = (): void => {
-    noteLoad(loadNote);
-    noteAdmission(admission, metrics);
+  const reportLoad = (): void => {
+    logLoad(loadLogOptions);
+    publishAdmissionCounts(admission, metrics);
   };
 
-  const noteLapsed = ({ endpointId, endedAtMs }: LapsedEndpoint): void =>
+  const logLapsedLease = ({ endpointId, endedAtMs }: LapsedEndpoint): void =>
     log.warn('endpoint-lease-ended', {
       endpoint: endpointId,
       ageMs: Math.round(nowMs() - endedAtMs),
-      soleForMs: soleForMs(state, nowMs()),
+      soleForMs: remainingSoleHolderMs(state, nowMs()),
     });
 
   const tick = async (): Promise<void> => {
     if (isStopped || !isReady) return;
     state.soleHolderUntilMs = soleHolderUntilMs();
-    saver.lookAtTable();
-    evacuations.look();
-    state.timed.forEach((job) => beginDue(state, job, nowMs(), todayMs()));
-    watchRuns(state, nowMs()).forEach(noteLapsed);
-    paceFillers(state, nowMs());
-    admission.followUp(nowMs());
+    saver.refuseIfTableUnavailable();
+    evacuations.update();
+    state.recurringJobs.forEach((job) => startDueOccurrences(state, job, nowMs(), wallClockMs()));
+    handleStalledAndLapsedRuns(state, nowMs()).forEach(logLapsedLease);
+    paceGapFillers(state, nowMs());
+    admission.checkTrackedRefusals(nowMs());
     cycle();
   };
 
-  const until: Until = async (attempt) => {
+  const retryUntilDefined: RetryUntilTermEnds = async (attempt) => {
     while (!isStopped) {
       const value = await attempt();
       if (value !== undefined) return value;
@@ -370,9 +407,9 @@
     return undefined;
   };
 
-  const ownGuard = async (): Promise<true | undefined> => {
-    const outcome = await takeGuard(platform.table, fence);
-    if (outcome.kind === 'superseded') lose('a later holder has written the guard row');
+  const takeGuardForTerm = async (): Promise<true | undefined> => {
+    const outcome = await acquireGuard(platform.table, fence);
+    if (outcome.kind === 'superseded') endAsLost('a later holder has written the guard row');
     if (outcome.kind !== 'taken') return undefined;
     guard = outcome.check;
     return true;
@@ -383,32 +420,35 @@
     state.takenOverAtMs = startedAtMs;
     state.longestLeaseMs = platform.bounds().longestLeaseMs;
     state.inheritedLeasesEndAtMs = startedAtMs + inheritedLeasesMs;
-    state.formerOrdersEndAtMs = startedAtMs + holdersBeforeMs;
+    state.formerOrdersEndAtMs = startedAtMs + formerOrdersRemainingMs;
     state.isHostListAwaited = true;
-    // What is inherited waits for the hosts; nothing else does.
+    // Only inherited tasks wait for the list of hosts.
     void fleet.refreshHosts();
-    // What an earlier holder wrote between the first reading and the guard is in the second.
-    const [, early, endpoints] = await Promise.all([
-      until(ownGuard),
-      jobRows.read(until),
-      until(roster.read),
-      learned.restore(),
+    // The second read finds what an earlier holder wrote after the first read and before the guard row changed.
+    const [, firstRead, endpoints] = await Promise.all([
+      retryUntilDefined(takeGuardForTerm),
+      jobRows.read(retryUntilDefined),
+      retryUntilDefined(roster.readList),
+      demandHistory.restore(),
     ]);
-    const late = await jobRows.read(until);
-    if (isStopped || !early || !late || !endpoints) return;
+    const secondRead = await jobRows.read(retryUntilDefined);
+    if (isStopped || !firstRead || !secondRead || !endpoints) return;
     state.clockMs = nowMs();
-    jobRows.restore([early, late]);
-    expectReports(
+    jobRows.restore([firstRead, secondRead]);
+    addPendingReports(
       state,
-      endpoints.seen.map(({ endpointId, pool }) => ({ instanceId: instanceOf(endpointId), pool })),
+      endpoints.changed.map(({ endpointId, pool }) => ({
+        instanceId: instanceIdOf(endpointId),
+        pool,
+      })),
     );
-    roster.take(endpoints);
+    roster.applyListChanges(endpoints);
     isReady = true;
     log.info('term-recovered', {
       fence,
       jobs: state.jobs.size,
-      ended: ended.count(),
-      endpoints: endpoints.seen.length,
+      ended: endedJobs.count(),
+      endpoints: endpoints.changed.length,
       tookMs: Math.round(nowMs() - startedAtMs),
     });
     perform();
@@ -423,38 +463,38 @@
     log,
     metrics,
     nowMs,
-    todayMs,
-    mayOrder: () => !isStopped && isReady && holds() && mayOrderHosts(),
-    orderAfterMs: hostOrdersAfterMs,
+    wallClockMs,
+    mayOrder: () => !isStopped && isReady && holdsLease() && mayOrderHosts(),
+    minTermAgeToOrderMs: hostOrderDelayMs,
     configuration,
-    dropEndpoint: roster.drop,
+    dropEndpoint: roster.removeGoneEndpoint,
   });
 
   const start = async (): Promise<void> => {
     log.info('term-started', { fence });
-    // Beside the recovery, which takes several calls.
+    // Runs in parallel with the recovery, which takes several calls.
     void confirmEvacuations();
     await recover();
     if (isStopped) return;
     loops = startLoops(
       [
-        { name: 'tick', everyMs: TICK_MS, run: tick },
-        { name: 'evacuations', everyMs: TICK_MS, run: confirmEvacuations },
-        { name: 'endpoints', everyMs: ENDPOINT_FEED_MS, run: roster.follow },
-        { name: 'jobs', everyMs: JOB_FEED_MS, run: jobRows.follow },
-        { name: 'fleet', everyMs: fleet.everyMs, run: fleet.run },
-        { name: 'waves', everyMs: fleet.everyMs, run: fleet.follow },
-        { name: 'sweep', everyMs: SWEEP_MS, run: ended.sweep },
-        { name: 'load', everyMs: NOTE_LOAD_MS, run: async () => note() },
-        { name: 'domains', everyMs: NOTE_LOAD_MS, run: async () => domainGauges.note() },
-        { name: 'learned', everyMs: LEARNED_MS, run: learned.save },
+        { name: 'tick', pauseMs: TICK_MS, run: tick },
+        { name: 'evacuations', pauseMs: TICK_MS, run: confirmEvacuations },
+        { name: 'endpoints', pauseMs: ENDPOINT_FEED_MS, run: roster.refresh },
+        { name: 'jobs', pauseMs: JOB_FEED_MS, run: jobRows.applyChanges },
+        { name: 'fleet', pauseMs: fleet.intervalMs, run: fleet.run },
+        { name: 'waves', pauseMs: fleet.intervalMs, run: fleet.syncWaves },
+        { name: 'sweep', pauseMs: SWEEP_INTERVAL_MS, run: endedJobs.deleteExpiredRows },
+        { name: 'load', pauseMs: LOAD_LOG_INTERVAL_MS, run: async () => reportLoad() },
+        { name: 'domains', pauseMs: LOAD_LOG_INTERVAL_MS, run: async () => domainGauges.update() },
+        { name: 'learned', pauseMs: DEMAND_HISTORY_SAVE_INTERVAL_MS, run: demandHistory.save },
       ],
       (name, error) => {
         const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
         log.error('term-loop-failed', { name, detail });
       },
     );
-    poke();
+    requestCycle();
   };
 
   const stop = async (): Promise<void> => {
@@ -476,25 +516,27 @@
     start,
     stop,
     statusOf: (jobId) =>
-      !isAnswering() ? undefined : (ended.statusOf(jobId) ?? savedStatus(state.jobs.get(jobId))),
-    waiting: () => (isAnswering() ? countWaiting(state) : undefined),
+      !isHolder()
+        ? undefined
+        : (endedJobs.findStatus(jobId) ?? reportedStatus(state.jobs.get(jobId))),
+    countWaitingJobs: () => (isHolder() ? countWaitingJobs(state) : undefined),
     accept: async (row) => {
-      if (!isAnswering()) return undefined;
+      if (!isHolder()) return undefined;
       const { jobId } = row.job;
-      if (state.jobs.has(jobId) || ended.has(jobId)) return { kind: 'conflict' };
+      if (state.jobs.has(jobId) || endedJobs.has(jobId)) return { kind: 'conflict' };
       return admitJob(row);
     },
-    takeIn: (row, version) => {
-      if (isReady && !isStopped && isSoleHolder()) jobRows.takeIn(row, version);
+    addAcceptedJob: (row, version) => {
+      if (isReady && !isStopped && isSoleHolder()) jobRows.addAcceptedJob(row, version);
     },
-    noteRefused: (jobs) =>
-      noteFirstAttempts(
+    recordRefusedJobs: (jobs) =>
+      recordFirstAttempts(
         state,
         jobs.map(([jobId, agoMs]) => ({ jobId, atMs: nowMs() - agoMs })),
       ),
     cancel: (jobId, caller) => {
-      if (!isAnswering()) return undefined;
-      const phase = ended.statusOf(jobId)?.phase ?? cancelJob(state, jobId, caller);
+      if (!isHolder()) return undefined;
+      const phase = endedJobs.findStatus(jobId)?.phase ?? cancelJob(state, jobId, caller);
       perform();
       return phase;
     },
@@ -504,9 +546,12 @@
 const accountOf = ({ owner }: BatchJob): Pick<JobStatus, 'account'> =>
   owner ? { account: owner.account } : {};
 
-/** An end is reported only once it is written, so that any entry can find it again. */
-const savedStatus = (job: JobState | undefined): JobStatus | undefined => {
+/**
+ * The status of a job whose row is not yet saved as ended. A completed or failed job is reported as running until its
+ * end is written, so that any entry can find a reported end in the row.
+ */
+const reportedStatus = (job: JobState | undefined): JobStatus | undefined => {
   if (!job) return undefined;
-  const isWritten = job.phase !== 'completed' && job.phase !== 'failed';
-  return { phase: isWritten ? job.phase : 'running', reason: '', ...accountOf(job.job) };
+  const isReportable = job.phase !== 'completed' && job.phase !== 'failed';
+  return { phase: isReportable ? job.phase : 'running', reason: '', ...accountOf(job.job) };
 };
