--- a/packages/daemon/src/batch/entry/batch-entry.ts
+++ b/packages/daemon/src/batch/entry/batch-entry.ts
@@ -1,8 +1,12 @@
 /**
- * One entry of a fleet that runs batch work: takes jobs from clients, and holds control of the
- * fleet while it has the lease. All entries are alike and keep nothing.
+ * One entry of a fleet that runs batch work. It accepts jobs from clients, and is the control holder while it has the
+ * control lease. All entries are equal and store nothing themselves.
  */
-import { TABLE_AWAY_MS, type PlacementPolicy, type QueueIndex } from '@valvelatch/core/batch';
+import {
+  TABLE_UNAVAILABLE_MS,
+  type PlacementPolicy,
+  type QueueIndex,
+} from '@valvelatch/core/batch';
 import type { DataCentreId, EntryId } from '@valvelatch/core/shared/ids';
 import { createGroupCommit } from '@valvelatch/platform/group-commit';
 
@@ -11,52 +15,69 @@
 import type { OperatorResult } from '../../operators/operator-result.js';
 import { startLoops, type RunningLoops } from '../../shared/loops.js';
 import {
-  ASK_NEIGHBOURS_EVERY_MS,
+  NEIGHBOUR_POLL_INTERVAL_MS,
   CONFIGURATION_METHOD,
-  createConfigurationKeeper,
+  createConfigurationSync,
   type NeighbourQuestion,
-} from '../configuration/configuration-keeper.js';
-import { createEvacuationKeeper } from '../configuration/evacuation-keeper.js';
+} from '../configuration/configuration-sync.js';
+import { createEvacuationTracker } from '../configuration/evacuation-tracker.js';
 import { createStartGate } from '../configuration/start-gate.js';
 import { createAccess, type Access } from './access.js';
 import { createControl, type Control } from '../control/control.js';
 import { CONTROL_METHOD } from '../control/holder-client.js';
 import { createIntake, type Intake } from '../jobs/intake.js';
-import { BEAT_MS, createPeers, type AskPeer, type Peers } from './peers.js';
-import { answerOperator, OPERATORS_METHOD, type OperatorQuestion } from '../operators/operators.js';
-import { createOrderAgent } from '../relays/order-agent.js';
-import { createRelayedOrders, ORDER_METHOD, RELAYS_EVERY_MS } from '../relays/relayed-orders.js';
-import { createStanding, strengthOf } from '../control/standing.js';
+import { HEARTBEAT_INTERVAL_MS, createPeers, type AskPeer, type Peers } from './peers.js';
+import {
+  answerOperator,
+  OPERATORS_METHOD,
+  type OperatorQuery,
+} from '../operators/operator-queries.js';
+import { createRelayOrderHandler } from '../relays/relay-order-handler.js';
+import {
+  createRelayedOrders,
+  RELAY_ORDER_METHOD,
+  RELAY_REFRESH_INTERVAL_MS,
+} from '../relays/relayed-orders.js';
+import { createHolderPreference, computeHolderCapacity } from '../control/holder-preference.js';
 import type { BatchPlatform } from '../ports.js';
-import { createRefusedJobs, TELL_REFUSED_EVERY_MS } from '../jobs/refused-jobs.js';
+import { createRefusedJobs, REPORT_REFUSED_INTERVAL_MS } from '../jobs/refused-jobs.js';
 import {
   createRelayedTable,
-  PROBE_EVERY_MS,
-  RELAY_METHOD,
-  type RelayCall,
+  PROBE_INTERVAL_MS,
+  TABLE_CALL_METHOD,
+  type TableCall,
 } from '../relays/relayed-table.js';
 
-const LEASE_TICK_MS = 400;
-const OPERATOR_RETRY_MS = 100;
-const PEERS_MS = 5000;
-/** A stronger entry that takes longer to say whether it would take control is no better off. */
-const WILLING_MS = 500;
-/** Submissions that come within this time share a transaction. */
-const GROUP_MS = 4;
-const GROUP_SIZE = 30;
-/** A list of a whole fleet takes the holder some hundred milliseconds. */
-const OPERATORS_MS = 3000;
+/** The interval at which this entry tries to acquire or renew the control lease. */
+const LEASE_TICK_INTERVAL_MS = 400;
+/** The pause between reads of the operator's feed. */
+const FEED_PAUSE_MS = 100;
+/** The interval at which the list of entries is read. */
+const PEERS_REFRESH_INTERVAL_MS = 5000;
+/**
+ * How long to wait for a stronger entry to answer whether it would take control. One that takes longer is no better
+ * choice.
+ */
+const WILLING_TIMEOUT_MS = 500;
+/** Submissions that arrive within this time share a transaction. */
+const GROUP_COMMIT_WINDOW_MS = 4;
+/** The maximum number of submissions in a transaction. */
+const MAX_GROUP_COMMIT_SIZE = 30;
+/**
+ * How long to wait for the holder's answer to an operator. To list a whole fleet takes it a few hundred milliseconds.
+ */
+const OPERATOR_TIMEOUT_MS = 3000;
 
 export type BatchEntryOptions = {
   readonly self: EntryId;
   readonly dataCentre: DataCentreId;
-  /** How many cores this entry may use: the strongest entries hold control. */
+  /** How many cores this entry may use. Control goes to the strongest entries. */
   readonly cores: number;
-  /** What its link carries each way. */
+  /** The capacity of its network link in each direction. */
   readonly linkBytesPerS: number;
-  /** True if a holder whose link is busy may have others carry its orders. */
+  /** True if a holder whose link is busy may send its orders through other entries. */
   readonly mayRelayOrders: boolean;
-  /** Where tasks of short steps go. */
+  /** How endpoints are chosen for tasks of short steps. */
   readonly placementPolicy: PlacementPolicy;
   readonly meshHost: string;
   readonly meshPort: number;
@@ -67,15 +88,16 @@
 };
 
 export type BatchEntry = {
+  /** The configuration in force; undefined before the first one is known. */
   readonly configuration: () => QueueIndex | undefined;
   readonly access: Access;
   readonly intake: Intake;
   readonly control: Control;
-  /** Answers an operator, through the holder of control. */
-  readonly askOperators: (question: OperatorQuestion) => Promise<OperatorResult>;
-  /** True if new clients should be sent here. */
+  /** Answers an operator, through the control holder if that is another entry. */
+  readonly answerOperator: (question: OperatorQuery) => Promise<OperatorResult>;
+  /** True if new clients should be routed to this entry. */
   readonly isReady: () => boolean;
-  /** Gives up control at once and takes no new clients; those connected are served on. */
+  /** Gives up control at once and stops being ready for new clients. Connected clients are still served. */
   readonly drain: () => Promise<void>;
   readonly stop: () => Promise<void>;
 };
@@ -83,9 +105,9 @@
 /**
  * Starts an entry.
  *
- * @param options - Its name, its place, its platform.
+ * @param options - The identity, size and location of the entry, and its platform.
  * @returns The entry.
- * @throws Where the mesh address cannot be listened on.
+ * @throws If it cannot listen on the mesh address.
  */
 export const startBatchEntry = async ({
   self,
@@ -119,17 +141,17 @@
     metrics,
   });
 
-  const evacuations = createEvacuationKeeper({
-    evacuateMs: () => platform.bounds().evacuateMs,
+  const evacuations = createEvacuationTracker({
+    maxEvacuationDelayMs: () => platform.bounds().evacuateMs,
     log,
   });
 
-  const configuration = createConfigurationKeeper({
+  const configuration = createConfigurationSync({
     evacuations,
     feed: platform.operator,
     neighbours,
     ask: askPeer,
-    onWaves: (waves) => control.takeWaves(waves),
+    onWaves: (waves) => control.addWaves(waves),
     log,
     metrics,
   });
@@ -137,18 +159,18 @@
   const startGate = createStartGate({
     evacuations,
     configuration,
-    isTableAway: () => table.silentForMs() >= TABLE_AWAY_MS,
+    isTableUnavailable: () => table.unansweredForMs() >= TABLE_UNAVAILABLE_MS,
   });
 
   const orders = createRelayedOrders({
     orders: platform.orders,
     peers: () => peers,
-    linkUse: platform.linkUse,
-    isAllowed: mayRelayOrders,
+    readLinkUsage: platform.readLinkUsage,
+    mayRelay: mayRelayOrders,
     log,
     metrics,
   });
-  const agent = createOrderAgent(platform.orders, metrics, startGate);
+  const orderAgent = createRelayOrderHandler(platform.orders, metrics, startGate);
 
   const control = createControl({
     self,
@@ -160,23 +182,24 @@
     placementPolicy,
     log,
     metrics,
-    standing: createStanding({
-      strength: strengthOf(cores, linkBytesPerS),
-      othersStrength: () => peers?.strengths(),
-      ask: async (entryId) => peers?.ask(entryId, CONTROL_METHOD.willing, null, WILLING_MS),
+    holderPreference: createHolderPreference({
+      capacity: computeHolderCapacity(cores, linkBytesPerS),
+      othersCapacity: () => peers?.strengths(),
+      ask: async (entryId) => peers?.ask(entryId, CONTROL_METHOD.willing, null, WILLING_TIMEOUT_MS),
     }),
   });
 
-  const answerHere = (question: OperatorQuestion): OperatorResult | undefined =>
+  /** Answers an operator at this entry; returns undefined if it is not the control holder. */
+  const answerAsHolder = (question: OperatorQuery): OperatorResult | undefined =>
     answerOperator(control, question, configuration.index()?.configuration.version ?? 0);
 
-  const askOperators = async (question: OperatorQuestion): Promise<OperatorResult> => {
-    const own = answerHere(question);
+  const askOperators = async (question: OperatorQuery): Promise<OperatorResult> => {
+    const ownAnswer = answerAsHolder(question);
     const holder = control.holder();
-    if (own) return own;
+    if (ownAnswer) return ownAnswer;
     try {
       if (!peers || holder === null) throw new Error('nobody holds control');
-      const answer = await peers.ask(holder, OPERATORS_METHOD, question, OPERATORS_MS);
+      const answer = await peers.ask(holder, OPERATORS_METHOD, question, OPERATOR_TIMEOUT_MS);
       if (answer) return answer as OperatorResult;
       throw new Error(`${holder} does not hold control any more`);
     } catch (error) {
@@ -193,36 +216,44 @@
     port: meshPort,
     meshKey,
     log,
-    onFrame: platform.noteMeshFrame,
+    onFrame: platform.recordMeshFrame,
     answer: async (method, payload) => {
-      if (method === ORDER_METHOD) return agent.answer(payload);
-      if (method === RELAY_METHOD) return table.answerNeighbour(payload as RelayCall);
+      if (method === RELAY_ORDER_METHOD) return orderAgent.answer(payload);
+      if (method === TABLE_CALL_METHOD) return table.callForNeighbour(payload as TableCall);
       if (method === CONFIGURATION_METHOD) {
         return configuration.answerNeighbour(payload as NeighbourQuestion | number);
       }
-      if (method === OPERATORS_METHOD) return answerHere(payload as OperatorQuestion) ?? null;
-      return control.answer(method, payload);
+      if (method === OPERATORS_METHOD) return answerAsHolder(payload as OperatorQuery) ?? null;
+      return control.handleCall(method, payload);
     },
   });
   const openPeers = peers;
 
-  const refusedJobs = createRefusedJobs({ send: control.tellRefused });
+  const refusedJobs = createRefusedJobs({ send: control.reportRefusedJobs });
 
   const intake = createIntake({
     onRefused: refusedJobs.add,
     table,
-    group: createGroupCommit({ table, windowMs: GROUP_MS, mostPerGroup: GROUP_SIZE }),
+    groupCommit: createGroupCommit({
+      table,
+      windowMs: GROUP_COMMIT_WINDOW_MS,
+      maxGroupSize: MAX_GROUP_COMMIT_SIZE,
+    }),
     control,
     log,
     metrics,
   });
 
-  /** Who else is there is read before control is taken for the first time: see `Standing`. */
+  /**
+   * Tries to acquire or renew the control lease. The other entries are read before that, since a weaker entry leaves
+   * control to a stronger one: see `HolderPreference`.
+   */
   const keepControl = async (): Promise<void> => {
     if (openPeers.strengths() === undefined) await openPeers.refresh(table);
     await control.tick();
   };
 
+  /** Reads the list of entries again; the first read is left to `keepControl`. */
   const refreshPeers = async (): Promise<void> => {
     if (openPeers.strengths() !== undefined) await openPeers.refresh(table);
   };
@@ -233,18 +264,18 @@
 
   const loops: RunningLoops = startLoops(
     [
-      { name: 'operator', everyMs: OPERATOR_RETRY_MS, run: configuration.follow },
+      { name: 'operator', pauseMs: FEED_PAUSE_MS, run: configuration.pollFeed },
       {
         name: 'configuration',
-        everyMs: ASK_NEIGHBOURS_EVERY_MS,
+        pauseMs: NEIGHBOUR_POLL_INTERVAL_MS,
         run: configuration.askNeighbours,
       },
-      { name: 'lease', everyMs: LEASE_TICK_MS, run: keepControl },
-      { name: 'relays', everyMs: RELAYS_EVERY_MS, run: refreshRelays },
-      { name: 'refused', everyMs: TELL_REFUSED_EVERY_MS, run: refusedJobs.tell },
-      { name: 'peers', everyMs: PEERS_MS, run: refreshPeers },
-      { name: 'beat', everyMs: BEAT_MS, run: async () => openPeers.beat() },
-      { name: 'probe', everyMs: PROBE_EVERY_MS, run: async () => table.probe() },
+      { name: 'lease', pauseMs: LEASE_TICK_INTERVAL_MS, run: keepControl },
+      { name: 'relays', pauseMs: RELAY_REFRESH_INTERVAL_MS, run: refreshRelays },
+      { name: 'refused', pauseMs: REPORT_REFUSED_INTERVAL_MS, run: refusedJobs.report },
+      { name: 'peers', pauseMs: PEERS_REFRESH_INTERVAL_MS, run: refreshPeers },
+      { name: 'beat', pauseMs: HEARTBEAT_INTERVAL_MS, run: async () => openPeers.sendHeartbeats() },
+      { name: 'probe', pauseMs: PROBE_INTERVAL_MS, run: async () => table.probe() },
     ],
     (name, error) => {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
@@ -257,8 +288,8 @@
     access: createAccess({ configuration, log, metrics }),
     intake,
     control,
-    askOperators,
-    isReady: () => !isDraining && configuration.index() !== undefined && intake.canTake(),
+    answerOperator: askOperators,
+    isReady: () => !isDraining && configuration.index() !== undefined && intake.canSubmit(),
     drain: async () => {
       isDraining = true;
       await control.resign();
--- a/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
+++ b/packages/daemon/src/batch/hosts/waves-with-faults.test.ts
@@ -1,36 +1,40 @@
 /**
- * Two waves that share lasting steps, under faults: no order may end a task at work beyond its step's allowance, and
- * each wave gets to its end. Held from the start; single faults of this kind are in `upkeep-rules.test.ts`.
+ * Two waves over hosts of the same long-running steps, under faults. No order may make more tasks of a step unavailable
+ * than its limit (`mayMiss`) allows, and each wave must complete. Single faults of this kind are tested in
+ * `host-rules.test.ts`.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { HostId } from '@valvelatch/core/shared/ids';
 
 import type { SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { advance, FAKED, holderOf, started } from '../testing/virtual-time.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
 const POOLS = ['alpha', 'beta'];
 const HOSTS_PER_POOL = 10;
-const LONGEST_MS = 60_000;
+const MAX_COMPLETION_MS = 60_000;
 
 const faults: Readonly<Record<string, (fleet: SimFleet) => void>> = {
-  'answers of endpoints that are lost': (fleet) =>
-    Object.assign(fleet.faults, { lostAnswers: 0.03 }),
-  'orders to hosts that are lost or late': (fleet) =>
-    Object.assign(fleet.faults, { lostWrites: 0.05 }),
-  'orders to hosts that are under way for long': (fleet) =>
+  'lost answers of endpoints': (fleet) => Object.assign(fleet.faults, { lostAnswers: 0.03 }),
+  'lost or late orders to hosts': (fleet) => Object.assign(fleet.faults, { lostWrites: 0.05 }),
+  'orders to hosts that are in flight for long': (fleet) =>
     Object.assign(fleet.faults, { hostOrderMs: 700 }),
-  'a holder that is replaced': (fleet) => {
+  'a replaced holder': (fleet) => {
     setTimeout(() => {
-      fleet.kill(holderOf(fleet));
+      fleet.kill(requireHolder(fleet));
       fleet.addEntry('d');
-      fleet.reorder();
+      fleet.rereadWaves();
     }, 4500);
   },
 };
 
-describe('two waves that share lasting steps', () => {
+describe('two waves over hosts of the same long-running steps', () => {
   beforeEach(() => {
-    vi.useFakeTimers({ toFake: [...FAKED] });
+    vi.useFakeTimers({ toFake: [...FAKED_TIMERS] });
   });
 
   afterEach(() => {
@@ -43,14 +47,20 @@
       .map(({ hostId }) => hostId);
 
   const busyFleet = async (seed: number, mayMiss: number) => {
-    const fleet = await started({
+    const fleet = await createStartedFleet({
       hostsPerPool: HOSTS_PER_POOL,
       domains: { hostsPerRack: 3, dataCentres: 2 },
       seed,
     });
-    const lasting = { taskCount: 6, isLasting: true, mostPerEndpoint: 1, cpuMillis: 2000, mayMiss };
-    POOLS.forEach((pool) => fleet.submit({ pool, steps: [lasting], startMs: 1000 }));
-    await advance(7000);
+    const longRunningStep = {
+      taskCount: 6,
+      isLasting: true,
+      mostPerEndpoint: 1,
+      cpuMillis: 2000,
+      mayMiss,
+    };
+    POOLS.forEach((pool) => fleet.submit({ pool, steps: [longRunningStep], startMs: 1000 }));
+    await advanceTime(7000);
     const work = setInterval(() => {
       const peak = Math.floor(performance.now() / 3000) % POOLS.length;
       POOLS.forEach((pool, index) => {
@@ -58,14 +68,14 @@
         fleet.submit({ pool, steps: [{ taskCount, cpuMillis: 2800 }], runMs: 1000 });
       });
     }, 200);
-    await advance(3000);
+    await advanceTime(3000);
     return { fleet, work };
   };
 
-  const completion = async (fleet: SimFleet): Promise<void> => {
-    const endsAtMs = performance.now() + LONGEST_MS;
-    const isOpen = (): boolean => [1, 2].some((one) => fleet.waveStatus.get(one) !== 'completed');
-    while (isOpen() && performance.now() < endsAtMs) await advance(500);
+  const waitForCompletion = async (fleet: SimFleet): Promise<void> => {
+    const endsAtMs = performance.now() + MAX_COMPLETION_MS;
+    const isOpen = (): boolean => [1, 2].some((wave) => fleet.waveStatus.get(wave) !== 'completed');
+    while (isOpen() && performance.now() < endsAtMs) await advanceTime(500);
   };
 
   const cases = Object.keys(faults).flatMap((fault) =>
@@ -73,21 +83,22 @@
   );
 
   it.each(cases)(
-    'keep its allowance of $mayMiss beside $fault, seed $seed',
+    'keep the limit of $mayMiss unavailable tasks and complete with $fault, seed $seed',
     async ({ fault, mayMiss, seed }) => {
       const { fleet, work } = await busyFleet(seed, mayMiss);
       faults[fault]?.(fleet);
-      // The simulated platform counts what is down for all waves together.
+      // The simulated platform counts the hosts that are down for all waves together, so the maximum is the whole
+      // fleet.
       const waves = [['rack-0', 'rack-2'], ['rack-1']].map((racks, index) => ({
         waveNumber: index + 1,
         hosts: hostsInRacks(fleet, racks),
         withinMs: 26_000,
         maximum: POOLS.length * HOSTS_PER_POOL,
       }));
-      waves.forEach(fleet.order);
-      await completion(fleet);
+      waves.forEach(fleet.orderWave);
+      await waitForCompletion(fleet);
       clearInterval(work);
-      expect(fleet.broken).toEqual([]);
+      expect(fleet.violations).toEqual([]);
       waves.forEach(({ waveNumber }) => expect(fleet.waveStatus.get(waveNumber)).toBe('completed'));
     },
   );
--- /dev/null
+++ b/packages/daemon/src/batch/jobs/job-row-reader.ts
@@ -0,0 +1,185 @@
+/** Reads the rows of jobs: completely at recovery, and their changes afterwards. */
+import {
+  cancelJob,
+  restoreJob,
+  addJob,
+  recordOwnerLimits,
+  type BatchJob,
+  type BatchJobRow,
+  type BatchState,
+  type ProgressRow,
+  type QueueIndex,
+  type QueuePolicy,
+} from '@valvelatch/core/batch';
+import type { TableRow } from '@valvelatch/core/rows/transaction';
+import type { JobId } from '@valvelatch/core/shared/ids';
+
+import type { Log } from '../../observe/log.js';
+import type { LiveRow } from './accept-queue.js';
+import type { EndedJobs } from './ended-jobs.js';
+import type { JobSaver } from './job-saver.js';
+import { parseJobKey } from '../keys.js';
+import type { BatchTable, TableFeed } from '../ports.js';
+
+export type JobRowReaderOptions = {
+  readonly state: BatchState;
+  readonly table: Pick<BatchTable, 'feed'>;
+  readonly versions: JobSaver['versions'];
+  readonly ended: EndedJobs;
+  /** The queues of the configuration in force; undefined before one is known. */
+  readonly configuration: () => QueueIndex | undefined;
+  /** True while no other entry can have become the control holder: see `TermOptions`. */
+  readonly isSoleHolder: () => boolean;
+  readonly isStopped: () => boolean;
+  /** Requests a scheduling cycle because new work may be placed. */
+  readonly requestScheduling: () => void;
+  readonly log: Log;
+  /** Monotonic clock, in milliseconds. */
+  readonly nowMs: () => number;
+  /** Wall clock, in milliseconds. */
+  readonly wallClockMs: () => number;
+};
+
+/** Repeats an attempt until it returns a value; resolves to undefined once the term has ended. */
+export type RetryUntilTermEnds = <Value>(
+  attempt: () => Promise<Value | undefined>,
+) => Promise<Value | undefined>;
+
+/** The rows of jobs and of their progress that one read returned. */
+export type JobRowChanges = {
+  readonly jobs: readonly TableRow[];
+  readonly progress: readonly TableRow[];
+};
+
+export type JobRowReader = {
+  /** Reads the rows that changed since the last read; the first read returns all. Undefined once the term has ended. */
+  readonly read: (until: RetryUntilTermEnds) => Promise<JobRowChanges | undefined>;
+  /** Restores the jobs that an earlier holder left. */
+  readonly restore: (readings: readonly JobRowChanges[]) => void;
+  /** Adds an accepted job to the state, unless it is known already. */
+  readonly addAcceptedJob: (row: LiveRow, version: number) => void;
+  /** Reads and applies the rows that other entries have written. */
+  readonly applyChanges: () => Promise<void>;
+};
+
+const PROGRESS_PREFIX = 'progress/';
+
+/** Of several versions of a row keeps the one read last; deleted rows are left out. */
+const findLatestRows = (rows: readonly TableRow[]): readonly TableRow[] =>
+  Array.from(new Map(rows.map((row) => [row.key, row])).values()).filter(
+    ({ value }) => value !== null,
+  );
+
+const readFeed = async (feed: TableFeed): Promise<readonly TableRow[] | undefined> =>
+  (await feed.next(0)).unwrapOr(undefined);
+
+/**
+ * Creates the reader of job rows for one term of a holder.
+ *
+ * @param options - The scheduler state, the table, and what the reader uses of the holder's term.
+ * @returns The reader.
+ */
+export const createJobRowReader = ({
+  state,
+  table,
+  versions,
+  ended,
+  configuration,
+  isSoleHolder,
+  isStopped,
+  requestScheduling,
+  log,
+  nowMs,
+  wallClockMs,
+}: JobRowReaderOptions): JobRowReader => {
+  const jobFeed = table.feed('job');
+  const progressFeed = table.feed('progress');
+
+  /** The policy that the configuration declares for a queue, else the one stored with the job. */
+  const findPolicy = (queue: string, fallback: QueuePolicy): QueuePolicy =>
+    configuration()?.byName.get(queue as BatchJob['queue'])?.policy ?? fallback;
+
+  const addAcceptedJob = ({ job, policy }: LiveRow, version: number): void => {
+    if (ended.has(job.jobId) || state.jobs.has(job.jobId)) return;
+    versions.set(job.jobId, { job: version, progress: 0 });
+    if (job.owner) recordOwnerLimits(state, job.owner);
+    addJob(state, {
+      job,
+      policy: findPolicy(job.queue, policy),
+      nowMs: nowMs(),
+      wallClockMs: wallClockMs(),
+    });
+    requestScheduling();
+  };
+
+  const restoreRow = (row: LiveRow, version: number, progressRow: TableRow | undefined): void => {
+    const { jobId, queue } = row.job;
+    const progressVersion = progressRow?.value ? progressRow.version : 0;
+    versions.set(jobId, { job: version, progress: progressVersion });
+    if (row.job.owner) recordOwnerLimits(state, row.job.owner);
+    restoreJob(state, {
+      job: row.job,
+      policy: findPolicy(queue, row.policy),
+      progress: (progressRow?.value ?? undefined) as ProgressRow | undefined,
+      nowMs: nowMs(),
+      wallClockMs: wallClockMs(),
+    });
+  };
+
+  /** Records ended jobs, passes live ones to `applyLiveRow`, and applies cancellations after both. */
+  const applyRows = (
+    rows: readonly TableRow[],
+    applyLiveRow: (row: LiveRow, version: number) => void,
+  ): void => {
+    rows.forEach(({ key, value, version }) => {
+      const { jobId, isCancel } = parseJobKey(key);
+      if (isCancel || value === null) return;
+      const row = value as BatchJobRow;
+      if (row.kind === 'ended') ended.add(jobId as JobId, row, row.endedAtMs);
+      else if (!ended.has(jobId as JobId)) applyLiveRow(row, version);
+    });
+    rows.forEach(({ key, value }) => {
+      const parsed = parseJobKey(key);
+      if (parsed.isCancel && value !== null)
+        cancelJob(state, parsed.jobId as JobId, parsed.cancelledBy);
+    });
+  };
+
+  /** Rows that were read but not applied yet; they are kept because the feed does not return them again. */
+  let unapplied: readonly TableRow[] = [];
+
+  return {
+    read: async (until) => {
+      // Each feed is retried separately, because a feed that was read does not return the same rows again.
+      const [jobs, progress] = await Promise.all([
+        until(() => readFeed(jobFeed)),
+        until(() => readFeed(progressFeed)),
+      ]);
+      return jobs && progress && { jobs, progress };
+    },
+    restore: (readings) => {
+      const progressRows = readings.flatMap(({ progress }) => progress);
+      const progressByJob = new Map(
+        progressRows.map((row) => [row.key.slice(PROGRESS_PREFIX.length), row]),
+      );
+      const rows = findLatestRows(readings.flatMap(({ jobs }) => jobs));
+      applyRows(rows, (row, version) => restoreRow(row, version, progressByJob.get(row.job.jobId)));
+    },
+    addAcceptedJob,
+    applyChanges: async () => {
+      if (!isSoleHolder()) return;
+      const rows = await jobFeed.next(0);
+      if (rows.isErr()) {
+        log.warn('job-feed-failed', rows.error);
+        return;
+      }
+      if (isStopped()) return;
+      unapplied = [...unapplied, ...rows.value];
+      // A late answer may contain a job that the next holder has accepted and started.
+      if (unapplied.length === 0 || !isSoleHolder()) return;
+      applyRows(unapplied, addAcceptedJob);
+      unapplied = [];
+      requestScheduling();
+    },
+  };
+};
--- a/packages/daemon/src/batch/operators/operators.test.ts
+++ b/packages/daemon/src/batch/operators/operator-queries.test.ts
@@ -1,17 +1,25 @@
-/** What operators are told of hosts and waves by a holder that cannot read the list of hosts. */
-import { PLAIN_STEP, type BatchJobRow } from '@valvelatch/core/batch';
+/**
+ * Operators' queries on a simulated fleet in virtual time: to a holder that has not read the list of hosts, and about late
+ * waves, waiting and refused jobs, and evacuated data centres.
+ */
+import { DEFAULT_STEP, type BatchJobRow } from '@valvelatch/core/batch';
 import { brand, type DataCentreId, type JobId } from '@valvelatch/core/shared/ids';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { answerOperator } from './operators.js';
+import { answerOperator } from './operator-queries.js';
 import { SIM_DATA_CENTRES } from '../testing/sim-platform.fixtures.js';
-import { simAccount, type SimFleet } from '../testing/sim-fleet.fixtures.js';
-import { SIM_POLICY } from '../testing/sim-world.fixtures.js';
-import { advance, FAKED, holderOf, started } from '../testing/virtual-time.fixtures.js';
+import { createSimAccount, type SimFleet } from '../testing/sim-fleet.fixtures.js';
+import { SIM_QUEUE_POLICY } from '../testing/sim-environment.fixtures.js';
+import {
+  advanceTime,
+  FAKED_TIMERS,
+  requireHolder,
+  createStartedFleet,
+} from '../testing/virtual-time.fixtures.js';
 
-describe('an operator who asks', () => {
+describe('an operator who queries', () => {
   beforeEach(() => {
-    vi.useFakeTimers({ toFake: [...FAKED] });
+    vi.useFakeTimers({ toFake: [...FAKED_TIMERS] });
   });
 
   afterEach(() => {
@@ -19,22 +27,22 @@
   });
 
   const ask = (fleet: SimFleet, method: string, kind: string, name = '') =>
-    answerOperator(holderOf(fleet).control, { method, body: { kind, name } }, 1);
+    answerOperator(requireHolder(fleet).control, { method, body: { kind, name } }, 1);
 
   describe('a holder that has never read the list of hosts', () => {
-    const withoutList = async (): Promise<SimFleet> => {
-      const fleet = await started({ hostsPerPool: 3 });
+    const startWithoutHostList = async (): Promise<SimFleet> => {
+      const fleet = await createStartedFleet({ hostsPerPool: 3 });
       const hosts = Array.from(fleet.hosts.keys()).slice(0, 2);
-      fleet.order({ waveNumber: 1, hosts, withinMs: 40_000, maximum: 1 });
+      fleet.orderWave({ waveNumber: 1, hosts, withinMs: 40_000, maximum: 1 });
       fleet.faults.isHostListDown = true;
-      fleet.kill(holderOf(fleet));
-      await advance(5000);
+      fleet.kill(requireHolder(fleet));
+      await advanceTime(5000);
       return fleet;
     };
 
-    it('is told that nothing can be said, not that there are no hosts', async () => {
-      // An empty list reads like a fleet that is gone.
-      const fleet = await withoutList();
+    it('gets the answer that the list is unavailable rather than an empty list', async () => {
+      // An empty list would look like a fleet without hosts.
+      const fleet = await startWithoutHostList();
       const detail = 'the list of hosts has not been read yet';
       expect(ask(fleet, 'get', 'hosts')).toEqual({ kind: 'unavailable', detail });
       expect(ask(fleet, 'get', 'pools')).toEqual({ kind: 'unavailable', detail });
@@ -42,8 +50,8 @@
       expect(ask(fleet, 'get', 'jobs')?.kind).toBe('ok');
     });
 
-    it('is told the wave as running, and why each host waits', async () => {
-      const fleet = await withoutList();
+    it('gets the wave as running, and the reason why each host waits', async () => {
+      const fleet = await startWithoutHostList();
       expect(ask(fleet, 'get', 'waves')).toMatchObject({ value: [{ phase: 'running' }] });
       expect(ask(fleet, 'explain', 'wave', '1')).toMatchObject({
         value: {
@@ -55,22 +63,22 @@
       });
     });
 
-    it('is answered once the list has been read', async () => {
-      const fleet = await withoutList();
+    it('gets the hosts once the list has been read', async () => {
+      const fleet = await startWithoutHostList();
       fleet.faults.isHostListDown = false;
-      await advance(1000);
+      await advanceTime(1000);
       expect(ask(fleet, 'get', 'hosts')?.kind).toBe('ok');
       expect(ask(fleet, 'explain', 'host', 'h-alpha-0')?.kind).toBe('ok');
     });
   });
 
-  describe('a wave that cannot be in time', () => {
-    it('is told how many hosts are expected late and why', async () => {
-      const fleet = await started({ hostsPerPool: 3 });
+  describe('a wave that cannot end in time', () => {
+    it('gets how many hosts are forecast to be late and why', async () => {
+      const fleet = await createStartedFleet({ hostsPerPool: 3 });
       const hosts = Array.from(fleet.hosts.keys());
-      await advance(8000);
-      fleet.order({ waveNumber: 1, hosts, withinMs: 5000, maximum: 1 });
-      await advance(500);
+      await advanceTime(8000);
+      fleet.orderWave({ waveNumber: 1, hosts, withinMs: 5000, maximum: 1 });
+      await advanceTime(500);
       const reason = 'hosts are left, 1 may be down at once, and';
       expect(ask(fleet, 'explain', 'wave', '1')).toMatchObject({
         value: { outcome: expect.stringContaining(reason) as string },
@@ -79,18 +87,18 @@
   });
 
   describe('why a job waits', () => {
-    /** One task of the account's job runs, which is all that it may have. */
-    const beyondQuota = async () => {
-      const accounts = [simAccount('client-a', 1000)];
-      const fleet = await started({ hostsPerPool: 3, accounts });
+    /** Starts a job with three tasks of an account whose quota allows one of them to run. */
+    const startBeyondQuota = async () => {
+      const accounts = [createSimAccount('client-a', 1000)];
+      const fleet = await createStartedFleet({ hostsPerPool: 3, accounts });
       const step = { taskCount: 3, cpuMillis: 1000 };
       const jobId = fleet.submit({ pool: 'alpha', steps: [step], runMs: 20_000 });
-      await advance(1500);
+      await advanceTime(1500);
       return { fleet, jobId };
     };
 
-    it('is told that it is its quota, with the figures, from the job on to its account', async () => {
-      const { fleet, jobId } = await beyondQuota();
+    it('gets the quota as the reason, with its figures, for the job and for its account', async () => {
+      const { fleet, jobId } = await startBeyondQuota();
       const quota =
         '2 wait for quota: account=client-a has 1 cores, 100 MB running and may have 1 cores';
       expect(ask(fleet, 'explain', 'job', jobId)).toMatchObject({
@@ -113,10 +121,10 @@
       });
     });
 
-    it('is told of an account that the configuration has lost with a job in hand', async () => {
-      const { fleet } = await beyondQuota();
-      fleet.declare([]);
-      await advance(4000);
+    it('gets an account that was removed from the configuration while it had an unfinished job', async () => {
+      const { fleet } = await startBeyondQuota();
+      fleet.declareAccounts([]);
+      await advanceTime(4000);
       expect(ask(fleet, 'get', 'accounts')).toMatchObject({
         value: [
           { account: 'client-a', reason: expect.stringContaining('not in the conf') as string },
@@ -126,26 +134,26 @@
   });
 
   describe('about an evacuated data centre', () => {
-    const evacuated = async (isHeld = false) => {
-      const fleet = await started({ hostsPerPool: 4, evacuateMs: 5000 });
+    const startEvacuation = async (isSouthToo = false) => {
+      const fleet = await createStartedFleet({ hostsPerPool: 4, evacuateMs: 5000 });
       const [north, south] = SIM_DATA_CENTRES as [DataCentreId, DataCentreId];
       const step = { taskCount: 8, mostPerEndpoint: 2, cpuMillis: 2000 };
       const before = fleet.submit({ pool: 'alpha', steps: [step], runMs: 3000 });
-      await advance(1000);
+      await advanceTime(1000);
       fleet.evacuate(north);
-      if (isHeld) fleet.evacuate(south);
-      await advance(300);
+      if (isSouthToo) fleet.evacuate(south);
+      await advanceTime(300);
       return { fleet, before, north };
     };
 
-    it('is told who still runs there, that nobody does, and when it was taken back', async () => {
-      const { fleet, north } = await evacuated();
+    it('gets how many runs are left there, and the log tells when it begins, is empty and ends', async () => {
+      const { fleet, north } = await startEvacuation();
       const outcome = expect.stringMatching(
         /^evacuated since .*: 4 short runs and 0 long-running tasks there, the last ends/u,
       ) as string;
       expect(ask(fleet, 'explain', 'data-centre', north)).toMatchObject({ value: { outcome } });
       expect(ask(fleet, 'status', '')).toMatchObject({ value: { evacuatedDataCentres: 1 } });
-      await advance(4000);
+      await advanceTime(4000);
       expect(ask(fleet, 'get', 'data-centres')).toMatchObject({
         value: [
           {
@@ -156,9 +164,9 @@
           { evacuatedSince: '' },
         ],
       });
-      fleet.takeBack(north);
-      await advance(500);
-      const events = fleet.logged.filter(({ event }) => event.startsWith('evacuation-'));
+      fleet.withdrawEvacuation(north);
+      await advanceTime(500);
+      const events = fleet.loggedEvents.filter(({ event }) => event.startsWith('evacuation-'));
       expect(events.map(({ event }) => event)).toEqual([
         'evacuation-begun',
         'evacuation-empty',
@@ -167,10 +175,10 @@
       expect(events[0]?.fields).toMatchObject({ dataCentre: north, revision: 1, shortRuns: 4 });
     });
 
-    it('is told which job waits because of it', async () => {
-      const { fleet, north } = await evacuated(true);
+    it('gets which job waits because of the evacuation', async () => {
+      const { fleet, north } = await startEvacuation(true);
       const job = fleet.submit({ pool: 'alpha', steps: [{ taskCount: 2 }] });
-      await advance(1000);
+      await advanceTime(1000);
       const reason = '2 wait for room: data centre dc-0, dc-1 is evacuated';
       expect(ask(fleet, 'explain', 'job', job)).toMatchObject({
         value: { reasons: [{ reason: expect.stringContaining(reason) as string }] },
@@ -184,27 +192,31 @@
       });
     });
 
-    it('is told once of a name that no endpoint has', async () => {
-      const fleet = await started({ hostsPerPool: 3 });
+    it('finds one log event for a data centre name that no endpoint has', async () => {
+      const fleet = await createStartedFleet({ hostsPerPool: 3 });
       fleet.evacuate('nroth' as DataCentreId);
-      await advance(5000);
-      const told = fleet.logged.filter(({ event }) => event.startsWith('evacuation-'));
-      expect(told).toMatchObject([{ event: 'evacuation-begun', fields: { endpoints: 0 } }]);
+      await advanceTime(5000);
+      const evacuationEvents = fleet.loggedEvents.filter(({ event }) =>
+        event.startsWith('evacuation-'),
+      );
+      expect(evacuationEvents).toMatchObject([
+        { event: 'evacuation-begun', fields: { endpoints: 0 } },
+      ]);
     });
   });
 
   describe('why a job was refused', () => {
-    /** A backlog of minutes, and one more job that an entry without control hands to the holder. */
-    const overloaded = async () => {
-      const account = simAccount('client-a', 0);
-      const fleet = await started({ hostsPerPool: 3, accounts: [account] });
-      await advance(3000);
+    /** Queues a backlog of minutes; then an entry that does not hold control passes one more job to the holder. */
+    const overloadFleet = async () => {
+      const account = createSimAccount('client-a', 0);
+      const fleet = await createStartedFleet({ hostsPerPool: 3, accounts: [account] });
+      await advanceTime(3000);
       const step = { taskCount: 24, cpuMillis: 1000, estimateMs: 2000 };
       Array.from({ length: 60 }).forEach(() =>
         fleet.submit({ pool: 'alpha', steps: [step], runMs: 2000 }),
       );
-      await advance(1500);
-      const entry = fleet.entries.find((one) => one !== holderOf(fleet));
+      await advanceTime(1500);
+      const entry = fleet.entries.find((one) => one !== requireHolder(fleet));
       const jobId = brand<JobId>('00000000000000ff');
       const row: BatchJobRow = {
         kind: 'live',
@@ -213,24 +225,24 @@
           queue: brand('q-alpha'),
           pool: brand('alpha'),
           spec: '',
-          steps: [{ ...PLAIN_STEP, ...step }],
+          steps: [{ ...DEFAULT_STEP, ...step }],
           repeats: 0,
           firstDueAtMs: 0,
           intervalMs: 0,
           acceptedAtMs: Date.now(),
           owner: { account: account.name, maximum: account.maximum },
         },
-        policy: SIM_POLICY,
+        policy: SIM_QUEUE_POLICY,
       };
-      const asked = entry?.control.accept(row);
-      await advance(500);
-      return { fleet, jobId, outcome: await asked };
+      const accepted = entry?.control.accept(row);
+      await advanceTime(500);
+      return { fleet, jobId, outcome: await accepted };
     };
 
-    it('is told the forecast; the entry that asked is, too, and nothing of the job is written', async () => {
-      const { fleet, jobId, outcome } = await overloaded();
+    it('gets the forecast as the reason; the entry that passed the job on is told that it was refused, and no row is written', async () => {
+      const { fleet, jobId, outcome } = await overloadFleet();
       expect(outcome).toMatchObject({ kind: 'refused' });
-      expect(fleet.rowOf(jobId)).toBeUndefined();
+      expect(fleet.findJobRow(jobId)).toBeUndefined();
       expect(ask(fleet, 'explain', 'job', jobId)).toMatchObject({
         value: {
           outcome: 'refused',
@@ -240,9 +252,9 @@
       expect(ask(fleet, 'get', 'accounts')).toMatchObject({
         value: [{ account: 'client-a', refused: 1 }],
       });
-      await advance(5000);
-      expect(fleet.rowOf(jobId)).toBeUndefined();
-      expect(fleet.broken).toEqual([]);
+      await advanceTime(5000);
+      expect(fleet.findJobRow(jobId)).toBeUndefined();
+      expect(fleet.violations).toEqual([]);
     });
   });
 });
--- a/packages/daemon/src/batch/testing/virtual-time.fixtures.ts
+++ b/packages/daemon/src/batch/testing/virtual-time.fixtures.ts
@@ -1,12 +1,13 @@
-/** What the tests of control in virtual time share: faked clocks, a fleet that has begun, questions. */
+/** Shared by the tests that run a simulated fleet in virtual time: faked timers, a started fleet and queries. */
 import { vi } from 'vitest';
 import type { ClientAccount, PlacementPolicy } from '@valvelatch/core/batch';
 import type { JobId } from '@valvelatch/core/shared/ids';
 
 import { createSimFleet, type SimEntry, type SimFleet } from './sim-fleet.fixtures.js';
-import type { SimDomains } from './sim-world.fixtures.js';
+import type { SimDomains } from './sim-environment.fixtures.js';
 
-export const FAKED = [
+/** The timers and clocks that vi.useFakeTimers replaces. */
+export const FAKED_TIMERS = [
   'setTimeout',
   'clearTimeout',
   'setInterval',
@@ -17,8 +18,8 @@
   'Date',
 ] as const;
 
-/** A source of chance that repeats. */
-export const chance = (seed: number): (() => number) => {
+/** Creates a seeded random number generator (Lehmer); the same seed gives the same sequence. */
+export const createRandom = (seed: number): (() => number) => {
   let state = seed % 2147483647 || 1;
   return () => {
     state = (state * 48271) % 2147483647;
@@ -26,16 +27,18 @@
   };
 };
 
-export const advance = async (ms: number): Promise<void> => {
+export const advanceTime = async (ms: number): Promise<void> => {
   await vi.advanceTimersByTimeAsync(ms);
 };
 
+/** Returns the phase of an ended job, the kind of its row otherwise, and 'missing' without a row. */
 export const phaseOf = (fleet: SimFleet, jobId: JobId): string => {
-  const row = fleet.rowOf(jobId);
+  const row = fleet.findJobRow(jobId);
   return row?.kind === 'ended' ? row.phase : (row?.kind ?? 'missing');
 };
 
-export const started = async (
+/** Creates a fleet with the entries a, b and c, and gives them 1.5 s to elect a holder. */
+export const createStartedFleet = async (
   options: {
     hostsPerPool?: number;
     sparePool?: string;
@@ -51,25 +54,27 @@
   } = {},
 ) => {
   const { seed = 7, ...rest } = options;
-  const fleet = createSimFleet({ ...rest, random: chance(seed) });
+  const fleet = createSimFleet({ ...rest, random: createRandom(seed) });
   ['a', 'b', 'c'].forEach((name) => fleet.addEntry(name));
-  await advance(1500);
+  await advanceTime(1500);
   return fleet;
 };
 
-export const runningOf = (fleet: SimFleet, jobId: JobId): readonly string[] =>
+/** Lists the task keys of a job's runs on all endpoints. */
+export const listRunKeys = (fleet: SimFleet, jobId: JobId): readonly string[] =>
   Array.from(fleet.endpoints.values())
     .flatMap(({ runs }) => Array.from(runs.keys()))
     .filter((key) => key.startsWith(jobId));
 
-export const holderOf = (fleet: SimFleet): SimEntry => {
-  const holder = fleet.holder();
-  if (!holder) throw new Error('nobody holds control');
+/** Returns the entry that holds the control lease; throws if there is none. */
+export const requireHolder = (fleet: SimFleet): SimEntry => {
+  const holder = fleet.findHolder();
+  if (!holder) throw new Error('no entry holds the control lease');
   return holder;
 };
 
-/** One task on each of the pool's endpoints. */
-export const submitLasting = (fleet: SimFleet, taskCount: number): JobId =>
+/** Submits a job with one long-running step, of which each endpoint of the pool runs one task at most. */
+export const submitLongRunningJob = (fleet: SimFleet, taskCount: number): JobId =>
   fleet.submit({
     pool: 'alpha',
     steps: [{ taskCount, isLasting: true, mostPerEndpoint: 1, cpuMillis: 4000 }],
--- a/packages/daemon/src/entry/control-plane.ts
+++ b/packages/daemon/src/entry/control-plane.ts
@@ -1,43 +1,46 @@
-/** The control work of an entry: the pools whose leases it holds, and its data centre's workers. */
+/** Control plane of an entry: controls the pools whose leases it holds and the workers of its data centre. */
 import {
   controlPrefixes,
-  declaredHosts,
-  declarationsOf,
-  rememberDecision,
+  listDeclaredHosts,
+  listDeclarations,
+  storeDecision,
   type Configuration,
   type ControlChange,
   type DataCentreId,
-  type DecisionMemory,
+  type DecisionStore,
   type EntryId,
   type HostId,
   type PoolName,
-  type Withheld,
+  type WithheldAction,
 } from '@valvelatch/core';
 
-import { createPulsedReader, type HostListClient } from '@valvelatch/platform';
+import { createCachedRowsReader, type HostListClient } from '@valvelatch/platform';
 
 import { createDataCentreAgent, type DataCentreAgent } from '../control/data-centre-agent.js';
 import {
-  controlLeaseName,
+  formatControlLeaseName,
   createPoolControl,
-  poolName,
+  toPoolName,
   type PoolControl,
 } from '../control/pool-control.js';
 import type { EndpointDirectory } from '../data-path/endpoint-directory.js';
-import { createLeaseKeeper } from '../leases/lease-keeper.js';
+import { createLeaseManager } from '../leases/lease-manager.js';
 import type { Log } from '../observe/log.js';
 import type { Metrics } from '../observe/metrics.js';
-import type { SeatKeeper } from '../seats/seat-keeper.js';
+import type { SeatManager } from '../seats/seat-manager.js';
 import type { Clients } from './clients.js';
 
-/** The control work. */
+/** Control plane of an entry. */
 export type ControlPlane = {
+  /** Carries out placements at the workers of this data centre. */
   readonly agent: DataCentreAgent;
-  /** Takes the turns that are due. */
+  /** Runs the control of each pool that this entry controls or may take over. */
   readonly tick: () => Promise<void>;
-  /** The pools whose control this entry holds. */
+  /** The pools whose control lease this entry holds. */
   readonly heldPools: () => readonly PoolName[];
-  readonly withheld: () => readonly Withheld[];
+  /** Actions that the last turn of each pool considered and did not take, with the reasons. */
+  readonly withheldActions: () => readonly WithheldAction[];
+  /** Releases the control leases of all pools. */
   readonly release: () => Promise<void>;
 };
 
@@ -47,29 +50,33 @@
   readonly clients: Clients;
   readonly configuration: () => Configuration;
   readonly directory: EndpointDirectory;
-  readonly seatKeeper: SeatKeeper;
-  /** Asks another entry whether it has nothing in flight at an endpoint. */
-  readonly askQuiet: (holder: EntryId, endpointId: string) => Promise<boolean>;
-  /** Whether this entry is one of the few that contend for a duty. */
+  readonly seatKeeper: SeatManager;
+  /** Asks another entry whether it has no request in flight at an endpoint; false if it does not answer. */
+  readonly askIfIdle: (holder: EntryId, endpointId: string) => Promise<boolean>;
+  /** Whether this entry is one of the few that compete for a duty. */
   readonly isCandidate: (duty: string) => boolean;
+  /** Duration of the control leases, in milliseconds. */
   readonly leaseMs: number;
-  readonly decisions: DecisionMemory;
+  readonly decisions: DecisionStore;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
-/** The list lags anyway; the pools of one entry and its agent share one reading for so long. */
-const LIST_KEPT_MS = 400;
+/**
+ * How long the pools of an entry and its agent share one result of the host list, in milliseconds. The
+ * platform's list is delayed in any case, so a cached result does no harm.
+ */
+const HOST_LIST_CACHE_MS = 400;
 
-const withSharedList = (client: HostListClient): HostListClient => {
-  let readAtMs = -Infinity;
+const withListCache = (client: HostListClient): HostListClient => {
+  let listedAtMs = -Infinity;
   let last: ReturnType<HostListClient['list']> | undefined;
   return {
     ...client,
     list: () => {
       const nowMs = performance.now();
-      if (!last || nowMs - readAtMs > LIST_KEPT_MS) {
-        readAtMs = nowMs;
+      if (!last || nowMs - listedAtMs > HOST_LIST_CACHE_MS) {
+        listedAtMs = nowMs;
         last = client.list();
       }
       return last;
@@ -77,14 +84,17 @@
   };
 };
 
-const longestRequestMs = (configuration: Configuration): number =>
-  Math.max(0, ...declarationsOf(configuration, 'Service').map(({ spec }) => spec.requestTimeoutMs));
+const longestRequestTimeoutMs = (configuration: Configuration): number =>
+  Math.max(
+    0,
+    ...listDeclarations(configuration, 'Service').map(({ spec }) => spec.requestTimeoutMs),
+  );
 
 /**
- * Builds the control work.
+ * Creates the control plane.
  *
- * @param options - The clients, what is known, and the links to the other entries.
- * @returns The control work, with no lease held yet.
+ * @param options - The clients, the configuration, the endpoints, and how to reach the other entries.
+ * @returns The control plane, which holds no lease yet.
  */
 export const createControlPlane = ({
   self,
@@ -93,7 +103,7 @@
   configuration,
   directory,
   seatKeeper,
-  askQuiet,
+  askIfIdle,
   isCandidate,
   leaseMs,
   decisions,
@@ -101,21 +111,25 @@
   metrics,
 }: ControlPlaneOptions): ControlPlane => {
   const { table, workers } = clients;
-  const hostList = withSharedList(clients.hostList);
+  const hostList = withListCache(clients.hostList);
   const controls = new Map<PoolName, PoolControl>();
-  const rowReader = createPulsedReader(table, controlPrefixes);
+  const rowReader = createCachedRowsReader(table, controlPrefixes);
 
-  /** Every entry that may send to an endpoint has a seat here; each must say that it is quiet. */
-  const isQuiet = async (endpointId: string): Promise<boolean> => {
+  /**
+   * Whether no entry has a request in flight at an endpoint. Each entry that may send to the endpoint holds a
+   * seat of this data centre, so each holder must confirm it, unless its seat lease lapsed so long ago that
+   * none of its requests can still be running.
+   */
+  const isIdle = async (endpointId: string): Promise<boolean> => {
     directory.markLeaving(endpointId);
-    if (directory.inFlightAt(endpointId) > 0) return false;
-    const graceMs = longestRequestMs(configuration());
+    if (directory.inFlightCount(endpointId) > 0) return false;
+    const graceMs = longestRequestTimeoutMs(configuration());
     const answers = await Promise.all(
       seatKeeper
-        .otherHolders()
+        .otherSeatHolders()
         .map(
           async (holder) =>
-            (await askQuiet(holder, endpointId)) || seatKeeper.hasLapsed(holder, graceMs),
+            (await askIfIdle(holder, endpointId)) || seatKeeper.hasStoppedSending(holder, graceMs),
         ),
     );
     return answers.every(Boolean);
@@ -123,7 +137,7 @@
 
   const localHosts = (): ReadonlySet<HostId> =>
     new Set(
-      declaredHosts(configuration())
+      listDeclaredHosts(configuration())
         .filter((spec) => spec.dataCentre === dataCentre)
         .map(({ hostId }) => hostId),
     );
@@ -135,15 +149,15 @@
     hostList,
     configuration,
     localHosts,
-    tasks: directory.tasks,
-    isQuiet,
+    observedTasks: directory.tasks,
+    isIdle,
     log,
     metrics,
   });
 
-  /** So that an operator can ask about what has ended, too. */
-  const remember = ({ subject, reason }: ControlChange): void =>
-    rememberDecision(decisions, {
+  /** Records a decision so that operators can also ask about subjects that no longer exist. */
+  const recordDecision = ({ subject, reason }: ControlChange): void =>
+    storeDecision(decisions, {
       subject,
       outcome: 'decided',
       reason,
@@ -152,12 +166,12 @@
       atMs: Date.now(),
     });
 
-  const controlOf = (pool: PoolName): PoolControl => {
-    const known = controls.get(pool);
-    if (known) return known;
-    const name = controlLeaseName(pool);
-    const lease = createLeaseKeeper({ table, name, self, durationMs: leaseMs });
-    const built = createPoolControl({
+  const getOrCreateControl = (pool: PoolName): PoolControl => {
+    const existing = controls.get(pool);
+    if (existing) return existing;
+    const name = formatControlLeaseName(pool);
+    const lease = createLeaseManager({ table, name, self, durationMs: leaseMs });
+    const created = createPoolControl({
       pool,
       lease,
       table,
@@ -166,24 +180,25 @@
       configuration,
       log,
       metrics,
-      onChange: remember,
+      onChange: recordDecision,
     });
-    controls.set(pool, built);
-    return built;
+    controls.set(pool, created);
+    return created;
   };
 
-  const isOurs = (pool: PoolName): boolean =>
-    controls.get(pool)?.holds() === true || isCandidate(controlLeaseName(pool));
+  const isEligible = (pool: PoolName): boolean =>
+    controls.get(pool)?.holds() === true || isCandidate(formatControlLeaseName(pool));
 
   return {
     agent,
     tick: async () => {
-      const pools = declarationsOf(configuration(), 'Pool').map(({ name }) => poolName(name));
-      await Promise.all(pools.filter(isOurs).map((pool) => controlOf(pool).tick()));
+      const pools = listDeclarations(configuration(), 'Pool').map(({ name }) => toPoolName(name));
+      await Promise.all(pools.filter(isEligible).map((pool) => getOrCreateControl(pool).tick()));
     },
     heldPools: () =>
       Array.from(controls).flatMap(([pool, control]) => (control.holds() ? [pool] : [])),
-    withheld: () => Array.from(controls.values()).flatMap((control) => control.withheld()),
+    withheldActions: () =>
+      Array.from(controls.values()).flatMap((control) => control.withheldActions()),
     release: async () => {
       await Promise.all(Array.from(controls.values(), (control) => control.release()));
     },
--- a/packages/daemon/src/operators/explain-handlers.ts
+++ b/packages/daemon/src/operators/explain-handlers.ts
@@ -1,6 +1,6 @@
-/** Answers to "why?", and how the entries stand. */
+/** Handlers that explain decisions and report the status of the entries. */
 import {
-  recallDecision,
+  findDecision,
   rowKey,
   type DecisionRecord,
   type HostRow,
@@ -8,68 +8,85 @@
   type Member,
   type PlacementRow,
   type WaveRow,
-  type Withheld,
+  type WithheldAction,
 } from '@valvelatch/core';
 import { z } from 'zod';
 
-import { ASK_MS, otherMembers, type OperatorContext } from './operator-context.js';
-import { ok, unavailable, withBody, type Handler, type OperatorResult } from './operator-result.js';
+import {
+  ENTRY_REQUEST_TIMEOUT_MS,
+  otherMembers,
+  type OperatorContext,
+} from './operator-context.js';
+import {
+  ok,
+  platformUnavailable,
+  withBody,
+  type Handler,
+  type OperatorResult,
+} from './operator-result.js';
 
 const explainBody = z.strictObject({
   kind: z.enum(['job', 'host', 'request', 'wave']),
   name: z.string(),
 });
 
-const askAllWithheld = async (
+const listWithheldActions = async (
   context: OperatorContext,
   subject: string,
-): Promise<readonly Withheld[]> => {
+): Promise<readonly WithheldAction[]> => {
   const answers = await Promise.all(
     otherMembers(context).map((member) =>
-      context.ask(member, 'withheld', { subject }, ASK_MS).catch(() => [] as Withheld[]),
+      context
+        .request(member, 'withheld', { subject }, ENTRY_REQUEST_TIMEOUT_MS)
+        .catch(() => [] as WithheldAction[]),
     ),
   );
-  const own = context.withheld().filter((one) => one.subject === subject);
-  return [...own, ...(answers.flat() as Withheld[])];
+  const own = context.listWithheldActions().filter((one) => one.subject === subject);
+  return [...own, ...(answers.flat() as WithheldAction[])];
 };
 
-/** What the entries remember of something whose row is gone; the last decision counts. */
-const recallEnded = async (
+/**
+ * Finds the latest decision about a subject whose row no longer exists, in the decision stores of all
+ * entries. Undefined if no reachable entry has one.
+ */
+const findEndedDecision = async (
   context: OperatorContext,
   subject: string,
 ): Promise<DecisionRecord | undefined> => {
   const answers = await Promise.all(
     otherMembers(context).map((member) =>
-      context.ask(member, 'recall', { subject }, ASK_MS).catch(() => undefined),
+      context
+        .request(member, 'recall', { subject }, ENTRY_REQUEST_TIMEOUT_MS)
+        .catch(() => undefined),
     ),
   );
-  const known = [recallDecision(context.decisions, subject), ...answers] as DecisionRecord[];
+  const known = [findDecision(context.decisions, subject), ...answers] as DecisionRecord[];
   return known.filter(Boolean).sort((a, b) => b.atMs - a.atMs)[0];
 };
 
-type Reasoned = { readonly reason: string; readonly phaseReason?: string };
+type RowReasons = { readonly reason: string; readonly phaseReason?: string };
 
-const reasonsOf = (of: string, { reason, phaseReason = '' }: Reasoned) =>
+const reasonsOf = (of: string, { reason, phaseReason = '' }: RowReasons) =>
   [reason, phaseReason].filter((text) => text !== '').map((text) => ({ of, reason: text }));
 
 const explainRow = async (
   context: OperatorContext,
   key: string,
-  more: readonly string[],
+  relatedKeys: readonly string[],
 ): Promise<OperatorResult> => {
-  const rows = await context.table.read([key, ...more]);
-  if (rows.isErr()) return unavailable(rows.error);
+  const rows = await context.table.read([key, ...relatedKeys]);
+  if (rows.isErr()) return platformUnavailable(rows.error);
   const found = rows.value.filter(({ value }) => value !== null);
-  const withheldNow = await askAllWithheld(context, key);
+  const withheldNow = await listWithheldActions(context, key);
   if (found.length === 0 && withheldNow.length === 0) {
-    const ended = await recallEnded(context, key);
+    const ended = await findEndedDecision(context, key);
     return ended ? ok(ended) : { kind: 'not-found', detail: `nothing is known of ${key}` };
   }
   return ok({
     subject: key,
     revision: context.configSync.current().revision,
     reasons: [
-      ...found.flatMap(({ key: rowName, value }) => reasonsOf(rowName, value as Reasoned)),
+      ...found.flatMap(({ key: rowName, value }) => reasonsOf(rowName, value as RowReasons)),
       ...withheldNow.map(({ reason }) => ({ of: 'withheld now', reason })),
     ],
     rows: found.map(({ value }) => value as PlacementRow | HostRow | JobRow | WaveRow),
@@ -80,14 +97,14 @@
   const subject = `request/${name}`;
   const [entryId] = name.split('.');
   const member = context.members().find((one) => one.entryId === entryId);
-  const isOwn = entryId === context.self;
+  const isOwn = entryId === context.entryId;
   if (!isOwn && !member) {
     return { kind: 'not-found', detail: `entry ${entryId ?? ''} that decided is not there` };
   }
   const record = isOwn
-    ? recallDecision(context.decisions, subject)
+    ? findDecision(context.decisions, subject)
     : ((await context
-        .ask(member as Member, 'recall', { subject }, ASK_MS)
+        .request(member as Member, 'recall', { subject }, ENTRY_REQUEST_TIMEOUT_MS)
         .catch(() => undefined)) as DecisionRecord | undefined);
   return record ? ok(record) : { kind: 'not-found', detail: `nothing is remembered of ${subject}` };
 };
@@ -106,7 +123,7 @@
     otherMembers(context).map(async (member) => {
       const { entryId, dataCentre } = member;
       const answer = await context
-        .ask(member, 'status', {}, ASK_MS)
+        .request(member, 'status', {}, ENTRY_REQUEST_TIMEOUT_MS)
         .catch(() => ({ entryId, dataCentre, isUnreachable: true }));
       return answer;
     }),
@@ -118,9 +135,9 @@
 };
 
 /**
- * Builds the handlers for questions.
+ * Builds the handlers for explanations and status.
  *
- * @param context - What they depend on.
+ * @param context - The dependencies of the handlers.
  * @returns The handlers, by method.
  */
 export const explainHandlers = (
--- a/packages/daemon/src/operators/list-handlers.ts
+++ b/packages/daemon/src/operators/list-handlers.ts
@@ -1,11 +1,12 @@
-/** Lists of what is in force. */
+/** Handler that lists the current configuration and rows. */
 import {
-  declaredHosts,
-  declarationsOf,
-  matches,
+  listDeclaredHosts,
+  listDeclarations,
+  matchesSelector,
   parseSelector,
   rowPrefix,
   type HostRow,
+  type HostSpec,
 } from '@valvelatch/core';
 import { z } from 'zod';
 
@@ -13,8 +14,8 @@
 import {
   ok,
   scanRows,
-  selectorFault,
-  unavailable,
+  selectorError,
+  platformUnavailable,
   withBody,
   type Handler,
   type OperatorResult,
@@ -27,24 +28,37 @@
 
 type Lister = (context: OperatorContext, selector: string) => Promise<OperatorResult>;
 
+/**
+ * Converts a host's declaration to the operators' view, which names the initial pool `firstPool`.
+ */
+const toHostView = ({ hostId, dataCentre, rack, initialPool, ...others }: HostSpec) => ({
+  hostId,
+  dataCentre,
+  rack,
+  firstPool: initialPool,
+  ...others,
+});
+
 const listHosts: Lister = async ({ table, configSync }, selectorText) => {
   const selector = parseSelector(selectorText);
-  if (selector.isErr()) return selectorFault(selector.error);
+  if (selector.isErr()) return selectorError(selector.error);
   const rows = await scanRows<HostRow>(table, rowPrefix.host);
-  if (rows.isErr()) return unavailable(rows.error);
-  const specs = new Map(declaredHosts(configSync.current()).map((spec) => [spec.hostId, spec]));
+  if (rows.isErr()) return platformUnavailable(rows.error);
+  const views = new Map(
+    listDeclaredHosts(configSync.current()).map((spec) => [spec.hostId, toHostView(spec)]),
+  );
   return ok(
     rows.value
-      .map(({ value }) => ({ ...specs.get(value.hostId), ...value }))
-      .filter(({ labels = {}, pool }) => matches(selector.value, { ...labels, pool })),
+      .map(({ value }) => ({ ...views.get(value.hostId), ...value }))
+      .filter(({ labels = {}, pool }) => matchesSelector(selector.value, { ...labels, pool })),
   );
 };
 
 const listPools: Lister = async ({ table, configSync }) => {
   const rows = await scanRows<HostRow>(table, rowPrefix.host);
-  if (rows.isErr()) return unavailable(rows.error);
+  if (rows.isErr()) return platformUnavailable(rows.error);
   return ok(
-    declarationsOf(configSync.current(), 'Pool').map(({ name, spec }) => ({
+    listDeclarations(configSync.current(), 'Pool').map(({ name, spec }) => ({
       pool: name,
       ...spec,
       hosts: rows.value.filter(({ value }) => value.pool === name).length,
@@ -58,7 +72,9 @@
   (prefix: string): Lister =>
   async ({ table }) => {
     const rows = await scanRows(table, prefix);
-    return rows.isErr() ? unavailable(rows.error) : ok(rows.value.map(({ value }) => value));
+    return rows.isErr()
+      ? platformUnavailable(rows.error)
+      : ok(rows.value.map(({ value }) => value));
   };
 
 const listers: Record<z.infer<typeof getBody>['kind'], Lister> = {
@@ -77,7 +93,7 @@
 /**
  * Builds the handler for lists.
  *
- * @param context - What it depends on.
+ * @param context - The dependencies of the handler.
  * @returns The handler, by method.
  */
 export const listHandlers = (context: OperatorContext): Readonly<Record<'get', Handler>> => ({
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -1,8 +1,8 @@
-/** Clients of the platform: table, objects, hosts and workers. */
+/** Clients of the platform services: table, object store, host list and workers. */
 export * from './batched-reads.js';
 export * from './group-commit.js';
 export * from './http-json.js';
 export * from './platform-clients.js';
 export * from './platform-error.js';
-export * from './pulsed-table.js';
+export * from './control-change-marker.js';
 export * from './table-client.js';
--- a/packages/stand-ins/src/example-deployment.ts
+++ b/packages/stand-ins/src/example-deployment.ts
@@ -1,19 +1,19 @@
-/** A whole deployment of an example, as separate processes on the loopback address. */
+/** Starts all processes of an example deployment on the loopback address. */
 import { readdir, readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
 
 import {
-  declaredHosts,
-  declarationsOf,
+  listDeclaredHosts,
+  listDeclarations,
   emptyConfiguration,
-  readDeclarations,
-  takeSnapshot,
+  parseDeclarations,
+  applySnapshot,
   type Configuration,
 } from '@valvelatch/core';
 
 import { startProcess, stopProcess, type RunningProcess } from './processes.js';
 
-/** The running processes of an example. */
+/** A running example and its addresses. */
 export type ExampleDeployment = {
   readonly configuration: Configuration;
   readonly declarationsFolder: string;
@@ -35,7 +35,7 @@
  * Reads the declarations of an example.
  *
  * @param example - The folder under `examples/`.
- * @returns The configuration that they make.
+ * @returns The configuration that results from them, with revision 1.
  */
 export const readExample = async (example: string): Promise<Configuration> => {
   const folder = new URL(`${example}/declarations/`, EXAMPLES);
@@ -43,18 +43,21 @@
   const files = await Promise.all(
     names.map(async (file) => ({ file, text: await readFile(new URL(file, folder), 'utf8') })),
   );
-  const declarations = readDeclarations(files).unwrap();
-  return takeSnapshot(emptyConfiguration, { revision: 1, declarations });
+  const declarations = parseDeclarations(files).unwrap();
+  return applySnapshot(emptyConfiguration, { revision: 1, declarations });
 };
 
-const inTurn = <Item>(items: readonly Item[], run: (item: Item) => Promise<void>): Promise<void> =>
-  items.reduce((before, item) => before.then(() => run(item)), Promise.resolve());
+/** Runs an asynchronous function for each item, one after the other. */
+const runSequentially = <Item>(
+  items: readonly Item[],
+  run: (item: Item) => Promise<void>,
+): Promise<void> => items.reduce((before, item) => before.then(() => run(item)), Promise.resolve());
 
 const urlOf = ({ fields }: RunningProcess): string => fields.url ?? '';
 
 /**
  * Starts an example: the platform, the workers of each data centre, and an entry for each seat.
- * Nothing is applied yet.
+ * The declarations are not applied yet.
  *
  * @param example - The folder under `examples/`.
  * @returns The running processes.
@@ -74,7 +77,7 @@
   };
 
   const startWorkersOf = async (dataCentre: string, platformUrl: string): Promise<void> => {
-    const hosts = declaredHosts(configuration).filter((spec) => spec.dataCentre === dataCentre);
+    const hosts = listDeclaredHosts(configuration).filter((spec) => spec.dataCentre === dataCentre);
     const workers = await start('standIn', [
       'workers',
       `--data-centre=${dataCentre}`,
@@ -100,13 +103,13 @@
 
   try {
     const platformUrl = urlOf(await start('standIn', ['platform']));
-    const centres = declarationsOf(configuration, 'DataCentre');
-    await inTurn(centres, ({ name }) => startWorkersOf(name, platformUrl));
+    const centres = listDeclarations(configuration, 'DataCentre');
+    await runSequentially(centres, ({ name }) => startWorkersOf(name, platformUrl));
     const seats = centres.flatMap(({ name, spec }) =>
       Array.from({ length: spec.entrySeats }, (_, seat) => ({ name, seat })),
     );
     // Each entry joins those that were started before it.
-    await inTurn(seats, ({ name, seat }) => startEntryAt(name, seat, platformUrl));
+    await runSequentially(seats, ({ name, seat }) => startEntryAt(name, seat, platformUrl));
     return {
       configuration,
       declarationsFolder: fileURLToPath(new URL(`${example}/declarations`, EXAMPLES)),
--- a/packages/stand-ins/src/users-platform/executor-service.ts
+++ b/packages/stand-ins/src/users-platform/executor-service.ts
@@ -1,8 +1,8 @@
-/** A stand-in for one executor of the users' platform, over the model of an endpoint. */
+/** A stand-in for one executor of the users' platform: an HTTP server around a simulated endpoint. */
 import {
-  createEndpointModel,
-  type EndpointModel,
-  type EndpointModelOptions,
+  createSimulatedEndpoint,
+  type SimulatedEndpoint,
+  type SimulatedEndpointOptions,
   type OrderError,
   type TaskKey,
 } from '@valvelatch/core/batch';
@@ -11,15 +11,15 @@
 
 /** A running executor. */
 export type StandInExecutor = {
-  readonly model: EndpointModel;
+  readonly model: SimulatedEndpoint;
   readonly address: string;
   readonly close: () => Promise<void>;
 };
 
-const OTHER_INSTANCE = 421;
-const REFUSED = 409;
+const WRONG_INSTANCE_STATUS = 421;
+const REFUSED_STATUS = 409;
 
-type Order = {
+type OrderBody = {
   readonly task: TaskKey;
   readonly run: number;
   readonly spec?: string;
@@ -34,30 +34,32 @@
   reply: FastifyReply,
 ): Promise<unknown> => {
   if (result.isOk()) return result.value;
-  await reply.code(REFUSED).send({ clockMs: 0, reason: result.error.reason });
+  await reply.code(REFUSED_STATUS).send({ clockMs: 0, reason: result.error.reason });
   return reply;
 };
 
 /**
  * Starts an executor.
  *
- * @param options - The names, the room and the clock of its endpoint.
- * @returns The executor.
+ * @param options - The ids, the capacity and the clock of its endpoint.
+ * @returns The running executor.
  */
-export const startExecutor = async (options: EndpointModelOptions): Promise<StandInExecutor> => {
-  const model = createEndpointModel(options);
+export const startExecutor = async (
+  options: SimulatedEndpointOptions,
+): Promise<StandInExecutor> => {
+  const model = createSimulatedEndpoint(options);
   const server = fastify();
 
   server.addHook('onRequest', async ({ headers }, reply) => {
     const expected = headers['x-expected-instance'];
-    if (expected !== model.instanceId) await reply.code(OTHER_INSTANCE).send();
+    if (expected !== model.instanceId) await reply.code(WRONG_INSTANCE_STATUS).send();
   });
-  server.post<{ Body: Order }>('/-/run-start', async ({ body }, reply) => {
+  server.post<{ Body: OrderBody }>('/-/run-start', async ({ body }, reply) => {
     const { task, run, spec = '', untilMs = 0, fence = 0, checkpoint = '', ticket = '' } = body;
     const order = { task, run, spec, keepUntilMs: untilMs, fence, checkpoint, ticket };
     return send(model.start(order), reply);
   });
-  server.post<{ Body: Order }>('/-/run-stop', async ({ body }, reply) =>
+  server.post<{ Body: OrderBody }>('/-/run-stop', async ({ body }, reply) =>
     send(model.stop({ task: body.task, run: body.run, fence: body.fence ?? 0 }), reply),
   );
   server.post<{
@@ -65,14 +67,14 @@
   }>('/-/hold', async ({ body }, reply) => {
     const { fence = 0, lastSeen = 0, untilMs, waitMs = 0 } = body;
     const keep = untilMs === undefined ? {} : { keepUntilMs: untilMs };
-    const answer = await model.list({ fence, acknowledged: lastSeen, waitMs, ...keep });
-    const wire = answer.map(({ clockMs, running, ended }) => ({
+    const reports = await model.list({ fence, acknowledged: lastSeen, waitMs, ...keep });
+    const response = reports.map(({ clockMs, running, ended }) => ({
       clockMs,
-      born: model.bornAtMs,
+      born: model.startedAtMs,
       running: running.map((one) => [one.task, one.run, one.checkpoint, one.percent, one.figure]),
       ended: ended.map((one) => [one.number, one.task, one.run, one.kind, one.checkpoint]),
     }));
-    return send(wire, reply);
+    return send(response, reply);
   });
 
   const url = await server.listen({ host: '127.0.0.1', port: 0 });
@@ -80,7 +82,7 @@
     model,
     address: url.replace('http://', ''),
     close: async () => {
-      model.die();
+      model.crash();
       server.server.closeAllConnections();
       await server.close();
     },
